--- a/examples/embed/nifty_trio.py
+++ b/examples/embed/nifty_trio.py
@@ -4,7 +4,7 @@
 
 from quillring.gossip import Gossip
 from quillring.kernel import Node
-from quillring.kernel.gevent_world import GeventWorld
+from quillring.kernel.gevent_runtime import GeventRuntime
 from quillring.nifty import Member, Nifty
 
 ADDRESSES = [("127.0.43.1", 7600), ("127.0.43.2", 7600), ("127.0.43.3", 7600)]
@@ -14,8 +14,8 @@
     """Start one node with nifty and gossip; it knows the first address only."""
     host, port = ADDRESSES[number]
     me = Member(f"node-{number}", number + 1, "core", "here", host, port, 1, "")
-    world = GeventWorld(print, 1.0)
-    node = Node(me, world)
+    runtime = GeventRuntime(print, 1.0)
+    node = Node(me, runtime)
     nifty = node.offer("nifty", Nifty(node, ADDRESSES[:1]))
     gossip = node.offer("gossip", Gossip(node))
 
@@ -27,7 +27,7 @@
     gossip.listen("member/", lambda key, fields: nifty.learn(Member.from_list(fields)))
     put_member(me)
     node.handle("greet", lambda body, origin: f"{me.name} greets {origin}")
-    world.listen(host, port, nifty.on_datagram, nifty.on_frame)
+    runtime.listen(host, port, nifty.on_datagram, nifty.on_frame)
     node.spawn(nifty.run())
     node.spawn(gossip.run())
     return node
@@ -42,7 +42,7 @@
             graphs = [node.find("nifty").graph for node in nodes]
             gevent.sleep(0.05)
         print("bridges:", nodes[0].find("nifty").bridge_nodes())
-        print(nodes[0].world.drive(nodes[0].call("node-2", "greet", None)))
+        print(nodes[0].runtime.drive(nodes[0].call("node-2", "greet", None)))
         nodes[1].find("gossip").put("weather", [1], "fog")
         while nodes[2].find("gossip").get("weather") is None:
             gevent.sleep(0.05)
--- a/examples/embed/quorum_counter.py
+++ b/examples/embed/quorum_counter.py
@@ -6,7 +6,7 @@
 
 from quillring.fleet import make_node, open_store, start_node
 from quillring.kernel.bounds import Bounds
-from quillring.kernel.gevent_world import GeventWorld
+from quillring.kernel.gevent_runtime import GeventRuntime
 from quillring.nifty import Member
 from quillring.ownership import QUERIES
 from quillring.quorum import COMMANDS
@@ -36,10 +36,10 @@
     acceptors = open_store(FolderDisk(folder), name, lambda: f"{number:04x}") if folder else None
     identity = acceptors.identity if acceptors else ""
     me = Member(name, number, role, zone, *address, 1, identity)
-    world = GeventWorld(print, 1.0)
-    node = make_node(me, world, [SEED], Bounds())
+    runtime = GeventRuntime(print, 1.0)
+    node = make_node(me, runtime, [SEED], Bounds())
     start_node(node, acceptors)
-    world.listen(*address, node.find("nifty").on_datagram, node.find("nifty").on_frame)
+    runtime.listen(*address, node.find("nifty").on_datagram, node.find("nifty").on_frame)
     return node
 
 
@@ -52,14 +52,15 @@
             start(number, "store", zone, f"{folder}/store-{number}")
         while len(core.find("nifty").graph.live) < 5:
             gevent.sleep(0.05)
-        print("founded:", core.world.drive(found_fleet(core, 1))["was_founded"] is False)
+        print("founded:", core.runtime.drive(found_fleet(core, 1))["was_founded"] is False)
         for node, amount in ((core, 2), (other, 40)):
             while node.find("gossip").get("founding") is None:
                 gevent.sleep(0.05)
             command = {"do": "counter.add", "id": node.me.name, "amount": amount}
-            node.world.drive(node.find("ownership").submit("part-0", command, 20))
+            node.runtime.drive(node.find("ownership").submit("part-0", command, 20))
         print(
-            "counter:", core.world.drive(core.find("ownership").read("part-0", {"ask": "counter"}))
+            "counter:",
+            core.runtime.drive(core.find("ownership").read("part-0", {"ask": "counter"})),
         )
         while core.find("gossip").get("owner/part-0") is None:
             gevent.sleep(0.05)
--- a/proving/histories/clients.py
+++ b/proving/histories/clients.py
@@ -65,8 +65,8 @@
         which the node tries.
         """
         node, begin = node or self.pick_node(), self.env.now
-        script = make_script(self.stage, node, target, order, seconds)
-        process = self.env.process(self.stage.sim.run_script(node, script))
+        coroutine = make_script(self.stage, node, target, order, seconds)
+        process = self.env.process(self.stage.sim.run_script(node, coroutine))
         yield process | self.env.timeout(self.chance.uniform(*patience))
         outcome = self.outcome_of(process, node)
         if isinstance(order, FetchConfiguration):
@@ -84,7 +84,7 @@
         if not process.triggered or self.chance.random() < LOST_ANSWER_SHARE:
             return None
         value, error = process.value
-        if value is None and error is None and node.world.is_dead:
+        if value is None and error is None and node.runtime.is_dead:
             return None
         return value, error
 
@@ -180,7 +180,7 @@
         nodes = [
             node
             for name, node in self.stage.sim.nodes.items()
-            if not name.startswith("store") and node.world.thaw_event is not None
+            if not name.startswith("store") and node.runtime.thaw_event is not None
         ]
         helper = Client(self.run, f"{self.name} waiting")
         orders = [(CONFIGURATION, FetchConfiguration()), (CONFIGURATION, self.make_change())]
--- a/proving/histories/run.py
+++ b/proving/histories/run.py
@@ -21,7 +21,7 @@
 from proving.histories.snapshots import check_snapshots
 from proving.histories.stage import HistoryStage
 from proving.sim.loud_cuts import LoudCuts
-from proving.sim.world import ScriptFailure
+from proving.sim.runtime import ScriptFailure
 
 PROGRAM = "program"
 OPERATORS, LOT_CLIENTS = 5, 2
@@ -77,7 +77,7 @@
         return f"lot{self.lots}"
 
     def play(self):
-        """Play the run; return its history, up to where a script of the product failed."""
+        """Play the run; return its history, up to where a coroutine of the product failed."""
         sim, history = self.stage.sim, self.stage.history
         try:
             self._play_all()
--- a/proving/histories/stage.py
+++ b/proving/histories/stage.py
@@ -3,7 +3,7 @@
 from proving.histories.calls import ZONES
 from proving.histories.operations import Done, History, Operation, Snapshot, Unknown
 from proving.sim.fleet import SimFleet
-from proving.sim.raw_replicas import RawBackends, RawReplica, RawWorld
+from proving.sim.raw_replicas import RawBackends, RawReplica, RawRuntime
 from quillring.rollout.schema import EMPTY
 
 SIZES = {"sizes": {"edge": 2, "core": 3, "store": 4}, "replicas": []}
@@ -14,11 +14,11 @@
 ITEM_TOKENS = 10
 
 
-class HistoryWorld(RawWorld):
-    """A process whose scripts go on in any order after a freeze, as loops of events have it."""
+class HistoryRuntime(RawRuntime):
+    """A process whose coroutines go on in any order after a freeze, as loops of events have it."""
 
     def thaw(self):
-        """Wake a frozen process; its scripts go on in an order that is drawn."""
+        """Wake a frozen process; its coroutines go on in an order that is drawn."""
         if self.thaw_event is not None:
             self.random.shuffle(self.thaw_event.callbacks)
         super().thaw()
@@ -27,7 +27,7 @@
 class HistoryFleet(SimFleet):
     """A simulated fleet whose processes speak to raw replicas."""
 
-    world_class = HistoryWorld
+    runtime_class = HistoryRuntime
 
 
 class HistoryStage:
--- a/proving/model/locals.py
+++ b/proving/model/locals.py
@@ -1,7 +1,7 @@
 """The states of single processes: each is reached once and named by a number.
 
 A step of a process depends on nothing but its own state and the input. So the steps are kept in a
-table, and the product of all processes is explored without running a script again. Running scripts
+table, and the product of all processes is explored without running it again. Running coroutines
 can't be copied: where a step is new, the process is made again by its inputs since its beginning.
 """
 
--- a/proving/model/watched_owner.py
+++ b/proving/model/watched_owner.py
@@ -23,7 +23,7 @@
         return replies
 
     def decide(self, batch):
-        """Script: have a majority accept the next entry, once it is noted who was asked before."""
+        """Have a majority accept the next entry, once it is noted who was asked before."""
         ballot, group = tuple(self.ballot), members_of(self.group)
         if ballot != self.asked_ballot or group not in self.asked_groups:
             self.unasked.append(ProposedUnasked(ballot, self.index + 1))
--- a/proving/points/callers.py
+++ b/proving/points/callers.py
@@ -2,7 +2,7 @@
 
 import random
 
-from proving.sim.scripted import BREAK, SILENT, STALE, ScriptedAnswer, ScriptedWorld
+from proving.sim.scripted import BREAK, SILENT, STALE, ScriptedAnswer, ScriptedRuntime
 from proving.tools.fake_wire import END, RESET, FakeWire
 from quillring.fleet import make_node
 from quillring.forward import Request
@@ -90,8 +90,8 @@
     return b"".join(parts)
 
 
-class FaultyWorld(ScriptedWorld):
-    """A scripted world whose replicas fail in a way drawn anew for each sending."""
+class FaultyRuntime(ScriptedRuntime):
+    """A scripted runtime whose replicas fail in a way drawn anew for each sending."""
 
     def __init__(self, seed):
         super().__init__(seed=seed)
@@ -130,9 +130,9 @@
     chance, violations, outcomes = random.Random(seed), [], {}
     for number in range(REQUESTS):
         kind, is_resumable = chance.choice(KINDS)
-        world = FaultyWorld(chance.random())
-        outcome = _forward(world, kind, is_resumable)
-        runs = world.may_have_run
+        runtime = FaultyRuntime(chance.random())
+        outcome = _forward(runtime, kind, is_resumable)
+        runs = runtime.may_have_run
         is_single = kind == "once" or (kind == "stream" and not is_resumable)
         if is_single and len(runs) > 1:
             violations.append(f"request {number} ({kind}) may have run {len(runs)} times")
@@ -142,17 +142,17 @@
             violations.append(f"request {number} ({kind}) may have run and was refused")
         if len({address for address, _ in runs}) > ATTEMPTS:
             violations.append(f"request {number} ({kind}) ran on too many replicas")
-        if world.now() > START_TIME + DEADLINE_SECONDS + HELD_PAST_END:
+        if runtime.now() > START_TIME + DEADLINE_SECONDS + HELD_PAST_END:
             violations.append(f"request {number} ({kind}) was held past its time")
         name = f"{'once' if is_single else 'repeatable'}/{outcome}"
         outcomes[name] = outcomes.get(name, 0) + 1
     return violations, dict(sorted(outcomes.items()))
 
 
-def _forward(world, kind, is_resumable):
+def _forward(runtime, kind, is_resumable):
     """Pass one request on; return how it ended for its client."""
     node = make_node(
-        Member("edge-1", 1, "edge", "north", "10.0.0.9", 7000, 7001, ""), world, [], Bounds()
+        Member("edge-1", 1, "edge", "north", "10.0.0.9", 7000, 7001, ""), runtime, [], Bounds()
     )
     node.find("gossip").put("layout", [1], [1, 1, _configuration(kind, is_resumable), []])
     for number in range(REPLICAS):
@@ -160,7 +160,7 @@
     pairs = [("Host", "h"), ("X-Inquiry", "q"), ("X-Deadline-Ms", str(DEADLINE_SECONDS * 1000))]
     request = Request(node.find("dialect"), "POST", "/a/x", pairs, b"")
     try:
-        answer = world.run(
+        answer = runtime.run(
             serve(node, node.find("forwards").find("h", "/a/x"), request, START_TIME)
         )
     except Refused:
--- a/proving/points/cuts.py
+++ b/proving/points/cuts.py
@@ -191,7 +191,7 @@
 
 def take_at_first_only(self, part, attempts):
     """Stand-in for the guard: no core takes a part over once the fleet runs."""
-    if self.node.world.env.now > 8:
+    if self.node.runtime.env.now > 8:
         return
     yield from REAL_TAKE(self, part, attempts)
 
--- a/proving/points/departed.py
+++ b/proving/points/departed.py
@@ -53,7 +53,10 @@
 
 def is_fresh_by_heard_group(self):
     """Stand-in for the guard: the group counts that was heard of, whatever the layout's is."""
-    snapshot, edge_time = self.node.find("layout"), self.node.now() - self.node.bounds.fresh
+    snapshot, edge_time = (
+        self.node.find("layout"),
+        self.node.now() - self.node.bounds.configuration_freshness,
+    )
     try:
         group = self.node.find("ownership").group(CONFIG)
     except NotFounded:
@@ -83,8 +86,8 @@
     sim.env.run(until=20)
     node = sim.nodes["core-2"]
     command = {"do": "domain.mark", "domain": "north", "emptied": True}
-    script = node.find("ownership").submit(CONFIG, command, 3)
-    task = sim.env.process(sim.run_script(node, script))
+    coroutine = node.find("ownership").submit(CONFIG, command, 3)
+    task = sim.env.process(sim.run_script(node, coroutine))
     sim.env.run(until=24)
     sim.heal()
     sim.env.run(until=32)
--- a/proving/points/lots.py
+++ b/proving/points/lots.py
@@ -53,7 +53,7 @@
     stage.sim.disks[lost_store].lose_all()
     for node in stage.sim.nodes.values():
         if node.me.name in slow_stores:
-            node.world.held.clear()
+            node.runtime.held.clear()
     stage.run(40)
     outcomes = stage.outcomes()
     if outcomes.get("lot/ended") != 4:
@@ -105,9 +105,9 @@
                     real_violate(f"result {number} of {name} changed")
             core = stage.node("core-1")
             command = {"do": "lot.result", "lot": name, "n": 0, "result": {"text": "late"}}
-            script = core.find("ownership").submit(name.partition(".")[0], command)
+            coroutine = core.find("ownership").submit(name.partition(".")[0], command)
             if known["seen"]:
-                stage.start(stage.sim.run_script(core, script))
+                stage.start(stage.sim.run_script(core, coroutine))
                 known["phase"] = "open"
     return stage.sim.history.violations, {"results": len(first)}
 
--- a/proving/points/membership.py
+++ b/proving/points/membership.py
@@ -16,7 +16,7 @@
 def quick_stage(seed, **options):
     """Return a stage whose lost stores are replaced within the sync bound."""
     stage = Stage(seed, **options)
-    stage.sim.bounds.sync = SYNC_SECONDS
+    stage.sim.bounds.resync = SYNC_SECONDS
     return stage
 
 
@@ -107,7 +107,7 @@
         handler = node.handlers[service]
 
         def take(body, origin, handler=handler):
-            if node.world.env.now < ready_at:
+            if node.runtime.env.now < ready_at:
                 raise TimedOut(target=node.me.name)
             return handler(body, origin)
 
--- a/proving/points/orders.py
+++ b/proving/points/orders.py
@@ -19,8 +19,8 @@
     """An operator orders a zone emptied or filled at a node; return (answer, error)."""
     command = {"do": "domain.mark", "domain": zone, "emptied": is_emptied, "nodes": False}
     node = stage.node(node_name)
-    script = submit_order(node, command, TRY_SECONDS)
-    return stage.finish(stage.start(stage.sim.run_script(node, script)))
+    coroutine = submit_order(node, command, TRY_SECONDS)
+    return stage.finish(stage.start(stage.sim.run_script(node, coroutine)))
 
 
 def order_until_taken(stage, zone, is_emptied, names):
@@ -94,8 +94,8 @@
         tasks = {}
         for core, store in zip(("core-1", "core-2"), stores, strict=True):
             node = stage.node(core)
-            script = retire_store(node, store, TRY_SECONDS)
-            tasks[store] = stage.start(stage.sim.run_script(node, script))
+            coroutine = retire_store(node, store, TRY_SECONDS)
+            tasks[store] = stage.start(stage.sim.run_script(node, coroutine))
         for store, task in tasks.items():
             outcomes.setdefault(store, []).append(stage.finish(task)[1])
     taken = [store for store, errors in outcomes.items() if None in errors]
@@ -145,8 +145,8 @@
 def ask_once(stage, name):
     """An operator reads the version at a node and orders there; (version, answer, slowest s)."""
     node, start_time = stage.node(name), stage.env.now
-    script = node.find("ownership").read("config", {"ask": "version"}, TRY_SECONDS)
-    read, _ = stage.finish(stage.start(stage.sim.run_script(node, script)))
+    coroutine = node.find("ownership").read("config", {"ask": "version"}, TRY_SECONDS)
+    read, _ = stage.finish(stage.start(stage.sim.run_script(node, coroutine)))
     read_seconds, start_time = stage.env.now - start_time, stage.env.now
     ordered, _ = order_zone(stage, name, "north", True)
     seconds = max(read_seconds, stage.env.now - start_time)
--- a/proving/points/reading.py
+++ b/proving/points/reading.py
@@ -28,7 +28,7 @@
             answer, error = yield from sim.run_script(node, show_results(node, request))
             seconds = sim.env.now - start_time
             reads.append(seconds)
-            if not answer or seconds > sim.bounds.reading:
+            if not answer or seconds > sim.bounds.read_timeout:
                 late.append(f"{lot} after {seconds:.2f} s: {error}")
             elif {row["n"] for row in answer["results"]} < written:
                 late.append(f"{lot} lacks results that stood before it was asked")
@@ -152,8 +152,8 @@
 
 def first_core_only(self, owner, name, plan):
     """Stand-in for the guard: only the core that began a plan goes on with it."""
-    CORES.setdefault((self.node.world.env, name), self.node.me.name)
-    if CORES[self.node.world.env, name] == self.node.me.name:
+    CORES.setdefault((self.node.runtime.env, name), self.node.me.name)
+    if CORES[self.node.runtime.env, name] == self.node.me.name:
         yield from REAL_STEP(self, owner, name, plan)
 
 
--- a/proving/points/resume.py
+++ b/proving/points/resume.py
@@ -95,7 +95,7 @@
         ),
         "another sender": (head["resume"], "bob"),
         "no sender": (head["resume"], ""),
-        "expired": (make_token(secret, stream, node.world.wall() - LIFE_SECONDS - 1), "ann"),
+        "expired": (make_token(secret, stream, node.runtime.wall_time() - LIFE_SECONDS - 1), "ann"),
         "cut off": (head["resume"][: chance.randrange(1, 20)], "ann"),
         "not ascii": ("\u00fc" * 8, "ann"),
     }
--- a/proving/points/stalls.py
+++ b/proving/points/stalls.py
@@ -41,8 +41,8 @@
     def read(self, due_version):
         """Process: read the configuration; an older one than was due is a violation."""
         begun_at, node = self.stage.env.now, self.stage.node(self.name)
-        script = node.find("ownership").read(CONFIG, {"ask": "layout"}, TRY_SECONDS)
-        answer, error = yield from self.stage.sim.run_script(node, script)
+        coroutine = node.find("ownership").read(CONFIG, {"ask": "layout"}, TRY_SECONDS)
+        answer, error = yield from self.stage.sim.run_script(node, coroutine)
         self.note("read", begun_at, error)
         if answer is not None and answer["version"] < due_version:
             text = f"{self.name} hands out {answer['version']}, {due_version} was acknowledged"
@@ -60,8 +60,8 @@
             "base_version": base_version,
             "change": {"entries": {name: {"service": "words", "class": "traveller"}}},
         }
-        script = node.find("ownership").submit(CONFIG, command, TRY_SECONDS)
-        answer, error = yield from self.stage.sim.run_script(node, script)
+        coroutine = node.find("ownership").submit(CONFIG, command, TRY_SECONDS)
+        answer, error = yield from self.stage.sim.run_script(node, coroutine)
         self.note("change", begun_at, error)
         if answer is not None:
             self.confirmed.append((name, answer["version"]))
@@ -113,8 +113,8 @@
     """Return how long after the cut the machine answers a read again."""
     healed_at, node = stage.env.now, stage.node(calls.name)
     while stage.env.now - healed_at < 10:
-        script = node.find("ownership").read(CONFIG, {"ask": "layout"}, TRY_SECONDS)
-        answer, _ = stage.finish(stage.start(stage.sim.run_script(node, script)))
+        coroutine = node.find("ownership").read(CONFIG, {"ask": "layout"}, TRY_SECONDS)
+        answer, _ = stage.finish(stage.start(stage.sim.run_script(node, coroutine)))
         if answer is not None:
             return round(stage.env.now - healed_at, 2)
         stage.run(0.05)
@@ -132,7 +132,7 @@
         call_for_seconds(stage, calls, versions)
         stage.sim.heal()
         served_after = seconds_until_served(stage, calls)
-        if served_after is None or served_after > stage.sim.bounds.news:
+        if served_after is None or served_after > stage.sim.bounds.propagation:
             stage.sim.history.violate(f"serves again after {served_after} s")
         stage.run(2)
         check_confirmed(stage, calls)
--- a/proving/points/state.py
+++ b/proving/points/state.py
@@ -20,8 +20,8 @@
         "base_version": version,
         "change": change,
     }
-    script = node.find("ownership").submit(CONFIG, command)
-    answer, error = stage.finish(stage.start(stage.sim.run_script(node, script)), seconds)
+    coroutine = node.find("ownership").submit(CONFIG, command)
+    answer, error = stage.finish(stage.start(stage.sim.run_script(node, coroutine)), seconds)
     if answer:
         stage.monitor.accept(answer["version"])
     return answer, error
@@ -85,8 +85,8 @@
             "base_version": 1,
             "change": {"entries": {f"race-{number}": route}},
         }
-        script = node.find("ownership").submit(CONFIG, command)
-        tasks.append(stage.start(stage.sim.run_script(node, script)))
+        coroutine = node.find("ownership").submit(CONFIG, command)
+        tasks.append(stage.start(stage.sim.run_script(node, coroutine)))
     outcomes = [stage.finish(task) for task in tasks]
     stage.run(3)
     won = [answer["version"] for answer, _ in outcomes if answer]
--- a/proving/points/waits.py
+++ b/proving/points/waits.py
@@ -112,7 +112,10 @@
     refusals, served = timed_refusals(stage, submit_lot, bodies)
     stage.run(20)
     _check_fast(stage, refusals, served)
-    if early and max(early) > stage.sim.bounds.broken + stage.sim.bounds.beat * 1.5:
+    if (
+        early
+        and max(early) > stage.sim.bounds.link_timeout + stage.sim.bounds.heartbeat_interval * 1.5
+    ):
         stage.sim.history.violate(f"a call to a lost core was held for {max(early):.2f} s")
     return stage.sim.history.violations, {
         "refused": len(refusals),
--- a/proving/scale/fleet.py
+++ b/proving/scale/fleet.py
@@ -9,7 +9,7 @@
 
 from proving.scale.members import ZONES, carry_seconds, hollow_configuration, hollow_members
 from proving.sim.net import SimNet
-from proving.sim.world import SimWorld
+from proving.sim.runtime import SimRuntime
 from quillring.fleet import make_node
 from quillring.kernel.bounds import Bounds
 from quillring.nifty.graph import Graph
@@ -19,8 +19,8 @@
 FIRST_START = 1_800_000_000_000_000
 
 
-class HollowWorld(SimWorld):
-    """A simulated world that counts the frames its node sends."""
+class HollowRuntime(SimRuntime):
+    """A simulated runtime that counts the frames its node sends."""
 
     def frame(self, address, data):
         """Send a frame."""
@@ -53,7 +53,7 @@
     def start(self, member):
         """Start one hollow node, some moment within a tenth of a beat."""
         self.starts += 1
-        world = HollowWorld(
+        runtime = HollowRuntime(
             self.env,
             self.net,
             None,
@@ -61,19 +61,19 @@
             f"{self.seed} {member.name} {self.starts}",
             self.faults,
         )
-        node = world.node = make_node(
-            member.restarted(FIRST_START + self.starts), world, self.seeds, self.bounds
+        node = runtime.node = make_node(
+            member.restarted(FIRST_START + self.starts), runtime, self.seeds, self.bounds
         )
         nifty = node.find("nifty")
         if member.role == "store":
             nifty.stamp_source = lambda: [[1, "core-0000"], self.index, member.identity]
             node.handle("quorum.image", lambda body, origin: [self.index, self.config_state()])
-        world.listen(nifty.on_datagram, nifty.on_frame)
+        runtime.listen(nifty.on_datagram, nifty.on_frame)
         self.nodes[member.name] = node
         self.env.process(self._run(node))
 
     def _run(self, node):
-        yield self.env.timeout(self.chance.uniform(0, self.bounds.beat / 10))
+        yield self.env.timeout(self.chance.uniform(0, self.bounds.heartbeat_interval / 10))
         for name in ("nifty", "gossip", "freshness"):
             node.spawn(node.find(name).run())
 
@@ -103,7 +103,7 @@
         while True:
             sequence += 1
             node = self.nodes[self.chance.choice(names)]
-            if not node.world.is_dead:
+            if not node.runtime.is_dead:
                 node.find("replicas").on_beat(
                     {
                         "name": f"words-{number}",
@@ -133,12 +133,12 @@
 
     def live(self):
         """Return the nodes that run."""
-        return [node for node in self.nodes.values() if not node.world.is_dead]
+        return [node for node in self.nodes.values() if not node.runtime.is_dead]
 
     def kill(self, names):
         """Kill nodes at once."""
         for name in names:
-            self.nodes[name].world.kill()
+            self.nodes[name].runtime.kill()
 
     def cut(self, names, other_names):
         """Cut every pair between two groups."""
--- a/proving/scale/loopback.py
+++ b/proving/scale/loopback.py
@@ -16,7 +16,7 @@
 from proving.tools.overhead import cpu_seconds
 from quillring.fleet import make_node
 from quillring.kernel.bounds import Bounds
-from quillring.kernel.gevent_world import GeventWorld
+from quillring.kernel.gevent_runtime import GeventRuntime
 from quillring.kernel.settings import split_address
 from quillring.nifty import Member
 
@@ -48,16 +48,16 @@
     me = Member(
         f"edge-h{number:04d}", FIRST_START + number, "edge", ZONES[number % 4], *address, 8400, ""
     )
-    world = GeventWorld(faults.append, 1.0)
-    node = make_node(me, world, seeds, Bounds())
+    runtime = GeventRuntime(faults.append, 1.0)
+    node = make_node(me, runtime, seeds, Bounds())
     nifty = node.find("nifty")
-    world.listen(*address, nifty.on_datagram, nifty.on_frame)
+    runtime.listen(*address, nifty.on_datagram, nifty.on_frame)
     gevent.spawn_later(random.uniform(0, 0.05), start_scripts, node)
     return node
 
 
 def start_scripts(node):
-    """Start the scripts of a hollow node."""
+    """Start the coroutines of a hollow node."""
     for name in ("nifty", "gossip"):
         node.spawn(node.find(name).run())
 
--- a/proving/scale/one_node.py
+++ b/proving/scale/one_node.py
@@ -1,6 +1,6 @@
 """One real node of each role among scripted peers over loopback: its processor time and memory.
 
-The peers are one light script, so that a busy machine slows the figures less than many hollow nodes
+The peers are one coroutine, so that a busy machine slows figures less than many hollow nodes
 do: they send sound heartbeats, spread over the period, and read the node's own.
 """
 
@@ -41,7 +41,7 @@
         self.socket.bind(("0.0.0.0", PORT))
         self.socket.setblocking(False)
         self.heard, self.sequence, self.taken = None, 0, 0
-        self.period = Pace(Bounds(news=NEWS, return_=RETURN), count + 1).period
+        self.period = Pace(Bounds(propagation=NEWS, recovery=RETURN), count + 1).period
 
     def read(self):
         """Read what the node sent; one heartbeat of a round speaks for all its copies."""
--- a/proving/scale/runs.py
+++ b/proving/scale/runs.py
@@ -64,9 +64,9 @@
 def run_size(size, replicas=0, entries=10, seed=1, only=(), seconds=None, news=2.0, warm=False):
     """Run all scenarios at one size; return {scenario: work of a node}."""
     before = rss_bytes()
-    fleet = HollowFleet(size, seed, replicas, entries, Bounds(news=news))
+    fleet = HollowFleet(size, seed, replicas, entries, Bounds(propagation=news))
     fleet.start_all(warm)
-    span = fleet.bounds.beat * 8 if seconds is None else seconds
+    span = fleet.bounds.heartbeat_interval * 8 if seconds is None else seconds
     rows = {"start": fleet.spend(span)}
     settled_at = None
     for _ in range(SETTLE_LIMIT):
--- a/proving/sim/backends.py
+++ b/proving/sim/backends.py
@@ -95,14 +95,14 @@
         self.sim = sim
         self.replicas = {}
 
-    def _find(self, world, effect):
+    def _find(self, runtime, effect):
         replica = self.replicas.get(tuple(effect.address))
         yield self.sim.env.timeout(self.sim.net.delay())
         if replica is None or replica.is_dead:
             raise NotSent(reason="refused")
         if replica.is_frozen:
             yield from self._wait_frozen(replica, effect.seconds)
-        if replica.is_dark or not self.sim.net.passes(world.address, replica.address):
+        if replica.is_dark or not self.sim.net.passes(runtime.address, replica.address):
             yield self.sim.env.timeout(min(1.0, max(0, effect.seconds)))
             raise NotSent(reason="connect")
         return replica
@@ -124,9 +124,9 @@
             self.sim.history.ran(work, replica, name)
         return seconds
 
-    def fetch(self, world, effect):
+    def fetch(self, runtime, effect):
         """Serve a tile or a seat."""
-        replica = yield from self._find(world, effect)
+        replica = yield from self._find(runtime, effect)
         path, _, query = effect.path.partition("?")
         words = dict(parse_qsl(query))
         name = words["inquiry"]
@@ -147,9 +147,9 @@
             return 200, {"inquiry": name, "confirmed": seat_word(work, effect.body["seat"])}
         return 200, {"inquiry": name, "tile": tile_word(path)}
 
-    def open(self, world, effect):
+    def open(self, runtime, effect):
         """Open a generation."""
-        replica = yield from self._find(world, effect)
+        replica = yield from self._find(runtime, effect)
         body = effect.body
         words = dict(parse_qsl(effect.path.partition("?")[2]))
         seconds = self._start(replica, body["inquiry"], body["prefix"], body["prompt"], words)
@@ -192,13 +192,13 @@
             piece = f"run {body.setdefault('run', run)} from {body['from']} at {number}"
         return {"inquiry": name, "n": number, "piece": piece}
 
-    def next(self, world, effect):
+    def next(self, runtime, effect):
         """Return the next line."""
         handle = effect.handle
         if not handle.lines:
             handle.signal = Signal()
             if not handle.is_closed:
-                yield from world.wait(handle.signal, effect.seconds)
+                yield from runtime.wait(handle.signal, effect.seconds)
         if handle.lines:
             return handle.lines.pop(0)
         if handle.is_closed:
--- a/proving/sim/callers.py
+++ b/proving/sim/callers.py
@@ -15,17 +15,17 @@
 class Connection:
     """One HTTP exchange of a caller with an edge."""
 
-    def __init__(self, sim, node, script):
+    def __init__(self, sim, node, coroutine):
         self.sim = sim
         self.node = node
         self.lines = []
         self.signal = Signal()
         self.is_open = True
         self.outcome = None
-        sim.env.process(self._run(script))
+        sim.env.process(self._run(coroutine))
 
-    def _run(self, script):
-        self.outcome = yield from self.sim.run_script(self.node, script, self._take)
+    def _run(self, coroutine):
+        self.outcome = yield from self.sim.run_script(self.node, coroutine, self._take)
         self.signal.set()
 
     def _take(self, line):
@@ -38,7 +38,7 @@
         """Process: return the next line, or None when the exchange broke or ended."""
         end_time = self.sim.env.now + seconds
         while not self.lines and self.outcome is None and self.sim.env.now < end_time:
-            if self.node.world.is_dead:
+            if self.node.runtime.is_dead:
                 break
             self.signal = Signal()
             woken = self.sim.env.event()
@@ -70,7 +70,7 @@
         edges = [
             self.sim.nodes[name]
             for name in self.sim.names("edge")
-            if name in self.sim.nodes and not self.sim.nodes[name].world.is_dead
+            if name in self.sim.nodes and not self.sim.nodes[name].runtime.is_dead
         ]
         return self.sim.chance.choice(edges) if edges else None
 
@@ -81,10 +81,10 @@
             return None, QuillringError(reason="no edge")
         request = Request(method, words or {}, query or {}, body, client_name)
         try:
-            script = make(node, request)
+            coroutine = make(node, request)
         except QuillringError as error:
             return None, error
-        connection = Connection(self.sim, node, script)
+        connection = Connection(self.sim, node, coroutine)
         yield from connection.next(PATIENCE)
         connection.is_open = False
         answer, error = connection.outcome or (None, None)
--- a/proving/sim/net.py
+++ b/proving/sim/net.py
@@ -45,9 +45,9 @@
         self.free_at = {}
         self.largest_frame = 0
 
-    def attach(self, address, world):
-        """Let the world receive at an address."""
-        self.receivers[address] = world
+    def attach(self, address, runtime):
+        """Let the runtime receive at an address."""
+        self.receivers[address] = runtime
         self.refusing.discard(address)
 
     def cut(self, home, target, both_ways=True, kind=CutKind.SILENT):
@@ -82,10 +82,10 @@
 
     def _refuse_by_cut(self, home, target):
         """Tell a sender that its connection was refused, if the cut is there still."""
-        way, world = (home, target), self.receivers.get(home)
+        way, runtime = (home, target), self.receivers.get(home)
         is_refusing = way in self.cuts and self.loud_cuts.get(way) is CutKind.REFUSING
-        if is_refusing and world is not None:
-            world.receive("refused", target)
+        if is_refusing and runtime is not None:
+            runtime.receive("refused", target)
 
     def _is_cut_loudly(self, home, target):
         return (home, target) in self.cuts and (home, target) in self.loud_cuts
@@ -156,9 +156,14 @@
             event.callbacks.append(lambda _, home=home: self._refuse(home, target))
 
     def _refuse(self, home, target):
-        world, is_open = self.receivers.get(home), self.passes(target, home)
-        if target in self.refusing and world is not None and is_open and self.passes(home, target):
-            world.receive("refused", target)
+        runtime, is_open = self.receivers.get(home), self.passes(target, home)
+        if (
+            target in self.refusing
+            and runtime is not None
+            and is_open
+            and self.passes(home, target)
+        ):
+            runtime.receive("refused", target)
 
     def _is_drawn(self, share):
         """Tell whether a rare thing happens; a share of zero takes nothing from the chance."""
@@ -194,11 +199,11 @@
         return None if own_seconds > self.frame_seconds else self.free_at[home] - self.env.now
 
     def _arrive(self, home, target, data, kind, life=None):
-        world = self.receivers.get(target)
+        runtime = self.receivers.get(target)
         if kind == "frame" and life not in (None, self.lives.get((home, target), 0)):
             self.reset_frames += 1
             return
         if kind == "frame":
             self._refuse(home, target)
-        if world is not None and self.passes(home, target):
-            world.receive(kind, data)
+        if runtime is not None and self.passes(home, target):
+            runtime.receive(kind, data)
--- a/proving/sim/quorum_fuzz.py
+++ b/proving/sim/quorum_fuzz.py
@@ -43,14 +43,14 @@
                 "entry": "none",
                 "items": [name],
             }
-            script = self.chance.choice(cores).find("ownership").submit(part, command, 3)
-            env.process(self._submit(script, part, name))
+            coroutine = self.chance.choice(cores).find("ownership").submit(part, command, 3)
+            env.process(self._submit(coroutine, part, name))
 
-    def _submit(self, script, part, name):
+    def _submit(self, coroutine, part, name):
         node = self.chance.choice(self.sim.up_nodes("core") or [None])
         if node is None:
             return
-        answer, _ = yield from self.sim.run_script(node, script)
+        answer, _ = yield from self.sim.run_script(node, coroutine)
         if answer:
             self.acked.setdefault(part, {})[name] = self.sim.env.now
 
@@ -89,7 +89,7 @@
     def _start(self, name):
         yield self.sim.env.timeout(self.chance.uniform(0.1, 4))
         try:
-            if self.sim.nodes[name].world.is_dead:
+            if self.sim.nodes[name].runtime.is_dead:
                 self.sim.start(name)
         except DiskError as error:
             self.sim.history.violate(f"{name} does not start: {error}")
@@ -134,8 +134,8 @@
         sim.env.run(until=HEAL_AT)
         sim.heal()
         for name, node in list(sim.nodes.items()):
-            node.world.thaw()
-            if node.world.is_dead:
+            node.runtime.thaw()
+            if node.runtime.is_dead:
                 sim.start(name)
         sim.env.run(until=END_AT)
         self._check()
--- a/proving/sim/scripted.py
+++ b/proving/sim/scripted.py
@@ -1,4 +1,4 @@
-"""A world of one script: virtual time, and replicas that answer as a test writes it down."""
+"""A runtime of one coroutine: virtual time, and replicas that answer as a test writes it down."""
 
 import random
 
@@ -11,8 +11,8 @@
 class ScriptedAnswer:
     """An answer that comes step by step: (seconds, what); what is a head, bytes, END or a fault."""
 
-    def __init__(self, world, steps):
-        self.world = world
+    def __init__(self, runtime, steps):
+        self.runtime = runtime
         self.steps = list(steps)
         self.status, self.headers = None, {}
         self.is_closed = False
@@ -24,9 +24,9 @@
         left = delay - self.waited
         if what is SILENT or left > seconds:
             self.waited += seconds
-            self.world.time += seconds
+            self.runtime.time += seconds
             raise BackendError(reason="stall")
-        self.world.time += max(0, left)
+        self.runtime.time += max(0, left)
         self.waited = 0
         self.steps.pop(0)
         if what is BREAK:
@@ -40,8 +40,8 @@
         self.is_closed = True
 
 
-class ScriptedWorld:
-    """Drives one script; `answers` is {address: [steps, ...]}, a list a sending in turn."""
+class ScriptedRuntime:
+    """Drives one coroutine; `answers` is {address: [steps, ...]}, a list a sending in turn."""
 
     def __init__(self, answers=(), seed=0):
         self.time = 1000.0
@@ -55,25 +55,25 @@
         """Return virtual seconds."""
         return self.time
 
-    def wall(self):
+    def wall_time(self):
         """Return virtual seconds of the wall clock."""
         return self.time
 
-    def spawn(self, script):
-        """Scripts beside the one under test do nothing here."""
-        script.close()
+    def spawn(self, coroutine):
+        """Coroutines beside the one under test do nothing here."""
+        coroutine.close()
 
     def frame(self, address, data):
         """No other node is there to hear."""
 
     datagram = frame
 
-    def run(self, script):
-        """Run the script to its end; return its value or raise its error."""
+    def run(self, coroutine):
+        """Run the coroutine to its end; return its value or raise its error."""
         value, error = None, None
         while True:
             try:
-                effect = script.throw(error) if error else script.send(value)
+                effect = coroutine.throw(error) if error else coroutine.send(value)
             except StopIteration as stop:
                 return stop.value
             value, error = None, None
--- a/proving/tools/faulty.py
+++ b/proving/tools/faulty.py
@@ -4,7 +4,7 @@
 import os
 
 from quillring.kernel.errors import DiskError
-from quillring.kernel.gevent_world import GeventWorld
+from quillring.kernel.gevent_runtime import GeventRuntime
 from quillring.store import FolderDisk
 from quillring.verbs import cli, process, program
 
@@ -12,7 +12,7 @@
 FULL_FILE = os.environ.get("PROVING_FULL", "")
 
 
-class FaultyWorld(GeventWorld):
+class FaultyRuntime(GeventRuntime):
     """Drops what would cross a cut; the file lists [from address, to address] pairs."""
 
     def __init__(self, *fields):
@@ -73,10 +73,10 @@
 
 
 def main():
-    """Run the program on the faulty world."""
+    """Run the program on the faulty runtime."""
     real_run = process.run_process
     process.FolderDisk = FullDisk
-    cli.run_process = lambda settings, reread: real_run(settings, reread, FaultyWorld)
+    cli.run_process = lambda settings, reread: real_run(settings, reread, FaultyRuntime)
     program.main()
 
 
--- a/proving/tools/reference.py
+++ b/proving/tools/reference.py
@@ -1,6 +1,6 @@
 """Writes docs/settings.md from the schemas; a test checks that it is up to date."""
 
-from quillring.kernel.bounds import Bounds
+from quillring.kernel.bounds import ATTRIBUTE_OF_SETTING, Bounds
 from quillring.kernel.settings import SCHEMA as SETTINGS
 from quillring.rollout.schema import SCHEMA as CONFIGURATION
 
@@ -60,7 +60,7 @@
         lines.append(f"| `{name}` | {type_of(schema)} | {needed} | {schema['description']} |")
     lines += ["", "| bound | default | what |", "|---|---|---|"]
     for name, text in BOUND_TEXTS.items():
-        default = getattr(Bounds(), name)
+        default = getattr(Bounds(), ATTRIBUTE_OF_SETTING[name])
         lines.append(f"| `{name}` | {'none' if default is None else f'{default} s'} | {text} |")
     lines += ["", "## Layout", ""]
     for section, schema in CONFIGURATION["properties"].items():
--- a/quillring/classes/granter.py
+++ b/quillring/classes/granter.py
@@ -35,7 +35,7 @@
     @property
     def lease(self):
         """Seconds for which a grant of cold slots holds."""
-        return self.node.bounds.news
+        return self.node.bounds.propagation
 
     def _on_owner(self, owner, batch):
         ballot, _ = self.owned_since.get(owner.part, (None, 0))
@@ -69,7 +69,7 @@
         takers = {
             name: asked.demands
             for (s, name), asked in self.asked.items()
-            if s == service and now - asked.at < self.node.bounds.news / 2
+            if s == service and now - asked.at < self.node.bounds.propagation / 2
         }
         class_names = sorted(
             {c for demands in takers.values() for c in demands} & set(configuration["classes"])
--- a/quillring/classes/taker.py
+++ b/quillring/classes/taker.py
@@ -21,10 +21,10 @@
         self.on_grant = lambda: None
 
     def run(self):
-        """Script: ask the deciding core of each service, more often while there is work."""
+        """Coroutine: ask the deciding core of each service, more often while there is work."""
         ticks = 0
         while True:
-            yield Sleep(self.node.bounds.beat / ASKS_A_BEAT)
+            yield Sleep(self.node.bounds.heartbeat_interval / ASKS_A_BEAT)
             ticks += 1
             configuration = self.node.find("layout").configuration
             if configuration is None or self.node.is_draining:
@@ -53,12 +53,15 @@
         }
         try:
             grant = yield from self.node.call(
-                news["owner"], "grants.ask", body, self.node.bounds.beat
+                news["owner"], "grants.ask", body, self.node.bounds.heartbeat_interval
             )
         except QuillringError:
             return
         self.limits = {**self.limits, service: grant["limits"]}
-        self.limits_until = {**self.limits_until, service: ask_time + self.node.bounds.news * 2}
+        self.limits_until = {
+            **self.limits_until,
+            service: ask_time + self.node.bounds.propagation * 2,
+        }
         self.cold = {**self.cold, service: grant["cold"]}
         self.cold_until = {**self.cold_until, service: ask_time + grant["lease"]}
         self.on_grant()
@@ -85,8 +88,8 @@
 
     def is_decided(self, service):
         """Tell whether a deciding core answered lately."""
-        granted_at = self.limits_until.get(service, 0) - self.node.bounds.news * 2
-        return self.node.now() - granted_at < self.node.bounds.beat
+        granted_at = self.limits_until.get(service, 0) - self.node.bounds.propagation * 2
+        return self.node.now() - granted_at < self.node.bounds.heartbeat_interval
 
     def limit(self, service, class_name):
         """Return how many inquiries of the class may run from here, None without a grant."""
--- a/quillring/edge/claim.py
+++ b/quillring/edge/claim.py
@@ -5,7 +5,7 @@
 
 
 def claim_stream(journal, name, client_name, served_term, check):
-    """Script: find a stream wherever it is held, fence its former round, run it here.
+    """Coroutine: find a stream wherever it is held, fence its former round, run it here.
 
     It is given back once a second node holds all of it: what a former runner could not hand
     on before its error was never seen, and may not be seen before it is held twice.
@@ -52,6 +52,6 @@
 
 
 def ensure_held(journal, stream):
-    """Script: return once a second node holds the whole stream."""
+    """Coroutine: return once a second node holds the whole stream."""
     if stream.holder is None:
         yield from journal.keep(stream, ())
--- a/quillring/edge/dispatch.py
+++ b/quillring/edge/dispatch.py
@@ -27,9 +27,9 @@
         node.find("taker").on_grant = self.wake
 
     def run(self):
-        """Script: look for room now and then, since ramps and stalls move with time."""
+        """Coroutine: look for room now and then, since ramps and stalls move with time."""
         while True:
-            yield Sleep(self.node.bounds.chatter * 2)
+            yield Sleep(self.node.bounds.gossip_interval * 2)
             self.wake()
             self._end_hopeless()
 
@@ -62,7 +62,7 @@
         is_paused=False,
         may_pause=False,
     ):
-        """Script: return a lease, or refuse at once when waiting is hopeless or over."""
+        """Coroutine: return a lease, or refuse at once when waiting is hopeless or over."""
         self.order += 1
         waiter = Waiter(
             promise,
@@ -86,7 +86,7 @@
             raise Refused(
                 reason="queue full",
                 class_name=class_name,
-                come_back_s=max(self.node.bounds.news, promise["first_piece_ms"] / 1000),
+                come_back_s=max(self.node.bounds.propagation, promise["first_piece_ms"] / 1000),
             )
         self.waiting.append(waiter)
         is_over = False
@@ -117,7 +117,7 @@
             return Refused(
                 reason="no room in time",
                 class_name=waiter.class_name,
-                come_back_s=max(self.node.bounds.news, seconds),
+                come_back_s=max(self.node.bounds.propagation, seconds),
             )
         return None
 
@@ -190,8 +190,8 @@
         self.wake()
 
     def give_back_later(self, lease):
-        """Script: take the room back once a broken off inquiry has surely stopped."""
-        yield Sleep(self.node.bounds.beat)
+        """Coroutine: take the room back once a broken off inquiry has surely stopped."""
+        yield Sleep(self.node.bounds.heartbeat_interval)
         self.give_back(lease)
 
     def room(self, replica):
--- a/quillring/edge/journal.py
+++ b/quillring/edge/journal.py
@@ -25,9 +25,9 @@
         node.handle("journal.claim", self.on_claim)
 
     def run(self, kept_seconds):
-        """Script: drop streams that nobody touched for long; those running here are kept."""
+        """Coroutine: drop streams that nobody touched for long; those running here are kept."""
         while True:
-            yield Sleep(self.node.bounds.news)
+            yield Sleep(self.node.bounds.propagation)
             edge_time = self.node.now() - kept_seconds
             self.streams = {
                 n: s for n, s in self.streams.items() if s.is_running or s.touched_at > edge_time
@@ -112,13 +112,13 @@
                 stream.holder = None
 
     def hand_over(self):
-        """Script: before a planned stop, give every stream touched lately to another node."""
-        edge_time = self.node.now() - self.node.bounds.return_ * HANDED_AGE
+        """Coroutine: before a planned stop, give every stream touched lately to another node."""
+        edge_time = self.node.now() - self.node.bounds.recovery * HANDED_AGE
         late_streams = [s for s in self.streams.values() if s.touched_at > edge_time]
         for start in range(0, len(late_streams), HANDED_AT_ONCE):
             for stream in late_streams[start : start + HANDED_AT_ONCE]:
                 self.node.spawn(self._hand_one(stream))
-            yield Sleep(self.node.bounds.chatter)
+            yield Sleep(self.node.bounds.gossip_interval)
         self.node.count("streams_handed", len(late_streams))
 
     def _hand_one(self, stream):
@@ -135,7 +135,7 @@
         return [m.name for m in members if m.role in ("edge", "core")]
 
     def keep(self, stream, new_pieces, ended=False):
-        """Script: add pieces here and at a second holder; return once both have them."""
+        """Coroutine: add pieces here and at a second holder; return once both have them."""
         self._check_term(stream)
         old_count = len(stream.pieces)
         self._put(stream, old_count, new_pieces)
@@ -214,5 +214,5 @@
         return [stream.request, list(stream.pieces), stream.ended, list(stream.term)]
 
     def claim(self, name, client_name, served_term, check):
-        """Script: find a stream wherever it is held, and run it here from now on."""
+        """Coroutine: find a stream wherever it is held, and run it here from now on."""
         return claim_stream(self, name, client_name, served_term, check)
--- a/quillring/edge/liveness.py
+++ b/quillring/edge/liveness.py
@@ -39,7 +39,7 @@
             if teller == self.node.me.name:
                 self.on_signs(signs, teller)
             else:
-                self.node.cast(teller, "replica.signs", signs)
+                self.node.send_oneway(teller, "replica.signs", signs)
         return bool(self.tellers())
 
     def on_signs(self, signs, origin):
@@ -50,11 +50,11 @@
             self.waiting[name] = max(version, self.waiting.get(name, version))
 
     def _tell_soon(self):
-        yield Sleep(self.node.bounds.telling)
+        yield Sleep(self.node.bounds.report_delay)
         signs, self.waiting = [[name, *version] for name, version in self.waiting.items()], {}
         self.on_alive(signs, self.node.me.name)
         for name in self.node.find("nifty").graph.routes:
-            self.node.cast(name, "replica.alive", signs)
+            self.node.send_oneway(name, "replica.alive", signs)
 
     def on_alive(self, signs, origin):
         """Take signs of life that a core tells."""
--- a/quillring/edge/memory.py
+++ b/quillring/edge/memory.py
@@ -46,9 +46,9 @@
         return cbor2.loads(data[4:])
 
     def run(self):
-        """Script: write the table when it has changed, at most twice a news bound."""
+        """Coroutine: write the table when it has changed, at most twice a news bound."""
         while True:
-            yield Sleep(self.node.bounds.news / 2)
+            yield Sleep(self.node.bounds.propagation / 2)
             if self.kept_version != self.node.find("replicas").table_version:
                 self._keep()
 
--- a/quillring/edge/replicas.py
+++ b/quillring/edge/replicas.py
@@ -153,7 +153,7 @@
         key = f"replica/{beat['name']}"
         if is_news and self.node.find("gossip").put(key, version, beat):
             for name in self.node.find("nifty").graph.routes:
-                self.node.cast(name, "gossip.news", [[key, version, beat]])
+                self.node.send_oneway(name, "gossip.news", [[key, version, beat]])
         return {"taken": True}
 
     def renew(self, name, incarnation, sequence):
@@ -187,7 +187,10 @@
     def is_heard(self, name):
         """Tell whether beats of the replica came in lately."""
         replica = self.table.get(name)
-        return replica is not None and self.node.now() - replica.heard_at < self.node.bounds.silent
+        return (
+            replica is not None
+            and self.node.now() - replica.heard_at < self.node.bounds.replica_timeout
+        )
 
     def is_usable(self, replica):
         """Tell whether a replica is here to stay and heard of, in a domain that is not emptied."""
@@ -234,10 +237,10 @@
         """Keep new work for a moment from a replica that had no room left."""
         known = self.table.get(replica.name)
         if known is not None:
-            known.busy_until = self.node.now() + self.node.bounds.chatter
+            known.busy_until = self.node.now() + self.node.bounds.gossip_interval
 
     def stalled(self, replica):
         """Keep new work from a replica that stalled or broke off, for one news bound."""
         known = self.table.get(replica.name)
         if known is not None and known.incarnation == replica.incarnation:
-            known.stalled_until = self.node.now() + self.node.bounds.news
+            known.stalled_until = self.node.now() + self.node.bounds.propagation
--- a/quillring/edge/short.py
+++ b/quillring/edge/short.py
@@ -51,14 +51,14 @@
 
 
 def ask_replica(node, route_name, kind, method, path, body, affinity):
-    """Script: ask one replica; another only when that is allowed or the first got nothing."""
+    """Coroutine: ask one replica; another only when that is allowed or the first got nothing."""
     check_admission(node)
     route, service, promise = node.find("layout").route(route_name)
     if service["kind"] != kind:
         raise NotFound(field="entry", entry=route_name)
     end_time = node.now() + promise["time_left_ms"] / 1000
     first_end, answered_at = node.now() + promise["first_piece_ms"] / 1000, None
-    name = f"{node.me.name}-{node.world.random.getrandbits(64):016x}"
+    name = f"{node.me.name}-{node.runtime.random.getrandbits(64):016x}"
     avoided_names, last_error = set(), None
     try:
         while True:
--- a/quillring/edge/streams.py
+++ b/quillring/edge/streams.py
@@ -45,7 +45,7 @@
     if service["kind"] != "model":
         raise BadRequest(field="entry", faults=[{"field": "entry", "fault": "not a model"}])
     time_left = min(request.body.get("time_left_ms", 1 << 40), promise["time_left_ms"]) / 1000
-    stream_name = f"{node.me.name}-{node.world.random.getrandbits(96):024x}"
+    stream_name = f"{node.me.name}-{node.runtime.random.getrandbits(96):024x}"
     stream = node.find("journal").open(stream_name, request.body, request.client_name)
     yield from run_stream(node, stream, 0, node.now() + time_left)
 
@@ -56,7 +56,7 @@
     check_open(node)
     secret = node.find("ownership").founding()["secret"]
     stream_name, token_term = read_token(
-        secret, request.words["token"], request.client_name, node.world.wall()
+        secret, request.words["token"], request.client_name, node.runtime.wall_time()
     )
     sent_count = read_count(request.query.get("after", ["0"])[0], "after")
     stream = yield from node.find("journal").claim(
@@ -107,9 +107,9 @@
 
 
 def run_stream(node, stream, sent_count, end_time):
-    """Script: emit what the journal holds, then go on at replicas until the end."""
+    """Coroutine: emit what the journal holds, then go on at replicas until the end."""
     secret = node.find("ownership").founding()["secret"]
-    token = make_token(secret, stream, node.world.wall())
+    token = make_token(secret, stream, node.runtime.wall_time())
     head_line = {"stream": stream.name, "resume": token, "after": sent_count}
     route, _, promise = node.find("layout").route(stream.request["entry"])
     first_end = node.now() + promise["first_piece_ms"] / 1000
@@ -136,7 +136,7 @@
 
 
 def emit_held(stream, sending):
-    """Script: emit the pieces that two nodes hold and the sender lacks."""
+    """Coroutine: emit the pieces that two nodes hold and the sender lacks."""
     if not sending.has_head and (stream.ended or sending.count < len(stream.pieces)):
         sending.has_head, sending.first_at = True, sending.clock()
         yield Emit(sending.head_line)
@@ -146,7 +146,7 @@
 
 
 def one_attempt(node, stream, sending, end_time, avoided_names):
-    """Script: run or continue the stream on one replica until it ends or breaks."""
+    """Coroutine: run or continue the stream on one replica until it ends or breaks."""
     route, service, promise = node.find("layout").route(stream.request["entry"])
     prefix = route.get("prefix", "")
     wait_end = end_time if stream.pieces else min(end_time, sending.first_end)
@@ -201,7 +201,7 @@
 
 
 def check_before_sending(node, replica, end_time):
-    """Refuse when this node slept or the world moved on since the replica was chosen."""
+    """Refuse when this node slept or the runtime moved on since the replica was chosen."""
     node.find("freshness").check()
     if node.now() >= end_time:
         raise Refused(reason="no time left")
@@ -221,7 +221,7 @@
 
 
 def read_pieces(node, stream, sending, handle, lease, service, end_time):
-    """Script: take the replica's numbered pieces, each one kept twice before it is emitted.
+    """Coroutine: take the replica's numbered pieces, each one kept twice before it is emitted.
 
     Returns at the stream's end, or between two pieces when its room is wanted back.
     """
--- a/quillring/fleet.py
+++ b/quillring/fleet.py
@@ -1,4 +1,4 @@
-"""Assembly: which services a node of each role is made of; the same in every world."""
+"""Assembly: which services a node of each role is made of; the same in every runtime."""
 
 from quillring.classes import Granter, Meter, Taker
 from quillring.edge import Dispatch, Journal, Replicas
@@ -29,9 +29,9 @@
 PLUGINS = (rollout_commands,)
 
 
-def make_node(me, world, seeds, bounds, log=None, versions=SPOKEN):
+def make_node(me, runtime, seeds, bounds, log=None, versions=SPOKEN):
     """Return a node with the services every role has; nothing runs yet."""
-    node = Node(me, world, bounds, log)
+    node = Node(me, runtime, bounds, log)
     nifty = node.offer("nifty", Nifty(node, seeds, versions))
     gossip = node.offer("gossip", Gossip(node))
     node.offer("ownership", Ownership(node))
@@ -64,7 +64,7 @@
 
 
 def start_node(node, acceptors=None):
-    """Start the scripts of a node's role; a store brings its recovered acceptors."""
+    """Start the coroutines of a node's role; a store brings its recovered acceptors."""
     ROLES.find(node.me.role)(node, acceptors)
     for name in ("nifty", "gossip", "freshness"):
         node.spawn(node.find(name).run())
@@ -112,7 +112,7 @@
     memory = node.offer("memory", ReplicaMemory(node, acceptors.slots.disk))
     memory.recall()
     node.spawn(memory.run())
-    node.spawn(acceptors.slots.run(node.bounds.beat))
+    node.spawn(acceptors.slots.run(node.bounds.heartbeat_interval))
     node.spawn(DiskNews(node, acceptors.slots).run())
     node.offer("leaving", Leaving(node, acceptors))
     node.offer("witness", Witness(node, acceptors.slots.disk))
--- a/quillring/forward/attempt.py
+++ b/quillring/forward/attempt.py
@@ -18,7 +18,7 @@
     may_reuse,
     patience=None,
 ):
-    """Script: send the request on and return the answer's handle once its head is there.
+    """Coroutine: send the request on and return the answer's handle once its head is there.
 
     `end_time` is the node's time at which the client waits no more. With a `patience` in seconds a
     replica from which nothing at all came for so long is left, and one that works for others gets
@@ -38,7 +38,7 @@
 
 
 def send_again(node, replica, request, last_event, urgency, end_time, patience):
-    """Script: send once more what a dead connection may have brought to the replica.
+    """Coroutine: send once more what a dead connection may have brought to the replica.
 
     Whatever the second sending comes to, the request may have run: neither NotSent nor the
     replica's word of not run is passed on.
@@ -56,7 +56,7 @@
 
 
 def send_once(node, replica, request, last_event, urgency, end_time, may_reuse, patience):
-    """Script: send the request on one connection and return the handle once its head is there."""
+    """Send the request on one connection and return the handle once its head is there."""
     if not node.find("replicas").may_be_sent(replica):
         raise NotSent(replica=replica.name, reason="left")
     dialect = node.find("dialect")
@@ -77,7 +77,7 @@
 
 
 def wait_for_head(node, replica, handle, end_time, patience):
-    """Script: return once the head is there; BackendError when it is not in time."""
+    """Coroutine: return once the head is there; BackendError when it is not in time."""
     sent_at = node.now()
     for factor in (1, 4) if patience else (None,):
         seconds_left = end_time - node.now() + AFTER_END
--- a/quillring/forward/placement.py
+++ b/quillring/forward/placement.py
@@ -105,7 +105,7 @@
         if not candidates:
             return None
         trusted = [r for r in candidates if self.view(r).is_trusted(now)]
-        silent = self.node.bounds.silent
+        silent = self.node.bounds.replica_timeout
         heard = [r for r in trusted if not is_quiet(r, now, silent)] or trusted
         sound = [r for r in heard if may_send_cold or not r.is_cold(now)]
         while sound:
@@ -130,7 +130,7 @@
         return (
             (view.in_flight + view.reading / 4000) / replica.slots * 8
             + OTHER_ZONE * is_elsewhere
-            + 0.3 * self.node.world.random.random()
+            + 0.3 * self.node.runtime.random.random()
         )
 
     def begin(self, replica, request):
--- a/quillring/forward/relaying.py
+++ b/quillring/forward/relaying.py
@@ -11,7 +11,7 @@
 
 
 def read_whole(node, progress, handle):
-    """Script: read the whole body; returns (status, header pairs, body)."""
+    """Coroutine: read the whole body; returns (status, header pairs, body)."""
     parts = []
     while True:
         part = yield NextPart(handle, progress.end_time - node.now() + AFTER_END)
@@ -21,7 +21,7 @@
 
 
 def relay_events(node, forward, progress, handle, lease):
-    """Script: pass whole events on as they come, until the stream's proper end."""
+    """Coroutine: pass whole events on as they come, until the stream's proper end."""
     reader = EventReader(progress.last_event)
     while True:
         data = yield from next_part(node, forward, progress, handle, lease)
@@ -40,7 +40,7 @@
 
 
 def emit_stream(progress, handle, data):
-    """Script: emit bytes of a stream, the first ones together with its head."""
+    """Coroutine: emit bytes of a stream, the first ones together with its head."""
     if progress.has_head:
         yield Emit(data)
         return
@@ -49,7 +49,7 @@
 
 
 def next_part(node, forward, progress, handle, lease):
-    """Script: wait for bytes; a silent replica is left while another may go on in time."""
+    """Coroutine: wait for bytes; a silent replica is left while another may go on in time."""
     patience = forward.pause_seconds * PATIENCE_SHARE
     while True:
         seconds_left = progress.end_time - node.now() + AFTER_END
--- a/quillring/forward/serve.py
+++ b/quillring/forward/serve.py
@@ -42,13 +42,13 @@
     A node that just started can't tell what there is.
     """
     if node.is_closing:
-        raise Refused(reason="closing", come_back_s=node.bounds.chatter)
+        raise Refused(reason="closing", come_back_s=node.bounds.gossip_interval)
     if node.find("forwards").is_empty():
-        raise Refused(reason="no layout yet", come_back_s=node.bounds.reading)
+        raise Refused(reason="no layout yet", come_back_s=node.bounds.read_timeout)
 
 
 def serve(node, forward, request, arrived_at):
-    """Script: pass a request on; emits head and bytes of a stream, or returns a whole answer."""
+    """Coroutine: pass a request on; emits head and bytes of a stream, or returns a whole answer."""
     progress = Progress(end_time(node, forward, request, arrived_at), request.last_event)
     service = forward.service_for(request.id or request.target)
     while True:
@@ -64,7 +64,7 @@
 
 
 def try_replica(node, forward, request, progress, replica):
-    """Script: make one attempt; OutcomeUnknown where it failed and no other may follow."""
+    """Coroutine: make one attempt; OutcomeUnknown where it failed and no other may follow."""
     progress.attempts += 1
     lease = node.find("placement").begin(replica, request)
     handle = None
@@ -95,7 +95,7 @@
 
 
 def take_answer(node, forward, progress, handle, lease):
-    """Script: judge the head of an answer and take its body; BackendError where it is none."""
+    """Coroutine: judge the head of an answer and take its body; BackendError where it is none."""
     dialect = node.find("dialect")
     if is_not_run(dialect, handle):
         take_refusal(node, forward, progress, handle, lease.replica)
--- a/quillring/forward/view.py
+++ b/quillring/forward/view.py
@@ -28,4 +28,6 @@
         self.failures += 2 if is_surely else 1
         self.is_on_trial = False
         if self.failures > 1:
-            self.suspect_until = now + min(bounds.news * 2, bounds.beat / 2 * 1.6**self.failures)
+            self.suspect_until = now + min(
+                bounds.propagation * 2, bounds.heartbeat_interval / 2 * 1.6**self.failures
+            )
--- a/quillring/forward/waiting.py
+++ b/quillring/forward/waiting.py
@@ -21,7 +21,7 @@
 
 
 def acquire(node, forward, service, request, progress, arrived_at):
-    """Script: return a replica for the request, or refuse within a fifth of its goal.
+    """Coroutine: return a replica for the request, or refuse within a fifth of its goal.
 
     A stream that has begun, whose client has pieces already, waits until its end. Nothing is
     chosen once the request's time is over: no attempt could follow.
--- a/quillring/gossip/gossip.py
+++ b/quillring/gossip/gossip.py
@@ -74,16 +74,20 @@
                     listener(key, value)
 
     def run(self):
-        """Script: pass fresh news on, and compare digests once a beat."""
+        """Coroutine: pass fresh news on, and compare digests once a beat."""
         ticks = 0
         while True:
-            yield Sleep(self.node.bounds.chatter)
+            yield Sleep(self.node.bounds.gossip_interval)
             ticks += 1
             self.push_news()
             self.ask_for_all()
-            if ticks % round(self.node.bounds.beat / self.node.bounds.chatter) == 0:
+            if (
+                ticks
+                % round(self.node.bounds.heartbeat_interval / self.node.bounds.gossip_interval)
+                == 0
+            ):
                 for name in self._some_members(1):
-                    self.node.cast(name, "gossip.digest", self.table_digest())
+                    self.node.send_oneway(name, "gossip.digest", self.table_digest())
 
     def push_news(self):
         """Send the fresh keys to a few members; each key goes out a few times."""
@@ -91,12 +95,12 @@
             return
         items = [[key, list(self.table[key][0]), self.table[key][1]] for key in self.fresh]
         for name in self._some_members(FANOUT):
-            self.node.cast(name, "gossip.news", items)
+            self.node.send_oneway(name, "gossip.news", items)
         self.fresh = {key: left - 1 for key, left in self.fresh.items() if left > 1}
 
     def _some_members(self, count):
         reached_names = sorted(self.node.find("nifty").graph.routes)
-        return self.node.world.random.sample(reached_names, min(count, len(reached_names)))
+        return self.node.runtime.random.sample(reached_names, min(count, len(reached_names)))
 
     def table_digest(self):
         """Return the digest over all keys and versions."""
@@ -107,25 +111,28 @@
 
     def ask_for_all(self):
         """At the start, while no layout is known, ask members in reach for all that is lacking."""
-        if "layout" in self.table or self.node.now() - self.started_at > self.node.bounds.news:
+        if (
+            "layout" in self.table
+            or self.node.now() - self.started_at > self.node.bounds.propagation
+        ):
             return
         versions = {key: list(version) for key, (version, _) in self.table.items()}
-        nifty, chance = self.node.find("nifty"), self.node.world.random
+        nifty, chance = self.node.find("nifty"), self.node.runtime.random
         members = nifty.roster.members
         reached_names = sorted(name for name in nifty.graph.routes if name in members)
         store_names = [name for name in reached_names if members[name].role == "store"]
         for names in (store_names, reached_names):
             for name in chance.sample(names, min(2, len(names))):
-                self.node.cast(name, "gossip.versions", [versions, False])
+                self.node.send_oneway(name, "gossip.versions", [versions, False])
 
     def mend_with(self, name):
         """Compare the whole table with one member in reach, at most once a beat."""
         now = self.node.now()
         if not self.node.find("nifty").reaches(name):
             return
-        if now - self.synced_at.get(name, -math.inf) >= self.node.bounds.beat / 2:
+        if now - self.synced_at.get(name, -math.inf) >= self.node.bounds.heartbeat_interval / 2:
             self.synced_at[name] = now
-            self.node.cast(name, "gossip.digest", self.table_digest())
+            self.node.send_oneway(name, "gossip.digest", self.table_digest())
 
     def on_news(self, items, origin):
         """Take pushed news; what others tell here too needs to be told less often."""
@@ -142,7 +149,7 @@
         """Answer a differing digest with the versions held here."""
         if digest != self.table_digest():
             versions = {key: list(version) for key, (version, _) in self.table.items()}
-            self.node.cast(origin, "gossip.versions", [versions, True])
+            self.node.send_oneway(origin, "gossip.versions", [versions, True])
 
     def on_versions(self, body, origin):
         """Send what the other side lacks; let it send what is lacking here."""
@@ -153,11 +160,11 @@
             if tuple(other_versions.get(key, ())) < version
         ]
         if newer_items:
-            self.node.cast(origin, "gossip.news", newer_items)
+            self.node.send_oneway(origin, "gossip.news", newer_items)
         is_behind = any(
             key not in self.table or self.table[key][0] < tuple(version)
             for key, version in other_versions.items()
         )
         if wants_back and is_behind:
             versions = {key: list(version) for key, (version, _) in self.table.items()}
-            self.node.cast(origin, "gossip.versions", [versions, False])
+            self.node.send_oneway(origin, "gossip.versions", [versions, False])
--- a/quillring/kernel/effects.py
+++ b/quillring/kernel/effects.py
@@ -1,7 +1,7 @@
-"""What a script may ask of the world that drives it.
+"""What a coroutine may ask of the runtime that drives it.
 
-A script is a generator: the state machine of one job. It yields an effect, is sent the effect's
-outcome, and reads the time only through its node. gevent drives scripts in production, simpy in
+A coroutine is a generator: the state machine of one job. It yields an effect, is sent the effect's
+outcome, and reads the time only through its node. gevent drives coroutines in production, simpy in
 the simulator.
 """
 
@@ -84,7 +84,7 @@
 
 
 class Signal:
-    """A one-shot event with a value that any world can wait for."""
+    """A one-shot event with a value that any runtime can wait for."""
 
     __slots__ = ("is_set", "value", "watchers")
 
--- a/quillring/kernel/gevent_world.py
+++ b/quillring/kernel/gevent_runtime.py
@@ -1,4 +1,4 @@
-"""The production world: gevent drives the scripts, sockets carry datagrams and frames."""
+"""The production runtime: gevent drives the coroutines, sockets carry datagrams and frames."""
 
 import os
 import random
@@ -34,8 +34,8 @@
 REST_SECONDS = 0.03
 
 
-class GeventWorld:
-    """Time, chance, network and scripts of one process."""
+class GeventRuntime:
+    """Time, chance, network and coroutines of one process."""
 
     __slots__ = (
         "random",
@@ -60,7 +60,7 @@
         """Return monotonic seconds."""
         return time.monotonic()
 
-    def wall(self):
+    def wall_time(self):
         """Return seconds of the wall clock, for what outlives a process."""
         return time.time()
 
@@ -126,34 +126,34 @@
         if channel is not None:
             channel.close()
 
-    def spawn(self, script):
-        """Run a script in its own greenlet."""
-        return gevent.spawn(self._run, script)
+    def spawn(self, coroutine):
+        """Run a coroutine in its own greenlet."""
+        return gevent.spawn(self._run, coroutine)
 
-    def _run(self, script):
+    def _run(self, coroutine):
         try:
-            return self.drive(script)
+            return self.drive(coroutine)
         except QuillringError as error:
             self.report(error)
         except Exception as error:
             self.report(error)
 
-    def drive(self, script):
-        """Run a script to its end here and return its value."""
-        lines = self.lines(script)
+    def drive(self, coroutine):
+        """Run a coroutine to its end here and return its value."""
+        lines = self.lines(coroutine)
         try:
             while True:
                 next(lines)
         except StopIteration as stop:
             return stop.value
 
-    def lines(self, script):
-        """Run a script here; yield each line that it emits; return its value."""
+    def lines(self, coroutine):
+        """Run a coroutine here; yield each line that it emits; return its value."""
         value, error = None, None
         try:
             while True:
                 try:
-                    effect = script.throw(error) if error else script.send(value)
+                    effect = coroutine.throw(error) if error else coroutine.send(value)
                 except StopIteration as stop:
                     return stop.value
                 value, error = None, None
@@ -165,7 +165,7 @@
                 except QuillringError as raised_error:
                     error = raised_error
         finally:
-            script.close()
+            coroutine.close()
 
     def perform(self, effect):
         """Bring about one effect and return its outcome."""
--- a/quillring/kernel/loop_lag.py
+++ b/quillring/kernel/loop_lag.py
@@ -20,9 +20,9 @@
         self.late_at = -math.inf
 
     def run(self):
-        """Script: note each time that this process woke late."""
+        """Coroutine: note each time that this process woke late."""
         while True:
-            seconds = self.node.bounds.beat * PROBE_SHARE
+            seconds = self.node.bounds.heartbeat_interval * PROBE_SHARE
             self.due_at = self.node.now() + seconds
             yield Sleep(seconds)
             if self._is_overdue():
@@ -30,8 +30,8 @@
 
     def was_late(self):
         """Tell whether this process woke late within the last beats, or is late right now."""
-        kept_seconds = self.node.bounds.beat * KEPT_BEATS
+        kept_seconds = self.node.bounds.heartbeat_interval * KEPT_BEATS
         return self._is_overdue() or self.node.now() - self.late_at < kept_seconds
 
     def _is_overdue(self):
-        return self.node.now() - self.due_at > self.node.bounds.round_trip * LATE_SHARE
+        return self.node.now() - self.due_at > self.node.bounds.call_timeout * LATE_SHARE
--- a/quillring/kernel/node.py
+++ b/quillring/kernel/node.py
@@ -31,11 +31,11 @@
 
 
 class Node:
-    """The micro-kernel of one process; the world gives time, chance, network and disk."""
+    """The micro-kernel of one process; the runtime gives time, chance, network and disk."""
 
     __slots__ = (
         "me",
-        "world",
+        "runtime",
         "bounds",
         "services",
         "handlers",
@@ -48,9 +48,9 @@
         "under_way",
     )
 
-    def __init__(self, me, world, bounds=None, log=None):
+    def __init__(self, me, runtime, bounds=None, log=None):
         self.me = me
-        self.world = world
+        self.runtime = runtime
         self.bounds = bounds or Bounds()
         self.services = {}
         self.handlers = {}
@@ -63,8 +63,8 @@
         self.under_way = 0
 
     def now(self):
-        """Return the world's monotonic time in seconds."""
-        return self.world.now()
+        """Return the runtime's monotonic time in seconds."""
+        return self.runtime.now()
 
     def count(self, name, amount=1):
         """Add to one of the node's counters."""
@@ -81,22 +81,22 @@
         return self.services.get(name)
 
     def handle(self, name, handler):
-        """Let other nodes call the handler: handler(body, origin) gives a value or a script."""
+        """Let other nodes call the handler: handler(body, origin) gives a value or a coroutine."""
         self.handlers[name] = handler
 
-    def spawn(self, script):
-        """Run a script beside the others."""
-        return self.world.spawn(script)
+    def spawn(self, coroutine):
+        """Run a coroutine beside the others."""
+        return self.runtime.spawn(coroutine)
 
-    def cast(self, target, service, body):
+    def send_oneway(self, target, service, body):
         """Send a message that wants no answer; it may be lost."""
         self._send(target, {"s": service, "b": body})
 
     def call(self, target, service, body, seconds=None):
-        """Script: call a service of another node and return its answer, or raise its error."""
+        """Coroutine: call a service of another node and return its answer, or raise its error."""
         call_id, reply_signal = self._begin(target, service, body)
         try:
-            yield Wait(reply_signal, self.bounds.round_trip if seconds is None else seconds)
+            yield Wait(reply_signal, self.bounds.call_timeout if seconds is None else seconds)
         finally:
             self.pending.pop(call_id, None)
         if not reply_signal.is_set:
@@ -106,12 +106,12 @@
         return reply_signal.value
 
     def gather(self, calls, need, seconds=None, repeats=False):
-        """Script: make all calls at once; return {target: answer or error}.
+        """Coroutine: make all calls at once; return {target: answer or error}.
 
         Returns as soon as `need` of them went well, or all have ended, or the time is over. Calls
         that may run twice can be repeated: those without an answer are sent again at half time.
         """
-        seconds = self.bounds.round_trip if seconds is None else seconds
+        seconds = self.bounds.call_timeout if seconds is None else seconds
         gathered_replies, done_signal, begun_calls = {}, Signal(), {}
 
         def settle(target, signal):
--- a/quillring/kernel/raw_connection.py
+++ b/quillring/kernel/raw_connection.py
@@ -176,7 +176,7 @@
         node.under_way += 1
         lines = None
         try:
-            lines = node.world.lines(self.server.handle(node, request))
+            lines = node.runtime.lines(self.server.handle(node, request))
             return self._send_lines(request, lines)
         except QuillringError:
             return False
--- a/quillring/kernel/raw_server.py
+++ b/quillring/kernel/raw_server.py
@@ -8,9 +8,9 @@
 
 
 class RawServer:
-    """A listening address whose requests a script answers.
+    """A listening address whose requests a coroutine answers.
 
-    `handle(node, request)` is a script: it emits (status, headers, first body bytes) and then body
+    `handle(node, request)` is a coroutine: it emits (status, headers, first bytes) and then body
     bytes, or returns (status, headers, body) at once; an error, or an answer that is returned
     after a head went out, closes the connection.
     """
--- a/quillring/kernel/settings.py
+++ b/quillring/kernel/settings.py
@@ -102,7 +102,7 @@
         self.folder = fields.get("folder")
         self.log_file = fields.get("log_file")
         self.parts = fields.get("parts", 4)
-        self.bounds = Bounds(**fields.get("bounds", {}))
+        self.bounds = Bounds.from_settings(fields.get("bounds", {}))
         self.bootstrap = fields.get("bootstrap", False)
         self.losses = fields.get("losses", 1)
         self.witness = fields.get("witness")
--- a/quillring/kernel/steps.py
+++ b/quillring/kernel/steps.py
@@ -1,6 +1,6 @@
-"""The steps at which the sleeping scripts of a process wake, so that many share one wake.
+"""The steps at which the sleeping coroutines of a process wake, so that many share one wake.
 
-Each wake of the process costs as much as the work of several scripts. The periods of the bounds are
+Each wake of the process costs as much as several coroutines do. The periods of the bounds are
 whole numbers of steps, so that they stay what they are; each process has steps of its own, so that
 nodes do not act in unison.
 """
--- a/quillring/kernel/types.py
+++ b/quillring/kernel/types.py
@@ -6,5 +6,5 @@
 Address = tuple[str, int]
 """Host and port."""
 
-Script = Generator[Any, Any, Any]
-"""A script: it yields effects, is sent their outcomes, and returns its result."""
+Coroutine = Generator[Any, Any, Any]
+"""A coroutine: it yields effects, is sent their outcomes, and returns its result."""
--- a/quillring/kernel/wsgi.py
+++ b/quillring/kernel/wsgi.py
@@ -194,16 +194,16 @@
     headers = []
     body = error.to_json()
     if error.comes_back:
-        seconds = error.detail.get("come_back_s") or node.bounds.news
-        spread_seconds = max(1, round(seconds * (0.5 + node.world.random.random())))
+        seconds = error.detail.get("come_back_s") or node.bounds.propagation
+        spread_seconds = max(1, round(seconds * (0.5 + node.runtime.random.random())))
         headers = [("Retry-After", str(spread_seconds))]
         body["come_back_s"] = spread_seconds
     return send_whole(start_response, body, error.status, headers)
 
 
-def send_lines(node, start_response, script):
-    """Drive a script: its return value is a whole body, its emitted lines a streamed one."""
-    lines = node.world.lines(script)
+def send_lines(node, start_response, coroutine):
+    """Drive a coroutine: its return value is a whole body, its emitted lines a streamed one."""
+    lines = node.runtime.lines(coroutine)
     try:
         first_line = next(lines)
     except StopIteration as stop:
@@ -213,7 +213,7 @@
 
 
 def stream_lines(first_line, lines):
-    """Yield the encoded lines; closing it closes the script."""
+    """Yield the encoded lines; closing it closes the coroutine."""
     try:
         yield json.dumps(first_line).encode() + b"\n"
         for line in lines:
--- a/quillring/lots/__init__.py
+++ b/quillring/lots/__init__.py
@@ -10,7 +10,7 @@
 
 
 def start_raw_lots(node):
-    """Let a core own, run and show raw lots; returns the script that it runs by.
+    """Let a core own, run and show raw lots; returns the coroutine that it runs by.
 
     The node's forwards, placement and dialect are there already.
     """
--- a/quillring/lots/fence.py
+++ b/quillring/lots/fence.py
@@ -58,7 +58,7 @@
 
 
 def submit_accept(node, part, command):
-    """Script: commit an acceptance under the fence of what the part had forgotten by now.
+    """Coroutine: commit an acceptance under the fence of what the part had forgotten by now.
 
     One that is refused as stale is not tried again here: the node may just have woken with an old
     request in its hands.
@@ -66,7 +66,7 @@
     ownership = node.find("ownership")
     if node.find("nifty").level() < FENCE_LEVEL:
         return (yield from ownership.submit(part, command))
-    end_time = node.now() + node.bounds.news * 2
+    end_time = node.now() + node.bounds.propagation * 2
     fence = yield from ownership.read(part, {"ask": "lot.fence"})
     fenced = {**command, "seen_drops": fence["drops"]}
     return (yield from ownership.submit(part, fenced, max(0, end_time - node.now())))
--- a/quillring/lots/front.py
+++ b/quillring/lots/front.py
@@ -40,7 +40,7 @@
     if service["kind"] != "model":
         raise BadRequest(field="entry", faults=[{"field": "entry", "fault": "not a model"}])
     part = part_of(route["service"], len(node.find("ownership").parts()) - 1)
-    own_key = f"{node.world.random.getrandbits(96):024x}"
+    own_key = f"{node.runtime.random.getrandbits(96):024x}"
     lot_name = f"{part}.{client_space(request.client_name)}.{request.body.get('key') or own_key}"
     answer = yield from submit_accept(
         node,
--- a/quillring/lots/keeping.py
+++ b/quillring/lots/keeping.py
@@ -40,7 +40,7 @@
     def drop_old(self, owner):
         """Forget lots that ended long ago by this owner's own clock; looked at now and then."""
         now, bounds = self.node.now(), self.node.bounds
-        if now - self.looked_at.get(owner.part, -bounds.return_) < bounds.return_:
+        if now - self.looked_at.get(owner.part, -bounds.recovery) < bounds.recovery:
             return
         self.looked_at[owner.part] = now
         lots = owner.state["lots"]
--- a/quillring/lots/raw_choice.py
+++ b/quillring/lots/raw_choice.py
@@ -39,10 +39,10 @@
         for name in names:
             if not is_fresh or forwards.named(name) is not None or name not in self.forward_seen_at:
                 self.forward_seen_at[name] = now
-        patience = self.node.bounds.reading
+        patience = self.node.bounds.read_timeout
         return [
             lot.name
             for lot in ledger.lots.values()
             if now - lot.known_at > lot.retain_seconds + patience
-            or now - self.forward_seen_at[lot.forward] > self.node.bounds.news
+            or now - self.forward_seen_at[lot.forward] > self.node.bounds.propagation
         ]
--- a/quillring/lots/raw_demand.py
+++ b/quillring/lots/raw_demand.py
@@ -110,7 +110,7 @@
         One of a former version tells no due times: what it has counts as due soon.
         """
         now = self.node.now()
-        until = now + self.node.bounds.reading * HEARD_FOR
+        until = now + self.node.bounds.read_timeout * HEARD_FOR
         self.heard = {part: row for part, row in self.heard.items() if row.origin != origin}
         due = body.get("due") or {}
         for part, items_by_service in body["parts"].items():
@@ -159,12 +159,12 @@
         ownership, nifty = self.node.find("ownership"), self.node.find("nifty")
         for name in ownership.cores():
             if name != self.node.me.name and nifty.reaches(name):
-                self.node.cast(name, "raw.demand", {"parts": parts, "due": due})
+                self.node.send_oneway(name, "raw.demand", {"parts": parts, "due": due})
 
     def run(self):
-        """Script: tell again while anything waits."""
+        """Coroutine: tell again while anything waits."""
         while True:
-            yield Sleep(self.node.bounds.reading * TELL_PERIOD)
+            yield Sleep(self.node.bounds.read_timeout * TELL_PERIOD)
             if self.own:
                 self.tell()
 
--- a/quillring/lots/raw_front.py
+++ b/quillring/lots/raw_front.py
@@ -29,14 +29,14 @@
 
 
 def submit_surely(node, part, command, seconds):
-    """Script: commit a command that may be repeated, asking again until the time is over.
+    """Coroutine: commit a command that may be repeated, asking again until the time is over.
 
     Raises Refused only when it surely was not taken, OutcomeUnknown when it may still be.
     """
     ownership, bounds = node.find("ownership"), node.bounds
     end_time, is_unsure = node.now() + seconds, False
     while True:
-        window_end = min(end_time, node.now() + bounds.round_trip)
+        window_end = min(end_time, node.now() + bounds.call_timeout)
         try:
             return (yield from ownership.submit(part, command, window_end - node.now()))
         except (OutcomeUnknown, TimedOut):
@@ -53,7 +53,7 @@
 
 
 def accept_raw_lot(node, forward_name, lot_name, items, seconds=None):
-    """Script: hand a lot in; items are [id, target, header pairs, body, tokens].
+    """Coroutine: hand a lot in; items are [id, target, header pairs, body, tokens].
 
     Raises QuotaExceeded and Refused when none of it will run, OutcomeUnknown when it may. `seconds`
     bounds the wait; where none are given, the forward's goal does, and a bit. No wait outlasts the
@@ -71,14 +71,14 @@
         "host": fields["host"],
         "items": items,
         "digest": hashlib.sha256(cbor2.dumps([forward.name, items])).digest()[:16],
-        "try": f"{node.world.random.getrandbits(96):024x}",
+        "try": f"{node.runtime.random.getrandbits(96):024x}",
         "most_tokens": fields.get("most_tokens") or 0,
-        "at": int(node.world.wall() * 1000),
+        "at": int(node.runtime.wall_time() * 1000),
         "due_ms": fields.get("due_ms") or 60_000,
         "retain_ms": fields.get("retain_ms") or 3_600_000,
         "rounds": forward.tries,
     }
-    seconds = forward.goal_seconds + node.bounds.reading if seconds is None else seconds
+    seconds = forward.goal_seconds + node.bounds.read_timeout if seconds is None else seconds
     seconds = min(seconds, forward.hold_seconds)
     end_time, is_spread = node.now() + seconds, are_lots_spread(node)
     if is_spread and command["most_tokens"]:
@@ -94,7 +94,7 @@
 
 
 def accept_reserved(node, place, command, end_time):
-    """Script: reserve the lot's tokens at its home, then have its own part accept it.
+    """Coroutine: reserve the lot's tokens at its home, then have its own part accept it.
 
     A reservation that was taken back meanwhile is made anew. Where there is no room for the lot, it
     may still be one that was accepted before.
@@ -137,7 +137,7 @@
 
 
 def accept_unreserved(node, place, command, end_time, is_spread):
-    """Script: accept a lot of a forward without limit, or where some member is of a former version.
+    """Accept a lot of a forward without limit, or where some member is of a former version.
 
     Nothing is reserved then, so the part in which the lot may lie already is asked first.
     """
@@ -153,19 +153,19 @@
 
 
 def find_accepted(node, part, command):
-    """Script: return the answer to a lot that a part accepted before, None where it surely did not.
+    """Return the answer to a lot that a part accepted before, None where it surely did not.
 
     Raises Refused where nobody can tell: nothing was handed in then.
     """
     query = {"ask": "raw.known", "lot": command["lot"], "digest": command["digest"]}
     try:
-        return (yield from surely_read(node, part, query, node.bounds.reading * LOOK_SHARE))
+        return (yield from surely_read(node, part, query, node.bounds.read_timeout * LOOK_SHARE))
     except NotFound:
         return None
 
 
 def read_raw_results(node, host, lot_name, start, hold_seconds=0.0):
-    """Script: return items, results from a position on and the next one; held until one exists.
+    """Coroutine: return items, results from a position on and the next one; held until one exists.
 
     Raises NotFound only where it is sure, Refused otherwise.
     """
@@ -181,11 +181,13 @@
 
 
 def read_held(node, part, query, body, hold_seconds):
-    """Script: ask the part's owner, which may hold the call, else a majority of its stores."""
+    """Coroutine: ask the part's owner, which may hold the call, else a majority of its stores."""
     ownership, bounds = node.find("ownership"), node.bounds
     try:
         return (
-            yield from ownership.ask(part, "raw.read", body, hold_seconds + bounds.reading * 0.4)
+            yield from ownership.ask(
+                part, "raw.read", body, hold_seconds + bounds.read_timeout * 0.4
+            )
         )
     except NotFound:
         raise
@@ -195,11 +197,11 @@
     known = yield from peek(node, part, ownership.group(part), query)
     if known is not None:
         return known()
-    return (yield from surely_read(node, part, query, bounds.reading * 0.6))
+    return (yield from surely_read(node, part, query, bounds.read_timeout * 0.6))
 
 
 def surely_read(node, part, query, seconds):
-    """Script: read a part; whatever goes wrong and is no sure answer becomes a refusal."""
+    """Coroutine: read a part; whatever goes wrong and is no sure answer becomes a refusal."""
     try:
         return (yield from node.find("ownership").read(part, query, seconds))
     except (Conflict, NotFound, NotFounded, Refused):
@@ -209,21 +211,21 @@
 
 
 def read_raw_body(node, host, lot_name, item_id):
-    """Script: return the body of an item that is not listed yet, as bytes."""
+    """Coroutine: return the body of an item that is not listed yet, as bytes."""
     place = place_of_lot(node, host, lot_name)
     query = {"ask": "raw.body", "lot": place.key, "item": item_id}
     answer = yield from in_either_part(
-        place, lambda part: surely_read(node, part, query, node.bounds.reading)
+        place, lambda part: surely_read(node, part, query, node.bounds.read_timeout)
     )
     return answer["body"]
 
 
 def end_raw_lot(node, host, lot_name):
-    """Script: end a lot; a second call finds it ended."""
+    """Coroutine: end a lot; a second call finds it ended."""
     place = place_of_lot(node, host, lot_name)
     command = {"do": "raw.end", "lot": place.key}
     return (
         yield from in_either_part(
-            place, lambda part: submit_surely(node, part, command, node.bounds.reading * 1.2)
+            place, lambda part: submit_surely(node, part, command, node.bounds.read_timeout * 1.2)
         )
     )
--- a/quillring/lots/raw_ledger.py
+++ b/quillring/lots/raw_ledger.py
@@ -83,7 +83,7 @@
         self.runs_by_replica, self.runs_by_worker = {}, {}
         self.lots, self.over_since, self.rest_until = {}, {}, {}
         for name, lot in raw_lots(owner.state).items():
-            self.sync(name, age_by_wall(lot, node.world.wall()))
+            self.sync(name, age_by_wall(lot, node.runtime.wall_time()))
 
     def sync(self, name, age=0.0):
         """Bring one lot in step with the state; returns the runs of items that need none more.
@@ -133,7 +133,7 @@
 
     def rest_worker(self, name):
         """Give a worker nothing for a moment: it refused, or did not answer."""
-        self.rest_until[name] = self.node.now() + self.node.bounds.reading
+        self.rest_until[name] = self.node.now() + self.node.bounds.read_timeout
 
     def rests(self, name):
         """Tell whether a worker gets nothing now."""
--- a/quillring/lots/raw_limits.py
+++ b/quillring/lots/raw_limits.py
@@ -60,7 +60,7 @@
         """
         placement, replicas = self.node.find("placement"), self.node.find("replicas")
         share = self.share(service, is_near, now)
-        patience = self.node.bounds.news * 1.5
+        patience = self.node.bounds.propagation * 1.5
         known = placement.replicas(service)
         phase = phases(known)
         heard = [r for r in known if not is_quiet(r, now, patience)] or known
--- a/quillring/lots/raw_places.py
+++ b/quillring/lots/raw_places.py
@@ -54,7 +54,7 @@
 
 
 def in_either_part(place, ask):
-    """Script: run ask(part) at the lot's own part; where it surely is not there, at its home."""
+    """Coroutine: run ask(part) at the lot's own part; where it surely is not there, at its home."""
     try:
         return (yield from ask(place.own))
     except NotFound:
--- a/quillring/lots/raw_quota.py
+++ b/quillring/lots/raw_quota.py
@@ -34,9 +34,9 @@
         return {"left": tokens_left(owner.state, body["lots"])}
 
     def run(self):
-        """Script: look after the ledgers of owned parts."""
+        """Coroutine: look after the ledgers of owned parts."""
         while True:
-            yield Sleep(self.node.bounds.reading * CROWDED_PERIOD / 4)
+            yield Sleep(self.node.bounds.read_timeout * CROWDED_PERIOD / 4)
             for owner in list(self.node.find("ownership").owners.values()):
                 if owner.may_act() and self._is_due(owner):
                     self.asked_at[owner.part] = self.node.now()
@@ -49,7 +49,7 @@
         is_crowded = any(
             waiting["tokens"] > waiting["most"] * CROWDED for waiting in ledger["forwards"].values()
         )
-        period = self.node.bounds.reading * (CROWDED_PERIOD if is_crowded else CALM_PERIOD)
+        period = self.node.bounds.read_timeout * (CROWDED_PERIOD if is_crowded else CALM_PERIOD)
         return self.node.now() - self.asked_at.get(owner.part, -period) >= period
 
     def _look_after(self, owner):
@@ -69,7 +69,7 @@
                 self.node.spawn(self._settle(owner, part, entries))
 
     def _settle(self, owner, part, entries):
-        """Script: release what one part's lots no longer wait for."""
+        """Coroutine: release what one part's lots no longer wait for."""
         try:
             left = yield from self._ask(owner, part, entries)
             rows = [
@@ -86,8 +86,8 @@
             self.busy.discard((owner.part, part))
 
     def _ask(self, owner, part, entries):
-        """Script: return {lot: tokens left}; a lot that can never be taken any more has none."""
-        ownership, seconds = self.node.find("ownership"), self.node.bounds.reading
+        """Coroutine: return {lot: tokens left}; a lot that can never be taken any more has none."""
+        ownership, seconds = self.node.find("ownership"), self.node.bounds.read_timeout
         answer = yield from ownership.ask(part, "raw.left", {"lots": list(entries)}, seconds)
         left, now = answer["left"], self.node.now()
         late = {}
--- a/quillring/lots/raw_reads.py
+++ b/quillring/lots/raw_reads.py
@@ -57,4 +57,4 @@
             return None
 
     def _is_certain(self, owner):
-        return self.node.now() - owner.confirmed_at < self.node.bounds.reading * CERTAIN
+        return self.node.now() - owner.confirmed_at < self.node.bounds.read_timeout * CERTAIN
--- a/quillring/lots/raw_runner.py
+++ b/quillring/lots/raw_runner.py
@@ -70,25 +70,25 @@
         self.demand.note(owner.part, ledger)
 
     def _stop(self, lot_name, numbers):
-        """Script: have every core stop the runs of a lot, told twice since words may be lost."""
+        """Coroutine: have every core stop the runs of a lot, told twice since words may be lost."""
         is_ended = raw_lots_ended(self.node, lot_name)
         body = {"lot": lot_name, "numbers": None if is_ended else numbers}
         calls = [(name, "raw.stop", body) for name in self._cores()]
-        yield from self.node.gather(calls, len(calls), self.node.bounds.round_trip, True)
+        yield from self.node.gather(calls, len(calls), self.node.bounds.call_timeout, True)
 
     def _cores(self):
         ownership, nifty = self.node.find("ownership"), self.node.find("nifty")
         return [name for name in ownership.cores() if nifty.reaches(name)]
 
     def run(self):
-        """Script: start what waits, follow what runs, list what is over."""
+        """Coroutine: start what waits, follow what runs, list what is over."""
         ownership, me, bounds = self.node.find("ownership"), self.node.me, self.node.bounds
         while True:
-            yield Sleep(bounds.chatter / 2)
+            yield Sleep(bounds.gossip_interval / 2)
             for ledger in list(self.ledgers.values()):
                 if not ledger.owner.may_act():
                     continue
-                seconds = bounds.reading if ledger.is_reported else bounds.round_trip
+                seconds = bounds.read_timeout if ledger.is_reported else bounds.call_timeout
                 if self.node.now() - ledger.renewed_at >= seconds:
                     ledger.renewed_at = self.node.now()
                     self._look_after(ledger)
@@ -107,11 +107,13 @@
                 self.node.spawn(ledger.owner.submit({"do": "raw.drop", "lot": name}))
 
     def _renew(self, ledger):
-        """Script: ask all cores what they run; take over, follow, or run anew what is missing."""
+        """Ask all cores what they run; take over, follow, or run anew what is missing."""
         owner, asked_at = ledger.owner, self.node.now()
         body = {"part": owner.part, "ballot": list(owner.ballot)}
         calls = [(name, "raw.renew", body) for name in self._cores()]
-        replies = yield from self.node.gather(calls, len(calls), self.node.bounds.round_trip, True)
+        replies = yield from self.node.gather(
+            calls, len(calls), self.node.bounds.call_timeout, True
+        )
         heard = {t: rows for t, rows in replies.items() if not isinstance(rows, QuillringError)}
         reported = {
             (row[0], row[1]): (worker, row) for worker, rows in heard.items() for row in rows
@@ -131,7 +133,9 @@
             is_answered = item.run.worker in heard and item.run.started_at < asked_at - SETTLED
             is_gone = not self.node.find("nifty").reaches(item.run.worker)
             if (item.lot, item.number) not in reported and (
-                is_answered or is_gone or now - item.run.heard_at > self.node.bounds.reading * 3
+                is_answered
+                or is_gone
+                or now - item.run.heard_at > self.node.bounds.read_timeout * 3
             ):
                 self.node.count("raw_runs_lost")
                 ledger.end_run(item)
@@ -165,7 +169,7 @@
         worker, now = choose_worker(ledger, cores, replica), self.node.now()
         if worker is None:
             return
-        run_id = f"{self.node.world.random.getrandbits(64):016x}"
+        run_id = f"{self.node.runtime.random.getrandbits(64):016x}"
         run = OwnedRun(run_id, worker, replica.service, replica.name, now)
         ledger.begin_run(item, run)
         self.node.spawn(self._start(ledger, item, run, forward, is_near))
@@ -177,7 +181,7 @@
         return [(n, members[n].zone) for n in names if not ledger.rests(n)]
 
     def _start(self, ledger, item, run, forward, is_near):
-        """Script: hand a run to its worker; what was surely not begun waits again."""
+        """Coroutine: hand a run to its worker; what was surely not begun waits again."""
         owner, lot = ledger.owner, raw_lots(ledger.owner.state).get(item.lot)
         if lot is None or item.number not in lot["items"] or item.run is not run:
             return
@@ -200,7 +204,7 @@
         }
         try:
             answer = yield from self.node.call(
-                run.worker, "raw.run", body, self.node.bounds.reading
+                run.worker, "raw.run", body, self.node.bounds.read_timeout
             )
             run.id = answer["run"]
         except TimedOut:
--- a/quillring/lots/raw_worker.py
+++ b/quillring/lots/raw_worker.py
@@ -123,7 +123,7 @@
             self.runs.pop(run.id, None)
 
     def _attempt(self, run, replica, body):
-        """Script: send the item once; return how it went. The run holds what came of its text."""
+        """Send the item once; return how it went. The run holds what came of its text."""
         node, dialect = self.node, self.node.find("dialect")
         item_id, target, pairs, content = body["item"]
         own_names = {"host", dialect.request_id}
@@ -134,7 +134,7 @@
         ]
         request = Request(dialect, "POST", target, headers, content)
         lease = node.find("placement").begin(replica, request)
-        stall_seconds = node.bounds.ending
+        stall_seconds = node.bounds.shutdown
         try:
             run.handle = yield from open_answer(
                 node,
@@ -165,7 +165,7 @@
             self.node.find("placement").failed(replica, isinstance(error, NotSent))
 
     def _read(self, run, lease):
-        """Script: take the answer's head, then the events in order until the proper end."""
+        """Coroutine: take the answer's head, then the events in order until the proper end."""
         dialect, handle = self.node.find("dialect"), run.handle
         if is_not_run(dialect, handle):
             return NOT_RUN
@@ -180,8 +180,8 @@
         return WHOLE if reader.is_clean and run.last is not None else BROKEN
 
     def _next_part(self, handle, lease):
-        """Script: wait for bytes; a replica that is silent to all is left at half time."""
-        seconds = self.node.bounds.ending / 2
+        """Coroutine: wait for bytes; a replica that is silent to all is left at half time."""
+        seconds = self.node.bounds.shutdown / 2
         try:
             return (yield NextPart(handle, seconds))
         except BackendError as error:
@@ -202,8 +202,8 @@
             raise BackendError(reason="too large")
 
     def _deliver(self, run, outcome):
-        """Script: commit or report what became of the run, until it is taken or far too late."""
-        end_time = self.node.now() + self.node.bounds.return_ * 3
+        """Coroutine: commit or report what became of the run, until it is taken or far too late."""
+        end_time = self.node.now() + self.node.bounds.recovery * 3
         text = b"\n".join(run.text)
         fields = {"lot": run.lot, "n": run.number, "run": run.id}
         commands = {
@@ -221,5 +221,5 @@
             except QuillringError as error:
                 self.node.count("raw_deliveries_repeated")
                 self.node.log("debug", "raw delivery %s: %s", run.id, error)
-            yield Sleep(self.node.bounds.beat / 2)
+            yield Sleep(self.node.bounds.heartbeat_interval / 2)
         return None
--- a/quillring/lots/runner.py
+++ b/quillring/lots/runner.py
@@ -45,9 +45,9 @@
         self.keeping = node.offer("keeping", Keeping(node))
 
     def run(self):
-        """Script: start items while there is room, and stop those of ended lots."""
+        """Coroutine: start items while there is room, and stop those of ended lots."""
         while True:
-            yield Sleep(self.node.bounds.beat / 5)
+            yield Sleep(self.node.bounds.heartbeat_interval / 5)
             for owner in self.node.find("ownership").owners.values():
                 if owner.may_act():
                     self.keeping.drop_old(owner)
@@ -105,7 +105,7 @@
                 "POST",
                 replica.path("/v1/stop", inquiry=prefix),
                 {"inquiries_of": prefix},
-                self.node.bounds.ending / 3,
+                self.node.bounds.shutdown / 3,
                 True,
             )
         except BackendError:
@@ -136,7 +136,7 @@
         except QuillringError as error:
             self.node.count("item_troubles")
             self.node.log("debug", "item %s: %s", key, error)
-            yield Wait(self.running[key].stop_signal, self.node.bounds.beat)
+            yield Wait(self.running[key].stop_signal, self.node.bounds.heartbeat_interval)
         finally:
             self.running.pop(key, None)
 
@@ -150,7 +150,7 @@
             route["class"],
             promise,
             prefix_key(prefix),
-            node.now() + node.bounds.news,
+            node.now() + node.bounds.propagation,
         )
         handle = None
         try:
--- a/quillring/nifty/nifty.py
+++ b/quillring/nifty/nifty.py
@@ -19,7 +19,7 @@
     from collections.abc import Iterable
 
     from quillring.kernel.node import Node
-    from quillring.kernel.types import Address, Script
+    from quillring.kernel.types import Address, Coroutine
 
 PARTS = 4
 STARTING = 4
@@ -70,8 +70,8 @@
         self.answered_names = frozenset()
         node.handle("member.former", lambda body, origin: renew_start(self, body))
 
-    def run(self) -> Script:
-        """Script: send a heartbeat to all in every period, the lost ones included."""
+    def run(self) -> Coroutine:
+        """Coroutine: send a heartbeat to all in every period, the lost ones included."""
         while True:
             self.send_beats()
             for part in range(PARTS):
@@ -107,7 +107,7 @@
     def _next_telling(self):
         me, roster, now = self.node.me, self.roster, self.node.now()
         self.beat_sequence += 1
-        oldest_time = now - max(self.node.bounds.news * 3, self.pace.broken * 2)
+        oldest_time = now - max(self.node.bounds.propagation * 3, self.pace.broken * 2)
         self.beat_times = {s: at for s, at in self.beat_times.items() if at > oldest_time}
         self.beat_times[self.beat_sequence] = now
         bitmap = roster.to_bitmap(self.reached_names())
@@ -129,7 +129,7 @@
         data = telling.to(heard)
         self.node.count("beats_sent")
         self.node.count("beat_bytes", len(data))
-        self.node.world.datagram(address, data)
+        self.node.runtime.datagram(address, data)
 
     def on_datagram(self, data: bytes) -> None:
         """Take a heartbeat; garbage is counted and dropped."""
@@ -148,7 +148,9 @@
                 return
             heard = self.heard[beat.name] = Heard(beat)
         self._hear(heard, beat)
-        if not is_known and (former is not None or self.pace.period > self.node.bounds.beat):
+        if not is_known and (
+            former is not None or self.pace.period > self.node.bounds.heartbeat_interval
+        ):
             self._send_beat(beat.member.address, self._next_telling(), heard)
 
     def _is_news(self, beat: Beat, heard: Heard | None):
@@ -227,7 +229,7 @@
         lost_names = former_graph.neighbours() - new_graph.neighbours()
         for member in map(self.known_roster.members.get, sorted(lost_names)):
             if member is not None:
-                self.node.world.reset(member.address)
+                self.node.runtime.reset(member.address)
         self.graph = new_graph
         self.node.count("graph_changes")
         for listener in self.listeners:
--- a/quillring/nifty/pace.py
+++ b/quillring/nifty/pace.py
@@ -23,9 +23,11 @@
     __slots__ = ("period", "missed")
 
     def __init__(self, bounds: Bounds, member_count: int) -> None:
-        longest_silence = max(bounds.return_ * 0.75, bounds.beat * MISSED)
-        wanted_period = max(bounds.beat, member_count / MEMBERS_A_SECOND)
-        self.period = min(wanted_period, max(bounds.beat, longest_silence / FEWEST_MISSED))
+        longest_silence = max(bounds.recovery * 0.75, bounds.heartbeat_interval * MISSED)
+        wanted_period = max(bounds.heartbeat_interval, member_count / MEMBERS_A_SECOND)
+        self.period = min(
+            wanted_period, max(bounds.heartbeat_interval, longest_silence / FEWEST_MISSED)
+        )
         self.missed = MISSED if self.period * MISSED <= longest_silence else FEWEST_MISSED
 
     @property
--- a/quillring/nifty/peers.py
+++ b/quillring/nifty/peers.py
@@ -106,7 +106,7 @@
             return
         self.node.count("refused_links")
         self.refresh()
-        if self.pace.period <= self.node.bounds.beat:
+        if self.pace.period <= self.node.bounds.heartbeat_interval:
             self.send_beats()
 
     def refuse(self, address: Address) -> bool:
--- a/quillring/nifty/relay.py
+++ b/quillring/nifty/relay.py
@@ -38,7 +38,7 @@
             return False
         heard = self.heard.get(hop)
         version = self.versions[0] if heard is None else heard.version
-        self.node.world.frame(hop_member.address, pack(envelope, version))
+        self.node.runtime.frame(hop_member.address, pack(envelope, version))
         return True
 
     def on_frame(self, data: bytes) -> None:
--- a/quillring/nifty/starts.py
+++ b/quillring/nifty/starts.py
@@ -31,7 +31,7 @@
     nifty.sequence += 1
     me = nifty.node.me
     envelope = [me.name, me.incarnation, nifty.sequence, member.name, 1]
-    nifty.node.world.frame(member.address, pack([*envelope, {"s": service, "b": body}], version))
+    nifty.node.runtime.frame(member.address, pack([*envelope, {"s": service, "b": body}], version))
 
 
 def renew_start(nifty: Nifty, incarnation: int) -> None:
--- a/quillring/ownership/asking.py
+++ b/quillring/ownership/asking.py
@@ -24,14 +24,14 @@
     __slots__ = ()
 
     def submit(self, part, command, seconds=None):
-        """Script: commit a command that carries its own id, at whichever core owns the part."""
+        """Coroutine: commit a command that carries its own id, at whichever core owns the part."""
         answer = yield from self.ask(part, "part.submit", {"command": command}, seconds)
         return answer
 
     def read(self, part, query, seconds=None):
-        """Script: read a part's state from its owner, or from a majority of its stores."""
+        """Coroutine: read a part's state from its owner, or from a majority of its stores."""
         bounds, last_error = self.node.bounds, NotOwner(part=part)
-        end_time = self.node.now() + (bounds.news * 2 if seconds is None else seconds)
+        end_time = self.node.now() + (bounds.propagation * 2 if seconds is None else seconds)
         while self.node.now() < end_time:
             hopelessness = self.why_hopeless(part)
             if hopelessness is not None:
@@ -39,12 +39,12 @@
             for owner_name in self._candidates(part)[:1]:
                 try:
                     body = {"part": part, "query": query}
-                    seconds = min(bounds.reading / 2, end_time - self.node.now())
+                    seconds = min(bounds.read_timeout / 2, end_time - self.node.now())
                     answer = yield from self.node.call(owner_name, "part.read", body, seconds)
                     return answer
                 except (*LOOK_ELSEWHERE, NoMajority) as error:
                     last_error = error
-            seconds = min(bounds.reading / 2, end_time - self.node.now())
+            seconds = min(bounds.read_timeout / 2, end_time - self.node.now())
             if seconds > 0:
                 known = yield from peek(self.node, part, self.group(part), query, seconds)
                 if known is not None:
@@ -54,13 +54,13 @@
         raise Refused(reason=last_error.kind, part=part)
 
     def ask(self, part, service, body, seconds):
-        """Script: call a service of the core that owns the part, wherever it is.
+        """Coroutine: call a service of the core that owns the part, wherever it is.
 
         Once a call of a command may have run, its outcome is unknown whatever a later call answers
         but success or a refusal of what can never be taken: the earlier one may still take effect.
         """
         bounds = self.node.bounds
-        end_time = self.node.now() + (bounds.news * 2 if seconds is None else seconds)
+        end_time = self.node.now() + (bounds.propagation * 2 if seconds is None else seconds)
         self.founding()
         last_error, attempts, may_have_run = NotOwner(part=part), 0, False
         while self.node.now() < end_time:
@@ -75,7 +75,7 @@
                         candidates[attempts % len(candidates)],
                         service,
                         {"part": part, **body},
-                        min(bounds.news, end_time - self.node.now()),
+                        min(bounds.propagation, end_time - self.node.now()),
                     )
                     return answer
                 except (*LOOK_ELSEWHERE, NoMajority) as error:
@@ -98,7 +98,7 @@
 
         A node that has just started does not know yet whom it reaches.
         """
-        if self.node.now() - self.started_at < self.node.bounds.news:
+        if self.node.now() - self.started_at < self.node.bounds.propagation:
             return None
         graph, group = self.node.find("nifty").graph, self.group(part)
         reached = [store[0] for store in group if store[0] in graph.reachable()]
@@ -107,8 +107,10 @@
         return None if self.rank(part) else Unreachable(part=part)
 
     def _pause(self, end_time):
-        """Script: a pause between two attempts, which does not outlast the asking."""
-        seconds = min(self.node.bounds.beat / 4, (end_time - self.node.now()) / LONGEST_PAUSE)
+        """Coroutine: a pause between two attempts, which does not outlast the asking."""
+        seconds = min(
+            self.node.bounds.heartbeat_interval / 4, (end_time - self.node.now()) / LONGEST_PAUSE
+        )
         if seconds > 0:
             yield from wait_for_owner(self.node, seconds)
 
--- a/quillring/ownership/handover.py
+++ b/quillring/ownership/handover.py
@@ -24,11 +24,11 @@
             self.ownership.node.spawn(self._give(part, owner, name))
 
     def _give(self, part, owner, name):
-        """Script: let the next owner fetch the state; then step down and tell it."""
+        """Coroutine: let the next owner fetch the state; then step down and tell it."""
         node = self.ownership.node
         body = {"part": part, "index": self.given[part][0]}
         try:
-            yield from node.call(name, "part.ready", body, node.bounds.news * 2)
+            yield from node.call(name, "part.ready", body, node.bounds.propagation * 2)
         except UnknownService:
             node.count("handovers_without_state")
         except QuillringError as error:
@@ -37,7 +37,7 @@
             del self.given[part]
         if owner.is_owner and self.ownership.rank(part)[:1] == [name]:
             owner.step_down(NotOwner(part=part))
-            node.cast(name, "part.free", part)
+            node.send_oneway(name, "part.free", part)
 
     def on_piece(self, body, origin):
         """Give a piece of the state that is handed over, as [data, place behind it or None]."""
@@ -48,7 +48,7 @@
         return [data, following]
 
     def on_ready(self, body, origin):
-        """Script: fetch the state of a part from its owner, so as to be its next one."""
+        """Coroutine: fetch the state of a part from its owner, so as to be its next one."""
         part, index = body["part"], body["index"]
         former = self.ownership.owners.get(part)
         if former is not None and (former.is_owner or former.index >= index):
@@ -57,7 +57,7 @@
         while place is not None:
             wanted = {"part": part, "index": index, "place": list(place)}
             data, following = yield from node.call(
-                origin, "part.piece", wanted, node.bounds.reading
+                origin, "part.piece", wanted, node.bounds.read_timeout
             )
             builder.add(data, following)
             place = None if following is None else Place(*following)
--- a/quillring/ownership/ownership.py
+++ b/quillring/ownership/ownership.py
@@ -109,14 +109,16 @@
         self.node.find("gossip").put(f"draining/{me.name}", [me.incarnation], me.incarnation)
 
     def run(self):
-        """Script, on a core: take the parts it ranks first for, hand over the others."""
+        """Coroutine, on a core: take the parts it ranks first for, hand over the others."""
         self.node.spawn(self.resting.lag.run())
         while True:
-            seconds = self.node.bounds.beat * (0.8 + 0.4 * self.node.world.random.random())
+            seconds = self.node.bounds.heartbeat_interval * (
+                0.8 + 0.4 * self.node.runtime.random.random()
+            )
             due_at = self.node.now() + seconds
             if (yield Wait(self.wake_signal, seconds)):
                 self.wake_signal = Signal()
-            if self.node.now() - due_at > self.node.bounds.broken:
+            if self.node.now() - due_at > self.node.bounds.link_timeout:
                 self.standing.begin_anew()
             self.resting.look()
             if self.node.find("gossip").get("founding") is None:
@@ -184,7 +186,7 @@
         self.node.spawn(self._keep(owner))
 
     def _keep(self, owner):
-        """Script: own a part until the term ends; a core that lost it by its own fault rests."""
+        """Coroutine: own a part until the term ends; a core that lost it by its own fault rests."""
         error = yield from owner.run()
         if isinstance(error, (Fenced, NoMajority)):
             self.resting.note_lost_term()
@@ -195,7 +197,7 @@
 
     def _pause_after(self, error):
         """Return seconds: where another core is winning, its news comes first."""
-        beat = self.node.bounds.beat
+        beat = self.node.bounds.heartbeat_interval
         if not isinstance(error, Fenced):
             return beat / 2
         return beat * 2 if self.standing.is_contended(error.detail["ballot"]) else beat / 4
@@ -209,7 +211,7 @@
                 gossip.put(f"group/{owner.part}", [owner.index], owner.state["group"])
 
     def on_free(self, part, origin):
-        """Script: take a part that its owner hands over, unless it is truly owned here."""
+        """Coroutine: take a part that its owner hands over, unless it is truly owned here."""
         owner = self.owners.get(part)
         if owner is not None and owner.is_owner:
             try:
--- a/quillring/ownership/resting.py
+++ b/quillring/ownership/resting.py
@@ -50,10 +50,10 @@
             self._tell(None)
 
     def _begin(self):
-        now, beat = self.node.now(), self.node.bounds.beat
+        now, beat = self.node.now(), self.node.bounds.heartbeat_interval
         did_well = now - self.until > beat * LONGEST_REST_BEATS
         self.beats = FIRST_REST_BEATS if did_well else min(self.beats * 2, LONGEST_REST_BEATS)
-        spread = 1 + JITTER * (2 * self.node.world.random.random() - 1)
+        spread = 1 + JITTER * (2 * self.node.runtime.random.random() - 1)
         self.until = now + beat * self.beats * spread
         self.node.count("rests")
         self.node.log("warning", "late for its parts: rests for %.1f s", self.until - now)
--- a/quillring/ownership/takeovers.py
+++ b/quillring/ownership/takeovers.py
@@ -11,11 +11,11 @@
 
 
 def newest_takeovers(node):
-    """Script: ask the cores in reach; return {part: the takeover under the highest ballot}."""
+    """Coroutine: ask the cores in reach; return {part: the takeover under the highest ballot}."""
     nifty = node.find("nifty")
     names = [name for name in node.find("ownership").cores() if nifty.reaches(name)]
     calls = [(name, "part.takeovers", None) for name in names]
-    replies = yield from node.gather(calls, len(calls), node.bounds.round_trip)
+    replies = yield from node.gather(calls, len(calls), node.bounds.call_timeout)
     newest = {}
     for reply in replies.values():
         for part, status in () if isinstance(reply, QuillringError) else reply.items():
@@ -26,7 +26,7 @@
 
 
 def list_parts(node):
-    """Script: return the parts with group, owner and ballot as heard, and the newest takeover."""
+    """Return the parts with group, owner and ballot as heard, and the newest takeover."""
     ownership, gossip = node.find("ownership"), node.find("gossip")
     ownership.founding()
     takeovers = yield from newest_takeovers(node)
--- a/quillring/plans/front.py
+++ b/quillring/plans/front.py
@@ -57,7 +57,7 @@
     if current["layout"] is None:
         raise NotFound(field="layout")
     plan = make_plan(make_view(node, current), request.body)
-    name = f"{node.world.random.getrandbits(48):012x}"
+    name = f"{node.runtime.random.getrandbits(48):012x}"
     return (yield from ownership.submit(CONFIG, {"do": "plan.propose", "id": name, "plan": plan}))
 
 
@@ -86,7 +86,7 @@
                 "do": "plan.confirm",
                 "plan": request.words["plan"],
                 "accept": body.get("accept", []),
-                "id": body.get("id") or f"{node.world.random.getrandbits(96):024x}",
+                "id": body.get("id") or f"{node.runtime.random.getrandbits(96):024x}",
             },
         )
     )
--- a/quillring/plans/runner.py
+++ b/quillring/plans/runner.py
@@ -11,7 +11,7 @@
 
 @CONDITIONS.entry("domain_idle")
 def is_zone_idle(node, zone):
-    """Script: tell whether no replica and no node of the domain has anything under way.
+    """Coroutine: tell whether no replica and no node of the domain has anything under way.
 
     A node out of reach counts once it was silent for as long as service may be away.
     """
@@ -30,7 +30,7 @@
         for m in nifty.roster.members.values()
         if m.zone == zone
         and m.role != "store"
-        and (nifty.reaches(m.name) or not nifty.is_silent(m.name, node.bounds.return_))
+        and (nifty.reaches(m.name) or not nifty.is_silent(m.name, node.bounds.recovery))
     ]
     replies = yield from node.gather([(name, "node.busy", None) for name in names], len(names))
     return not any(isinstance(reply, QuillringError) or reply for reply in replies.values())
@@ -45,7 +45,7 @@
 
 @CONDITIONS.entry("store_unused")
 def is_store_unused(node, store):
-    """Script: tell whether no part has the store as a member."""
+    """Coroutine: tell whether no part has the store as a member."""
     ownership = node.find("ownership")
     return not any(store in [s[0] for s in ownership.group(part)] for part in ownership.parts())
     yield
@@ -60,9 +60,9 @@
         self.node = node
 
     def run(self):
-        """Script: do the next step of every running plan."""
+        """Coroutine: do the next step of every running plan."""
         while True:
-            yield Sleep(self.node.bounds.beat)
+            yield Sleep(self.node.bounds.heartbeat_interval)
             owner = self.node.find("ownership").owners.get(CONFIG)
             if owner is None or not owner.may_act():
                 continue
--- a/quillring/quorum/acceptor.py
+++ b/quillring/quorum/acceptor.py
@@ -18,7 +18,7 @@
     from typing import Any
 
     from quillring.kernel.node import Node
-    from quillring.kernel.types import Script
+    from quillring.kernel.types import Coroutine
     from quillring.quorum.parts import Ballot
 
 FOUNDING_CALLS = ("found", "founding")
@@ -117,8 +117,8 @@
                 part_record.install(rest[1], state)
         self.transfers.forget(part, part_record)
 
-    def keep(self, record: list) -> Script:
-        """Script: change the memory, and return once the record is durable."""
+    def keep(self, record: list) -> Coroutine:
+        """Coroutine: change the memory, and return once the record is durable."""
         self.replay(record)
         yield from self.slots.commit([record])
 
@@ -134,7 +134,7 @@
             raise Fenced(part=body["part"], ballot=list(part_record.promised))
         return part_record, ballot
 
-    def on_found(self, body: dict, origin: str) -> Script:
+    def on_found(self, body: dict, origin: str) -> Coroutine:
         """Take the founding record; another founding is answered with a conflict."""
         if self.founding is None:
             if body["identity"] != self.identity:
@@ -148,7 +148,7 @@
         """Tell which founding this store holds, or None."""
         return self.founding
 
-    def on_prepare(self, body: dict, origin: str) -> Script:
+    def on_prepare(self, body: dict, origin: str) -> Coroutine:
         """Promise a ballot and tell what was accepted."""
         _, ballot = self.check(body)
         yield from self.keep(["promise", body["part"], list(ballot)])
@@ -160,7 +160,7 @@
             promise = promise.brief(has_batches=body["brief"] != TAIL_INDEXES)
         return promise.to_list()
 
-    def on_catch_up(self, body: dict, origin: str) -> Script:
+    def on_catch_up(self, body: dict, origin: str) -> Coroutine:
         """Accept all the entries that this store missed, and apply them."""
         self.check(body)
         part, ballot = body["part"], list(body["ballot"])
@@ -171,7 +171,7 @@
         yield from self.slots.commit(records)
         return self.tell(part)
 
-    def on_accept(self, body: dict, origin: str) -> Script:
+    def on_accept(self, body: dict, origin: str) -> Coroutine:
         """Accept an entry of the ballot, and apply what its owner says is committed."""
         _, ballot = self.check(body)
         record = ["accept", body["part"], list(ballot), body["index"], body["batch"]]
@@ -181,7 +181,7 @@
         yield from self.slots.commit([record, commit_record])
         return self.tell(body["part"])
 
-    def on_commit(self, body: dict, origin: str) -> Script:
+    def on_commit(self, body: dict, origin: str) -> Coroutine:
         """Mark entries of the ballot as committed, durably."""
         part_record, ballot = self.check(body)
         is_known = part_record.promised == ballot and part_record.applied >= body["committed"]
@@ -190,7 +190,7 @@
         yield from self.keep(["commit", body["part"], list(body["ballot"]), body["committed"]])
         return self.tell(body["part"])
 
-    def on_install(self, body: dict, origin: str) -> Script:
+    def on_install(self, body: dict, origin: str) -> Coroutine:
         """Take the owner's whole state of a part in place of missed entries."""
         self.check(body)
         fields = [list(body["ballot"]), body["index"], body["state"]]
@@ -211,8 +211,8 @@
             raise NotFounded(part=body["part"], store=self.node.me.name)
         return [part_record.applied, part_record.state]
 
-    def on_peek(self, body: dict, origin: str) -> Script:
-        """Script: answer a query from the applied state, with what may be chosen beyond it."""
+    def on_peek(self, body: dict, origin: str) -> Coroutine:
+        """Coroutine: answer a query from the applied state, with what may be chosen beyond it."""
         part_record = self.parts.get(body["part"])
         if part_record is None or part_record.state is None:
             raise NotFounded(part=body["part"], store=self.node.me.name)
--- a/quillring/quorum/autofound.py
+++ b/quillring/quorum/autofound.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from quillring.kernel.node import Node
-    from quillring.kernel.types import Script
+    from quillring.kernel.types import Coroutine
     from quillring.quorum.parts import Store
 
 STEADY_BEATS = 2
@@ -21,8 +21,8 @@
 
 def found_by_itself(
     node: Node, is_first_start: bool, part_count: int, size: int = GROUP_SIZE
-) -> Script:
-    """Script, on a core: found the fleet at its very first start, as soon as its stores are there.
+) -> Coroutine:
+    """Found the fleet at its very first start, as soon as its stores are there.
 
     `size` is how many stores hold each part. The first seed does it; each later one only after
     another turn without a founding. A majority of the seeds has to agree on the record, so that
@@ -34,14 +34,18 @@
         return
     node.spawn(node.find("elector").begin())
     gossip, bounds, start_time = node.find("gossip"), node.bounds, node.now()
-    turn, names, steady_since = bounds.beat * TURN_BEATS, (), node.now()
+    turn, names, steady_since = bounds.heartbeat_interval * TURN_BEATS, (), node.now()
     own_time = start_time + turn * place_of(node)
     while gossip.get("founding") is None:
-        yield Sleep(bounds.chatter * 2)
+        yield Sleep(bounds.gossip_interval * 2)
         stores, now = reached_stores(node), node.now()
         if tuple(store[0] for store in stores) != names:
             names, steady_since = tuple(store[0] for store in stores), now
-        if now < own_time or now - steady_since < bounds.beat * STEADY_BEATS or not stores:
+        if (
+            now < own_time
+            or now - steady_since < bounds.heartbeat_interval * STEADY_BEATS
+            or not stores
+        ):
             continue
         if is_enough([store[2] for store in stores], size) or now >= own_time + turn:
             wanted_size = min(size, (len(stores) + 1) // 2 * 2 - 1)
--- a/quillring/quorum/catchup.py
+++ b/quillring/quorum/catchup.py
@@ -17,7 +17,7 @@
 
 if TYPE_CHECKING:
     from quillring.kernel.node import Node
-    from quillring.kernel.types import Script
+    from quillring.kernel.types import Coroutine
     from quillring.quorum.owner import Owner
     from quillring.quorum.parts import Call
     from quillring.quorum.promise import Promise
@@ -25,8 +25,8 @@
 MOST_RESUMPTIONS = 8
 
 
-def adopt_state(owner: Owner, promises: dict[str, Promise]) -> Script:
-    """Script: give a new owner the newest applied state among the promises of a majority.
+def adopt_state(owner: Owner, promises: dict[str, Promise]) -> Coroutine:
+    """Coroutine: give a new owner the newest applied state among the promises of a majority.
 
     What it held in a former term counts: what was applied at an index is the same everywhere, so
     it only lacks the entries since. Else one of the newest stores sends the state, one of the own
@@ -61,8 +61,8 @@
     return sorted(stores, key=lambda store: (is_elsewhere[store], store))
 
 
-def _adopt_entries(owner: Owner, store: str, best: int) -> Script:
-    """Script: apply the entries up to an index that a store still has; False if some are gone."""
+def _adopt_entries(owner: Owner, store: str, best: int) -> Coroutine:
+    """Apply the entries up to an index that a store still has; False if some are gone."""
     entries = yield from _fetch_entries(owner, store, owner.index, best)
     for index, batch in entries or ():
         owner.state, _ = apply_batch(owner.state, batch)
@@ -71,14 +71,14 @@
     return owner.index >= best
 
 
-def _fetch_entries(owner: Owner, store: str, after: int, last: int) -> Script:
-    """Script: return [[index, batch], ...] after one index up to another, or None if gone."""
+def _fetch_entries(owner: Owner, store: str, after: int, last: int) -> Coroutine:
+    """Coroutine: return [[index, batch], ...] after one index up to another, or None if gone."""
     entries = []
     while after < last:
         body = {"part": owner.part, "after": after}
         try:
             rows = yield from owner.node.call(
-                store, "quorum.entries", body, owner.node.bounds.reading
+                store, "quorum.entries", body, owner.node.bounds.read_timeout
             )
         except UnknownService:
             return None
@@ -89,9 +89,9 @@
     return entries
 
 
-def _fetch_state(owner: Owner, store: str, index: int) -> Script:
-    """Script: return the state that a store applied at an index, fetched piece by piece."""
-    builder, place, seconds = StateBuilder(), START, owner.node.bounds.news / 2
+def _fetch_state(owner: Owner, store: str, index: int) -> Coroutine:
+    """Coroutine: return the state that a store applied at an index, fetched piece by piece."""
+    builder, place, seconds = StateBuilder(), START, owner.node.bounds.propagation / 2
     while place is not None:
         body = {"part": owner.part, "index": index, "place": list(place)}
         try:
@@ -108,8 +108,8 @@
     return builder.whole()
 
 
-def mend_store(owner: Owner, applied: int, call: Call) -> Script:
-    """Script: send one late store what it misses; raises when it can't be brought on now."""
+def mend_store(owner: Owner, applied: int, call: Call) -> Coroutine:
+    """Coroutine: send one late store what it misses; raises when it can't be brought on now."""
     target, _, body = call
     if (yield from _send_entries(owner, applied, target, body)):
         owner.node.count("catch_ups")
@@ -118,8 +118,8 @@
     yield from _install(owner, target, body)
 
 
-def _send_entries(owner: Owner, applied: int, target: str, body: dict) -> Script:
-    """Script: send the entries a store misses; False when they are gone, or don't help."""
+def _send_entries(owner: Owner, applied: int, target: str, body: dict) -> Coroutine:
+    """Coroutine: send the entries a store misses; False when they are gone, or don't help."""
     if owner.recent.since(applied) is None:
         yield from _learn_entries(owner, applied, target)
     if is_state_smaller(owner.state, owner.recent.weight_since(applied)):
@@ -130,7 +130,7 @@
             return False
         catch_up = {**body, "entries": entries, "committed": entries[-1][0]}
         reply = yield from owner.node.call(
-            target, "quorum.catch_up", catch_up, owner.node.bounds.news
+            target, "quorum.catch_up", catch_up, owner.node.bounds.propagation
         )
         if reply <= applied:
             return False
@@ -149,8 +149,8 @@
     return True
 
 
-def _learn_entries(owner: Owner, applied: int, target: str) -> Script:
-    """Script: ask one other store for the entries that were applied before this term."""
+def _learn_entries(owner: Owner, applied: int, target: str) -> Coroutine:
+    """Coroutine: ask one other store for the entries that were applied before this term."""
     first = owner.recent.first or owner.index + 1
     nifty = owner.node.find("nifty")
     names = [s[0] for s in owner.group if s[0] != target and nifty.reaches(s[0])]
@@ -164,10 +164,10 @@
             return
 
 
-def _install(owner: Owner, target: str, body: dict) -> Script:
-    """Script: send the state to a store piece by piece; it tells where to go on after a loss."""
+def _install(owner: Owner, target: str, body: dict) -> Coroutine:
+    """Coroutine: send the state to a store piece by piece; it tells where to go on after a loss."""
     index, state, place, resumptions = owner.index, owner.state, START, 0
-    seconds = owner.node.bounds.news
+    seconds = owner.node.bounds.propagation
     while place is not None and owner.is_owner:
         data, following = cut_piece(state, place)
         fields = {"index": index, "place": list(place), "data": data, "following": following}
--- a/quillring/quorum/disk_news.py
+++ b/quillring/quorum/disk_news.py
@@ -8,7 +8,7 @@
 
 if TYPE_CHECKING:
     from quillring.kernel.node import Node
-    from quillring.kernel.types import Script
+    from quillring.kernel.types import Coroutine
     from quillring.store import SlotStore
 
 
@@ -23,10 +23,10 @@
         self.is_failing = False
         self.sequence = 0
 
-    def run(self) -> Script:
-        """Script: look at the disk twice in a heartbeat period, and tell a change."""
+    def run(self) -> Coroutine:
+        """Coroutine: look at the disk twice in a heartbeat period, and tell a change."""
         while True:
-            yield Sleep(self.node.bounds.beat / 2)
+            yield Sleep(self.node.bounds.heartbeat_interval / 2)
             is_failing = self.slots.error is not None
             if is_failing != self.is_failing:
                 self.is_failing = is_failing
--- a/quillring/quorum/electing.py
+++ b/quillring/quorum/electing.py
@@ -24,7 +24,7 @@
     from typing import Any
 
     from quillring.kernel.node import Node
-    from quillring.kernel.types import Script
+    from quillring.kernel.types import Coroutine
     from quillring.store import FolderDisk
 
 FILES = ("founding.0", "founding.1")
@@ -60,16 +60,16 @@
         node.handle("founding.prepare", self.on_prepare)
         node.handle("founding.accept", self.on_accept)
 
-    def on_prepare(self, body: dict, origin: str) -> Script:
-        """Script: promise a ballot; return the ballot and the record accepted before, if any."""
+    def on_prepare(self, body: dict, origin: str) -> Coroutine:
+        """Coroutine: promise a ballot; return the ballot and the record accepted before, if any."""
         vote, ballot = (yield from self._recall()), tuple(body["ballot"])
         if ballot < vote.promised:
             raise Fenced(part="founding", ballot=list(vote.promised))
         yield from self._keep(vote, vote._replace(promised=ballot))
         return [list(vote.accepted), vote.founding]
 
-    def on_accept(self, body: dict, origin: str) -> Script:
-        """Script: accept a record unless a higher ballot was promised."""
+    def on_accept(self, body: dict, origin: str) -> Coroutine:
+        """Coroutine: accept a record unless a higher ballot was promised."""
         vote, ballot = (yield from self._recall()), tuple(body["ballot"])
         if ballot < vote.promised:
             raise Fenced(part="founding", ballot=list(vote.promised))
@@ -78,8 +78,8 @@
         )
         return True
 
-    def begin(self) -> Script:
-        """Script: at the first start, have the witness know of it, so that later lives may vote."""
+    def begin(self) -> Coroutine:
+        """At the first start, have the witness know of it, so that later lives may vote."""
         if not self.is_first_start or self.witness is None:
             return
         while True:
@@ -90,10 +90,10 @@
                 return
             except QuillringError as error:
                 self.node.log("debug", "founding: witness: %s", error)
-            yield Sleep(self.node.bounds.beat / 4)
+            yield Sleep(self.node.bounds.heartbeat_interval / 4)
 
-    def _recall(self) -> Script:
-        """Script: return this seed's vote; Refused when a former life's may be lost."""
+    def _recall(self) -> Coroutine:
+        """Coroutine: return this seed's vote; Refused when a former life's may be lost."""
         vote = self.vote
         if self.witness is not None:
             kept = yield from self.node.call(self.witness, "founding.recall", None)
@@ -102,8 +102,8 @@
             raise Refused(reason="a former vote may be lost")
         return vote
 
-    def _keep(self, former: Vote, vote: Vote) -> Script:
-        """Script: keep a vote in place of the former one; Conflict when another came between."""
+    def _keep(self, former: Vote, vote: Vote) -> Coroutine:
+        """Coroutine: keep a vote in place of the former one; Conflict when another came between."""
         vote = vote._replace(number=former.number + 1)
         if self.witness is not None:
             yield from self.node.call(self.witness, "founding.keep", list(vote))
@@ -143,8 +143,8 @@
         return cbor2.loads(data[4:])
 
 
-def agree(node: Node, founding: dict) -> Script:
-    """Script: have a majority of the seeds choose a founding record; return the one chosen.
+def agree(node: Node, founding: dict) -> Coroutine:
+    """Coroutine: have a majority of the seeds choose a founding record; return the one chosen.
 
     Raises Fenced or NoMajority; then nothing, this record or another one may come to be chosen.
     """
@@ -159,13 +159,13 @@
     return founding
 
 
-def _ask_seeds(node: Node, service: str, body: dict) -> Script:
-    """Script: ask all seeds; return the answers of a majority of them."""
+def _ask_seeds(node: Node, service: str, body: dict) -> Coroutine:
+    """Coroutine: ask all seeds; return the answers of a majority of them."""
     addresses, roster = set(node.find("nifty").seeds), node.find("nifty").roster
     names = {name for at in addresses for name in roster.addresses.get(tuple(at), ())[-1:]}
     need = len(addresses) // 2 + 1
     calls = [(name, service, body) for name in sorted(names)]
-    replies = yield from node.gather(calls, need, node.bounds.news)
+    replies = yield from node.gather(calls, need, node.bounds.propagation)
     answers = [r for r in replies.values() if not isinstance(r, QuillringError)]
     fences = [r.detail["ballot"] for r in replies.values() if isinstance(r, Fenced)]
     if fences:
--- a/quillring/quorum/founding.py
+++ b/quillring/quorum/founding.py
@@ -11,7 +11,7 @@
     from collections.abc import Callable
 
     from quillring.kernel.node import Node
-    from quillring.kernel.types import Script
+    from quillring.kernel.types import Coroutine
     from quillring.quorum.parts import Store
 
 
@@ -20,14 +20,14 @@
     part_count: int,
     size: int = GROUP_SIZE,
     stores: list[Store] | None = None,
-    choose: Callable[[Node, dict], Script] | None = None,
-) -> Script:
-    """Script: found the fleet on the stores of the roster, or finish a founding begun before.
+    choose: Callable[[Node, dict], Coroutine] | None = None,
+) -> Coroutine:
+    """Coroutine: found the fleet on the stores of the roster, or finish a founding begun before.
 
     A store that holds a founding already is found by asking all first. Then the first store by
     name is asked alone: of two racing founders the one whose record it keeps has won, and the
     other carries on with the winner's record. With `stores` ([name, identity, domain]) given, the
-    groups are made of these, spread as far as they are. With `choose` (a script of node and record
+    groups are made of these, spread as far as they are. With `choose` (coroutine of node and record
     that returns the one agreed on), that one is founded and no other.
     """
     gossip = node.find("gossip")
@@ -49,7 +49,7 @@
         (store[0], "quorum.found", {"identity": store[1], "founding": founding})
         for store in other_stores
     ]
-    replies = yield from node.gather(calls, len(calls), node.bounds.news)
+    replies = yield from node.gather(calls, len(calls), node.bounds.propagation)
     errors = {name: r.kind for name, r in replies.items() if isinstance(r, QuillringError)}
     if errors:
         raise NoMajority(reason="run the command again", stores=errors)
@@ -66,7 +66,7 @@
 def make_founding(node: Node, part_count: int, size: int, stores: list[Store]) -> dict:
     """Return a new founding record: the groups of all parts, and the fleet's secret."""
     groups = {part: choose_group(part, stores, size) for part in part_names(part_count)}
-    secret_bytes = node.world.secret(32)
+    secret_bytes = node.runtime.secret(32)
     return {
         "fleet": secret_bytes[:6].hex(),
         "groups": groups,
@@ -75,17 +75,17 @@
     }
 
 
-def _held_founding(node: Node, stores: list[Store]) -> Script:
+def _held_founding(node: Node, stores: list[Store]) -> Coroutine:
     calls = [(store[0], "quorum.founding", None) for store in stores]
-    replies = yield from node.gather(calls, len(calls), node.bounds.round_trip)
+    replies = yield from node.gather(calls, len(calls), node.bounds.call_timeout)
     held = [reply for reply in replies.values() if isinstance(reply, dict)]
     return held[0] if held else None
 
 
-def _found_at(node: Node, store: Store, founding: dict) -> Script:
+def _found_at(node: Node, store: Store, founding: dict) -> Coroutine:
     try:
         body = {"identity": store[1], "founding": founding}
-        yield from node.call(store[0], "quorum.found", body, node.bounds.news)
+        yield from node.call(store[0], "quorum.found", body, node.bounds.propagation)
     except Conflict as conflict:
         return conflict.detail["founding"]
     return founding
--- a/quillring/quorum/hints.py
+++ b/quillring/quorum/hints.py
@@ -15,7 +15,7 @@
 
 if TYPE_CHECKING:
     from quillring.kernel.node import Node
-    from quillring.kernel.types import Script
+    from quillring.kernel.types import Coroutine
     from quillring.quorum.acceptor import Acceptors
     from quillring.quorum.owner import Owner
     from quillring.quorum.parts import Call
@@ -37,7 +37,7 @@
         self.kept_bytes = None
         node.handle("quorum.hint", self.on_hint)
 
-    def on_hint(self, body: dict, origin: str) -> Script:
+    def on_hint(self, body: dict, origin: str) -> Coroutine:
         """Keep a record for a missing acceptor, durably."""
         kept = sum(len(records) for records in self.acceptors.hints.values())
         if kept >= KEPT_HINTS or self._count_bytes() >= KEPT_BYTES:
@@ -52,24 +52,24 @@
             self.kept_bytes = sum(len(cbor2.dumps(record)) for kept in hints for record in kept)
         return self.kept_bytes
 
-    def run(self) -> Script:
-        """Script: hand hints over to each acceptor that is back, then drop them.
+    def run(self) -> Coroutine:
+        """Coroutine: hand hints over to each acceptor that is back, then drop them.
 
         Its parts' owners come first: most often they bring it in step, and no hint is needed.
         """
         back_since = {}
         while True:
-            yield Sleep(self.node.bounds.beat)
+            yield Sleep(self.node.bounds.heartbeat_interval)
             reaches, now = self.node.find("nifty").reaches, self.node.now()
             back_since = {
                 name: back_since.get(name, now) for name in self.acceptors.hints if reaches(name)
             }
             for name, since in back_since.items():
-                if now - since >= self.node.bounds.beat * OWNERS_FIRST:
+                if now - since >= self.node.bounds.heartbeat_interval * OWNERS_FIRST:
                     yield from self._hand_over(name)
 
-    def _hand_over(self, name: str) -> Script:
-        """Script: hand over what the acceptor still needs; a new member under its name needs none.
+    def _hand_over(self, name: str) -> Coroutine:
+        """Hand over what the acceptor still needs; a new member under its name needs none.
 
         An answer tells what it has applied by now, from its owner or other stores: all up to that
         is not sent.
@@ -115,4 +115,4 @@
     spare_name = max(spares, key=lambda name: score(owner.part, name))
     for target, _, body in missing:
         owner.node.count("hints_sent")
-        owner.node.cast(spare_name, "quorum.hint", {"for": target, "record": body})
+        owner.node.send_oneway(spare_name, "quorum.hint", {"for": target, "record": body})
--- a/quillring/quorum/in_flight.py
+++ b/quillring/quorum/in_flight.py
@@ -14,7 +14,7 @@
 
 if TYPE_CHECKING:
     from quillring.kernel.node import Node
-    from quillring.kernel.types import Script
+    from quillring.kernel.types import Coroutine
 
 
 class InFlight:
@@ -37,8 +37,8 @@
         decided, self.batch, self.decided = self.decided, (), None
         decided.set()
 
-    def wait(self, lot: str | None = None) -> Script:
-        """Script: return when what is in flight now has ended; at once when nothing is.
+    def wait(self, lot: str | None = None) -> Coroutine:
+        """Coroutine: return when what is in flight now has ended; at once when nothing is.
 
         With a lot's key, only an entry with a command about that lot is waited for. Raises
         NoMajority when it takes longer than two rounds.
@@ -47,6 +47,6 @@
         if self.decided is None or is_of_others:
             return
         decided = self.decided
-        yield Wait(decided, self.node.bounds.round_trip * 2)
+        yield Wait(decided, self.node.bounds.call_timeout * 2)
         if not decided.is_set:
             raise NoMajority(part=self.part, reason="an entry is in flight")
--- a/quillring/quorum/mending.py
+++ b/quillring/quorum/mending.py
@@ -9,7 +9,7 @@
 from quillring.quorum.catchup import mend_store
 
 if TYPE_CHECKING:
-    from quillring.kernel.types import Script
+    from quillring.kernel.types import Coroutine
     from quillring.quorum.owner import Owner
 
 
@@ -31,14 +31,14 @@
         self.is_busy = False
         self.rests = {}
 
-    def run(self) -> Script:
-        """Script: mend while the term lasts."""
+    def run(self) -> Coroutine:
+        """Coroutine: mend while the term lasts."""
         while self.owner.is_owner:
-            yield Sleep(self.owner.node.bounds.beat / 2)
+            yield Sleep(self.owner.node.bounds.heartbeat_interval / 2)
             yield from self.mend()
 
-    def mend(self) -> Script:
-        """Script: give the members in reach what they miss; nothing while that is under way."""
+    def mend(self) -> Coroutine:
+        """Coroutine: give the members in reach what they miss; nothing while that is under way."""
         if self.is_busy:
             return
         self.is_busy = True
@@ -47,7 +47,7 @@
         finally:
             self.is_busy, self.target = False, None
 
-    def _mend_late(self) -> Script:
+    def _mend_late(self) -> Coroutine:
         owner, index = self.owner, self.owner.index
         applied = yield from owner.applied_by_store()
         for call in owner.calls("install"):
@@ -68,7 +68,7 @@
 
     def _rest(self, name: str, error: QuillringError):
         node, former = self.owner.node, self.rests.get(name)
-        seconds = node.bounds.beat / 2 if former is None else former.seconds * 2
-        seconds = min(seconds, node.bounds.news * 2)
+        seconds = node.bounds.heartbeat_interval / 2 if former is None else former.seconds * 2
+        seconds = min(seconds, node.bounds.propagation * 2)
         self.rests[name] = Rest(node.now() + seconds, seconds)
         node.log("warning", "%s: mending %s: %s", self.owner.part, name, error)
--- a/quillring/quorum/owner.py
+++ b/quillring/quorum/owner.py
@@ -25,7 +25,7 @@
     from collections.abc import Callable
 
     from quillring.kernel.node import Node
-    from quillring.kernel.types import Script
+    from quillring.kernel.types import Coroutine
     from quillring.quorum.parts import Call, Group
 
 
@@ -86,13 +86,13 @@
     def _round(self, service: str, **body: Any):
         return ask_majority(self, service, body)
 
-    def _prepare(self) -> Script:
-        """Script: ask the group to promise the ballot; return {store: Promise} of a majority."""
+    def _prepare(self) -> Coroutine:
+        """Coroutine: ask the group to promise the ballot; return {store: Promise} of a majority."""
         replies = yield from self._round("prepare", brief=TAIL_INDEXES)
         return {store: Promise.from_list(fields) for store, fields in replies.items()}
 
-    def take_again(self, gives_way: Callable[[list], bool]) -> Script:
-        """Script: take the part; a ballot that only was too low is tried once more at once.
+    def take_again(self, gives_way: Callable[[list], bool]) -> Coroutine:
+        """Coroutine: take the part; a ballot that only was too low is tried once more at once.
 
         Not so where `gives_way(ballot)` says that the one who won the higher ballot may go on.
         """
@@ -103,8 +103,8 @@
                 raise
             yield from self.take()
 
-    def take(self) -> Script:
-        """Script: win a ballot at a majority, finish what others began; then own the part."""
+    def take(self) -> Coroutine:
+        """Coroutine: win a ballot at a majority, finish what others began; then own the part."""
         self.is_owner = False
         self.takeover.begin()
         me = self.node.me
@@ -132,8 +132,8 @@
         self.group = [list(store) for store in known_group]
         return True
 
-    def decide(self, batch: list[dict]) -> Script:
-        """Script: have a majority accept the next entry; apply it; return the answers."""
+    def decide(self, batch: list[dict]) -> Coroutine:
+        """Coroutine: have a majority accept the next entry; apply it; return the answers."""
         asked_at = self.node.now()
         entry = {"index": self.index + 1, "batch": batch, "committed": self.index}
         send_hints(self, self.calls("accept", **entry))
@@ -154,16 +154,16 @@
 
     def _cast_commit(self):
         for target, service, body in self.calls("commit", committed=self.index):
-            self.node.cast(target, service, body)
+            self.node.send_oneway(target, service, body)
 
-    def run(self) -> Script:
-        """Script: write what is queued while the ballot holds; return the error that ended it."""
+    def run(self) -> Coroutine:
+        """Write what is queued while the ballot holds; return the error that ended it."""
         self.node.spawn(self.mending.run())
         try:
             while self.is_owner:
                 if not self.queue:
                     self.queue_signal = Signal()
-                    yield Wait(self.queue_signal, self.node.bounds.beat)
+                    yield Wait(self.queue_signal, self.node.bounds.heartbeat_interval)
                 if self.queue:
                     yield from self._write_queue()
                 else:
@@ -173,7 +173,7 @@
             return error
         return None
 
-    def _write_queue(self) -> Script:
+    def _write_queue(self) -> Coroutine:
         batch, self.queue = split_batch(self.queue)
         try:
             answers = yield from self.decide([command for command, _ in batch])
@@ -189,12 +189,12 @@
             for (_, answer_signal), answer in zip(batch, answers, strict=True):
                 answer_signal.set(answer)
 
-    def mend(self) -> Script:
-        """Script: give the members of the group in reach what they miss."""
+    def mend(self) -> Coroutine:
+        """Coroutine: give the members of the group in reach what they miss."""
         yield from self.mending.mend()
 
-    def applied_by_store(self) -> Script:
-        """Script: tell members in reach what is committed; return {store: index it applied}."""
+    def applied_by_store(self) -> Coroutine:
+        """Coroutine: tell members in reach what is committed; return {store: index it applied}."""
         reaches = self.node.find("nifty").reaches
         calls = [c for c in self.calls("commit", committed=self.index) if reaches(c[0])]
         replies = yield from self.node.gather(calls, len(calls))
@@ -210,24 +210,24 @@
         self.queue_signal.set()
         self._tell([])
 
-    def submit(self, command: dict) -> Script:
-        """Script: commit one command and return its answer."""
+    def submit(self, command: dict) -> Coroutine:
+        """Coroutine: commit one command and return its answer."""
         if not self.is_owner:
             raise NotOwner(part=self.part)
         answer_signal = Signal()
         self.queue.append((command, answer_signal))
         self.queue_signal.set()
-        yield Wait(answer_signal, self.node.bounds.news)
+        yield Wait(answer_signal, self.node.bounds.propagation)
         return answer_of(answer_signal, self.part)
 
-    def _confirm(self) -> Script:
-        """Script: have a majority confirm the ballot; it holds as of the moment of asking."""
+    def _confirm(self) -> Coroutine:
+        """Coroutine: have a majority confirm the ballot; it holds as of the moment of asking."""
         asked_at = self.node.now()
         yield from self._round("confirm")
         self.confirmed_at = max(asked_at, self.confirmed_at)
 
-    def fenced_state(self) -> Script:
-        """Script: return the state after a majority confirmed that the ballot still holds.
+    def fenced_state(self) -> Coroutine:
+        """Coroutine: return the state after a majority confirmed that the ballot still holds.
 
         Raises NotOwner, Fenced, or NoMajority, also for a confirmation that is no longer recent.
         """
@@ -237,13 +237,16 @@
             raise NotOwner(part=self.part)
         read_state = self.state
         yield from self._confirm()
-        if self.node.now() - asked_at > self.node.bounds.reading:
+        if self.node.now() - asked_at > self.node.bounds.read_timeout:
             raise NoMajority(part=self.part, reason="the confirmation is old")
         return read_state
 
     def may_act(self) -> bool:
         """Tell whether the ballot was confirmed lately enough to start work on its behalf."""
-        return self.is_owner and self.node.now() - self.confirmed_at < self.node.bounds.beat * 2
+        return (
+            self.is_owner
+            and self.node.now() - self.confirmed_at < self.node.bounds.heartbeat_interval * 2
+        )
 
     def _tell(self, batch: list[dict]):
         for listener in self.listeners:
--- a/quillring/quorum/peek.py
+++ b/quillring/quorum/peek.py
@@ -13,16 +13,18 @@
     from typing import Any
 
     from quillring.kernel.node import Node
-    from quillring.kernel.types import Script
+    from quillring.kernel.types import Coroutine
     from quillring.quorum.parts import Group
 
 
-def peek(node: Node, part: str, group: Group, query: dict, seconds: float | None = None) -> Script:
-    """Script: return a function that gives the answer or raises it, or None when it is not sure.
+def peek(
+    node: Node, part: str, group: Group, query: dict, seconds: float | None = None
+) -> Coroutine:
+    """Coroutine: return a function that gives the answer or raises it, or None when it is not sure.
 
     It takes `seconds` at most, by default half the bound on reading.
     """
-    seconds = node.bounds.reading / 2 if seconds is None else seconds
+    seconds = node.bounds.read_timeout / 2 if seconds is None else seconds
     body = {"part": part, "query": query, "beyond": True}
     calls = [(store, "quorum.peek", {**body, "identity": identity}) for store, identity, _ in group]
     for need in dict.fromkeys((majority(group), len(group))):
--- a/quillring/quorum/repair.py
+++ b/quillring/quorum/repair.py
@@ -14,7 +14,7 @@
 
 if TYPE_CHECKING:
     from quillring.kernel.node import Node
-    from quillring.kernel.types import Script
+    from quillring.kernel.types import Coroutine
     from quillring.quorum.owner import Owner
     from quillring.quorum.parts import Group, Store
     from quillring.quorum.swap import GroupChange
@@ -37,13 +37,13 @@
         self.refused_until = {}
         self.chosen = {}
 
-    def run(self) -> Script:
-        """Script: look at every owned part; a few that lack something are mended side by side.
+    def run(self) -> Coroutine:
+        """Coroutine: look at every owned part; a few that lack something are mended side by side.
 
         Those with the fewest live members come first: they are the nearest to losing a majority.
         """
         while True:
-            yield Sleep(self.node.bounds.chatter * 2)
+            yield Sleep(self.node.bounds.gossip_interval * 2)
             self._note_lost()
             owners = [
                 owner
@@ -61,8 +61,8 @@
         live = [s for s in owner.group if not (self.is_lost(s) or self.is_emptied(s))]
         return len(live) - majority(owner.group), owner.part
 
-    def _mend(self, owner: Owner) -> Script:
-        """Script: change the group by one member after another until it is as it should be."""
+    def _mend(self, owner: Owner) -> Coroutine:
+        """Coroutine: change the group by one member after another until it is as it should be."""
         try:
             while owner.may_act():
                 change = self._next_change(owner)
@@ -89,8 +89,8 @@
             or is_disk_failing(self.node, name)
         }
 
-    def _prepare(self, owner: Owner, change: GroupChange) -> Script:
-        """Script: bring the joining store up to date; tell whether the change loses nothing."""
+    def _prepare(self, owner: Owner, change: GroupChange) -> Coroutine:
+        """Coroutine: bring the joining store up to date; tell whether the change loses nothing."""
         if change.joining is not None and not (yield from self._invite(owner, change.joining)):
             return False
         yield from owner.mend()
@@ -98,15 +98,15 @@
         applied = yield from owner.applied_by_store()
         return is_durable_without(owner, change, applied, index)
 
-    def _invite(self, owner: Owner, store: Store) -> Script:
-        """Script: bring a store that agrees to join up to date; ask others after a refusal."""
+    def _invite(self, owner: Owner, store: Store) -> Coroutine:
+        """Coroutine: bring a store that agrees to join up to date; ask others after a refusal."""
         self.joining[owner.part] = self.chosen[owner.part] = store[0]
         if not (yield from may_join(self.node, store[0])):
-            self.refused_until[store[0]] = self.node.now() + self.node.bounds.news
+            self.refused_until[store[0]] = self.node.now() + self.node.bounds.propagation
             return False
         return (yield from catch_up(owner, store))
 
-    def _change(self, owner: Owner, change: GroupChange) -> Script:
+    def _change(self, owner: Owner, change: GroupChange) -> Coroutine:
         self.node.log("warning", "group of %s becomes %s", owner.part, change.group)
         self.node.count("group_changes")
         try:
@@ -123,8 +123,8 @@
 
     def is_lost(self, store: Store) -> bool:
         """Tell whether the store has been out of reach, or its disk has failed, for long."""
-        sync = self.node.bounds.sync
-        patience = self.node.bounds.return_ * PATIENCE if sync is None else sync * SYNC_SHARE
+        sync = self.node.bounds.resync
+        patience = self.node.bounds.recovery * PATIENCE if sync is None else sync * SYNC_SHARE
         since = self.lost_since.get(store[0])
         return since is not None and self.node.now() - since > patience
 
