--- a/quillring/quorum/retirement.py
+++ b/quillring/quorum/retirement.py
@@ -22,7 +22,7 @@
     from typing import Any
 
     from quillring.kernel.node import Node
-    from quillring.kernel.types import Script
+    from quillring.kernel.types import Coroutine
     from quillring.quorum.acceptor import Acceptors
     from quillring.quorum.owner import Owner
 
@@ -73,8 +73,8 @@
     return bool(stores.get(store, {}).get("retired"))
 
 
-def may_join(node: Node, store: str) -> Script:
-    """Script: ask a store whether it may become a member; one of a former version is not asked."""
+def may_join(node: Node, store: str) -> Coroutine:
+    """Ask a store whether it may become a member; one of a former version is not asked."""
     try:
         yield from node.call(store, "quorum.join", None)
     except UnknownService:
@@ -84,8 +84,8 @@
     return True
 
 
-def tell_whole(owner: Owner) -> Script:
-    """Script, at the owner: answer `part.whole`; what was committed when it was asked counts."""
+def tell_whole(owner: Owner) -> Coroutine:
+    """Coroutine, at the owner: answer `part.whole`; what was committed when it was asked counts."""
     index = owner.index
     applied = yield from owner.applied_by_store()
     repair = owner.node.find("repair")
@@ -97,8 +97,8 @@
     }
 
 
-def is_free(node: Node, store: str, seconds: float) -> Script:
-    """Script: tell whether a store that is marked as retired is needed no more.
+def is_free(node: Node, store: str, seconds: float) -> Coroutine:
+    """Coroutine: tell whether a store that is marked as retired is needed no more.
 
     Raises an owner's error when a part can't be asked in time.
     """
@@ -109,8 +109,8 @@
     return all(answer.is_whole_without(store, size) for answer in answers)
 
 
-def _is_ready(node: Node, store: str) -> Script:
-    """Script: tell whether the store knows that it leaves; one out of reach can't join anything."""
+def _is_ready(node: Node, store: str) -> Coroutine:
+    """Tell whether the store knows that it leaves; one out of reach can't join anything."""
     if not node.find("nifty").reaches(store):
         return True
     try:
@@ -122,12 +122,12 @@
     return answer["retired"] and not answer["hints"]
 
 
-def ask_all_parts(node: Node, seconds: float) -> Script:
-    """Script: ask the owners of all parts at once; return their PartAnswers or raise an error."""
+def ask_all_parts(node: Node, seconds: float) -> Coroutine:
+    """Ask the owners of all parts at once; return their PartAnswers or raise an error."""
     ownership, outcomes, done_signal = node.find("ownership"), {}, Signal()
     parts = ownership.parts()
 
-    def ask_part(part: str) -> Script:
+    def ask_part(part: str) -> Coroutine:
         try:
             outcomes[part] = yield from ownership.ask(part, "part.whole", {}, seconds)
         except QuillringError as error:
--- a/quillring/quorum/rounds.py
+++ b/quillring/quorum/rounds.py
@@ -8,17 +8,17 @@
 from quillring.quorum.parts import majority
 
 if TYPE_CHECKING:
-    from quillring.kernel.types import Script
+    from quillring.kernel.types import Coroutine
     from quillring.quorum.owner import Owner
 
 
-def ask_majority(owner: Owner, service: str, body: dict) -> Script:
-    """Script: ask the group; return {store: good answer} of a majority.
+def ask_majority(owner: Owner, service: str, body: dict) -> Coroutine:
+    """Coroutine: ask the group; return {store: good answer} of a majority.
 
     Raises Fenced when a store knows of a higher ballot, NoMajority when too few answer in time.
     """
     replies = yield from owner.node.gather(
-        owner.calls(service, **body), majority(owner.group), owner.node.bounds.round_trip, True
+        owner.calls(service, **body), majority(owner.group), owner.node.bounds.call_timeout, True
     )
     fences = [r.detail["ballot"] for r in replies.values() if isinstance(r, Fenced)]
     if fences:
--- a/quillring/quorum/swap.py
+++ b/quillring/quorum/swap.py
@@ -20,7 +20,7 @@
 from quillring.quorum.waits import answer_of
 
 if TYPE_CHECKING:
-    from quillring.kernel.types import Script
+    from quillring.kernel.types import Coroutine
     from quillring.quorum.owner import Owner
     from quillring.quorum.parts import Group, Store
 
@@ -57,8 +57,8 @@
     return GroupChange([*staying, *joined], joining, leaving, is_gone)
 
 
-def catch_up(owner: Owner, store: Store) -> Script:
-    """Script: bring a store that does not vote yet to the owner's state; tell whether it is there.
+def catch_up(owner: Owner, store: Store) -> Coroutine:
+    """Bring a store that does not vote yet to the owner's state; tell whether it is there.
 
     The store keeps the state durably under the owner's ballot, so it also promises that ballot.
     """
@@ -66,7 +66,7 @@
     for _ in range(CATCH_UP_TRIES):
         index = owner.index
         commit = (store[0], "quorum.commit", {**body, "committed": index})
-        replies = yield from owner.node.gather([commit], 1, owner.node.bounds.news)
+        replies = yield from owner.node.gather([commit], 1, owner.node.bounds.propagation)
         applied = replies[store[0]]
         if isinstance(applied, QuillringError) or not owner.is_owner:
             return False
@@ -99,20 +99,20 @@
     return all(name in current for name in others if nifty.reaches(name))
 
 
-def submit_first(owner: Owner, commands: list[dict]) -> Script:
-    """Script: commit some commands in one entry, before all that waits in the owner's queue."""
+def submit_first(owner: Owner, commands: list[dict]) -> Coroutine:
+    """Coroutine: commit some commands in one entry, before all that waits in the owner's queue."""
     signals = [Signal() for _ in commands]
     owner.queue[:0] = list(zip(commands, signals, strict=True))
     owner.queue_signal.set()
-    yield Wait(signals[-1], owner.node.bounds.news)
+    yield Wait(signals[-1], owner.node.bounds.propagation)
     for signal in signals:
         answer_of(signal, owner.part)
 
 
-def promise_again(owner: Owner, prepare: Script) -> Script:
-    """Script: have a majority of the group just adopted promise the ballot that won the former.
+def promise_again(owner: Owner, prepare: Coroutine) -> Coroutine:
+    """Coroutine: have a majority of the group just adopted promise the ballot that won the former.
 
-    `prepare` is the script that asks the group and returns its promises. An entry that another
+    `prepare` is the coroutine that asks the group and returns its promises. An entry that another
     ballot left beyond the owner's ends the term: only a new one can finish it.
     """
     promises = yield from prepare
--- a/quillring/quorum/tail.py
+++ b/quillring/quorum/tail.py
@@ -10,7 +10,7 @@
 from quillring.kernel.errors import NoMajority, QuillringError
 
 if TYPE_CHECKING:
-    from quillring.kernel.types import Script
+    from quillring.kernel.types import Coroutine
     from quillring.quorum.owner import Owner
     from quillring.quorum.promise import Promise
 
@@ -39,15 +39,15 @@
     return best
 
 
-def fetch_batch(owner: Owner, index: int, entry: TailEntry) -> Script:
-    """Script: return the batch of an accepted entry; NoMajority when no holder gives it now."""
+def fetch_batch(owner: Owner, index: int, entry: TailEntry) -> Coroutine:
+    """Coroutine: return the batch of an accepted entry; NoMajority when no holder gives it now."""
     if entry.batch is not None:
         return entry.batch
     body = {"part": owner.part, "index": index}
     for store in entry.holders:
         try:
             ballot, batch = yield from owner.node.call(
-                store, "quorum.accepted", body, owner.node.bounds.reading
+                store, "quorum.accepted", body, owner.node.bounds.read_timeout
             )
         except QuillringError as error:
             owner.node.log("warning", "entry %s of %s from %s: %s", index, owner.part, store, error)
@@ -57,8 +57,8 @@
     raise NoMajority(part=owner.part, reason="no store gave an accepted entry", index=index)
 
 
-def finish_tail(owner: Owner, promises: dict[str, Promise]) -> Script:
-    """Script: propose again every entry that may have been chosen; False after a group change."""
+def finish_tail(owner: Owner, promises: dict[str, Promise]) -> Coroutine:
+    """Propose again every entry that may have been chosen; False after a group change."""
     best = best_entries(promises, owner.index)
     while owner.index + 1 in best:
         batch = yield from fetch_batch(owner, owner.index + 1, best[owner.index + 1])
--- a/quillring/quorum/transfers.py
+++ b/quillring/quorum/transfers.py
@@ -9,7 +9,7 @@
 
 if TYPE_CHECKING:
     from quillring.kernel.node import Node
-    from quillring.kernel.types import Script
+    from quillring.kernel.types import Coroutine
     from quillring.quorum.acceptor import Acceptors
     from quillring.quorum.parts import Ballot
     from quillring.quorum.record import PartRecord
@@ -119,8 +119,8 @@
             raise NotFounded(part=part, store=self.acceptors.node.me.name)
         return record
 
-    def on_install_piece(self, body: dict, origin: str) -> Script:
-        """Script: keep a piece of an owner's state, durably; the last one puts it in place.
+    def on_install_piece(self, body: dict, origin: str) -> Coroutine:
+        """Coroutine: keep a piece of an owner's state, durably; the last one puts it in place.
 
         A piece that is not the next one is answered with a conflict that names the place wanted.
         """
--- a/quillring/quorum/waits.py
+++ b/quillring/quorum/waits.py
@@ -9,12 +9,12 @@
 
 if TYPE_CHECKING:
     from quillring.kernel.node import Node
-    from quillring.kernel.types import Script
+    from quillring.kernel.types import Coroutine
 
 
-def wait_for_owner(node: Node, seconds: float) -> Script:
-    """Script: a pause between two rounds of finding a part's owner."""
-    yield Sleep(seconds * (0.5 + node.world.random.random()))
+def wait_for_owner(node: Node, seconds: float) -> Coroutine:
+    """Coroutine: a pause between two rounds of finding a part's owner."""
+    yield Sleep(seconds * (0.5 + node.runtime.random.random()))
 
 
 def answer_of(signal: Signal, part: str) -> Any:
--- a/quillring/rollout/freshness.py
+++ b/quillring/rollout/freshness.py
@@ -54,7 +54,7 @@
         if snapshot.configuration is None or not snapshot.group:
             return False
         store_words = list(self._store_words(snapshot.group))
-        edge_time = self.node.now() - self.node.bounds.fresh
+        edge_time = self.node.now() - self.node.bounds.configuration_freshness
         good_count = sum(
             at is not None and at > edge_time and index <= snapshot.index
             for _, (at, index) in store_words
@@ -67,10 +67,10 @@
             raise Refused(reason="no fresh word of the layout")
 
     def run(self):
-        """Script: ask silent stores over relays, and beside that fetch a layout that is newer."""
+        """Ask silent stores over relays, and beside that fetch a layout that is newer."""
         self.node.spawn(self._keep_fetching())
         while True:
-            yield Sleep(self.node.bounds.beat / 2)
+            yield Sleep(self.node.bounds.heartbeat_interval / 2)
             try:
                 store_words = list(self._store_words(self._known_stores()))
             except NotFounded:
@@ -79,7 +79,7 @@
 
     def _keep_fetching(self):
         while True:
-            yield Sleep(self.node.bounds.chatter * 2)
+            yield Sleep(self.node.bounds.gossip_interval * 2)
             try:
                 yield from self._fetch_newer()
             except NotFounded:
@@ -90,12 +90,14 @@
         silent_names = [
             name
             for name, (at, _) in store_words
-            if at is None or at < ask_time - self.node.bounds.beat * 1.5
+            if at is None or at < ask_time - self.node.bounds.heartbeat_interval * 1.5
         ]
         if not silent_names:
             return
         calls = [(name, "quorum.stamp", None) for name in silent_names]
-        replies = yield from self.node.gather(calls, len(calls), self.node.bounds.beat)
+        replies = yield from self.node.gather(
+            calls, len(calls), self.node.bounds.heartbeat_interval
+        )
         good_words = {
             name: (stamp, ask_time)
             for name, stamp in replies.items()
@@ -118,7 +120,7 @@
                 return
             try:
                 index, state = yield from self.node.call(
-                    name, "quorum.image", {"part": CONFIG}, self.node.bounds.beat / 2
+                    name, "quorum.image", {"part": CONFIG}, self.node.bounds.heartbeat_interval / 2
                 )
                 snapshot.take(index, state)
             except QuillringError:
--- a/quillring/rollout/operator_orders.py
+++ b/quillring/rollout/operator_orders.py
@@ -55,7 +55,7 @@
 
 
 def retire_store(node, store, seconds):
-    """Script: mark a store as retired, if it is known and enough others remain.
+    """Coroutine: mark a store as retired, if it is known and enough others remain.
 
     Raises NotFound for an unknown store and Conflict when too few would remain.
     """
@@ -88,7 +88,7 @@
         return False
     heard = nifty.heard.get(store)
     heard_at = nifty.started_at if heard is None else max(heard.at, nifty.started_at)
-    return node.now() - heard_at > node.bounds.return_
+    return node.now() - heard_at > node.bounds.recovery
 
 
 def known_stores(node):
@@ -102,7 +102,7 @@
 
 
 def is_retired(node, store, seconds):
-    """Script: tell whether a store is marked as retired and no part needs it any more.
+    """Coroutine: tell whether a store is marked as retired and no part needs it any more.
 
     The groups are those that the parts' owners committed; each must be full and caught up.
     Raises NotFound for an unknown store, and the owner's error when one does not answer.
--- a/quillring/rollout/orders.py
+++ b/quillring/rollout/orders.py
@@ -69,7 +69,7 @@
 
 
 def submit_order(node, command, seconds):
-    """Script: commit an order under the fence of what this node had seen when it came in.
+    """Coroutine: commit an order under the fence of what this node had seen when it came in.
 
     Raises StaleOrder when a newer one was taken that this node had not heard of yet: the order is
     not tried again here, as the node may just have woken with an old order in its hands.
--- a/quillring/rollout/snapshot.py
+++ b/quillring/rollout/snapshot.py
@@ -32,7 +32,7 @@
         """Tell every member in reach at once, before the change is acknowledged."""
         version, news = self.node.find("gossip").table["layout"]
         for name in sorted(self.node.find("nifty").graph.routes):
-            self.node.cast(name, "layout.news", [list(version), news])
+            self.node.send_oneway(name, "layout.news", [list(version), news])
 
     def on_news(self, body, origin):
         """Take what the owner told everyone; it needs no passing on."""
--- a/quillring/store/slots.py
+++ b/quillring/store/slots.py
@@ -164,7 +164,7 @@
         return not self.waiting and not self.is_writing
 
     def commit(self, records):
-        """Script: return once the records are durable; DiskError when they can't be."""
+        """Coroutine: return once the records are durable; DiskError when they can't be."""
         if self.error is not None:
             raise self.error
         done_signal = Signal()
@@ -176,7 +176,7 @@
             raise done_signal.value
 
     def run(self, retry_seconds):
-        """Script: write what waits in batches; a failed disk is tried again by a new slot."""
+        """Coroutine: write what waits in batches; a failed disk is tried again by a new slot."""
         while True:
             if self.writer is not None:
                 yield Sleep(STEP_REST_SECONDS)
--- a/quillring/verbs/part_routes.py
+++ b/quillring/verbs/part_routes.py
@@ -21,7 +21,9 @@
     ownership, rows = node.find("ownership"), []
     for part in ownership.parts():
         try:
-            answer = yield from ownership.ask(part, "part.whole", {}, node.bounds.beat)
+            answer = yield from ownership.ask(
+                part, "part.whole", {}, node.bounds.heartbeat_interval
+            )
         except QuillringError as error:
             answer = {"trouble": error.kind}
         is_whole = len(answer.get("group", ())) == ownership.size() and not answer["late"]
--- a/quillring/verbs/process.py
+++ b/quillring/verbs/process.py
@@ -9,7 +9,7 @@
 
 from quillring.fleet import make_node, open_store, start_node
 from quillring.kernel.errors import QuillringError
-from quillring.kernel.gevent_world import GeventWorld
+from quillring.kernel.gevent_runtime import GeventRuntime
 from quillring.kernel.http_server import start_server
 from quillring.kernel.ringlog import ring_log
 from quillring.kernel.steps import Steps
@@ -44,24 +44,24 @@
     """
     node.is_draining = True
     node.find("ownership").announce_drain()
-    grace = node.bounds.grace
-    patience = node.bounds.return_ * DRAIN_PATIENCE if grace is None else grace * GRACE_SHARE
+    grace = node.bounds.grace_period
+    patience = node.bounds.recovery * DRAIN_PATIENCE if grace is None else grace * GRACE_SHARE
     deadline = node.now() + patience
-    taking_seconds = node.bounds.beat
+    taking_seconds = node.bounds.heartbeat_interval
     if grace is not None:
         taking_seconds = min(grace * TAKING_SHARE, MOST_TAKING_SECONDS)
     gevent.sleep(taking_seconds)
     node.is_closing = True
     while node.under_way and node.now() < deadline:
-        gevent.sleep(node.bounds.chatter)
+        gevent.sleep(node.bounds.gossip_interval)
     journal = node.find("journal")
     if journal is not None:
-        node.world.drive(journal.hand_over())
+        node.runtime.drive(journal.hand_over())
     for server in servers:
         server.stop()
 
 
-def run_process(settings, reread, make_world=GeventWorld, open_more=lambda node, report: ()):
+def run_process(settings, reread, make_world=GeventRuntime, open_more=lambda node, report: ()):
     """Run a node until the platform stops it; a planned stop finishes what is under way.
 
     `open_more(node, report)` opens further listening addresses and returns their servers.
@@ -85,16 +85,16 @@
         settings.http_address[1],
         acceptors.identity if acceptors else "",
     )
-    world = make_world(lambda error: node_logger.error("failure", exc_info=error), 1.0)
-    world.steps = Steps(world.now(), settings.bounds.chatter / STEPS_A_CHATTER)
-    node = make_node(me, world, settings.seeds, settings.bounds, log)
+    runtime = make_world(lambda error: node_logger.error("failure", exc_info=error), 1.0)
+    runtime.steps = Steps(runtime.now(), settings.bounds.gossip_interval / STEPS_A_CHATTER)
+    node = make_node(me, runtime, settings.seeds, settings.bounds, log)
     node.offer("ring", ring_handler)
     start_node(node, acceptors)
     nifty = node.find("nifty")
-    world.on_refused = nifty.on_refused
-    world.listen(*settings.address, nifty.on_datagram, nifty.on_frame)
+    runtime.on_refused = nifty.on_refused
+    runtime.listen(*settings.address, nifty.on_datagram, nifty.on_frame)
     server = start_server(settings.http_address, make_app(node), node_logger)
-    servers = [*open_more(node, world.report), server]
+    servers = [*open_more(node, runtime.report), server]
     elector = node.find("elector")
     elector.is_first_start, elector.witness = settings.bootstrap, settings.witness
     if settings.role == "core":
@@ -106,7 +106,7 @@
 
     def on_clash(body, origin):
         clashes.append((origin, node.now()))
-        if clashes[-1][1] - clashes[0][1] > settings.bounds.news:
+        if clashes[-1][1] - clashes[0][1] > settings.bounds.propagation:
             stop_event.set()
 
     node.handle("member.clash", on_clash)
@@ -114,7 +114,7 @@
         gevent.signal_handler(signal_number, stop_event.set)
     gevent.signal_handler(signal.SIGHUP, change_settings, node, reread)
     stop_event.wait()
-    if clashes and clashes[-1][1] - clashes[0][1] > settings.bounds.news:
+    if clashes and clashes[-1][1] - clashes[0][1] > settings.bounds.propagation:
         server.stop(timeout=0)
         raise NameTaken(name=settings.name, told_by=clashes[-1][0])
     drain(node, servers)
--- a/quillring/verbs/routes.py
+++ b/quillring/verbs/routes.py
@@ -135,7 +135,7 @@
 def change_configuration(node, request):
     """Adopt a whole or partial layout made against a version."""
     check_body(CHANGE, request.body)
-    own_id = f"{node.world.random.getrandbits(96):024x}"
+    own_id = f"{node.runtime.random.getrandbits(96):024x}"
     return (
         yield from node.find("ownership").submit(
             CONFIG,
@@ -172,7 +172,7 @@
             CONFIG,
             {
                 "do": "layout.adopt",
-                "id": f"{node.world.random.getrandbits(96):024x}",
+                "id": f"{node.runtime.random.getrandbits(96):024x}",
                 "base_version": current["version"],
                 "whole": False,
                 "change": {"domains": {request.words["domain"]: {"emptied": is_emptied}}},
