--- a/quillring/forward/__init__.py
+++ b/quillring/forward/__init__.py
@@ -1,7 +1,7 @@
 """Forwarding: requests passed to replicas unchanged, placed by tokens, resumed where allowed."""
 
-from quillring.forward.dialect import Dialect
 from quillring.forward.events import EventReader
+from quillring.forward.header_names import Dialect
 from quillring.forward.placement import Placement
 from quillring.forward.request import Request
 from quillring.forward.table import ForwardTable
