--- a/quillring/forward/__init__.py
+++ b/quillring/forward/__init__.py
@@ -4,6 +4,6 @@
 from quillring.forward.header_names import Dialect
 from quillring.forward.placement import Placement
 from quillring.forward.request import Request
-from quillring.forward.table import ForwardTable
+from quillring.forward.route_table import ForwardTable
 
 __all__ = ["Dialect", "EventReader", "ForwardTable", "Placement", "Request"]
