--- a/quillring/forward/__init__.py
+++ b/quillring/forward/__init__.py
@@ -2,7 +2,7 @@
 
 from quillring.forward.events import EventReader
 from quillring.forward.header_names import Dialect
-from quillring.forward.placement import Placement
+from quillring.forward.load_balancer import Placement
 from quillring.forward.request import Request
 from quillring.forward.route_table import ForwardTable
 
