--- a/quillring/lots/raw_limits.py
+++ b/quillring/lots/raw_limits.py
@@ -2,7 +2,7 @@
 
 import math
 
-from quillring.forward.view import is_quiet
+from quillring.forward.replica_health import is_quiet
 from quillring.lots.raw_worker import BROKEN, NOT_RUN, UNSENT
 
 CALM_SHARE, NEAR_SHARE, LEAST_SHARE = 0.75, 0.85, 0.08
