--- a/quillring/forward/load_balancer.py
+++ b/quillring/forward/load_balancer.py
@@ -1,7 +1,7 @@
 """Which replica gets a request: by kept prompt parts, by load, by error, by ramp while cold."""
 
-from quillring.forward.ramp import Ramp
 from quillring.forward.replica_health import View, is_quiet
+from quillring.forward.slow_start import Ramp
 from quillring.kernel.effects import Signal
 from quillring.nifty.graph import score
 
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -1,8 +1,8 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from quillring.forward import ramp as module
-from quillring.forward.ramp import Ramp
+from quillring.forward import slow_start as module
+from quillring.forward.slow_start import Ramp
 
 EDGES = [f"edge-{place}" for place in range(71)] + [f"core-{place}" for place in range(14)]
 REPLICA = SimpleNamespace(name="words-1", service="words", slots=12)
