--- a/quillring/forward/relaying.py
+++ b/quillring/forward/relaying.py
@@ -1,8 +1,8 @@
 """The body of a replica's answer on its way to the client: whole, or event by event."""
 
 from quillring.forward.events import EventReader
-from quillring.forward.progress import PATIENCE_SHARE, may_go_on
 from quillring.forward.request import answer_pairs
+from quillring.forward.retry import PATIENCE_SHARE, may_go_on
 from quillring.kernel.effects import Emit, NextPart
 from quillring.kernel.errors import BackendError
 
--- a/quillring/forward/serve.py
+++ b/quillring/forward/serve.py
@@ -1,7 +1,8 @@
 """The way of a forwarded request through a node: one function a kind, read top to bottom."""
 
 from quillring.forward.attempt import is_not_run, is_sealed, note_misplaced, open_answer
-from quillring.forward.progress import (
+from quillring.forward.relaying import read_whole, relay_events
+from quillring.forward.retry import (
     GO_ON,
     STREAM_ENDED,
     Outcome,
@@ -11,7 +12,6 @@
     may_go_on,
     note_error,
 )
-from quillring.forward.relaying import read_whole, relay_events
 from quillring.forward.waiting import acquire, come_back
 from quillring.kernel.errors import BackendError, NotSent, OutcomeUnknown, Refused
 
