--- a/quillring/forward/serve.py
+++ b/quillring/forward/serve.py
@@ -1,7 +1,7 @@
 """The way of a forwarded request through a node: one function a kind, read top to bottom."""
 
 from quillring.forward.attempt import is_not_run, is_sealed, note_misplaced, open_answer
-from quillring.forward.relaying import read_whole, relay_events
+from quillring.forward.response import read_whole, relay_events
 from quillring.forward.retry import (
     GO_ON,
     STREAM_ENDED,
