--- a/quillring/forward/serve.py
+++ b/quillring/forward/serve.py
@@ -1,6 +1,7 @@
 """The way of a forwarded request through a node: one function a kind, read top to bottom."""
 
 from quillring.forward.attempt import is_not_run, is_sealed, note_misplaced, open_answer
+from quillring.forward.queueing import acquire, come_back
 from quillring.forward.response import read_whole, relay_events
 from quillring.forward.retry import (
     GO_ON,
@@ -12,7 +13,6 @@
     may_go_on,
     note_error,
 )
-from quillring.forward.waiting import acquire, come_back
 from quillring.kernel.errors import BackendError, NotSent, OutcomeUnknown, Refused
 
 URGENCIES = (1, 3, 4, 5, 6)
