--- a/proving/points/callers.py
+++ b/proving/points/callers.py
@@ -6,8 +6,8 @@
 from proving.tools.fake_wire import END, RESET, FakeWire
 from quillring.fleet import make_node
 from quillring.forward import Request
+from quillring.forward.request_handler import serve
 from quillring.forward.route_table import Forward
-from quillring.forward.serve import serve
 from quillring.kernel.bounds import Bounds
 from quillring.kernel.connections import Pool
 from quillring.kernel.effects import SendOn
--- a/tests/forward_stage.py
+++ b/tests/forward_stage.py
@@ -3,7 +3,7 @@
 from proving.sim.scripted import ScriptedRuntime
 from quillring.fleet import make_node
 from quillring.forward import Dialect, Request
-from quillring.forward.serve import serve
+from quillring.forward.request_handler import serve
 from quillring.kernel.bounds import Bounds
 from quillring.nifty import Member
 
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -6,7 +6,7 @@
 
 from proving.sim.scripted import BREAK, END, SILENT, STALE
 from quillring.forward import Dialect, Request
-from quillring.forward.serve import serve
+from quillring.forward.request_handler import serve
 from quillring.kernel.errors import QuillringError
 from tests.forward_stage import HEAD, PLAIN_HEAD, both, event, make
 
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -4,7 +4,7 @@
 import pytest
 
 from proving.sim.scripted import BREAK, END, SILENT, STALE
-from quillring.forward.serve import serve as serve_forward
+from quillring.forward.request_handler import serve as serve_forward
 from quillring.kernel.effects import Emit
 from quillring.kernel.errors import BackendError, QuillringError
 from tests.forward_stage import HEAD, PLAIN_HEAD, both, event, make, request
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -6,7 +6,7 @@
 from proving.sim.scripted import ScriptedRuntime
 from quillring.edge.memory import ReplicaMemory
 from quillring.fleet import make_node
-from quillring.forward.serve import check_known
+from quillring.forward.request_handler import check_known
 from quillring.kernel.bounds import Bounds
 from quillring.kernel.errors import Refused
 from quillring.nifty import Member
