--- a/quillring/quorum/acceptor.py
+++ b/quillring/quorum/acceptor.py
@@ -19,7 +19,7 @@
 
     from quillring.kernel.node import Node
     from quillring.kernel.types import Coroutine
-    from quillring.quorum.parts import Ballot
+    from quillring.quorum.values import Ballot
 
 FOUNDING_CALLS = ("found", "founding")
 OWNERS_CALLS = ("prepare", "accept", "commit", "install", "confirm", "catch_up")
--- a/quillring/quorum/autofound.py
+++ b/quillring/quorum/autofound.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from quillring.kernel.node import Node
     from quillring.kernel.types import Coroutine
-    from quillring.quorum.parts import Store
+    from quillring.quorum.values import GroupMember
 
 STEADY_BEATS = 2
 TURN_BEATS = 8
@@ -39,15 +39,15 @@
     while gossip.get("founding") is None:
         yield Sleep(bounds.gossip_interval * 2)
         stores, now = reached_stores(node), node.now()
-        if tuple(store[0] for store in stores) != names:
-            names, steady_since = tuple(store[0] for store in stores), now
+        if tuple(store.name for store in stores) != names:
+            names, steady_since = tuple(store.name for store in stores), now
         if (
             now < own_time
             or now - steady_since < bounds.heartbeat_interval * STEADY_BEATS
             or not stores
         ):
             continue
-        if is_enough([store[2] for store in stores], size) or now >= own_time + turn:
+        if is_enough([store.zone for store in stores], size) or now >= own_time + turn:
             wanted_size = min(size, (len(stores) + 1) // 2 * 2 - 1)
             try:
                 yield from found_fleet(node, part_count, wanted_size, stores, agree)
@@ -64,7 +64,7 @@
     return seeds.index(node.me.address) if node.me.address in seeds else len(seeds)
 
 
-def reached_stores(node: Node) -> list[Store]:
-    """Return [name, identity, domain] of the stores that are heard, by name."""
+def reached_stores(node: Node) -> list[GroupMember]:
+    """Return the stores that are heard, by name."""
     nifty = node.find("nifty")
-    return [store for store in roster_stores(node) if nifty.reaches(store[0])]
+    return [store for store in roster_stores(node) if nifty.reaches(store.name)]
--- a/quillring/quorum/commands.py
+++ b/quillring/quorum/commands.py
@@ -8,7 +8,7 @@
 from quillring.kernel.registry import Registry
 
 if TYPE_CHECKING:
-    from quillring.quorum.parts import Group
+    from quillring.quorum.values import Group
 
 COMMANDS = Registry("command")
 QUERIES = Registry("query")
--- a/quillring/quorum/founding.py
+++ b/quillring/quorum/founding.py
@@ -6,28 +6,28 @@
 
 from quillring.kernel.errors import Conflict, NoMajority, QuillringError, Refused
 from quillring.quorum.parts import GROUP_SIZE, choose_group, is_enough, part_names
+from quillring.quorum.values import GroupMember, group_to_wire
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from quillring.kernel.node import Node
     from quillring.kernel.types import Coroutine
-    from quillring.quorum.parts import Store
 
 
 def found_fleet(
     node: Node,
     part_count: int,
     size: int = GROUP_SIZE,
-    stores: list[Store] | None = None,
+    stores: list[GroupMember] | None = None,
     choose: Callable[[Node, dict], Coroutine] | None = None,
 ) -> Coroutine:
     """Coroutine: found the fleet on the stores of the roster, or finish a founding begun before.
 
     A store that holds a founding already is found by asking all first. Then the first store by
     name is asked alone: of two racing founders the one whose record it keeps has won, and the
-    other carries on with the winner's record. With `stores` ([name, identity, domain]) given, the
-    groups are made of these, spread as far as they are. With `choose` (coroutine of node and record
+    other carries on with the winner's record. With `stores` given, the groups are made of these,
+    spread over as many zones as they are in. With `choose` (coroutine of node and record
     that returns the one agreed on), that one is founded and no other.
     """
     gossip = node.find("gossip")
@@ -35,8 +35,8 @@
     if known_founding is not None:
         return {"fleet": known_founding["fleet"], "was_founded": True}
     founders = roster_stores(node) if stores is None else stores
-    if stores is None and not is_enough([store[2] for store in founders], size):
-        zones = sorted({store[2] for store in founders})
+    if stores is None and not is_enough([store.zone for store in founders], size):
+        zones = sorted({store.zone for store in founders})
         raise Refused(reason="stores in three domains are needed", domains=zones)
     held_founding = yield from _held_founding(node, founders)
     founding = held_founding or make_founding(node, part_count, size, founders)
@@ -46,7 +46,7 @@
         arbiter, *other_stores = founders
         founding = yield from _found_at(node, arbiter, founding)
     calls = [
-        (store[0], "quorum.found", {"identity": store[1], "founding": founding})
+        (store.name, "quorum.found", {"identity": store.identity, "founding": founding})
         for store in other_stores
     ]
     replies = yield from node.gather(calls, len(calls), node.bounds.propagation)
@@ -57,35 +57,38 @@
     return {"fleet": founding["fleet"], "was_founded": held_founding is not None}
 
 
-def roster_stores(node: Node) -> list[Store]:
-    """Return [name, identity, domain] of the stores of the roster, by name."""
+def roster_stores(node: Node) -> list[GroupMember]:
+    """Return the stores of the roster, by name."""
     members = node.find("nifty").roster.members.values()
-    return [[m.name, m.identity, m.zone] for m in members if m.role == "store"]
+    return [GroupMember(m.name, m.identity, m.zone) for m in members if m.role == "store"]
 
 
-def make_founding(node: Node, part_count: int, size: int, stores: list[Store]) -> dict:
+def make_founding(node: Node, part_count: int, size: int, stores: list[GroupMember]) -> dict:
     """Return a new founding record: the groups of all parts, and the fleet's secret."""
-    groups = {part: choose_group(part, stores, size) for part in part_names(part_count)}
+    chosen_groups = {part: choose_group(part, stores, size) for part in part_names(part_count)}
     secret_bytes = node.runtime.secret(32)
     return {
         "fleet": secret_bytes[:6].hex(),
-        "groups": groups,
+        "groups": {
+            part: None if group is None else group_to_wire(group)
+            for part, group in chosen_groups.items()
+        },
         "secret": secret_bytes[6:],
         "size": size,
     }
 
 
-def _held_founding(node: Node, stores: list[Store]) -> Coroutine:
-    calls = [(store[0], "quorum.founding", None) for store in stores]
+def _held_founding(node: Node, stores: list[GroupMember]) -> Coroutine:
+    calls = [(store.name, "quorum.founding", None) for store in stores]
     replies = yield from node.gather(calls, len(calls), node.bounds.call_timeout)
     held = [reply for reply in replies.values() if isinstance(reply, dict)]
     return held[0] if held else None
 
 
-def _found_at(node: Node, store: Store, founding: dict) -> Coroutine:
+def _found_at(node: Node, store: GroupMember, founding: dict) -> Coroutine:
     try:
-        body = {"identity": store[1], "founding": founding}
-        yield from node.call(store[0], "quorum.found", body, node.bounds.propagation)
+        body = {"identity": store.identity, "founding": founding}
+        yield from node.call(store.name, "quorum.found", body, node.bounds.propagation)
     except Conflict as conflict:
         return conflict.detail["founding"]
     return founding
--- a/quillring/quorum/owner.py
+++ b/quillring/quorum/owner.py
@@ -26,7 +26,8 @@
 
     from quillring.kernel.node import Node
     from quillring.kernel.types import Coroutine
-    from quillring.quorum.parts import Call, Group
+    from quillring.quorum.parts import Call
+    from quillring.quorum.values import Group
 
 
 class Owner:
--- a/quillring/quorum/parts.py
+++ b/quillring/quorum/parts.py
@@ -3,24 +3,20 @@
 from __future__ import annotations
 
 import hashlib
-from collections.abc import Sequence
+from typing import TYPE_CHECKING
 
 from quillring.nifty.graph import score
 
-CONFIG = "config"
+if TYPE_CHECKING:
+    from collections.abc import Sequence
 
-Store = Sequence[str]
-"""A member of a group: [name, identity, zone]."""
+    from quillring.quorum.values import Group, GroupMember
 
-Group = Sequence[Store]
-"""The stores that hold a part."""
+CONFIG = "config"
 
 Call = tuple[str, str, dict]
 """A call to one node: (name, service, body)."""
 
-Ballot = tuple[int, str]
-"""A ballot: (number, core and its incarnation); the highest wins."""
-
 GROUP_SIZE = 3
 
 
@@ -40,20 +36,22 @@
     return len(group) // 2 + 1
 
 
-def choose_group(part: str, stores: list[Store], size: int = GROUP_SIZE) -> list[Store] | None:
-    """Return so many stores by rendezvous, spread evenly over domains, or None if there are fewer.
-
-    `stores` are [name, identity, domain].
-    """
-    ranked_stores = sorted(stores, key=lambda store: score(part, store[0]), reverse=True)
-    zones = [store[2] for store in ranked_stores]
-    turns = [zones[:place].count(zone) for place, zone in enumerate(zones)]
-    chosen_stores = [store for _, store in sorted(zip(turns, ranked_stores), key=lambda t: t[0])]
-    return chosen_stores[:size] if len(chosen_stores) >= size else None
+def choose_group(
+    part: str, stores: Sequence[GroupMember], size: int = GROUP_SIZE
+) -> list[GroupMember] | None:
+    """Return so many stores by rendezvous, spread evenly over zones, or None if there are fewer."""
+    ranked_stores = sorted(stores, key=lambda store: score(part, store.name), reverse=True)
+    zones = [store.zone for store in ranked_stores]
+    if len(ranked_stores) < size:
+        return None
+    # A store's round is how many better ranked ones its zone has: each zone gives one a round.
+    rounds = [zones[:place].count(zone) for place, zone in enumerate(zones)]
+    by_round = sorted(zip(rounds, ranked_stores), key=lambda ranked: ranked[0])
+    return [store for _, store in by_round[:size]]
 
 
 def is_enough(zones: list[str], size: int) -> bool:
-    """Tell whether stores in these domains form groups that the loss of no one domain stops."""
+    """Tell whether stores in these zones form groups that the loss of no one zone stops."""
     counts = [zones.count(zone) for zone in set(zones)]
     largest = next(
         (most for most in range(1, size + 1) if sum(min(most, count) for count in counts) >= size),
--- a/quillring/quorum/peek.py
+++ b/quillring/quorum/peek.py
@@ -14,7 +14,7 @@
 
     from quillring.kernel.node import Node
     from quillring.kernel.types import Coroutine
-    from quillring.quorum.parts import Group
+    from quillring.quorum.values import Group
 
 
 def peek(
--- a/quillring/quorum/record.py
+++ b/quillring/quorum/record.py
@@ -10,7 +10,7 @@
 from quillring.quorum.recent import Recent
 
 if TYPE_CHECKING:
-    from quillring.quorum.parts import Ballot
+    from quillring.quorum.values import Ballot
 
 RECENT_WEIGHT = 2 << 20
 
--- a/quillring/quorum/repair.py
+++ b/quillring/quorum/repair.py
@@ -16,8 +16,8 @@
     from quillring.kernel.node import Node
     from quillring.kernel.types import Coroutine
     from quillring.quorum.owner import Owner
-    from quillring.quorum.parts import Group, Store
     from quillring.quorum.swap import GroupChange
+    from quillring.quorum.values import Group, GroupMember
 
 PATIENCE = 5
 SYNC_SHARE = 0.5
@@ -98,7 +98,7 @@
         applied = yield from owner.applied_by_store()
         return is_durable_without(owner, change, applied, index)
 
-    def _invite(self, owner: Owner, store: Store) -> Coroutine:
+    def _invite(self, owner: Owner, store: GroupMember) -> Coroutine:
         """Coroutine: bring a store that agrees to join up to date; ask others after a refusal."""
         self.joining[owner.part] = self.chosen[owner.part] = store[0]
         if not (yield from may_join(self.node, store[0])):
@@ -116,19 +116,19 @@
             return False
         return True
 
-    def is_emptied(self, store: Store) -> bool:
+    def is_emptied(self, store: GroupMember) -> bool:
         """Tell whether the store came back as a new member with an empty disk."""
         member = self.node.find("nifty").roster.members.get(store[0])
         return member is not None and member.identity != store[1]
 
-    def is_lost(self, store: Store) -> bool:
+    def is_lost(self, store: GroupMember) -> bool:
         """Tell whether the store has been out of reach, or its disk has failed, for long."""
         sync = self.node.bounds.resync
         patience = self.node.bounds.recovery * PATIENCE if sync is None else sync * SYNC_SHARE
         since = self.lost_since.get(store[0])
         return since is not None and self.node.now() - since > patience
 
-    def is_retired(self, store: Store) -> bool:
+    def is_retired(self, store: GroupMember) -> bool:
         """Tell whether operators want the store machine out of every part."""
         return is_retirement_ordered(self.node, store[0])
 
@@ -150,7 +150,7 @@
                 return new_group(group, leaving=store, is_gone=store in gone)
         return None
 
-    def is_forced(self, store: Store) -> bool:
+    def is_forced(self, store: GroupMember) -> bool:
         """Tell whether operators accepted a part under three members for this retiring."""
         stores = (self.node.find("layout").configuration or {}).get("stores", {})
         return bool(stores.get(store[0], {}).get("forced"))
--- a/quillring/quorum/swap.py
+++ b/quillring/quorum/swap.py
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from quillring.kernel.types import Coroutine
     from quillring.quorum.owner import Owner
-    from quillring.quorum.parts import Group, Store
+    from quillring.quorum.values import Group, GroupMember
 
 CATCH_UP_TRIES = 3
 
@@ -49,7 +49,10 @@
 
 
 def new_group(
-    group: Group, joining: Store | None = None, leaving: Store | None = None, is_gone: bool = False
+    group: Group,
+    joining: GroupMember | None = None,
+    leaving: GroupMember | None = None,
+    is_gone: bool = False,
 ) -> GroupChange:
     """Return the change of a group by which one store joins, one leaves, or both at once."""
     staying = [store for store in group if store != leaving]
@@ -57,7 +60,7 @@
     return GroupChange([*staying, *joined], joining, leaving, is_gone)
 
 
-def catch_up(owner: Owner, store: Store) -> Coroutine:
+def catch_up(owner: Owner, store: GroupMember) -> Coroutine:
     """Bring a store that does not vote yet to the owner's state; tell whether it is there.
 
     The store keeps the state durably under the owner's ballot, so it also promises that ballot.
--- a/quillring/quorum/takeover.py
+++ b/quillring/quorum/takeover.py
@@ -9,7 +9,7 @@
 
     from quillring.kernel.errors import QuillringError
     from quillring.kernel.node import Node
-    from quillring.quorum.parts import Ballot
+    from quillring.quorum.values import Ballot
 
 PROMISES, STATE, ENTRIES, OWNED, ENDED = "promises", "state", "entries", "owned", "ended"
 
--- a/quillring/quorum/transfers.py
+++ b/quillring/quorum/transfers.py
@@ -11,8 +11,8 @@
     from quillring.kernel.node import Node
     from quillring.kernel.types import Coroutine
     from quillring.quorum.acceptor import Acceptors
-    from quillring.quorum.parts import Ballot
     from quillring.quorum.record import PartRecord
+    from quillring.quorum.values import Ballot
 
 
 class Arriving:
--- /dev/null
+++ b/quillring/quorum/values.py
@@ -0,0 +1,72 @@
+"""The values that ballots and groups are made of, and their form on the wire and on disk."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Sequence
+from typing import NamedTuple
+
+WireMember = Sequence[str]
+"""A group member on the wire and in a part's state: [name, identity, zone]."""
+
+WireGroup = Sequence[WireMember]
+"""A group on the wire and in a part's state."""
+
+
+class GroupMember(NamedTuple):
+    """A store machine that holds a replica of a part.
+
+    `identity` is drawn anew for each empty disk; `zone` is the failure domain of the machine.
+    """
+
+    name: str
+    identity: str
+    zone: str
+
+    @classmethod
+    def from_wire(cls, fields: WireMember) -> GroupMember:
+        """Read a member as it stands on the wire and in a part's state."""
+        name, identity, zone = fields
+        return cls(name, identity, zone)
+
+    def to_wire(self) -> list[str]:
+        """Return the member as it stands on the wire and in a part's state."""
+        return [self.name, self.identity, self.zone]
+
+
+Group = Sequence[GroupMember]
+"""The stores that hold a part's replicas, in the order of the part's state."""
+
+
+class Ballot(NamedTuple):
+    """A ballot of Paxos; the highest wins, by number first.
+
+    `leader` is the proposer: a core's name and its incarnation. Source: Lamport, "Paxos made
+    simple", section 2.2.
+    """
+
+    number: int
+    leader: str
+
+    @classmethod
+    def from_wire(cls, fields: Sequence) -> Ballot:
+        """Read a ballot as it stands on the wire and on disk."""
+        number, leader = fields
+        return cls(number, leader)
+
+    def to_wire(self) -> list:
+        """Return the ballot as it stands on the wire and on disk."""
+        return [self.number, self.leader]
+
+
+NO_BALLOT = Ballot(0, "")
+"""The ballot below every ballot: what an acceptor promised before its first promise."""
+
+
+def group_from_wire(fields: WireGroup) -> tuple[GroupMember, ...]:
+    """Read a group as it stands on the wire and in a part's state."""
+    return tuple(GroupMember.from_wire(member) for member in fields)
+
+
+def group_to_wire(group: Iterable[GroupMember]) -> list[list[str]]:
+    """Return a group as it stands on the wire and in a part's state."""
+    return [member.to_wire() for member in group]
--- a/tests/test_autofound.py
+++ b/tests/test_autofound.py
@@ -3,6 +3,7 @@
 from quillring.quorum.autofound import place_of, reached_stores
 from quillring.quorum.founding import found_fleet, make_founding, roster_stores
 from quillring.quorum.parts import choose_group, is_enough
+from quillring.quorum.values import GroupMember
 from tests.fleet_stage import SIZES, SelfFounded
 
 PARTS = ("config", "part-0", "part-1")
@@ -32,7 +33,7 @@
     assert len(stage.fleets()) == 1
     for part in PARTS:
         group = stage.sim.nodes["core-1"].find("ownership").group(part)
-        assert len(group) == len({store[2] for store in group}) == 3
+        assert len(group) == len({store.zone for store in group}) == 3
 
 
 def test_no_core_founds_a_fleet_that_is_not_at_its_first_start():
@@ -69,8 +70,8 @@
     stage.wait_for(lambda: len(reached_stores(first)) == 4, 3)
     stores = roster_stores(first)
     founding = make_founding(first, 2, 3, stores)
-    body = {"identity": stores[3][1], "founding": founding}
-    assert stage.ask("core-1", first.call(stores[3][0], "quorum.found", body))[1] is None
+    body = {"identity": stores[3].identity, "founding": founding}
+    assert stage.ask("core-1", first.call(stores[3].name, "quorum.found", body))[1] is None
     stage.sim.kill("core-1")
     assert founded(stage, 15) is not None
     assert stage.fleets() == {founding["fleet"]}
@@ -94,11 +95,11 @@
 
 
 def test_a_group_of_five_over_four_zones_has_a_majority_without_any_one_zone():
-    stores = [[f"s{n}", "", f"d{n % 4}"] for n in range(8)]
+    stores = [GroupMember(f"s{n}", "", f"d{n % 4}") for n in range(8)]
     for part in PARTS:
-        zones = [store[2] for store in choose_group(part, stores, 5)]
+        zones = [store.zone for store in choose_group(part, stores, 5)]
         assert max(map(zones.count, zones)) == 2 and len(zones) == 5
-    assert is_enough([store[2] for store in stores], 5)
+    assert is_enough([store.zone for store in stores], 5)
     assert not is_enough(["a", "a", "b"], 3) and is_enough(["a", "b", "c"], 3)
     assert choose_group("p", stores[:2], 3) is None
 
