--- a/proving/model/choices.py
+++ b/proving/model/choices.py
@@ -71,9 +71,9 @@
         if not self.system.world.is_founded:
             if "found" not in busy:
                 yield Choice("found", name)
-        elif not facts.is_owner and "take" not in busy:
+        elif not facts.is_leader and "take" not in busy:
             yield Choice("take", name)
-        if facts.is_owner:
+        if facts.is_leader:
             yield Choice("resign", name)
             if "read" not in busy:
                 yield Choice("read", name)
--- a/proving/model/core_machine.py
+++ b/proving/model/core_machine.py
@@ -17,7 +17,7 @@
 class CoreFacts(NamedTuple):
     """What decides over the choices at a core."""
 
-    is_owner: bool
+    is_leader: bool
     busy: frozenset
     timers: tuple
     calls: frozenset
@@ -174,9 +174,9 @@
 
     def facts(self):
         """Return what may be chosen here."""
-        is_owner = self.owner is not None and self.owner.is_owner
+        is_leader = self.owner is not None and self.owner.is_leader
         calls = frozenset(self.node.pending)
-        return CoreFacts(is_owner, frozenset(self.busy), self.runtime.timers(), calls)
+        return CoreFacts(is_leader, frozenset(self.busy), self.runtime.timers(), calls)
 
     def form(self):
         """Return the digest of the owner, its coroutines and calls under way."""
--- a/proving/points/keeping.py
+++ b/proving/points/keeping.py
@@ -64,7 +64,7 @@
         (
             sum(node.find("keeping").weight(o.part, n, lot) for n, lot in o.state["lots"].items())
             for o in owners
-            if o.is_owner
+            if o.is_leader
         ),
         default=0,
     )
--- a/proving/sim/many_changes.py
+++ b/proving/sim/many_changes.py
@@ -104,7 +104,7 @@
             for node in self.sim.up_nodes("core")
             if CONFIG in node.find("ownership").owners
         ]
-        return max((o for o in owners if o.is_owner), key=lambda o: o.ballot, default=None)
+        return max((o for o in owners if o.is_leader), key=lambda o: o.ballot, default=None)
 
     def group(self):
         """Return the names of the stores that keep the configuration."""
--- a/proving/sim/repair_time.py
+++ b/proving/sim/repair_time.py
@@ -47,7 +47,7 @@
         owners = {}
         for node in self.sim.up_nodes("core"):
             for part, owner in node.find("ownership").owners.items():
-                if owner.is_owner and (part not in owners or owner.ballot > owners[part].ballot):
+                if owner.is_leader and (part not in owners or owner.ballot > owners[part].ballot):
                     owners[part] = owner
         return owners
 
--- a/quillring/classes/granter.py
+++ b/quillring/classes/granter.py
@@ -39,9 +39,9 @@
 
     def _on_owner(self, owner, batch):
         ballot, _ = self.owned_since.get(owner.part, (None, 0))
-        if owner.is_owner and ballot != owner.ballot:
+        if owner.is_leader and ballot != owner.ballot:
             self.owned_since[owner.part] = (owner.ballot, self.node.now())
-        elif not owner.is_owner and ballot == owner.ballot:
+        elif not owner.is_leader and ballot == owner.ballot:
             del self.owned_since[owner.part]
 
     def on_ask(self, body, origin):
--- a/quillring/lots/raw_quota.py
+++ b/quillring/lots/raw_quota.py
@@ -29,7 +29,7 @@
     def on_left(self, body, origin):
         """Tell the tokens that wait of lots of a part owned here, as far as they are known."""
         owner = self.node.find("ownership").owners.get(body["part"])
-        if owner is None or not owner.is_owner:
+        if owner is None or not owner.is_leader:
             raise NotOwner(part=body["part"])
         return {"left": tokens_left(owner.state, body["lots"])}
 
--- a/quillring/lots/raw_reads.py
+++ b/quillring/lots/raw_reads.py
@@ -35,7 +35,7 @@
         if owner is not None:
             yield from owner.in_flight.wait(query["lot"])
         while True:
-            if owner is None or not owner.is_owner:
+            if owner is None or not owner.is_leader:
                 raise NotOwner(part=body["part"])
             answer = self._look(owner.state, query)
             seconds_left = end_time - self.node.now()
--- a/quillring/lots/raw_runner.py
+++ b/quillring/lots/raw_runner.py
@@ -43,7 +43,7 @@
 
     def on_batch(self, owner, batch):
         """Follow what was committed; stop what needs to run no more."""
-        if not owner.is_owner:
+        if not owner.is_leader:
             if self.ledgers.get(owner.part) is not None and self.ledgers[owner.part].owner is owner:
                 del self.ledgers[owner.part]
                 self.demand.note(owner.part, None)
@@ -126,7 +126,7 @@
                 ledger.begin_run(item, OwnedRun(row[2], worker, row[3], row[4], now))
             elif item is not None and item.run.id == row[2]:
                 item.run.heard_at = now
-            elif item is None and owner.is_owner:
+            elif item is None and owner.is_leader:
                 self.node.spawn(self._stop(lot_name, [number]))
         ledger.is_reported = True
         for item in ledger.running():
@@ -231,7 +231,7 @@
     def on_report(self, body, origin):
         """Take word of a run that ended without a result, with the text it had."""
         ledger = self.ledgers.get(body["part"])
-        if ledger is None or not ledger.owner.is_owner:
+        if ledger is None or not ledger.owner.is_leader:
             raise NotOwner(part=body["part"])
         item = ledger.find(body["lot"], body["n"])
         if item is None:
--- a/quillring/ownership/handover.py
+++ b/quillring/ownership/handover.py
@@ -35,7 +35,7 @@
             node.log("warning", "%s is not ready to own %s: %s", name, part, error)
         finally:
             del self.given[part]
-        if owner.is_owner and self.ownership.rank(part)[:1] == [name]:
+        if owner.is_leader and self.ownership.rank(part)[:1] == [name]:
             owner.step_down(NotOwner(part=part))
             node.send_oneway(name, "part.free", part)
 
@@ -51,7 +51,7 @@
         """Coroutine: fetch the state of a part from its owner, so as to be its next one."""
         part, index = body["part"], body["index"]
         former = self.ownership.owners.get(part)
-        if former is not None and (former.is_owner or former.index >= index):
+        if former is not None and (former.is_leader or former.index >= index):
             return True
         builder, place, node = StateBuilder(), START, self.ownership.node
         while place is not None:
--- a/quillring/ownership/ownership.py
+++ b/quillring/ownership/ownership.py
@@ -129,7 +129,7 @@
     def _look_after(self, part):
         """Take a part that this core should own; hand over one that another should."""
         owner = self.owners.get(part)
-        holds_part = owner is not None and owner.is_owner
+        holds_part = owner is not None and owner.is_leader
         is_first, is_settled = self._rank_standing(part)
         if holds_part and not is_first and is_settled and not owner.queue:
             self._hand_over(part, owner)
@@ -204,7 +204,7 @@
 
     def _publish(self, owner, batch):
         gossip = self.node.find("gossip")
-        if owner.is_owner:
+        if owner.is_leader:
             news = {"owner": owner.node.me.name, "ballot": list(owner.ballot)}
             gossip.put(f"owner/{owner.part}", owner.ballot, news)
             if gossip.get(f"group/{owner.part}") != owner.state["group"]:
@@ -213,7 +213,7 @@
     def on_free(self, part, origin):
         """Coroutine: take a part that its owner hands over, unless it is truly owned here."""
         owner = self.owners.get(part)
-        if owner is not None and owner.is_owner:
+        if owner is not None and owner.is_leader:
             try:
                 yield from owner.fenced_state()
             except Fenced as error:
@@ -242,6 +242,6 @@
 
     def _owner(self, part):
         owner = self.owners.get(part)
-        if owner is None or not owner.is_owner:
+        if owner is None or not owner.is_leader:
             raise NotOwner(part=part)
         return owner
--- a/quillring/plans/runner.py
+++ b/quillring/plans/runner.py
@@ -40,7 +40,7 @@
     """Return how much is under way at a node: inquiries run or waiting, parts owned."""
     dispatch, owners = node.find("dispatch"), node.find("ownership").owners.values()
     requests = len(dispatch.leases) + len(dispatch.waiting) if dispatch is not None else 0
-    return requests + sum(owner.is_owner for owner in owners)
+    return requests + sum(owner.is_leader for owner in owners)
 
 
 @CONDITIONS.entry("store_unused")
--- a/quillring/quorum/catchup.py
+++ b/quillring/quorum/catchup.py
@@ -168,7 +168,7 @@
     """Coroutine: send the state to a store piece by piece; it tells where to go on after a loss."""
     index, state, place, resumptions = owner.index, owner.state, START, 0
     seconds = owner.node.bounds.propagation
-    while place is not None and owner.is_owner:
+    while place is not None and owner.is_leader:
         data, following = cut_piece(state, place)
         fields = {"index": index, "place": list(place), "data": data, "following": following}
         try:
--- a/quillring/quorum/mending.py
+++ b/quillring/quorum/mending.py
@@ -33,7 +33,7 @@
 
     def run(self) -> Coroutine:
         """Coroutine: mend while the term lasts."""
-        while self.owner.is_owner:
+        while self.owner.is_leader:
             yield Sleep(self.owner.node.bounds.heartbeat_interval / 2)
             yield from self.mend()
 
@@ -53,7 +53,7 @@
         for call in owner.calls("install"):
             name = call[0]
             is_late = applied.get(name, index) < index
-            if not (is_late and owner.is_owner) or self._rests(name):
+            if not (is_late and owner.is_leader) or self._rests(name):
                 continue
             self.target = name
             try:
--- a/quillring/quorum/owner.py
+++ b/quillring/quorum/owner.py
@@ -45,7 +45,7 @@
         "state",
         "queue",
         "queue_signal",
-        "is_owner",
+        "is_leader",
         "listeners",
         "confirmed_at",
         "higher",
@@ -68,7 +68,7 @@
         self.in_flight = InFlight(node, part)
         self.queue = []
         self.queue_signal = Signal()
-        self.is_owner = False
+        self.is_leader = False
         self.listeners = []
         self.confirmed_at = None
         self.higher = 0 if former is None else former.higher
@@ -106,7 +106,7 @@
 
     def take(self) -> Coroutine:
         """Coroutine: win a ballot at a majority, finish what others began; then own the part."""
-        self.is_owner = False
+        self.is_leader = False
         self.takeover.begin()
         me = self.node.me
         self.ballot = (max(self.higher, self.ballot[0]) + 1, f"{me.name}#{me.incarnation}")
@@ -121,7 +121,7 @@
                 if (yield from finish_tail(self, promises)):
                     break
             self.ballot = (self.ballot[0] + 1, self.ballot[1])
-        self.is_owner = True
+        self.is_leader = True
         self.node.count("takeovers")
         self.takeover.succeed(self.index)
         self._tell([])
@@ -161,7 +161,7 @@
         """Write what is queued while the ballot holds; return the error that ended it."""
         self.node.spawn(self.mending.run())
         try:
-            while self.is_owner:
+            while self.is_leader:
                 if not self.queue:
                     self.queue_signal = Signal()
                     yield Wait(self.queue_signal, self.node.bounds.heartbeat_interval)
@@ -203,7 +203,7 @@
 
     def step_down(self, error: QuillringError) -> None:
         """Write nothing more; everything queued ends with its error."""
-        self.is_owner = False
+        self.is_leader = False
         self.takeover.end(error)
         queued, self.queue = self.queue, []
         for _, answer_signal in queued:
@@ -213,7 +213,7 @@
 
     def submit(self, command: dict) -> Coroutine:
         """Coroutine: commit one command and return its answer."""
-        if not self.is_owner:
+        if not self.is_leader:
             raise NotOwner(part=self.part)
         answer_signal = Signal()
         self.queue.append((command, answer_signal))
@@ -234,7 +234,7 @@
         """
         asked_at = self.node.now()
         yield from self.in_flight.wait()
-        if not self.is_owner:
+        if not self.is_leader:
             raise NotOwner(part=self.part)
         read_state = self.state
         yield from self._confirm()
@@ -245,7 +245,7 @@
     def may_act(self) -> bool:
         """Tell whether the ballot was confirmed lately enough to start work on its behalf."""
         return (
-            self.is_owner
+            self.is_leader
             and self.node.now() - self.confirmed_at < self.node.bounds.heartbeat_interval * 2
         )
 
--- a/quillring/quorum/swap.py
+++ b/quillring/quorum/swap.py
@@ -71,7 +71,7 @@
         commit = (store[0], "quorum.commit", {**body, "committed": index})
         replies = yield from owner.node.gather([commit], 1, owner.node.bounds.propagation)
         applied = replies[store[0]]
-        if isinstance(applied, QuillringError) or not owner.is_owner:
+        if isinstance(applied, QuillringError) or not owner.is_leader:
             return False
         if applied >= index and index:
             return True
--- a/quillring/rollout/snapshot.py
+++ b/quillring/rollout/snapshot.py
@@ -23,7 +23,7 @@
             node.find("ownership").on_owner.append(self._publish)
 
     def _publish(self, owner, batch):
-        if owner.part == CONFIG and owner.is_owner:
+        if owner.part == CONFIG and owner.is_leader:
             self.take(owner.index, owner.state)
             if batch:
                 self._cast_all()
--- a/tests/fleet_stage.py
+++ b/tests/fleet_stage.py
@@ -65,7 +65,7 @@
             node.find("ownership").owners[part]
             for node in self.sim.up_nodes("core")
             if part in node.find("ownership").owners
-            and node.find("ownership").owners[part].is_owner
+            and node.find("ownership").owners[part].is_leader
         ]
         return max(owners, key=lambda owner: owner.ballot).node.me.name if owners else None
 
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -74,11 +74,11 @@
 @pytest.mark.parametrize("way", WAYS)
 @pytest.mark.parametrize("is_owner", [True, False])
 def test_a_core_cut_off_for_twenty_seconds_hands_out_nothing_and_neither_takes_nor_refuses(
-    way, is_owner
+    way, is_leader
 ):
     stage = SelfFounded(5)
     operator, owner = Operator(stage), stage.owner()
-    core = owner if is_owner else next(c for c in stage.sim.names("core") if c != owner)
+    core = owner if is_leader else next(c for c in stage.sim.names("core") if c != owner)
     other = next(c for c in stage.sim.names("core") if c not in (core, owner))
     cut_off(stage, core, way)
     start_time, statuses, beats = stage.env.now, set(), []
--- a/tests/test_loud_cuts.py
+++ b/tests/test_loud_cuts.py
@@ -37,7 +37,7 @@
 def owning_cores(stage, part="config"):
     """Return the cores that take themselves for the owner of a part."""
     tables = {n.me.name: n.find("ownership").owners for n in stage.sim.up_nodes("core")}
-    return [c for c, owners in tables.items() if part in owners and owners[part].is_owner]
+    return [c for c, owners in tables.items() if part in owners and owners[part].is_leader]
 
 
 def cores(stage):
@@ -123,9 +123,9 @@
 
 
 @pytest.mark.parametrize("is_owner", [True, False])
-def test_a_core_cut_off_by_refusal_confirms_nothing_and_another_takes_its_parts(is_owner):
+def test_a_core_cut_off_by_refusal_confirms_nothing_and_another_takes_its_parts(is_leader):
     stage, owner, other = founded(640)
-    core, live = (owner, other) if is_owner else (other, owner)
+    core, live = (owner, other) if is_leader else (other, owner)
     others = [name for name in stage.sim.nodes if name != core]
     stage.sim.cut([core], others, kind=CutKind.REFUSING)
     stage.run(AT_ONCE)
--- a/tests/test_quorum.py
+++ b/tests/test_quorum.py
@@ -25,8 +25,8 @@
     stage.run(0.05)
     former.step_down(NotOwner(part="part-1"))
     stage.run(6)
-    assert ownership.owners["part-1"].is_owner
-    assert ownership.owners["part-1"] is not former and not former.is_owner
+    assert ownership.owners["part-1"].is_leader
+    assert ownership.owners["part-1"] is not former and not former.is_leader
 
 
 def test_the_late_end_of_a_former_term_leaves_the_granter_of_the_next_one_be():
@@ -37,4 +37,4 @@
     former.step_down(NotOwner(part="part-1"))
     stage.run(6)
     former.step_down(NotOwner(part="part-1"))
-    assert ownership.owners["part-1"].is_owner and "part-1" in granter.owned_since
+    assert ownership.owners["part-1"].is_leader and "part-1" in granter.owned_since
--- a/tests/test_slow_cores.py
+++ b/tests/test_slow_cores.py
@@ -47,7 +47,7 @@
             self.fleet.run(STEP)
             for node in self.fleet.sim.up_nodes("core"):
                 owner = node.find("ownership").owners.get(self.part)
-                if owner is not None and owner.is_owner and owner.ballot not in self.seen:
+                if owner is not None and owner.is_leader and owner.ballot not in self.seen:
                     self.seen.append(owner.ballot)
 
     def cores(self):
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -53,7 +53,7 @@
             acted.append(fleet.env.now)
     assert acted == []
     fleet.run(fleet.sim.bounds.propagation)
-    assert not owner.is_owner and not owner.may_act()
+    assert not owner.is_leader and not owner.may_act()
 
 
 @pytest.mark.parametrize("seconds", FREEZES)
@@ -138,7 +138,7 @@
         for node in fleet.sim.up_nodes("core")
         if node is not owner.node
     ]
-    return [o.ballot for o in owners if o is not None and o.is_owner and o.ballot > owner.ballot]
+    return [o.ballot for o in owners if o is not None and o.is_leader and o.ballot > owner.ballot]
 
 
 @pytest.mark.parametrize("step_seconds", SLOW_STEPS)
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -73,7 +73,7 @@
         stage.sim.kill(former.me.name)
         stage.run(6)
         owner = stage.owner("lot-0").find("ownership").owners[part]
-        assert owner.is_owner and owner.node is not former
+        assert owner.is_leader and owner.node is not former
         stage.sim.lose_disk(owner.group[0][0])
         stage.run(1)
         stage.sim.start(owner.group[0][0])
--- a/tests/test_takeover_view.py
+++ b/tests/test_takeover_view.py
@@ -43,7 +43,7 @@
         node, lines = stage.owner("lot-0"), []
         node.log = lambda level, text, *fields: lines.append(text % fields)
         ownership = node.find("ownership")
-        part = next(name for name, owner in ownership.owners.items() if owner.is_owner)
+        part = next(name for name, owner in ownership.owners.items() if owner.is_leader)
         ownership.owners[part].step_down(NotOwner(part=part))
         assert ownership.owners[part].takeover.phase == ENDED
         assert any(line.startswith(f"end of {part}, ballot") for line in lines)
--- a/tests/test_transfer.py
+++ b/tests/test_transfer.py
@@ -75,7 +75,7 @@
         node = SimpleNamespace(me=ME, call=each.call, find=PEERS.get, bounds=NEWS)
         node.count = lambda *words: None
         fields = {"node": node, "recent": Recent(), "group": [], "index": 9, "state": state}
-        owner = SimpleNamespace(part="part-0", is_owner=True, **fields)
+        owner = SimpleNamespace(part="part-0", is_leader=True, **fields)
         finish(mend_store(owner, 0, ("store-1", "quorum.install", {})))
         assert each.builder.whole() == state
     lost = whole.places[loses_after - 1]
@@ -135,5 +135,5 @@
     stage.submit("core-1", zone_order("halls"))
     stage.run(8)
     pauses = [later - earlier for earlier, later in pairwise(times)]
-    assert owner.is_owner and 3 <= len(times) <= 7
+    assert owner.is_leader and 3 <= len(times) <= 7
     assert pauses[-1] > 2 * pauses[0]
