--- a/proving/histories/bugs.py
+++ b/proving/histories/bugs.py
@@ -158,7 +158,7 @@
         "number_faults",
         no_faults,
     ),
-    Bug("local read", "Owner.fenced_state", owner.Owner, "fenced_state", local_state),
+    Bug("local read", "Owner.fenced_state", owner.Owner, "linearizable_state", local_state),
     Bug("unfenced orders", "orders.place_order", operator_orders, "place_order", place_unfenced),
     Bug(
         "any retirement",
--- a/proving/model/bugs.py
+++ b/proving/model/bugs.py
@@ -171,11 +171,11 @@
 def read_without_fence():
     """An owner answers a read without asking whether its ballot still holds."""
 
-    def fenced_state(self):
+    def linearizable_state(self):
         return self.state
         yield
 
-    return all_of([mock.patch.object(Owner, "fenced_state", fenced_state)])
+    return all_of([mock.patch.object(Owner, "linearizable_state", linearizable_state)])
 
 
 def take_second_founding():
--- a/proving/model/core_machine.py
+++ b/proving/model/core_machine.py
@@ -114,7 +114,7 @@
             digest = None if isinstance(outcome, QuillringError) else digest_state(outcome)
             self._end_read("read", ReadEnded(reader, digest, None))
 
-        self.runtime.spawn(self.owner.fenced_state(), "read", on_end)
+        self.runtime.spawn(self.owner.linearizable_state(), "read", on_end)
 
     def on_peek(self, step_input):
         """Read the configuration from the stores; `subject` is the group that the node knows."""
--- a/proving/points/changes.py
+++ b/proving/points/changes.py
@@ -42,6 +42,6 @@
     (
         "a member is in step again after hundreds of changes",
         many_changes,
-        [(Owner, "applied_by_store", nobody_is_late)],
+        [(Owner, "applied_index_by_store", nobody_is_late)],
     ),
 ]
--- a/proving/points/lots.py
+++ b/proving/points/lots.py
@@ -214,8 +214,8 @@
         [
             (acceptor.Acceptors, "check", unfenced),
             (acceptor.Acceptors, "on_confirm", lambda self, body, origin: True),
-            (owner.Owner, "may_act", lambda self: self.is_leader),
-            (owner.Owner, "fenced_state", unfenced_state),
+            (owner.Owner, "has_lease", lambda self: self.is_leader),
+            (owner.Owner, "linearizable_state", unfenced_state),
             (Resting, "note_lost_term", no_check),
             (Standing, "begin_anew", no_check),
             (Freshness, "check", no_check),
--- a/proving/points/orders.py
+++ b/proving/points/orders.py
@@ -190,7 +190,7 @@
         "a core cut off for 20 s hands out and confirms nothing",
         cut_off_core,
         [
-            (Owner, "fenced_state", unfenced_state),
+            (Owner, "linearizable_state", unfenced_state),
             (Ownership, "_owner", former_owner),
             (Ownership, "why_hopeless", never_hopeless),
         ],
--- a/proving/points/reading.py
+++ b/proving/points/reading.py
@@ -59,7 +59,7 @@
     part = lot.partition(".")[0]
     for node in stage.sim.up_nodes("core"):
         owner = node.find("ownership").owners.get(part)
-        if owner is not None and owner.may_act() and lot in owner.state["lots"]:
+        if owner is not None and owner.has_lease() and lot in owner.state["lots"]:
             return set(owner.state["lots"][lot]["results"])
     return set()
 
--- a/proving/sim/quorum_fuzz.py
+++ b/proving/sim/quorum_fuzz.py
@@ -155,7 +155,8 @@
             owners = [
                 n.find("ownership").owners[part]
                 for n in sim.up_nodes("core")
-                if part in n.find("ownership").owners and n.find("ownership").owners[part].may_act()
+                if part in n.find("ownership").owners
+                and n.find("ownership").owners[part].has_lease()
             ]
             if len(owners) != 1:
                 sim.history.violate(f"{part} has {len(owners)} owners in the end")
--- a/quillring/classes/granter.py
+++ b/quillring/classes/granter.py
@@ -50,7 +50,7 @@
         ownership = self.node.find("ownership")
         part = part_of(service, len(ownership.parts()) - 1)
         owner = ownership.owners.get(part)
-        if owner is None or not owner.may_act():
+        if owner is None or not owner.has_lease():
             raise NotOwner(part=part)
         now = self.node.now()
         former = self.asked.get((service, origin))
--- a/quillring/lots/raw_quota.py
+++ b/quillring/lots/raw_quota.py
@@ -38,7 +38,7 @@
         while True:
             yield Sleep(self.node.bounds.read_timeout * CROWDED_PERIOD / 4)
             for owner in list(self.node.find("ownership").owners.values()):
-                if owner.may_act() and self._is_due(owner):
+                if owner.has_lease() and self._is_due(owner):
                     self.asked_at[owner.part] = self.node.now()
                     self._look_after(owner)
 
--- a/quillring/lots/raw_reads.py
+++ b/quillring/lots/raw_reads.py
@@ -47,7 +47,7 @@
             yield Wait(signal, seconds_left)
         if answer is not None and self._is_certain(owner):
             return answer
-        read_state = yield from owner.fenced_state()
+        read_state = yield from owner.linearizable_state()
         return QUERIES.find(query["ask"])(read_state, query)
 
     def _look(self, state, query):
--- a/quillring/lots/raw_runner.py
+++ b/quillring/lots/raw_runner.py
@@ -86,7 +86,7 @@
         while True:
             yield Sleep(bounds.gossip_interval / 2)
             for ledger in list(self.ledgers.values()):
-                if not ledger.owner.may_act():
+                if not ledger.owner.has_lease():
                     continue
                 seconds = bounds.read_timeout if ledger.is_reported else bounds.call_timeout
                 if self.node.now() - ledger.renewed_at >= seconds:
@@ -185,7 +185,7 @@
         owner, lot = ledger.owner, raw_lots(ledger.owner.state).get(item.lot)
         if lot is None or item.number not in lot["items"] or item.run is not run:
             return
-        if not owner.may_act():
+        if not owner.has_lease():
             return ledger.end_run(item)
         body = {
             "part": owner.part,
--- a/quillring/lots/runner.py
+++ b/quillring/lots/runner.py
@@ -49,7 +49,7 @@
         while True:
             yield Sleep(self.node.bounds.heartbeat_interval / 5)
             for owner in self.node.find("ownership").owners.values():
-                if owner.may_act():
+                if owner.has_lease():
                     self.keeping.drop_old(owner)
                     if not self.node.find("ownership").is_leaving(self.node.me.name):
                         self._start_items(owner)
@@ -112,7 +112,7 @@
             self.node.count("stops_not_heard")
 
     def _is_wanted(self, owner, key):
-        lot = owner.state["lots"].get(key[1]) if owner.may_act() else None
+        lot = owner.state["lots"].get(key[1]) if owner.has_lease() else None
         return lot is not None and lot["phase"] == OPEN and key[2] not in lot["results"]
 
     def _stop_ended(self):
--- a/quillring/ownership/ownership.py
+++ b/quillring/ownership/ownership.py
@@ -99,7 +99,7 @@
         drains = self.node.find("gossip").get(f"draining/{name}") == member.incarnation
         return drains or self.node.find("layout").is_left(member.zone)
 
-    def gives_way(self, name):
+    def declines_leadership(self, name):
         """Tell whether others take the parts of a core at once: it leaves, or rests."""
         return self.is_leaving(name) or self.resting.is_resting(name)
 
@@ -160,7 +160,7 @@
         return (
             name is not None
             and name != self.node.me.name
-            and (self.node.find("nifty").reaches(name) and not self.gives_way(name))
+            and (self.node.find("nifty").reaches(name) and not self.declines_leadership(name))
         )
 
     def _hand_over(self, part, owner):
@@ -173,7 +173,9 @@
         owner = self.owners[part] = Owner(self.node, part, self.group(part), former)
         owner.listeners.extend([*self.on_owner, self._publish])
         try:
-            yield from owner.take_again(lambda ballot: self._gives_way(ballot, is_settled))
+            yield from owner.run_election_with_retry(
+                lambda ballot: self._gives_way(ballot, is_settled)
+            )
         except QuillringError as error:
             owner.takeover.end(error)
             if isinstance(error, NoMajority):
@@ -215,7 +217,7 @@
         owner = self.owners.get(part)
         if owner is not None and owner.is_leader:
             try:
-                yield from owner.fenced_state()
+                yield from owner.linearizable_state()
             except Fenced as error:
                 owner.step_down(error)
         self._wake()
@@ -229,7 +231,7 @@
 
     def on_read(self, body, origin):
         """Answer a query from a part owned here, under its fence."""
-        read_state = yield from self._owner(body["part"]).fenced_state()
+        read_state = yield from self._owner(body["part"]).linearizable_state()
         return QUERIES.find(body["query"]["ask"])(read_state, body["query"])
 
     def on_takeovers(self, body, origin):
--- a/quillring/ownership/standing.py
+++ b/quillring/ownership/standing.py
@@ -72,5 +72,5 @@
             and member is not None
             and str(member.incarnation) == incarnation
             and name in self.reached
-            and not self.node.find("ownership").gives_way(name)
+            and not self.node.find("ownership").declines_leadership(name)
         )
--- a/quillring/plans/runner.py
+++ b/quillring/plans/runner.py
@@ -64,7 +64,7 @@
         while True:
             yield Sleep(self.node.bounds.heartbeat_interval)
             owner = self.node.find("ownership").owners.get(CONFIG)
-            if owner is None or not owner.may_act():
+            if owner is None or not owner.has_lease():
                 continue
             for name, plan in list(owner.state.get("plans", {}).items()):
                 if plan["phase"] == RUNNING:
--- a/quillring/quorum/mending.py
+++ b/quillring/quorum/mending.py
@@ -49,7 +49,7 @@
 
     def _mend_late(self) -> Coroutine:
         owner, index = self.owner, self.owner.index
-        applied = yield from owner.applied_by_store()
+        applied = yield from owner.applied_index_by_store()
         for call in owner.calls("install"):
             name = call[0]
             is_late = applied.get(name, index) < index
--- a/quillring/quorum/owner.py
+++ b/quillring/quorum/owner.py
@@ -92,15 +92,15 @@
         replies = yield from self._round("prepare", brief=TAIL_INDEXES)
         return {store: Promise.from_list(fields) for store, fields in replies.items()}
 
-    def take_again(self, gives_way: Callable[[list], bool]) -> Coroutine:
+    def run_election_with_retry(self, declines_leadership: Callable[[list], bool]) -> Coroutine:
         """Coroutine: take the part; a ballot that only was too low is tried once more at once.
 
-        Not so where `gives_way(ballot)` says that the one who won the higher ballot may go on.
+        Not so where `declines_leadership(ballot)` says that the one who won the higher ballot may go on.
         """
         try:
             yield from self.take()
         except Fenced as error:
-            if gives_way(error.detail["ballot"]):
+            if declines_leadership(error.detail["ballot"]):
                 raise
             yield from self.take()
 
@@ -194,7 +194,7 @@
         """Coroutine: give the members of the group in reach what they miss."""
         yield from self.mending.mend()
 
-    def applied_by_store(self) -> Coroutine:
+    def applied_index_by_store(self) -> Coroutine:
         """Coroutine: tell members in reach what is committed; return {store: index it applied}."""
         reaches = self.node.find("nifty").reaches
         calls = [c for c in self.calls("commit", committed=self.index) if reaches(c[0])]
@@ -227,7 +227,7 @@
         yield from self._round("confirm")
         self.confirmed_at = max(asked_at, self.confirmed_at)
 
-    def fenced_state(self) -> Coroutine:
+    def linearizable_state(self) -> Coroutine:
         """Coroutine: return the state after a majority confirmed that the ballot still holds.
 
         Raises NotOwner, Fenced, or NoMajority, also for a confirmation that is no longer recent.
@@ -242,7 +242,7 @@
             raise NoMajority(part=self.part, reason="the confirmation is old")
         return read_state
 
-    def may_act(self) -> bool:
+    def has_lease(self) -> bool:
         """Tell whether the ballot was confirmed lately enough to start work on its behalf."""
         return (
             self.is_leader
--- a/quillring/quorum/repair.py
+++ b/quillring/quorum/repair.py
@@ -48,7 +48,7 @@
             owners = [
                 owner
                 for owner in self.node.find("ownership").owners.values()
-                if owner.part not in self.busy_parts and owner.may_act()
+                if owner.part not in self.busy_parts and owner.has_lease()
             ]
             broken = [owner for owner in owners if self._next_change(owner) is not None]
             room = PARTS_AT_ONCE - len(self.busy_parts)
@@ -64,7 +64,7 @@
     def _mend(self, owner: Owner) -> Coroutine:
         """Coroutine: change the group by one member after another until it is as it should be."""
         try:
-            while owner.may_act():
+            while owner.has_lease():
                 change = self._next_change(owner)
                 if change is None or not (yield from self._prepare(owner, change)):
                     break
@@ -95,7 +95,7 @@
             return False
         yield from owner.mend()
         index = owner.index
-        applied = yield from owner.applied_by_store()
+        applied = yield from owner.applied_index_by_store()
         return is_durable_without(owner, change, applied, index)
 
     def _invite(self, owner: Owner, store: GroupMember) -> Coroutine:
--- a/quillring/quorum/retirement.py
+++ b/quillring/quorum/retirement.py
@@ -87,7 +87,7 @@
 def tell_whole(owner: Owner) -> Coroutine:
     """Coroutine, at the owner: answer `part.whole`; what was committed when it was asked counts."""
     index = owner.index
-    applied = yield from owner.applied_by_store()
+    applied = yield from owner.applied_index_by_store()
     repair = owner.node.find("repair")
     joining = repair.joining.get(owner.part) if repair is not None else None
     return {
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -49,11 +49,11 @@
     acted = []
     for _ in range(300):
         fleet.run(0.002)
-        if owner.may_act():
+        if owner.has_lease():
             acted.append(fleet.env.now)
     assert acted == []
     fleet.run(fleet.sim.bounds.propagation)
-    assert not owner.is_leader and not owner.may_act()
+    assert not owner.is_leader and not owner.has_lease()
 
 
 @pytest.mark.parametrize("seconds", FREEZES)
@@ -162,7 +162,7 @@
         owner = node.find("ownership").owners.get(CONFIG)
         for ballot in other_owners(fleet, owner):
             since = newer_since.setdefault(ballot, fleet.env.now)
-            if owner.may_act():
+            if owner.has_lease():
                 overlap = max(overlap, fleet.env.now - since)
     assert overlap <= fleet.sim.bounds.heartbeat_interval * 2
     node.runtime.step_seconds = 0
