--- a/quillring/quorum/owner.py
+++ b/quillring/quorum/owner.py
@@ -95,7 +95,7 @@
     def run_election_with_retry(self, declines_leadership: Callable[[list], bool]) -> Coroutine:
         """Coroutine: take the part; a ballot that only was too low is tried once more at once.
 
-        Not so where `declines_leadership(ballot)` says that the one who won the higher ballot may go on.
+        Not so where `declines_leadership(ballot)` says that the higher ballot is to be left to win.
         """
         try:
             yield from self.take()
