--- a/proving/scale/one_node.py
+++ b/proving/scale/one_node.py
@@ -16,9 +16,10 @@
 
 from proving.scale.runs import process_bytes
 from quillring.kernel.bounds import Bounds
+from quillring.kernel.member import Member
 from quillring.nifty.heard import Beat, Heard
-from quillring.nifty.member import Member, Roster
 from quillring.nifty.pace import Pace
+from quillring.nifty.roster import Roster
 from quillring.nifty.telling import Telling
 from quillring.nifty.wire import SPOKEN
 
--- a/quillring/kernel/effects.py
+++ b/quillring/kernel/effects.py
@@ -5,55 +5,99 @@
 the simulator.
 """
 
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+    from typing import Any
+
+    from quillring.kernel.backend import Handle
+    from quillring.kernel.http_client import Answer
+    from quillring.kernel.types import Address
+
 
 class Effect:
-    """Base of all effects; the fields are the slots, in order."""
+    """Base of all effects."""
 
     __slots__ = ()
 
-    def __init__(self, *fields):
-        for slot, field in zip(self.__slots__, fields, strict=True):
-            setattr(self, slot, field)
-
 
 class Sleep(Effect):
     """Resume after so many seconds."""
 
     __slots__ = ("seconds",)
 
+    def __init__(self, seconds: float) -> None:
+        self.seconds = seconds
+
 
 class Wait(Effect):
     """Resume with True once the signal is set, with False after so many seconds."""
 
     __slots__ = ("signal", "seconds")
 
+    def __init__(self, signal: Signal, seconds: float) -> None:
+        self.signal = signal
+        self.seconds = seconds
+
 
 class Sync(Effect):
     """Resume once the records are durable in the node's own log."""
 
     __slots__ = ("records",)
 
+    def __init__(self, records: Any) -> None:
+        self.records = records
+
 
 class Fetch(Effect):
-    """Send one HTTP inquiry to a back end; resume with (status, body).
+    """Send one HTTP request with a JSON body to a back end; resume with (status, JSON body).
 
     One that may repeat goes over a kept connection, which may break without telling why.
     """
 
     __slots__ = ("address", "method", "path", "body", "seconds", "may_repeat")
 
+    def __init__(
+        self,
+        address: Address,
+        method: str,
+        path: str,
+        body: Any,
+        seconds: float,
+        may_repeat: bool,
+    ) -> None:
+        self.address = address
+        self.method = method
+        self.path = path
+        self.body = body
+        self.seconds = seconds
+        self.may_repeat = may_repeat
+
 
 class Open(Effect):
     """Open a streamed HTTP answer of a back end; resume with its handle."""
 
     __slots__ = ("address", "path", "body", "seconds")
 
+    def __init__(self, address: Address, path: str, body: Any, seconds: float) -> None:
+        self.address = address
+        self.path = path
+        self.body = body
+        self.seconds = seconds
+
 
 class Next(Effect):
-    """Resume with the next line of an open stream, or None at its end."""
+    """Resume with the next JSON line of an open stream, or None at its end."""
 
     __slots__ = ("handle", "seconds")
 
+    def __init__(self, handle: Handle, seconds: float) -> None:
+        self.handle = handle
+        self.seconds = seconds
+
 
 class SendOn(Effect):
     """Send the bytes of one HTTP request; resume with the handle of its answer.
@@ -64,36 +108,61 @@
 
     __slots__ = ("address", "data", "seconds", "may_reuse", "answer_id")
 
+    def __init__(
+        self,
+        address: Address,
+        data: bytes,
+        seconds: float,
+        may_reuse: bool,
+        answer_id: tuple[str, str | None],
+    ) -> None:
+        self.address = address
+        self.data = data
+        self.seconds = seconds
+        self.may_reuse = may_reuse
+        self.answer_id = answer_id
+
 
 class NextHead(Effect):
     """Resume once the head of an answer is there; a stall leaves the handle as it is."""
 
     __slots__ = ("handle", "seconds")
 
+    def __init__(self, handle: Answer, seconds: float) -> None:
+        self.handle = handle
+        self.seconds = seconds
+
 
 class NextPart(Effect):
     """Resume with the next bytes of an answer's body, or None at its proper end."""
 
     __slots__ = ("handle", "seconds")
 
+    def __init__(self, handle: Answer, seconds: float) -> None:
+        self.handle = handle
+        self.seconds = seconds
+
 
 class Emit(Effect):
-    """Hand one line to the sender of the inquiry."""
+    """Hand one line to the sender of the request."""
 
     __slots__ = ("line",)
 
+    def __init__(self, line: Any) -> None:
+        self.line = line
+
 
 class Signal:
     """A one-shot event with a value that any runtime can wait for."""
 
     __slots__ = ("is_set", "value", "watchers")
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.is_set = False
-        self.value = None
-        self.watchers = []
+        self.value: Any = None
+        self.watchers: list[Callable[[], object]] = []
 
-    def set(self, value=None):
+    def set(self, value: Any = None) -> None:
         """Set the signal; a second call changes nothing."""
         if self.is_set:
             return
--- a/quillring/kernel/errors.py
+++ b/quillring/kernel/errors.py
@@ -1,34 +1,38 @@
 """Every failure has a type; an error crosses processes and HTTP under its kind."""
 
-KINDS = {}
+from __future__ import annotations
+
+from typing import Any
+
+KINDS: dict[str, type[QuillringError]] = {}
 
 
 class QuillringError(Exception):
     """Base of all typed failures."""
 
-    kind = "trouble"
-    status = 500
-    comes_back = False
-    is_final = False
+    kind: str = "trouble"
+    status: int = 500
+    comes_back: bool = False
+    is_final: bool = False
 
-    def __init__(self, **detail):
+    def __init__(self, **detail: Any) -> None:
         super().__init__(self.kind, detail)
         self.detail = detail
 
-    def __init_subclass__(cls, **options):
+    def __init_subclass__(cls, **options: Any) -> None:
         super().__init_subclass__(**options)
         KINDS[cls.kind] = cls
 
-    def __str__(self):
+    def __str__(self) -> str:
         fields = ", ".join(f"{name}={value}" for name, value in self.detail.items())
         return f"{self.kind}: {fields}" if fields else self.kind
 
-    def to_json(self):
+    def to_json(self) -> dict[str, Any]:
         """Return the JSON body under which callers and operators see the error."""
         return {"trouble": self.kind, **self.detail}
 
 
-def rebuild(kind, detail):
+def rebuild(kind: str, detail: dict[Any, Any]) -> QuillringError:
     """Return the error a peer reported, as its own type."""
     return KINDS.get(kind, QuillringError)(**{str(name): value for name, value in detail.items()})
 
--- a/quillring/kernel/lazy.py
+++ b/quillring/kernel/lazy.py
@@ -1,15 +1,18 @@
 """Modules loaded at their first use: a start pays only for what the process does."""
 
+from __future__ import annotations
+
 import importlib.util
 import sys
+from typing import Any
 
 
-def lazy_module(name):
+def lazy_module(name: str) -> Any:
     """Return a module whose code runs when one of its names is first read."""
     if name in sys.modules:
         return sys.modules[name]
     spec = importlib.util.find_spec(name)
-    if spec is None:
+    if spec is None or spec.loader is None:
         raise ModuleNotFoundError(name)
     loader = importlib.util.LazyLoader(spec.loader)
     spec.loader = loader
--- /dev/null
+++ b/quillring/kernel/member.py
@@ -0,0 +1,90 @@
+"""One node of the fleet as it tells its peers about itself."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from typing import Any
+
+    from quillring.kernel.types import Address
+
+FIELDS = ("name", "incarnation", "role", "zone", "host", "port", "http_port", "identity")
+"""The fields of a member in their order on the wire."""
+# In the public list of members a zone keeps its former name.
+JSON_NAMES = {"zone": "domain"}
+
+
+class Member:
+    """One node as its peers know it.
+
+    Attributes
+    ----------
+    name : name of the node, one of its own in the fleet
+    incarnation : number of this start of the process, higher at every start
+    role : "edge", "core" or "store"
+    zone : zone the machine stands in
+    host, port : address of its heartbeats and messages
+    http_port : port of its HTTP interface on the same host
+    identity : identity of a store's data folder, "" where there is none
+    """
+
+    __slots__ = FIELDS
+
+    def __init__(
+        self,
+        name: str,
+        incarnation: int,
+        role: str,
+        zone: str,
+        host: str,
+        port: int,
+        http_port: int,
+        identity: str,
+    ) -> None:
+        self.name = name
+        self.incarnation = incarnation
+        self.role = role
+        self.zone = zone
+        self.host = host
+        self.port = port
+        self.http_port = http_port
+        self.identity = identity
+
+    @property
+    def address(self) -> Address:
+        """The (host, port) of its heartbeats and messages."""
+        return self.host, self.port
+
+    def to_list(self) -> list[Any]:
+        """Return the fields in their order on the wire."""
+        return [getattr(self, slot) for slot in FIELDS]
+
+    def restarted(self, incarnation: int) -> Member:
+        """Return the member under another incarnation."""
+        return Member(self.name, incarnation, *self.to_list()[2:])
+
+    def to_json(self) -> dict[str, Any]:
+        """Return the fields by name, as the public list of members shows them."""
+        return {JSON_NAMES.get(slot, slot): getattr(self, slot) for slot in FIELDS}
+
+    @classmethod
+    def from_list(cls, fields: list[Any]) -> Member:
+        """Return the member of a record as it came over the wire.
+
+        Raises
+        ------
+        ValueError
+            The record has too few or too many fields.
+        TypeError
+            A field is of the wrong type.
+        """
+        if len(fields) != len(FIELDS):
+            raise ValueError("member fields")
+        text_fields = (fields[0], fields[2], fields[3], fields[4], fields[7])
+        number_fields = (fields[1], fields[5], fields[6])
+        if not all(isinstance(f, str) for f in text_fields):
+            raise TypeError("member text")
+        if not all(isinstance(f, int) for f in number_fields):
+            raise TypeError("member number")
+        return cls(*fields)
--- a/quillring/kernel/node.py
+++ b/quillring/kernel/node.py
@@ -5,14 +5,28 @@
 it came, whatever version it speaks.
 """
 
+from __future__ import annotations
+
 import hashlib
+from functools import partial
 from types import GeneratorType
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from quillring.kernel.bounds import Bounds
 from quillring.kernel.effects import Signal, Wait
 from quillring.kernel.errors import QuillringError, TimedOut, UnknownService, Unreachable, rebuild
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Sequence
+    from typing import Any
+
+    from quillring.kernel.member import Member
+    from quillring.kernel.runtime import Runtime
+    from quillring.kernel.types import CallHandler, Coroutine, LogWriter
+    from quillring.nifty.graph import Graph
+
+    Call = tuple[str, str, Any]
+
 CALL_BITS = 31
 LIFE_BYTES = 4
 
@@ -24,7 +38,7 @@
     target: str
 
 
-def first_call_id(me):
+def first_call_id(me: Member) -> int:
     """Return the id below the first call of a life: 32 bits for the life, 31 for its calls."""
     life = hashlib.blake2b(f"{me.name}/{me.incarnation}".encode(), digest_size=LIFE_BYTES)
     return int.from_bytes(life.digest(), "big") << CALL_BITS
@@ -48,51 +62,57 @@
         "under_way",
     )
 
-    def __init__(self, me, runtime, bounds=None, log=None):
+    def __init__(
+        self,
+        me: Member,
+        runtime: Runtime,
+        bounds: Bounds | None = None,
+        log: LogWriter | None = None,
+    ) -> None:
         self.me = me
         self.runtime = runtime
         self.bounds = bounds or Bounds()
-        self.services = {}
-        self.handlers = {}
-        self.pending = {}
+        self.services: dict[str, Any] = {}
+        self.handlers: dict[str, CallHandler] = {}
+        self.pending: dict[int, PendingCall] = {}
         self.next_call = first_call_id(me)
-        self.log = log or (lambda level, text, *fields: None)
-        self.counts = {}
+        self.log: LogWriter = log or (lambda level, text, *fields: None)
+        self.counts: dict[str, int] = {}
         self.is_draining = False
         self.is_closing = False
         self.under_way = 0
 
-    def now(self):
+    def now(self) -> float:
         """Return the runtime's monotonic time in seconds."""
         return self.runtime.now()
 
-    def count(self, name, amount=1):
+    def count(self, name: str, amount: int = 1) -> None:
         """Add to one of the node's counters."""
         if amount:
             self.counts[name] = self.counts.get(name, 0) + amount
 
-    def offer(self, name, service):
+    def offer(self, name: str, service: Any) -> Any:
         """Make a service known under a name."""
         self.services[name] = service
         return service
 
-    def find(self, name):
+    def find(self, name: str) -> Any:
         """Return the service of this name, or None."""
         return self.services.get(name)
 
-    def handle(self, name, handler):
+    def handle(self, name: str, handler: CallHandler) -> None:
         """Let other nodes call the handler: handler(body, origin) gives a value or a coroutine."""
         self.handlers[name] = handler
 
-    def spawn(self, coroutine):
+    def spawn(self, coroutine: Coroutine) -> Any:
         """Run a coroutine beside the others."""
         return self.runtime.spawn(coroutine)
 
-    def send_oneway(self, target, service, body):
+    def send_oneway(self, target: str, service: str, body: Any) -> None:
         """Send a message that wants no answer; it may be lost."""
         self._send(target, {"s": service, "b": body})
 
-    def call(self, target, service, body, seconds=None):
+    def call(self, target: str, service: str, body: Any, seconds: float | None = None) -> Coroutine:
         """Coroutine: call a service of another node and return its answer, or raise its error."""
         call_id, reply_signal = self._begin(target, service, body)
         try:
@@ -105,16 +125,24 @@
             raise reply_signal.value
         return reply_signal.value
 
-    def gather(self, calls, need, seconds=None, repeats=False):
+    def gather(
+        self,
+        calls: Sequence[Call],
+        need: int,
+        seconds: float | None = None,
+        repeats: bool = False,
+    ) -> Coroutine:
         """Coroutine: make all calls at once; return {target: answer or error}.
 
         Returns as soon as `need` of them went well, or all have ended, or the time is over. Calls
         that may run twice can be repeated: those without an answer are sent again at half time.
         """
         seconds = self.bounds.call_timeout if seconds is None else seconds
-        gathered_replies, done_signal, begun_calls = {}, Signal(), {}
+        gathered_replies: dict[str, Any] = {}
+        begun_calls: dict[str, tuple[int, Signal]] = {}
+        done_signal = Signal()
 
-        def settle(target, signal):
+        def settle(target: str, signal: Signal) -> None:
             gathered_replies[target] = signal.value
             good_count = sum(not isinstance(r, QuillringError) for r in gathered_replies.values())
             if good_count >= need or len(gathered_replies) == len(calls):
@@ -123,7 +151,7 @@
         for target, service, body in calls:
             begun_calls[target] = self._begin(target, service, body)
         for target, (_, signal) in begun_calls.items():
-            signal.watchers.append(lambda t=target, s=signal: settle(t, s))
+            signal.watchers.append(partial(settle, target, signal))
             if signal.is_set:
                 settle(target, signal)
         if calls and not (yield Wait(done_signal, seconds / 2)):
@@ -138,7 +166,7 @@
             target: gathered_replies.get(target, TimedOut(target=target)) for target, _, _ in calls
         }
 
-    def _begin(self, target, service, body):
+    def _begin(self, target: str, service: str, body: Any) -> tuple[int, Signal]:
         self.next_call += 1
         call_id, reply_signal = self.next_call, Signal()
         if target == self.me.name:
@@ -149,16 +177,17 @@
             reply_signal.set(Unreachable(target=target))
         return call_id, reply_signal
 
-    def on_graph(self, graph):
+    def on_graph(self, graph: Graph) -> None:
         """End the calls to nodes that no route leads to any more; whether they ran is unknown."""
         for call in list(self.pending.values()):
             if call.target not in graph.routes:
                 call.reply_signal.set(TimedOut(target=call.target))
 
-    def _send(self, target, message):
-        return self.find("nifty").send(target, message)
+    def _send(self, target: str, message: dict[str, Any]) -> bool:
+        is_routed: bool = self.find("nifty").send(target, message)
+        return is_routed
 
-    def on_message(self, origin, message):
+    def on_message(self, origin: str, message: dict[str, Any]) -> None:
         """Take a message that nifty delivered once."""
         if "r" in message:
             self._settle(origin, message)
@@ -168,7 +197,7 @@
             self.spawn(self._answer(message["s"], message["b"], origin, lambda reply: None))
             return
 
-        def send_reply(reply):
+        def send_reply(reply: Any) -> None:
             if isinstance(reply, QuillringError):
                 self._send(origin, {"r": call_id, "t": reply.kind, "b": reply.detail})
             else:
@@ -176,7 +205,7 @@
 
         self.spawn(self._answer(message["s"], message["b"], origin, send_reply))
 
-    def _settle(self, origin, message):
+    def _settle(self, origin: str, message: dict[str, Any]) -> None:
         """Settle the call that a reply is due to; one that nobody waits for changes nothing."""
         call_id = message["r"]
         call = self.pending.get(call_id) if isinstance(call_id, int) else None
@@ -189,7 +218,9 @@
         kind = message.get("t")
         call.reply_signal.set(rebuild(kind, message["b"]) if kind else message["b"])
 
-    def _answer(self, service, body, origin, send_reply):
+    def _answer(
+        self, service: str, body: Any, origin: str, send_reply: Callable[[Any], object]
+    ) -> Coroutine:
         handler = self.handlers.get(service)
         try:
             if handler is None:
--- a/quillring/kernel/ringlog.py
+++ b/quillring/kernel/ringlog.py
@@ -1,5 +1,7 @@
 """Logs: a ring in memory that is written out when something goes wrong."""
 
+from __future__ import annotations
+
 import collections
 import logging
 
@@ -7,18 +9,18 @@
 class RingHandler(logging.Handler):
     """Keeps the last records in memory and writes them out at the first error."""
 
-    def __init__(self, path=None, room=2000):
+    def __init__(self, path: str | None = None, room: int = 2000) -> None:
         super().__init__()
-        self.ring = collections.deque(maxlen=room)
+        self.ring: collections.deque[str] = collections.deque(maxlen=room)
         self.path = path
 
-    def emit(self, record):
+    def emit(self, record: logging.LogRecord) -> None:
         """Keep the record; at an error write the whole ring to the file."""
         self.ring.append(self.format(record))
         if record.levelno >= logging.ERROR:
             self.dump()
 
-    def dump(self):
+    def dump(self) -> None:
         """Write the ring to its file and start it anew."""
         if self.path is None:
             return
@@ -27,7 +29,7 @@
         self.ring.clear()
 
 
-def ring_log(name, path=None):
+def ring_log(name: str, path: str | None = None) -> tuple[logging.Logger, RingHandler]:
     """Return the logger of the node and its ring."""
     node_logger = logging.getLogger(f"quillring.{name}")
     node_logger.setLevel(logging.DEBUG)
--- a/quillring/kernel/steps.py
+++ b/quillring/kernel/steps.py
@@ -5,6 +5,8 @@
 nodes do not act in unison.
 """
 
+from __future__ import annotations
+
 import math
 
 EARLY_SHARE = 0.25
@@ -15,11 +17,11 @@
 
     __slots__ = ("start", "seconds")
 
-    def __init__(self, start, seconds):
+    def __init__(self, start: float, seconds: float) -> None:
         self.start = start
         self.seconds = seconds
 
-    def seconds_to(self, now, seconds):
+    def seconds_to(self, now: float, seconds: float) -> float:
         """Return how long to sleep instead: to the first step that is not too early.
 
         A sleep of less than a step stays as it is. Any other ends at most a quarter of a step
--- a/quillring/kernel/types.py
+++ b/quillring/kernel/types.py
@@ -1,6 +1,8 @@
 """Names of types that many packages use."""
 
-from collections.abc import Generator
+from __future__ import annotations
+
+from collections.abc import Callable, Generator
 from typing import Any
 
 Address = tuple[str, int]
@@ -8,3 +10,12 @@
 
 Coroutine = Generator[Any, Any, Any]
 """A coroutine: it yields effects, is sent their outcomes, and returns its result."""
+
+CallHandler = Callable[[Any, str], Any]
+"""A handler of calls: `handler(body, origin)` returns a value or a coroutine."""
+
+LogWriter = Callable[..., None]
+"""`log(level, text, *fields)` writes one record to the node's log."""
+
+Clock = Callable[[], float]
+"""A function that returns seconds."""
--- a/quillring/nifty/__init__.py
+++ b/quillring/nifty/__init__.py
@@ -1,7 +1,7 @@
 """The peer layer of every node: heartbeats, full graph, routes, relays, bridges."""
 
+from quillring.kernel.member import Member
 from quillring.nifty.graph import Graph
-from quillring.nifty.member import Member
 from quillring.nifty.nifty import Nifty
 
 __all__ = ["Graph", "Member", "Nifty"]
--- a/quillring/nifty/heard.py
+++ b/quillring/nifty/heard.py
@@ -5,14 +5,14 @@
 from typing import TYPE_CHECKING
 
 from quillring.kernel.errors import BadWire
-from quillring.nifty.member import FIELDS, Member
+from quillring.kernel.member import FIELDS, Member
 from quillring.nifty.wire import unpack
 
 if TYPE_CHECKING:
     from typing import Any
 
     from quillring.nifty.bits import Orders
-    from quillring.nifty.member import Roster
+    from quillring.nifty.roster import Roster
 
 FULL, TERSE = 6, 5
 
--- a/quillring/nifty/peers.py
+++ b/quillring/nifty/peers.py
@@ -4,14 +4,14 @@
 
 from typing import TYPE_CHECKING
 
-from quillring.nifty.member import Roster
 from quillring.nifty.pace import Pace
+from quillring.nifty.roster import Roster
 
 if TYPE_CHECKING:
+    from quillring.kernel.member import Member
     from quillring.kernel.node import Node
     from quillring.kernel.types import Address
     from quillring.nifty.heard import Heard
-    from quillring.nifty.member import Member
 
 KEPT_ROSTERS = 8
 
--- a/quillring/nifty/member.py
+++ b/quillring/nifty/roster.py
@@ -1,4 +1,4 @@
-"""peers and the roster, an immutable snapshot swapped whole."""
+"""The roster: all members as one node knows them, an immutable snapshot swapped whole."""
 
 from __future__ import annotations
 
@@ -11,54 +11,10 @@
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
-    from typing import Any
 
+    from quillring.kernel.member import Member
     from quillring.kernel.types import Address
 
-FIELDS = ("name", "incarnation", "role", "zone", "host", "port", "http_port", "identity")
-# In the public list of members a zone keeps its former name.
-JSON_NAMES = {"zone": "domain"}
-
-
-class Member:
-    """One node as its peers know it; the incarnation is new at every start."""
-
-    __slots__ = FIELDS
-
-    def __init__(self, *fields: Any) -> None:
-        for slot, field in zip(FIELDS, fields, strict=True):
-            setattr(self, slot, field)
-
-    @property
-    def address(self) -> Address:
-        """The (host, port) of its heartbeats and messages."""
-        return self.host, self.port
-
-    def to_list(self) -> list:
-        """Return the fields in wire order."""
-        return [getattr(self, slot) for slot in FIELDS]
-
-    def restarted(self, incarnation: int) -> Member:
-        """Return the member under another start."""
-        return Member(self.name, incarnation, *self.to_list()[2:])
-
-    def to_json(self) -> dict:
-        """Return the fields by name."""
-        return {JSON_NAMES.get(slot, slot): getattr(self, slot) for slot in FIELDS}
-
-    @classmethod
-    def from_list(cls, fields: list) -> Member:
-        """Read a member record, refusing one with wrong types."""
-        if len(fields) != len(FIELDS):
-            raise ValueError("member fields")
-        text_fields = (fields[0], fields[2], fields[3], fields[4], fields[7])
-        number_fields = (fields[1], fields[5], fields[6])
-        if not all(isinstance(f, str) for f in text_fields):
-            raise TypeError("member text")
-        if not all(isinstance(f, int) for f in number_fields):
-            raise TypeError("member number")
-        return cls(*fields)
-
 
 class Roster:
     """The sorted members; the digest names the order that bitmaps are made for."""
@@ -71,9 +27,9 @@
         self.places = {name: place for place, name in enumerate(self.names)}
         self.digest = hashlib.sha256(cbor2.dumps(self.names)).digest()[:8]
 
-    def _fill(self, members: dict[str, Member]):
+    def _fill(self, members: dict[str, Member]) -> None:
         self.members = members
-        self.addresses = {}
+        self.addresses: dict[Address, list[str]] = {}
         for member in members.values():
             self.addresses.setdefault(member.address, []).append(member.name)
 
--- a/quillring/nifty/starts.py
+++ b/quillring/nifty/starts.py
@@ -9,8 +9,8 @@
 if TYPE_CHECKING:
     from typing import Any
 
+    from quillring.kernel.member import Member
     from quillring.nifty.heard import Heard
-    from quillring.nifty.member import Member
     from quillring.nifty.nifty import Nifty
 
 
--- a/quillring/nifty/telling.py
+++ b/quillring/nifty/telling.py
@@ -10,8 +10,8 @@
 from quillring.nifty.wire import HEADS
 
 if TYPE_CHECKING:
+    from quillring.kernel.member import Member
     from quillring.nifty.heard import Heard
-    from quillring.nifty.member import Member
 
 ARRAY = 0x80
 NO_ECHO = cbor2.dumps(None)
--- a/tests/test_nifty.py
+++ b/tests/test_nifty.py
@@ -7,7 +7,7 @@
 from quillring.kernel.node import Node
 from quillring.nifty import Graph, Member, Nifty
 from quillring.nifty.heard import Beat
-from quillring.nifty.member import Roster
+from quillring.nifty.roster import Roster
 from quillring.nifty.seen import WINDOW, SeenWindow
 from quillring.nifty.wire import MAGIC, SPOKEN, pack, unpack
 
