--- a/tests/test_autofound.py
+++ b/tests/test_autofound.py
@@ -33,7 +33,7 @@
     assert len(stage.fleets()) == 1
     for part in PARTS:
         group = stage.sim.nodes["core-1"].find("ownership").group(part)
-        assert len(group) == len({store.zone for store in group}) == 3
+        assert len(group) == len({store[2] for store in group}) == 3
 
 
 def test_no_core_founds_a_fleet_that_is_not_at_its_first_start():
