--- a/proving/histories/bugs.py
+++ b/proving/histories/bugs.py
@@ -10,7 +10,7 @@
 from proving.histories.run import PROGRAM, run_seed
 from quillring.kernel.effects import Signal
 from quillring.kernel.errors import Conflict, Refused
-from quillring.lots import raw_commands
+from quillring.lots.http_requests import state_machine
 from quillring.ownership import asking
 from quillring.quorum import owner, peek
 from quillring.quorum.acceptor import Acceptors, PartRecord
@@ -103,17 +103,17 @@
 
 def accept_anew(state, command):
     """Stand-in: a lot that is handed in again starts afresh."""
-    lots = {n: lot for n, lot in raw_commands.raw_lots(state).items() if n != command["lot"]}
-    return raw_commands.accept_raw_lot({**state, "raw": lots}, command)
+    lots = {n: lot for n, lot in state_machine.raw_lots(state).items() if n != command["lot"]}
+    return state_machine.accept_raw_lot({**state, "raw": lots}, command)
 
 
 def end_nothing(state, command):
     """Stand-in: an end is acknowledged, and the lot goes on."""
-    raw_commands.find_raw_lot(state, command)
+    state_machine.find_raw_lot(state, command)
     return state, {"ended": True}
 
 
-def list_in_front(lot, rows, list_items=raw_commands.list_items):
+def list_in_front(lot, rows, list_items=state_machine.list_items):
     """Stand-in: a result goes to the first position."""
     listed = list_items(lot, rows)
     return {**listed, "results": [*listed["results"][-len(rows) :], *lot["results"]]}
@@ -171,7 +171,7 @@
     Bug("answer before sync", "SlotStore.commit", SlotStore, "commit", commit_without_sync),
     Bug("lot accepted anew", "raw.accept: digest", COMMANDS, "raw.accept", accept_anew),
     Bug("end not kept", "raw.end", COMMANDS, "raw.end", end_nothing),
-    Bug("results move", "raw_commands.list_items", raw_commands, "list_items", list_in_front),
+    Bug("results move", "state_machine.list_items", state_machine, "list_items", list_in_front),
     Bug(
         "snapshot goes back",
         "ConfigurationSnapshot.on_news",
--- a/proving/histories/calls.py
+++ b/proving/histories/calls.py
@@ -28,8 +28,8 @@
 )
 from proving.sim.raw_replicas import SERVICE
 from quillring.kernel.errors import Conflict, NotFound, Refused
-from quillring.lots import raw_front
-from quillring.lots.raw_commands import HeldTooMuch, QuotaExceeded
+from quillring.lots.http_requests import api
+from quillring.lots.http_requests.state_machine import HeldTooMuch, QuotaExceeded
 from quillring.quorum.parts import CONFIG
 from quillring.rollout.commands import BadConfiguration
 from quillring.rollout.operator_orders import retire_store
@@ -107,11 +107,11 @@
             return submit_order(node, command, seconds)
         case AcceptLot():
             items = stage.items(name, order.digest, order.count)
-            return raw_front.accept_raw_lot(node, FORWARD, name, items)
+            return api.accept_raw_lot(node, FORWARD, name, items)
         case ReadResults():
-            return raw_front.read_raw_results(node, HOST, name, order.start)
+            return api.read_raw_results(node, HOST, name, order.start)
         case EndLot():
-            return raw_front.end_raw_lot(node, HOST, name)
+            return api.end_raw_lot(node, HOST, name)
     raise ValueError(f"no call for {order}")
 
 
--- a/proving/points/fleet.py
+++ b/proving/points/fleet.py
@@ -5,7 +5,7 @@
 from proving.sim.fleet import SimFleet
 from quillring.classes import Taker
 from quillring.edge.lease import Waiter
-from quillring.lots import runner
+from quillring.lots.prompts import scheduler
 from quillring.nifty import Nifty
 from quillring.quorum.acceptor import Acceptors
 from quillring.quorum.founding import found_fleet
@@ -131,7 +131,7 @@
         [
             (Waiter, "__init__", equal_waiter),
             (Taker, "limit", no_limit),
-            (runner, "ITEMS_AT_ONCE", 400),
+            (scheduler, "ITEMS_AT_ONCE", 400),
         ],
     ),
 ]
--- a/proving/points/keeping.py
+++ b/proving/points/keeping.py
@@ -4,9 +4,9 @@
 
 from proving.points.base import Stage, no_check
 from quillring.edge import claim, journal
-from quillring.lots import front, keeping
-from quillring.lots.front import release_lot, show_results, submit_lot
-from quillring.lots.keeping import Keeping
+from quillring.lots.prompts import api, retention
+from quillring.lots.prompts.api import release_lot, show_results, submit_lot
+from quillring.lots.prompts.retention import Keeping
 
 
 def submit(stage, key, client_name, items):
@@ -21,7 +21,7 @@
     """Lots come in that nobody reads, until the part is full; then some are released."""
     stage, accepted, refused, heaviest = Stage(seed), {}, 0, 0
     bound = 30_000
-    with mock.patch.object(keeping, "HELD_WEIGHT", bound):
+    with mock.patch.object(retention, "HELD_WEIGHT", bound):
         for number in range(60):
             items = [f"unread {number} {n}" for n in range(3)]
             answer, error = submit(stage, f"k{number}", "ann", items)
@@ -166,7 +166,7 @@
 
 POINTS = [
     ("a result nobody read does not vanish", unread_results, [(Keeping, "check", no_check)]),
-    ("senders' keys do not meet", same_keys, [(front, "client_space", lambda client_name: "all")]),
+    ("senders' keys do not meet", same_keys, [(api, "client_space", lambda client_name: "all")]),
     (
         "a stream under way is not dropped for want of room",
         full_journal,
--- a/proving/points/lots.py
+++ b/proving/points/lots.py
@@ -6,7 +6,7 @@
 from proving.points.orders import unfenced_state
 from proving.points.state import CommandsWith
 from proving.sim import backends
-from quillring.lots.runner import LotRunner
+from quillring.lots.prompts.scheduler import LotRunner
 from quillring.ownership.resting import Resting
 from quillring.ownership.standing import Standing
 from quillring.quorum import acceptor, commands, owner, rounds
--- a/proving/points/reading.py
+++ b/proving/points/reading.py
@@ -4,7 +4,7 @@
 from proving.points.state import adopt
 from quillring.gossip import Gossip
 from quillring.kernel.errors import TimedOut
-from quillring.lots.front import show_results
+from quillring.lots.prompts.api import show_results
 from quillring.ownership import asking
 from quillring.plans.front import confirm, propose, show_one
 from quillring.plans.runner import PlanRunner
--- a/proving/points/resume.py
+++ b/proving/points/resume.py
@@ -11,8 +11,8 @@
 from quillring.edge.tokens import LIFE_SECONDS, make_token
 from quillring.kernel.errors import NotFound, QuillringError
 from quillring.kernel.wsgi import Request
-from quillring.lots import commands
-from quillring.lots.front import cancel_lot, show_lot, show_results
+from quillring.lots.prompts import state_machine
+from quillring.lots.prompts.api import cancel_lot, show_lot, show_results
 
 
 def open_stream(stage, edge, route, client_name, max_pieces=100):
@@ -159,5 +159,9 @@
         strange_tokens,
         [(streams, "read_token", read_any_token)],
     ),
-    ("another sender's lot is not told of", foreign_lot, [(commands, "_find_lot", find_any_lot)]),
+    (
+        "another sender's lot is not told of",
+        foreign_lot,
+        [(state_machine, "_find_lot", find_any_lot)],
+    ),
 ]
--- a/proving/points/waits.py
+++ b/proving/points/waits.py
@@ -6,7 +6,7 @@
 from quillring.edge.streams import serve_model
 from quillring.kernel.node import Node
 from quillring.kernel.wsgi import Request
-from quillring.lots.front import submit_lot
+from quillring.lots.prompts.api import submit_lot
 from quillring.ownership import Ownership
 
 
--- a/proving/points/zones.py
+++ b/proving/points/zones.py
@@ -9,8 +9,8 @@
 from quillring.edge import Journal, short, streams
 from quillring.edge.admission import check_admission
 from quillring.kernel.errors import QuillringError
-from quillring.lots import front
-from quillring.lots.runner import LotRunner
+from quillring.lots.prompts import api
+from quillring.lots.prompts.scheduler import LotRunner
 from quillring.ownership import Ownership
 
 
@@ -134,7 +134,7 @@
             (Ownership, "is_leaving", never_leaving),
             (streams, "check_admission", no_check),
             (short, "check_admission", no_check),
-            (front, "check_admission", no_check),
+            (api, "check_admission", no_check),
         ],
     ),
     (
--- a/proving/sim/callers.py
+++ b/proving/sim/callers.py
@@ -7,7 +7,7 @@
 from quillring.kernel.effects import Signal
 from quillring.kernel.errors import QuillringError, Refused
 from quillring.kernel.wsgi import Request
-from quillring.lots.front import cancel_lot, show_results, submit_lot
+from quillring.lots.prompts.api import cancel_lot, show_results, submit_lot
 
 PATIENCE = 6.0
 
--- a/quillring/lots/__init__.py
+++ b/quillring/lots/__init__.py
@@ -1,10 +1,10 @@
 """Lots: accepted once durable in two domains, every item gets one result at its position."""
 
-from quillring.lots.raw_quota import RawQuota
-from quillring.lots.raw_reads import RawReads
-from quillring.lots.raw_runner import RawRunner
-from quillring.lots.raw_worker import RawWorker
-from quillring.lots.runner import LotRunner
+from quillring.lots.http_requests.item_executor import RawWorker
+from quillring.lots.http_requests.quota_reconciler import RawQuota
+from quillring.lots.http_requests.result_reads import RawReads
+from quillring.lots.http_requests.scheduler import RawRunner
+from quillring.lots.prompts.scheduler import LotRunner
 
 __all__ = ["LotRunner", "RawQuota", "RawReads", "RawRunner", "RawWorker", "start_raw_lots"]
 
--- a/quillring/lots/raw_front.py
+++ b/quillring/lots/http_requests/api.py
@@ -13,13 +13,20 @@
     Refused,
     TimedOut,
 )
-from quillring.lots.raw_places import (
+from quillring.lots.http_requests.lot_placement import (
     are_lots_spread,
     in_either_part,
     most_weight_of_part,
     place_of_lot,
 )
-from quillring.lots.raw_state import FENCED, HELD, ITEM_TOKENS, MOVED, HeldTooMuch, QuotaExceeded
+from quillring.lots.http_requests.lot_table import (
+    FENCED,
+    HELD,
+    ITEM_TOKENS,
+    MOVED,
+    HeldTooMuch,
+    QuotaExceeded,
+)
 from quillring.quorum.peek import peek
 
 RESULT_BYTES = 200_000
--- a/quillring/lots/raw_demand.py
+++ b/quillring/lots/http_requests/backlog.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from quillring.kernel.effects import Sleep
-from quillring.lots.raw_ledger import CAN_STILL
+from quillring.lots.http_requests.item_table import CAN_STILL
 
 TELL_PERIOD, HEARD_FOR = 0.4, 1.5
 LEAST_SHARE = 1 / 16
--- a/quillring/lots/raw_limits.py
+++ b/quillring/lots/http_requests/concurrency_limits.py
@@ -3,7 +3,7 @@
 import math
 
 from quillring.forward.replica_health import is_quiet
-from quillring.lots.raw_worker import BROKEN, NOT_RUN, UNSENT
+from quillring.lots.http_requests.item_executor import BROKEN, NOT_RUN, UNSENT
 
 CALM_SHARE, NEAR_SHARE, LEAST_SHARE = 0.75, 0.85, 0.08
 GAIN = 0.05
--- a/quillring/lots/raw_worker.py
+++ b/quillring/lots/http_requests/item_executor.py
@@ -9,7 +9,7 @@
 from quillring.forward.request import Request
 from quillring.kernel.effects import NextPart, Sleep
 from quillring.kernel.errors import BackendError, Fenced, NotSent, QuillringError, Refused
-from quillring.lots.raw_state import ERRORED, FINISHED
+from quillring.lots.http_requests.lot_table import ERRORED, FINISHED
 
 WHOLE, DEAD, FAILED, NOT_RUN, BROKEN, UNSENT = (
     "whole",
--- a/quillring/lots/raw_ledger.py
+++ b/quillring/lots/http_requests/item_table.py
@@ -2,7 +2,7 @@
 
 import math
 
-from quillring.lots.raw_state import raw_lots
+from quillring.lots.http_requests.lot_table import raw_lots
 
 CAN_STILL = 1.0
 AVOIDED_SECONDS = 1.0
--- a/quillring/lots/raw_places.py
+++ b/quillring/lots/http_requests/lot_placement.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from quillring.kernel.errors import NotFound
-from quillring.lots.raw_state import HELD_WEIGHT
+from quillring.lots.http_requests.lot_table import HELD_WEIGHT
 from quillring.quorum.parts import part_of
 
 SPREAD_LEVEL = 3
--- a/quillring/lots/raw_runner.py
+++ b/quillring/lots/http_requests/scheduler.py
@@ -4,13 +4,13 @@
 
 from quillring.kernel.effects import Sleep
 from quillring.kernel.errors import NotOwner, NotSent, QuillringError, TimedOut
-from quillring.lots.raw_choice import RawEnds, choose_worker, raw_lots_ended
-from quillring.lots.raw_demand import RawDemand
-from quillring.lots.raw_ledger import OwnedRun, RawLedger
-from quillring.lots.raw_limits import RawLimits
-from quillring.lots.raw_places import most_weight_of_part
-from quillring.lots.raw_state import held_weight, raw_lots
-from quillring.lots.raw_worker import BROKEN, NOT_RUN, UNSENT
+from quillring.lots.http_requests.backlog import RawDemand
+from quillring.lots.http_requests.concurrency_limits import RawLimits
+from quillring.lots.http_requests.item_executor import BROKEN, NOT_RUN, UNSENT
+from quillring.lots.http_requests.item_table import OwnedRun, RawLedger
+from quillring.lots.http_requests.lot_placement import most_weight_of_part
+from quillring.lots.http_requests.lot_table import held_weight, raw_lots
+from quillring.lots.http_requests.worker_selection import RawEnds, choose_worker, raw_lots_ended
 
 PAUSES = {NOT_RUN: 0.2, UNSENT: 0.1, BROKEN: 0.05}
 NEAR = 2.5
--- a/quillring/lots/raw_reservations.py
+++ b/quillring/lots/http_requests/token_reservations.py
@@ -7,7 +7,7 @@
 """
 
 from quillring.kernel.errors import Conflict
-from quillring.lots.raw_commands import (
+from quillring.lots.http_requests.state_machine import (
     QUOTA,
     keep_refusal,
     raw_lots,
--- a/quillring/lots/raw_choice.py
+++ b/quillring/lots/http_requests/worker_selection.py
@@ -1,6 +1,6 @@
 """Which core sends an item of a raw lot, and which lots are over."""
 
-from quillring.lots.raw_state import raw_lots
+from quillring.lots.http_requests.lot_table import raw_lots
 
 
 def choose_worker(ledger, cores, replica):
--- a/quillring/lots/front.py
+++ b/quillring/lots/prompts/api.py
@@ -6,7 +6,7 @@
 from quillring.kernel.checks import StrictValidator, read_count
 from quillring.kernel.errors import BadRequest, Refused
 from quillring.kernel.wsgi import check_body, need_client_name, route
-from quillring.lots.fence import submit_accept
+from quillring.lots.prompts.acceptance_fence import submit_accept
 from quillring.quorum.parts import part_of
 
 LOT_LIMIT = 8 << 20
--- a/quillring/lots/keeping.py
+++ b/quillring/lots/prompts/retention.py
@@ -1,6 +1,6 @@
 """Keeping the results of ended lots: bounded where lots are accepted, never by taking one away."""
 
-from quillring.lots.commands import OPEN, TooManyLots
+from quillring.lots.prompts.state_machine import OPEN, TooManyLots
 
 KEPT_SECONDS = 7 * 86_400
 HELD_WEIGHT = 48 << 20
--- a/quillring/lots/runner.py
+++ b/quillring/lots/prompts/scheduler.py
@@ -9,8 +9,8 @@
 from quillring.edge.streams import STALL_MS, check_before_sending, check_line
 from quillring.kernel.effects import Fetch, Next, Open, Signal, Sleep, Wait
 from quillring.kernel.errors import BackendError, Busy, NotSent, QuillringError
-from quillring.lots.commands import OPEN
-from quillring.lots.keeping import Keeping
+from quillring.lots.prompts.retention import Keeping
+from quillring.lots.prompts.state_machine import OPEN
 
 ITEMS_AT_ONCE = 4
 RESULT_LIMIT = 1 << 18
--- a/quillring/lots/commands.py
+++ b/quillring/lots/prompts/state_machine.py
@@ -5,7 +5,7 @@
 import cbor2
 
 from quillring.kernel.errors import Conflict, NotFound, QuillringError
-from quillring.lots.fence import check_fresh, note_drop
+from quillring.lots.prompts.acceptance_fence import check_fresh, note_drop
 from quillring.quorum.commands import COMMANDS, QUERIES
 
 OPEN, ENDED, CANCELLED = "open", "ended", "cancelled"
--- a/quillring/verbs/routes.py
+++ b/quillring/verbs/routes.py
@@ -5,13 +5,13 @@
 from quillring.kernel.checks import StrictValidator
 from quillring.kernel.errors import Conflict, NotFound, NotFounded, Refused
 from quillring.kernel.wsgi import check_body, route
-from quillring.lots import front
+from quillring.lots.prompts import api as prompt_lots_api
 from quillring.plans import front as plans_front
 from quillring.quorum.founding import found_fleet
 from quillring.quorum.parts import CONFIG
 from quillring.verbs import part_routes, status_routes
 
-PLUGINS = (part_routes, status_routes, short, streams, front, plans_front)
+PLUGINS = (part_routes, status_routes, short, streams, prompt_lots_api, plans_front)
 CHANGE = StrictValidator(
     {
         "type": "object",
--- a/tests/raw_chaos.py
+++ b/tests/http_lot_random_days.py
@@ -3,8 +3,8 @@
 from collections import Counter
 
 from quillring.kernel.errors import NotFound, QuillringError
-from quillring.lots import raw_front
-from tests.raw_stage import FORWARD, HOST, RawStage, text_of
+from quillring.lots.http_requests import api
+from tests.http_lot_stage import FORWARD, HOST, RawStage, text_of
 
 SETTLE = 1.0
 ENDING = 3.0
@@ -77,7 +77,7 @@
         self.counts[name], self.tries[name] = count, []
         for _ in range(6):
             _, error = yield from self.coroutine(
-                lambda node: raw_front.accept_raw_lot(node, FORWARD, name, items)
+                lambda node: api.accept_raw_lot(node, FORWARD, name, items)
             )
             status = 202 if error is None else error.status
             self.tries[name].append(status)
@@ -91,9 +91,7 @@
         if chance.random() < 0.25:
             yield env.timeout(chance.uniform(0.2, 4))
             while True:
-                _, error = yield from self.coroutine(
-                    lambda node: raw_front.end_raw_lot(node, HOST, name)
-                )
+                _, error = yield from self.coroutine(lambda node: api.end_raw_lot(node, HOST, name))
                 if error is None:
                     break
                 if isinstance(error, NotFound):
@@ -111,7 +109,7 @@
             began_at = env.now
             held_count = sum(at < began_at - SETTLE for at in self.row_read_at.get(name, []))
             answer, error = yield from self.coroutine(
-                lambda node, start=start: raw_front.read_raw_results(
+                lambda node, start=start: api.read_raw_results(
                     node, HOST, name, start, chance.choice([0, 0.8])
                 )
             )
--- a/tests/raw_stage.py
+++ b/tests/http_lot_stage.py
@@ -5,13 +5,13 @@
 from proving.points.base import SMALL
 from proving.sim import fleet as sim_fleet
 from proving.sim.fleet import SimFleet
-from quillring.lots import raw_front
-from quillring.lots.raw_places import bare_host, lot_key
-from quillring.lots.raw_reservations import reserved_tokens
-from quillring.lots.raw_state import raw_lots
+from quillring.lots.http_requests import api
+from quillring.lots.http_requests.lot_placement import bare_host, lot_key
+from quillring.lots.http_requests.lot_table import raw_lots
+from quillring.lots.http_requests.token_reservations import reserved_tokens
 from quillring.nifty.wire import SPOKEN
 from quillring.quorum.parts import part_of
-from tests.raw_replica import SERVICE, RawBackends, RawReplica, RawRuntime, text_of
+from tests.http_lot_replica import SERVICE, RawBackends, RawReplica, RawRuntime, text_of
 
 HOST, FORWARD = "Lots.example", "bulk"
 SIZES = {**SMALL, "replicas": [("words", 1, 4), ("map", 1, 4)]}
@@ -127,14 +127,14 @@
         items = self.items(name, count, tokens)
         return self.do(
             node or self.up("edge"),
-            lambda node: raw_front.accept_raw_lot(node, FORWARD, name, items),
+            lambda node: api.accept_raw_lot(node, FORWARD, name, items),
         )
 
     def read(self, name, start=0, hold=0.0, node=None):
         """Read results at an edge; return (answer, error)."""
         return self.do(
             node or self.up("edge"),
-            lambda node: raw_front.read_raw_results(node, HOST, name, start, hold),
+            lambda node: api.read_raw_results(node, HOST, name, start, hold),
         )
 
     def read_all(self, name, seconds=30):
@@ -157,7 +157,7 @@
 
     def former_version(self):
         """Let edges hand lots in as the former version did: in their host's part."""
-        return mock.patch.object(raw_front, "are_lots_spread", lambda node: False)
+        return mock.patch.object(api, "are_lots_spread", lambda node: False)
 
     def part(self, name="a"):
         """Return the part in which a lot lives."""
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -7,17 +7,17 @@
 import pytest
 
 from quillring.edge.tokens import LIFE_SECONDS, BadToken, make_token, read_token
-from quillring.lots.raw_places import lot_key
+from quillring.lots.http_requests.lot_placement import lot_key
 from quillring.quorum.parts import CONFIG
 from tests.fleet_stage import SelfFounded
-from tests.raw_stage import HOST, RawStage, accepted, check_whole
+from tests.http_lot_stage import HOST, RawStage, accepted, check_whole
 
 MINUTE = 60
 READERS = {
     "quillring/edge/streams.py",
     "quillring/kernel/gevent_runtime.py",
-    "quillring/lots/raw_front.py",
-    "quillring/lots/raw_ledger.py",
+    "quillring/lots/http_requests/api.py",
+    "quillring/lots/http_requests/item_table.py",
     "quillring/verbs/fleet_verbs.py",
     "quillring/verbs/process.py",
 }
--- a/tests/test_event_bytes.py
+++ b/tests/test_event_bytes.py
@@ -5,7 +5,7 @@
 from proving.sim.scripted import BREAK, END
 from quillring.forward import EventReader
 from tests.forward_stage import HEAD, STREAM, address, both, make, run, text
-from tests.raw_stage import RawStage, accepted
+from tests.http_lot_stage import RawStage, accepted
 
 VERSIONED = b"weight-versions:7\nid: 1\ndata: p1\n\n"
 STREAMS = {
--- a/tests/test_histories_found.py
+++ b/tests/test_histories_found.py
@@ -1,11 +1,11 @@
 """Faults that recorded histories showed, each made small."""
 
 from quillring.kernel.errors import Conflict
-from quillring.lots import raw_front
-from quillring.lots.raw_places import place_of_lot
+from quillring.lots.http_requests import api
+from quillring.lots.http_requests.lot_placement import place_of_lot
 from quillring.quorum.parts import CONFIG
 from quillring.quorum.peek import peek
-from tests.raw_stage import FORWARD, HOST, RawStage
+from tests.http_lot_stage import FORWARD, HOST, RawStage
 
 MOST_TOKENS = 400
 EMPTY_CHANGE = {
@@ -23,9 +23,7 @@
 def hand_in(stage, name, count):
     """Hand in a lot under one name; another count makes another lot."""
     items = stage.items("x", count)
-    return stage.do(
-        stage.up("edge"), lambda node: raw_front.accept_raw_lot(node, FORWARD, name, items)
-    )
+    return stage.do(stage.up("edge"), lambda node: api.accept_raw_lot(node, FORWARD, name, items))
 
 
 def test_a_lot_that_is_handed_in_again_is_acknowledged_after_another_of_its_name_was_refused():
@@ -51,7 +49,7 @@
             edge, other = stage.sim.up_nodes("edge")[:2]
             stage.begin(
                 edge,
-                lambda node, items=items, turn=turn: raw_front.accept_raw_lot(
+                lambda node, items=items, turn=turn: api.accept_raw_lot(
                     node, FORWARD, f"a{turn}", items
                 ),
             )
@@ -59,7 +57,7 @@
             stage.sim.kill(edge.me.name)
             _, error = stage.do(
                 other,
-                lambda node, turn=turn: raw_front.accept_raw_lot(
+                lambda node, turn=turn: api.accept_raw_lot(
                     node, FORWARD, f"a{turn}", stage.items("x", 4)
                 ),
             )
--- a/tests/test_raw_budget.py
+++ b/tests/test_http_lot_attempts.py
@@ -5,8 +5,8 @@
 import pytest
 
 from quillring.kernel.errors import OutcomeUnknown, Refused
-from quillring.lots import raw_front
-from tests.raw_stage import HOST, RawStage, accepted, check_whole
+from quillring.lots.http_requests import api
+from tests.http_lot_stage import HOST, RawStage, accepted, check_whole
 
 ATTEMPTS, MOST_DEAD, ITEMS = 3, 3, 6
 HOLD_SECONDS, MARGIN = 0.5, 0.5
@@ -62,7 +62,7 @@
         for node in stage.sim.up_nodes("edge"):
             assert accepted(stage, "a", 6, node=node)["repeated"]
         for node in stage.sim.up_nodes("edge"):
-            answer, error = stage.do(node, lambda node: raw_front.end_raw_lot(node, HOST, "a"))
+            answer, error = stage.do(node, lambda node: api.end_raw_lot(node, HOST, "a"))
             assert error is None and answer["ended"]
             assert accepted(stage, "a", 6, node=node)["repeated"]
         rows, error = stage.read("a", start=50)
@@ -106,7 +106,7 @@
         accepted(stage, "a", 4)
         stage.run(0.3)
         assert stage.arrivals
-        _, error = stage.do(stage.up("edge"), lambda node: raw_front.end_raw_lot(node, HOST, "a"))
+        _, error = stage.do(stage.up("edge"), lambda node: api.end_raw_lot(node, HOST, "a"))
         assert error is None
         stage.run(1.2)
         assert all(replica.active == 0 for replica in stage.replicas.values())
--- a/tests/test_raw_failures.py
+++ b/tests/test_http_lot_failures.py
@@ -3,9 +3,9 @@
 import pytest
 
 from quillring.kernel.errors import Fenced, NotSent, OutcomeUnknown, Refused
-from quillring.lots import raw_front
-from quillring.lots.raw_commands import QuotaExceeded, raw_lots
-from tests.raw_stage import FORWARD, HOST, SERVICE, RawStage, accepted, check_whole
+from quillring.lots.http_requests import api
+from quillring.lots.http_requests.state_machine import QuotaExceeded, raw_lots
+from tests.http_lot_stage import FORWARD, HOST, SERVICE, RawStage, accepted, check_whole
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -87,9 +87,7 @@
         stage.sim.freeze(stage.owner().me.name, 9)
         end_time = None
         for _ in range(30):
-            _, error = stage.do(
-                stage.up("edge"), lambda node: raw_front.end_raw_lot(node, HOST, "a")
-            )
+            _, error = stage.do(stage.up("edge"), lambda node: api.end_raw_lot(node, HOST, "a"))
             if error is None:
                 end_time = stage.env.now
                 break
@@ -142,7 +140,7 @@
         processes = [
             stage.begin(
                 stage.up("edge"),
-                lambda node, name=f"l{n}": raw_front.accept_raw_lot(
+                lambda node, name=f"l{n}": api.accept_raw_lot(
                     node, FORWARD, name, stage.items(name, 5, 30)
                 ),
             )
--- a/tests/test_raw_pages.py
+++ b/tests/test_http_lot_large_results.py
@@ -1,6 +1,6 @@
-from quillring.lots.raw_commands import raw_lots, with_lot
-from quillring.lots.raw_places import lot_key
-from tests.raw_stage import HOST, RawStage, accepted
+from quillring.lots.http_requests.lot_placement import lot_key
+from quillring.lots.http_requests.state_machine import raw_lots, with_lot
+from tests.http_lot_stage import HOST, RawStage, accepted
 
 LINK_BYTES = 15e6 / 8
 
--- a/tests/test_raw_spread.py
+++ b/tests/test_http_lot_placement.py
@@ -5,12 +5,12 @@
 import pytest
 
 from quillring.kernel.errors import NotFound
-from quillring.lots import raw_front, raw_places
-from quillring.lots.raw_places import LotPlace, lot_key
-from quillring.lots.raw_state import HeldTooMuch, QuotaExceeded, raw_lots
+from quillring.lots.http_requests import api, lot_placement
+from quillring.lots.http_requests.lot_placement import LotPlace, lot_key
+from quillring.lots.http_requests.lot_table import HeldTooMuch, QuotaExceeded, raw_lots
 from quillring.nifty.wire import SPOKEN
 from quillring.quorum.parts import part_of
-from tests.raw_stage import FORWARD, HOST, RawStage, accepted, check_whole
+from tests.http_lot_stage import FORWARD, HOST, RawStage, accepted, check_whole
 
 
 def accept_as_before(stage, name, count, tokens=10):
@@ -68,7 +68,7 @@
         name = name_outside_home(stage)
         accept_as_before(stage, name, 12)
         answer, error = stage.do(
-            stage.up("edge"), lambda node: raw_front.read_raw_body(node, HOST, name, f"{name}-11")
+            stage.up("edge"), lambda node: api.read_raw_body(node, HOST, name, f"{name}-11")
         )
         assert (answer, error) == (b"body", None)
         assert accepted(stage, name, 12)["repeated"]
@@ -83,12 +83,12 @@
     with RawStage(104, slots=1) as stage:
         name = name_outside_home(stage)
         accept_as_before(stage, name, 30)
-        ask = lambda node: raw_front.end_raw_lot(node, HOST, name)  # noqa: E731
+        ask = lambda node: api.end_raw_lot(node, HOST, name)  # noqa: E731
         assert stage.do(stage.up("edge"), ask)[1] is None
         ended_at = stage.env.now
         stage.run(3)
         assert all(arrival[0] < ended_at + 0.1 for arrival in stage.arrivals)
-        ask = lambda node: raw_front.end_raw_lot(node, HOST, "none")  # noqa: E731
+        ask = lambda node: api.end_raw_lot(node, HOST, "none")  # noqa: E731
         assert isinstance(stage.do(stage.up("edge"), ask)[1], NotFound)
 
 
@@ -121,10 +121,10 @@
 def test_places_are_the_same_whatever_the_case_and_port_of_the_host():
     with RawStage(107) as stage:
         node = stage.up("edge")
-        assert raw_places.place_of_lot(node, "LOTS.example:80", "a") == (
-            raw_places.place_of_lot(node, HOST, "a")
+        assert lot_placement.place_of_lot(node, "LOTS.example:80", "a") == (
+            lot_placement.place_of_lot(node, HOST, "a")
         )
-        assert isinstance(raw_places.place_of_lot(node, HOST, "a"), LotPlace)
+        assert isinstance(lot_placement.place_of_lot(node, HOST, "a"), LotPlace)
         assert node.find("forwards").named(FORWARD).host == "lots.example"
 
 
@@ -158,7 +158,7 @@
 
 
 def test_all_parts_together_hold_no_more_than_the_bound(monkeypatch):
-    monkeypatch.setattr(raw_places, "HELD_WEIGHT", 20_000)
+    monkeypatch.setattr(lot_placement, "HELD_WEIGHT", 20_000)
     with RawStage(109, slots=8) as stage:
         for replica in stage.replicas.values():
             replica.is_silent = True
--- a/tests/test_raw_chaos.py
+++ b/tests/test_http_lot_random_days.py
@@ -1,6 +1,6 @@
 import pytest
 
-from tests.raw_chaos import RawDay
+from tests.http_lot_random_days import RawDay
 
 
 @pytest.mark.parametrize("seed", [7, 23, 41])
--- a/tests/test_raw_restarts.py
+++ b/tests/test_http_lot_restarts.py
@@ -1,8 +1,8 @@
 from unittest import mock
 
-from quillring.lots import raw_front
-from quillring.lots.raw_commands import QuotaExceeded
-from tests.raw_stage import RawStage, accepted, check_whole
+from quillring.lots.http_requests import api
+from quillring.lots.http_requests.state_machine import QuotaExceeded
+from tests.http_lot_stage import RawStage, accepted, check_whole
 
 
 def test_all_nodes_restarted_from_disk_keep_results_and_finish_the_rest():
@@ -28,13 +28,13 @@
     with RawStage(90, most_tokens=50) as stage:
         accepted(stage, "a", 5)
         sent = []
-        real = raw_front.submit_surely
+        real = api.submit_surely
 
         def keep(node, part, command, seconds):
             sent.append((part, command))
             return real(node, part, command, seconds)
 
-        with mock.patch.object(raw_front, "submit_surely", keep):
+        with mock.patch.object(api, "submit_surely", keep):
             _, error = stage.hand_in("b", 5)
         assert isinstance(error, QuotaExceeded) and command
         stage.read_all("a")
--- a/tests/test_raw_runner.py
+++ b/tests/test_http_lot_scheduler.py
@@ -3,8 +3,8 @@
 import pytest
 
 from quillring.kernel.errors import NotFound, Refused
-from quillring.lots import raw_front
-from tests.raw_stage import HOST, RawStage, accepted, check_whole
+from quillring.lots.http_requests import api
+from tests.http_lot_stage import HOST, RawStage, accepted, check_whole
 
 
 def test_a_lot_is_run_and_read_in_one_order_from_every_node():
@@ -43,7 +43,7 @@
         _, error = stage.read("nothing", hold=0.8)
         assert isinstance(error, NotFound) and stage.env.now - start_time < 0.1
         _, error = stage.do(
-            stage.up("edge"), lambda node: raw_front.read_raw_results(node, "other.example", "a", 0)
+            stage.up("edge"), lambda node: api.read_raw_results(node, "other.example", "a", 0)
         )
         assert isinstance(error, (NotFound, Refused))
 
@@ -53,7 +53,7 @@
         for replica in stage.replicas.values():
             replica.is_silent = True
         accepted(stage, "a", 2)
-        ask = lambda node: raw_front.read_raw_body(node, HOST, "a", "a-1")  # noqa: E731
+        ask = lambda node: api.read_raw_body(node, HOST, "a", "a-1")  # noqa: E731
         assert stage.do(stage.up("edge"), ask) == (b"body", None)
         for replica in stage.replicas.values():
             replica.is_silent = False
@@ -177,7 +177,7 @@
         stage.counts = {f"a-{n}": 60 for n in range(30)}
         accepted(stage, "a", 30)
         stage.run(0.5)
-        _, error = stage.do(stage.up("edge"), lambda node: raw_front.end_raw_lot(node, HOST, "a"))
+        _, error = stage.do(stage.up("edge"), lambda node: api.end_raw_lot(node, HOST, "a"))
         assert error is None
         end_time = stage.env.now
         stage.run(0.3)
@@ -186,9 +186,6 @@
         assert all(arrival[0] < end_time + 0.1 for arrival in stage.arrivals)
         answer, _ = stage.read("a")
         assert answer["items"] == 30
-        assert (
-            stage.do(stage.up("edge"), lambda node: raw_front.end_raw_lot(node, HOST, "a"))[1]
-            is None
-        )
-        _, error = stage.do(stage.up("edge"), lambda node: raw_front.end_raw_lot(node, HOST, "b"))
+        assert stage.do(stage.up("edge"), lambda node: api.end_raw_lot(node, HOST, "a"))[1] is None
+        _, error = stage.do(stage.up("edge"), lambda node: api.end_raw_lot(node, HOST, "b"))
         assert isinstance(error, NotFound)
--- a/tests/test_raw_lots.py
+++ b/tests/test_http_lot_state_machine.py
@@ -1,8 +1,8 @@
 import pytest
 
 from quillring.kernel.errors import Conflict, NotFound
-from quillring.lots import raw_commands
-from quillring.lots.raw_commands import HELD, QUOTA, waiting_tokens
+from quillring.lots.http_requests import state_machine
+from quillring.lots.http_requests.state_machine import HELD, QUOTA, waiting_tokens
 from quillring.quorum.commands import apply_batch, first_state
 
 
@@ -33,7 +33,7 @@
 
 
 def read(state, name, start=0, limit=1000):
-    return raw_commands.raw_results(state, {"lot": name, "from": start, "limit": limit})
+    return state_machine.raw_results(state, {"lot": name, "from": start, "limit": limit})
 
 
 def apply(*batch, state=None):
@@ -104,7 +104,7 @@
 
 
 def test_what_a_part_holds_is_bounded(monkeypatch):
-    monkeypatch.setattr(raw_commands, "HELD_WEIGHT", 3000)
+    monkeypatch.setattr(state_machine, "HELD_WEIGHT", 3000)
     state, answers = apply(
         accept("a", body=b"x" * 500), accept("b", attempt="b"), accept("c", attempt="c")
     )
@@ -138,9 +138,9 @@
     assert answers[3]["repeated"] and not answers[4]["listed"] and not answers[5]["listed"]
     assert read(state, "x")["next"] == 1 and read(state, "x")["is_over"]
     with pytest.raises(NotFound):
-        raw_commands.raw_body(state, {"lot": "x", "item": "x-0"})
+        state_machine.raw_body(state, {"lot": "x", "item": "x-0"})
     lot = state["raw"]["x"]
-    assert lot["weight"] == len(b"text") + raw_commands.ITEM_WEIGHT and lot["tokens"] == 0
+    assert lot["weight"] == len(b"text") + state_machine.ITEM_WEIGHT and lot["tokens"] == 0
 
 
 def test_an_expired_lot_has_a_result_for_every_item():
@@ -163,10 +163,10 @@
 
 def test_bodies_are_given_until_listed_and_unknown_lots_are_not_found():
     state, _ = apply(accept("x"), result("x", 1))
-    assert raw_commands.raw_body(state, {"lot": "x", "item": "x-0"}) == {"body": b"body"}
+    assert state_machine.raw_body(state, {"lot": "x", "item": "x-0"}) == {"body": b"body"}
     for item in ("x-1", "other"):
         with pytest.raises(NotFound):
-            raw_commands.raw_body(state, {"lot": "x", "item": item})
+            state_machine.raw_body(state, {"lot": "x", "item": item})
     with pytest.raises(NotFound):
         read(state, "y")
 
--- a/tests/test_killed_process.py
+++ b/tests/test_killed_process.py
@@ -3,9 +3,9 @@
 import pytest
 
 from quillring.kernel.errors import QuillringError
-from quillring.lots import raw_front
+from quillring.lots.http_requests import api
 from quillring.quorum.repair import Repair
-from tests.raw_stage import FORWARD, RawStage, accepted, check_whole
+from tests.http_lot_stage import FORWARD, RawStage, accepted, check_whole
 
 AIM = 0.4
 
@@ -18,9 +18,7 @@
         row = [name, None, None]
         process = stage.begin(
             stage.up("edge"),
-            lambda node, name=name: raw_front.accept_raw_lot(
-                node, FORWARD, name, stage.items(name, 3)
-            ),
+            lambda node, name=name: api.accept_raw_lot(node, FORWARD, name, stage.items(name, 3)),
         )
 
         def note(event, row=row, began=began):
--- a/tests/test_late_starts.py
+++ b/tests/test_late_starts.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from quillring.lots import raw_front, raw_runner
-from quillring.lots.raw_runner import RawRunner
-from quillring.lots.raw_worker import RawWorker
-from tests.raw_stage import HOST, RawStage, accepted
+from quillring.lots.http_requests import api, scheduler
+from quillring.lots.http_requests.item_executor import RawWorker
+from quillring.lots.http_requests.scheduler import RawRunner
+from tests.http_lot_stage import HOST, RawStage, accepted
 
 REAL_BEGIN = RawRunner._begin
 
@@ -22,13 +22,13 @@
 
 
 @pytest.mark.parametrize("check_ballot", [RawWorker._check_ballot, any_ballot])
-@pytest.mark.parametrize("choose", [raw_runner.choose_worker, other_worker])
+@pytest.mark.parametrize("choose", [scheduler.choose_worker, other_worker])
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("seconds", [2, 20, 60])
 def test_a_run_decided_on_before_a_freeze_is_not_started_after_it(
     seconds, seed, choose, check_ballot
 ):
-    choice = mock.patch.object(raw_runner, "choose_worker", choose)
+    choice = mock.patch.object(scheduler, "choose_worker", choose)
     check = mock.patch.object(RawWorker, "_check_ballot", check_ballot)
     with choice, check, RawStage(131 + seed, slots=1, replicas=1) as stage:
         frozen = []
@@ -47,7 +47,7 @@
             is_ended = False
             while not is_ended and stage.env.now < frozen_at + 15:
                 node = next(n for n in stage.sim.up_nodes("edge"))
-                coroutine = raw_front.end_raw_lot(node, HOST, "a")
+                coroutine = api.end_raw_lot(node, HOST, "a")
                 _, error = stage.do(node, lambda node, coroutine=coroutine: coroutine)
                 is_ended = error is None
             assert is_ended
--- a/tests/test_raw_demand.py
+++ b/tests/test_lot_backlog.py
@@ -6,12 +6,12 @@
 import pytest
 
 from quillring.kernel.errors import QuillringError
-from quillring.lots import raw_front
-from quillring.lots.raw_demand import HEARD_FOR, DueItems, Portion, first_of
-from quillring.lots.raw_limits import phases
+from quillring.lots.http_requests import api
+from quillring.lots.http_requests.backlog import HEARD_FOR, DueItems, Portion, first_of
+from quillring.lots.http_requests.concurrency_limits import phases
 from quillring.nifty import Graph
-from tests.raw_replica import SERVICE
-from tests.raw_stage import FORWARD, RawStage, accepted, check_whole
+from tests.http_lot_replica import SERVICE
+from tests.http_lot_stage import FORWARD, RawStage, accepted, check_whole
 
 
 def names_in(stage, part, count, prefix):
@@ -26,9 +26,7 @@
         items = stage.items(name, count)
         stage.begin(
             stage.up("edge"),
-            lambda node, name=name, items=items: raw_front.accept_raw_lot(
-                node, FORWARD, name, items, 4
-            ),
+            lambda node, name=name, items=items: api.accept_raw_lot(node, FORWARD, name, items, 4),
         )
 
 
--- a/tests/test_late_lots.py
+++ b/tests/test_prompt_lot_acceptance_fence.py
@@ -3,9 +3,9 @@
 import pytest
 
 from quillring.kernel.errors import Conflict
-from quillring.lots.commands import accept_lot
-from quillring.lots.fence import KEPT_DROPS, StaleLot, lot_fence
-from quillring.lots.front import submit_lot
+from quillring.lots.prompts.acceptance_fence import KEPT_DROPS, StaleLot, lot_fence
+from quillring.lots.prompts.api import submit_lot
+from quillring.lots.prompts.state_machine import accept_lot
 from quillring.quorum.commands import apply_batch, first_state
 from tests.fleet_stage import SelfFounded
 
--- a/tests/test_lots.py
+++ b/tests/test_prompt_lot_state_machine.py
@@ -1,8 +1,8 @@
 import pytest
 
 from quillring.kernel.errors import Conflict, NotFound
-from quillring.lots import commands
-from quillring.lots.commands import TooManyLots
+from quillring.lots.prompts import state_machine
+from quillring.lots.prompts.state_machine import TooManyLots
 from quillring.quorum.commands import apply_batch, first_state
 
 
@@ -16,7 +16,7 @@
 
 def read(state, name, client_name="ann"):
     query = {"lot": name, "sender": client_name, "from": 0, "count": 10}
-    return commands.lot_results(state, query)
+    return state_machine.lot_results(state, query)
 
 
 def test_results_keep_position_and_value_and_the_lot_ends_with_the_last():
--- a/tests/test_slow_disks.py
+++ b/tests/test_slow_disks.py
@@ -10,7 +10,7 @@
 from quillring.quorum.parts import CONFIG
 from quillring.verbs.status_routes import show_status
 from tests.fleet_stage import SelfFounded
-from tests.raw_stage import RawStage
+from tests.http_lot_stage import RawStage
 
 STALL = 8.0
 ORDER_BOUND = 0.5
--- a/tests/test_system_lots.py
+++ b/tests/test_system_lots.py
@@ -6,7 +6,7 @@
 import pytest
 
 from quillring.kernel.errors import BadRequest, NotFound, WrongMethod
-from tests.raw_stage import FORWARD, HOST, RawStage, text_of
+from tests.http_lot_stage import FORWARD, HOST, RawStage, text_of
 
 PATH = pathlib.Path(__file__).parent.parent / "platform" / "system_lots.py"
 SPEC = importlib.util.spec_from_file_location("system_lots", PATH)
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -1,9 +1,9 @@
 """A part with much state changes hands: every message stays small, and its lots are served."""
 
 from quillring.kernel.errors import Refused
-from quillring.lots import raw_front
+from quillring.lots.http_requests import api
 from quillring.quorum.batching import BATCH_BYTES, split_batch
-from tests.raw_stage import FORWARD, RawStage
+from tests.http_lot_stage import FORWARD, RawStage
 
 LINK = 8 << 20
 LOTS, ITEMS, BODY = 24, 100, b"b" * 5000
@@ -29,9 +29,7 @@
 def hand_in(stage, name, count):
     """Hand in a lot of large bodies; return (answer, error)."""
     items = stage.items(name, count, body=BODY)
-    return stage.do(
-        stage.up("edge"), lambda node: raw_front.accept_raw_lot(node, FORWARD, name, items)
-    )
+    return stage.do(stage.up("edge"), lambda node: api.accept_raw_lot(node, FORWARD, name, items))
 
 
 def lose_all_power(stage):
--- a/tests/test_takeover_view.py
+++ b/tests/test_takeover_view.py
@@ -3,7 +3,7 @@
 from quillring.kernel.errors import NotOwner
 from quillring.quorum.takeover import ENDED, OWNED, STATE
 from quillring.verbs.part_routes import show_parts
-from tests.raw_stage import RawStage
+from tests.http_lot_stage import RawStage
 from tests.test_takeover import LINK, filled, lose_all_power
 
 
--- a/tests/test_raw_quota.py
+++ b/tests/test_token_quota.py
@@ -6,10 +6,10 @@
 
 from quillring.kernel.effects import Sleep
 from quillring.kernel.errors import OutcomeUnknown, QuillringError, Refused
-from quillring.lots import raw_front
-from quillring.lots.raw_reservations import reserved_lots
-from quillring.lots.raw_state import QuotaExceeded
-from tests.raw_stage import FORWARD, HOST, RawStage, accepted, check_whole
+from quillring.lots.http_requests import api
+from quillring.lots.http_requests.lot_table import QuotaExceeded
+from quillring.lots.http_requests.token_reservations import reserved_lots
+from tests.http_lot_stage import FORWARD, HOST, RawStage, accepted, check_whole
 
 
 def silence(stage, is_silent=True):
@@ -24,7 +24,7 @@
 def begin(stage, name, count, tokens=10):
     items = stage.items(name, count, tokens)
     return stage.begin(
-        stage.up("edge"), lambda node: raw_front.accept_raw_lot(node, FORWARD, name, items)
+        stage.up("edge"), lambda node: api.accept_raw_lot(node, FORWARD, name, items)
     )
 
 
@@ -38,7 +38,7 @@
 
     An accept that is held does not leave the edge.
     """
-    sent, real = [], raw_front.submit_surely
+    sent, real = [], api.submit_surely
 
     def submit(node, part, command, seconds):
         sent.append((part, command))
@@ -46,7 +46,7 @@
             return hold(seconds)
         return real(node, part, command, seconds)
 
-    return sent, mock.patch.object(raw_front, "submit_surely", submit)
+    return sent, mock.patch.object(api, "submit_surely", submit)
 
 
 def test_the_quota_is_exact_over_the_parts_and_all_of_it_is_used():
@@ -93,9 +93,7 @@
         sent, patch = commands_sent(is_accept_held=True)
         with patch:
             items = stage.items(name, 30)
-            process = stage.begin(
-                edge, lambda node: raw_front.accept_raw_lot(node, FORWARD, name, items)
-            )
+            process = stage.begin(edge, lambda node: api.accept_raw_lot(node, FORWARD, name, items))
             while not sent or sent[-1][1]["do"] != "raw.accept":
                 stage.env.step()
             stage.sim.kill(edge.me.name)
@@ -148,7 +146,7 @@
 def test_an_accept_that_was_fenced_gets_a_new_ticket_and_is_taken():
     with RawStage(230, most_tokens=300) as stage:
         name, home = name_outside_home(stage), stage.home()
-        real, fenced = raw_front.submit_surely, []
+        real, fenced = api.submit_surely, []
 
         def submit(node, part, command, seconds):
             if command["do"] == "raw.accept" and not fenced:
@@ -158,7 +156,7 @@
                 )
             return (yield from real(node, part, command, seconds))
 
-        with mock.patch.object(raw_front, "submit_surely", submit):
+        with mock.patch.object(api, "submit_surely", submit):
             answer, error = stage.hand_in(name, 20)
         assert (answer, error, fenced) == ({"items": 20}, None, [{"left": {}}])
         assert stage.counted("raw_accepts_fenced") == 1
--- a/tests/test_raw_ledger.py
+++ b/tests/test_token_reservation_order.py
@@ -3,11 +3,15 @@
 from hypothesis import settings, strategies
 from hypothesis.stateful import Bundle, RuleBasedStateMachine, invariant, multiple, rule
 
-from quillring.lots.raw_reservations import reserved_lots, reserved_tokens, tokens_left
-from quillring.lots.raw_state import FENCED, raw_lots
+from quillring.lots.http_requests.lot_table import FENCED, raw_lots
+from quillring.lots.http_requests.token_reservations import (
+    reserved_lots,
+    reserved_tokens,
+    tokens_left,
+)
 from quillring.quorum.commands import apply_batch, first_state
-from tests.test_raw_lots import result
-from tests.test_raw_reservations import HOME, MOST, accept_under, fence, release, reserve
+from tests.test_http_lot_state_machine import result
+from tests.test_token_reservations import HOME, MOST, accept_under, fence, release, reserve
 
 LOTS = {"a": "part-0", "b": "part-1", "c": "part-1", "d": "part-2"}
 
--- a/tests/test_raw_reservations.py
+++ b/tests/test_token_reservations.py
@@ -3,10 +3,14 @@
 import pytest
 
 from quillring.kernel.errors import Conflict
-from quillring.lots.raw_reservations import reserved_lots, reserved_tokens, tokens_left
-from quillring.lots.raw_state import FENCED, HELD, MOVED, QUOTA, raw_lots
+from quillring.lots.http_requests.lot_table import FENCED, HELD, MOVED, QUOTA, raw_lots
+from quillring.lots.http_requests.token_reservations import (
+    reserved_lots,
+    reserved_tokens,
+    tokens_left,
+)
 from quillring.quorum.commands import apply_batch, first_state
-from tests.test_raw_lots import accept, result
+from tests.test_http_lot_state_machine import accept, result
 
 HOME, MOST = "part-0", 60
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quillring.lots.raw_ledger import OpenLot, age_by_wall
+from quillring.lots.http_requests.item_table import OpenLot, age_by_wall
 from tests.fleet_stage import SelfFounded
 from tests.system_calls import WHOLE, call, replace
 
@@ -16,8 +16,8 @@
 MAY_ASK = {
     "quillring/edge/streams.py": "the age of a stream's token",
     "quillring/kernel/gevent_runtime.py": "gives the clock to the others",
-    "quillring/lots/raw_front.py": "when a lot was handed in, for its turn",
-    "quillring/lots/raw_ledger.py": "a lot's turn after its owner changed",
+    "quillring/lots/http_requests/api.py": "when a lot was handed in, for its turn",
+    "quillring/lots/http_requests/item_table.py": "a lot's turn after its owner changed",
     "quillring/verbs/fleet_verbs.py": "the operator's calendar, on the operator's machine",
     "quillring/verbs/process.py": "the number of a start; one that is too low is raised",
 }
