--- a/quillring/lots/http_requests/state_machine.py
+++ b/quillring/lots/http_requests/state_machine.py
@@ -1,8 +1,8 @@
 """Commands and queries of raw lots: items that go to replicas unchanged, results in one order.
 
 A raw lot lives in the part that its key (lot and host) hashes to; the tokens that wait on a forward
-are reserved in the part of its host before (`token_reservations`). Every change copies the lot's own
-small tables only; bodies and texts are shared, and what the part holds is counted along.
+are reserved in the part of its host before (`token_reservations`). Every change copies the lot's
+own small tables only; bodies and texts are shared, and what the part holds is counted along.
 """
 
 from quillring.kernel.errors import Conflict, NotFound
