--- a/proving/model/core_machine.py
+++ b/proving/model/core_machine.py
@@ -10,6 +10,7 @@
 from quillring.quorum.founding import found_fleet
 from quillring.quorum.peek import peek
 from quillring.quorum.swap import submit_first
+from quillring.quorum.values import GroupMember
 
 CONFIGURATION = {"ask": "layout"}
 
@@ -150,7 +151,7 @@
             if isinstance(outcome, dict):
                 self.events.append(Founded(outcome["fleet"]))
 
-        stores = [list(store) for store in self.model.group]
+        stores = [GroupMember.from_wire(store) for store in self.model.group]
         choose = self._choose if self.model.seeds else None
         self.runtime.spawn(found_fleet(self.node, 1, 3, stores, choose), "found", on_end)
 
