--- a/proving/model/core_machine.py
+++ b/proving/model/core_machine.py
@@ -65,7 +65,7 @@
         group = [list(store) for store in self.model.group] if former is None else former.group
         self.owner = WatchedOwner(self.node, self.model.part, group, former)
         self.busy.add("take")
-        self.runtime.spawn(self.owner.take(), "take", self._end_take)
+        self.runtime.spawn(self.owner.run_election(), "take", self._end_take)
 
     def _end_take(self, outcome):
         self.busy.discard("take")
--- a/proving/model/phase_bugs.py
+++ b/proving/model/phase_bugs.py
@@ -14,9 +14,9 @@
         best = best_entries(promises, owner.index)
         while owner.index + 1 in best:
             batch = yield from fetch_batch(owner, owner.index + 1, best[owner.index + 1])
-            yield from owner.decide(batch)
+            yield from owner.replicate(batch)
             owner.adopt_group(owner.state["group"])
-        yield from owner.decide([])
+        yield from owner.replicate([])
         return True
 
     return all_of([mock.patch.object(owner_module, "finish_tail", finish_tail)])
--- a/proving/model/watched_owner.py
+++ b/proving/model/watched_owner.py
@@ -22,12 +22,12 @@
             self.asked_ballot, self.asked_groups = ballot, known | {group}
         return replies
 
-    def decide(self, batch):
+    def replicate(self, batch):
         """Have a majority accept the next entry, once it is noted who was asked before."""
         ballot, group = tuple(self.ballot), members_of(self.group)
         if ballot != self.asked_ballot or group not in self.asked_groups:
             self.unasked.append(ProposedUnasked(ballot, self.index + 1))
-        return (yield from super().decide(batch))
+        return (yield from super().replicate(batch))
 
 
 def members_of(group):
--- a/quillring/quorum/mending.py
+++ b/quillring/quorum/mending.py
@@ -35,9 +35,9 @@
         """Coroutine: mend while the term lasts."""
         while self.owner.is_leader:
             yield Sleep(self.owner.node.bounds.heartbeat_interval / 2)
-            yield from self.mend()
+            yield from self.repair_followers()
 
-    def mend(self) -> Coroutine:
+    def repair_followers(self) -> Coroutine:
         """Coroutine: give the members in reach what they miss; nothing while that is under way."""
         if self.is_busy:
             return
--- a/quillring/quorum/owner.py
+++ b/quillring/quorum/owner.py
@@ -48,7 +48,7 @@
         "is_leader",
         "listeners",
         "confirmed_at",
-        "higher",
+        "highest_seen_ballot_number",
         "recent",
         "mending",
         "takeover",
@@ -71,7 +71,7 @@
         self.is_leader = False
         self.listeners = []
         self.confirmed_at = None
-        self.higher = 0 if former is None else former.higher
+        self.highest_seen_ballot_number = 0 if former is None else former.highest_seen_ballot_number
 
     def calls(self, service: str, **body: Any) -> list[Call]:
         """Return the calls of a service to each store of the group, under the ballot."""
@@ -98,18 +98,21 @@
         Not so where `declines_leadership(ballot)` says that the higher ballot is to be left to win.
         """
         try:
-            yield from self.take()
+            yield from self.run_election()
         except Fenced as error:
             if declines_leadership(error.detail["ballot"]):
                 raise
-            yield from self.take()
+            yield from self.run_election()
 
-    def take(self) -> Coroutine:
+    def run_election(self) -> Coroutine:
         """Coroutine: win a ballot at a majority, finish what others began; then own the part."""
         self.is_leader = False
         self.takeover.begin()
         me = self.node.me
-        self.ballot = (max(self.higher, self.ballot[0]) + 1, f"{me.name}#{me.incarnation}")
+        self.ballot = (
+            max(self.highest_seen_ballot_number, self.ballot[0]) + 1,
+            f"{me.name}#{me.incarnation}",
+        )
         while True:
             self.takeover.enter(PROMISES, [store[0] for store in self.group], self.ballot)
             promises = yield from self._prepare()
@@ -133,7 +136,7 @@
         self.group = [list(store) for store in known_group]
         return True
 
-    def decide(self, batch: list[dict]) -> Coroutine:
+    def replicate(self, batch: list[dict]) -> Coroutine:
         """Coroutine: have a majority accept the next entry; apply it; return the answers."""
         asked_at = self.node.now()
         entry = {"index": self.index + 1, "batch": batch, "committed": self.index}
@@ -177,7 +180,7 @@
     def _write_queue(self) -> Coroutine:
         batch, self.queue = split_batch(self.queue)
         try:
-            answers = yield from self.decide([command for command, _ in batch])
+            answers = yield from self.replicate([command for command, _ in batch])
         except QuillringError as error:
             for _, answer_signal in batch:
                 answer_signal.set(NoMajority(part=self.part, reason=error.kind))
@@ -190,9 +193,9 @@
             for (_, answer_signal), answer in zip(batch, answers, strict=True):
                 answer_signal.set(answer)
 
-    def mend(self) -> Coroutine:
+    def repair_followers(self) -> Coroutine:
         """Coroutine: give the members of the group in reach what they miss."""
-        yield from self.mending.mend()
+        yield from self.mending.repair_followers()
 
     def applied_index_by_store(self) -> Coroutine:
         """Coroutine: tell members in reach what is committed; return {store: index it applied}."""
--- a/quillring/quorum/repair.py
+++ b/quillring/quorum/repair.py
@@ -74,7 +74,7 @@
                     break
                 self.joining.pop(owner.part, None)
                 self.chosen.pop(owner.part, None)
-                yield from owner.mend()
+                yield from owner.repair_followers()
         finally:
             self.joining.pop(owner.part, None)
             self.busy_parts.discard(owner.part)
@@ -93,7 +93,7 @@
         """Coroutine: bring the joining store up to date; tell whether the change loses nothing."""
         if change.joining is not None and not (yield from self._invite(owner, change.joining)):
             return False
-        yield from owner.mend()
+        yield from owner.repair_followers()
         index = owner.index
         applied = yield from owner.applied_index_by_store()
         return is_durable_without(owner, change, applied, index)
--- a/quillring/quorum/rounds.py
+++ b/quillring/quorum/rounds.py
@@ -22,7 +22,9 @@
     )
     fences = [r.detail["ballot"] for r in replies.values() if isinstance(r, Fenced)]
     if fences:
-        owner.higher = max(owner.higher, *(int(ballot[0]) for ballot in fences))
+        owner.highest_seen_ballot_number = max(
+            owner.highest_seen_ballot_number, *(int(ballot[0]) for ballot in fences)
+        )
         raise Fenced(part=owner.part, ballot=max(fences))
     good_replies = {t: r for t, r in replies.items() if not isinstance(r, QuillringError)}
     if len(good_replies) < majority(owner.group):
--- a/quillring/quorum/tail.py
+++ b/quillring/quorum/tail.py
@@ -62,8 +62,8 @@
     best = best_entries(promises, owner.index)
     while owner.index + 1 in best:
         batch = yield from fetch_batch(owner, owner.index + 1, best[owner.index + 1])
-        yield from owner.decide(batch)
+        yield from owner.replicate(batch)
         if owner.adopt_group(owner.state["group"]):
             return False
-    yield from owner.decide([])
+    yield from owner.replicate([])
     return True
