--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize("way", WAYS)
-@pytest.mark.parametrize("is_owner", [True, False])
+@pytest.mark.parametrize("is_leader", [True, False])
 def test_a_core_cut_off_for_twenty_seconds_hands_out_nothing_and_neither_takes_nor_refuses(
     way, is_leader
 ):
--- a/tests/test_loud_cuts.py
+++ b/tests/test_loud_cuts.py
@@ -122,7 +122,7 @@
     assert newest(stage) == {8}
 
 
-@pytest.mark.parametrize("is_owner", [True, False])
+@pytest.mark.parametrize("is_leader", [True, False])
 def test_a_core_cut_off_by_refusal_confirms_nothing_and_another_takes_its_parts(is_leader):
     stage, owner, other = founded(640)
     core, live = (owner, other) if is_leader else (other, owner)
