--- /dev/null
+++ b/tests/test_landed_folders.py
@@ -0,0 +1,122 @@
+"""Data folders that the landed version wrote are recovered to the same state, byte for byte."""
+
+import shutil
+import zlib
+from pathlib import Path
+
+import cbor2
+import pytest
+
+from quillring.edge.memory import ReplicaMemory
+from quillring.fleet import open_store
+from quillring.kernel.node import Node
+from quillring.nifty import Member
+from quillring.quorum.electing import Witness
+from quillring.store import FolderDisk
+from quillring.store.records import read_records
+from quillring.store.slot_file import HEADER
+
+FOLDER = Path(__file__).parent / "data" / "landed"
+STORES = ("busy", "half-snapshot")
+
+
+@pytest.fixture
+def folder_disk(tmp_path):
+    def copied(name):
+        shutil.copytree(FOLDER / name, tmp_path / name)
+        return FolderDisk(str(tmp_path / name))
+
+    return copied
+
+
+@pytest.fixture
+def node():
+    return Node(Member("store-1", 1, "store", "x", "127.0.0.1", 1, 2, ""), None)
+
+
+class Gossip:
+    """Gossip that holds what was put into it."""
+
+    def __init__(self):
+        self.news = {}
+
+    def put(self, key, version, value):
+        self.news[key] = (version, value)
+
+    def under(self, prefix):
+        return {key: value for key, (_, value) in self.news.items() if key.startswith(prefix)}
+
+
+class ReplicaTable:
+    """A table of replicas that changed."""
+
+    table_version = 1
+
+
+def recorded(name):
+    return (FOLDER / f"{name}.recovered").read_bytes()
+
+
+def recovered_slot(disk, name):
+    """Recover a data folder; return the slot that holds what was recovered."""
+    acceptors = open_store(disk, (FOLDER / name / "NAME").read_text(), None)
+    acceptors.slots.turn()
+    return disk.read(f"slot.{acceptors.slots.generation % 2}")
+
+
+def rows_of(slot):
+    return read_records(slot[HEADER.size :])[0][1:]
+
+
+@pytest.mark.parametrize("name", STORES)
+def test_a_landed_store_is_recovered_to_the_same_rows(folder_disk, name):
+    assert rows_of(recovered_slot(folder_disk(name), name)) == rows_of(
+        zlib.decompress(recorded(name))
+    )
+
+
+@pytest.mark.parametrize("name", STORES)
+def test_the_next_slot_has_the_bytes_that_the_landed_version_wrote(folder_disk, name):
+    assert recovered_slot(folder_disk(name), name) == zlib.decompress(recorded(name))
+
+
+@pytest.mark.parametrize("name", STORES)
+def test_a_second_recovery_changes_nothing(folder_disk, name):
+    disk = folder_disk(name)
+    first_rows = rows_of(recovered_slot(disk, name))
+    assert rows_of(recovered_slot(disk, name)) == first_rows
+
+
+def test_the_recorded_folders_hold_what_they_are_kept_for():
+    busy, half = (rows_of(zlib.decompress(recorded(name))) for name in STORES)
+    assert {"store", "hint", "part", "state"} == {row[0] for row in busy}
+    assert {"arriving", "arrived"} < {row[0] for row in half}
+    assert any(row[2][3] for row in busy if row[0] == "part"), "no accepted entry is unapplied"
+    assert {row[1] for row in busy if row[0] == "part"} > {"config"}
+    assert busy[0][2]["groups"], "no founding"
+
+
+def test_the_vote_of_a_seed_is_recalled_and_written_in_the_same_bytes(folder_disk, node, tmp_path):
+    vote = cbor2.loads(recorded("small"))["vote"]
+    assert Witness(node, folder_disk("small")).on_recall(None, "core-1") == vote
+    (tmp_path / "new").mkdir()
+    disk = FolderDisk(str(tmp_path / "new"))
+    witness = Witness(node, disk)
+    witness.on_keep([1, [1, "core-1#101"], [0, ""], None], "core-1")
+    witness.on_keep(vote, "core-1")
+    for name in ("founding.0", "founding.1"):
+        assert disk.read(name) == (FOLDER / "small" / name).read_bytes()
+
+
+def test_the_replicas_of_a_landed_store_are_remembered(folder_disk, node):
+    beats, gossip = cbor2.loads(recorded("small"))["beats"], node.offer("gossip", Gossip())
+    node.offer("replicas", ReplicaTable())
+    disk = folder_disk("small")
+    memory = ReplicaMemory(node, disk)
+    memory.recall()
+    assert gossip.news == {"replica/words-1": ([7, 3], beats[0])}
+    writer, memory.kept_version = memory.run(), 0
+    next(writer)
+    next(writer)
+    assert cbor2.loads(disk.read("replicas.1")[4:]) == [3, beats]
+    assert disk.read("replicas.0") == (FOLDER / "small" / "replicas.0").read_bytes()
