--- a/proving/histories/bugs.py
+++ b/proving/histories/bugs.py
@@ -11,7 +11,7 @@
 from quillring.kernel.effects import Signal
 from quillring.kernel.errors import Conflict, Refused
 from quillring.lots.http_requests import state_machine
-from quillring.ownership import asking
+from quillring.ownership import part_client
 from quillring.quorum import owner, peek
 from quillring.quorum.acceptor import Acceptors, PartRecord
 from quillring.quorum.commands import COMMANDS
@@ -179,7 +179,9 @@
         "on_news",
         take_any_news,
     ),
-    Bug("unknown told as refused", "asking._unknown", asking, "_unknown", told_as_refused),
+    Bug(
+        "unknown told as refused", "part_client._unknown", part_client, "_unknown", told_as_refused
+    ),
     Bug("reads past the log", "peek.find_answer", peek, "find_answer", newest_of_any),
     Bug("entry in flight", "InFlight.wait", InFlight, "wait", wait_for_nothing),
     Bug("always fresh", "Freshness.is_fresh", Freshness, "is_fresh", always_fresh),
--- a/proving/points/cuts.py
+++ b/proving/points/cuts.py
@@ -196,7 +196,7 @@
     yield from REAL_TAKE(self, part, attempts)
 
 
-REAL_TAKE = Ownership._take
+REAL_TAKE = Ownership._run_election
 
 
 POINTS = [
@@ -216,7 +216,7 @@
     (
         "service returns after a closing fault",
         closing_fault,
-        [(Ownership, "_take", take_at_first_only)],
+        [(Ownership, "_run_election", take_at_first_only)],
     ),
     (
         "hints are handed over and dropped",
--- a/proving/points/keeping.py
+++ b/proving/points/keeping.py
@@ -59,7 +59,7 @@
 
 
 def _held(node):
-    owners = node.find("ownership").owners.values()
+    owners = node.find("ownership").leaders.values()
     return max(
         (
             sum(node.find("keeping").weight(o.part, n, lot) for n, lot in o.state["lots"].items())
--- a/proving/points/lots.py
+++ b/proving/points/lots.py
@@ -7,8 +7,8 @@
 from proving.points.state import CommandsWith
 from proving.sim import backends
 from quillring.lots.prompts.scheduler import LotRunner
-from quillring.ownership.resting import Resting
-from quillring.ownership.standing import Standing
+from quillring.ownership.election_timing import ElectionTiming
+from quillring.ownership.leadership_backoff import LeadershipBackoff
 from quillring.quorum import acceptor, commands, owner, rounds
 from quillring.quorum.parts import CONFIG
 from quillring.rollout.freshness import Freshness
@@ -216,8 +216,8 @@
             (acceptor.Acceptors, "on_confirm", lambda self, body, origin: True),
             (owner.Owner, "has_lease", lambda self: self.is_leader),
             (owner.Owner, "linearizable_state", unfenced_state),
-            (Resting, "note_lost_term", no_check),
-            (Standing, "begin_anew", no_check),
+            (LeadershipBackoff, "note_lost_term", no_check),
+            (ElectionTiming, "forget_observations", no_check),
             (Freshness, "check", no_check),
         ],
     ),
--- a/proving/points/membership.py
+++ b/proving/points/membership.py
@@ -22,7 +22,7 @@
 
 def owner_of(stage, part):
     """Return the newest owner of a part on a running core, or None."""
-    tables = [node.find("ownership").owners for node in stage.sim.up_nodes("core")]
+    tables = [node.find("ownership").leaders for node in stage.sim.up_nodes("core")]
     owners = [table[part] for table in tables if part in table and table[part].is_leader]
     return max(owners, key=lambda owner: owner.ballot, default=None)
 
--- a/proving/points/orders.py
+++ b/proving/points/orders.py
@@ -161,9 +161,9 @@
 
 def former_owner(self, part):
     """Stand-in for the guard: whoever owned the part once answers for it."""
-    if part not in self.owners:
+    if part not in self.leaders:
         raise NotOwner(part=part)
-    return self.owners[part]
+    return self.leaders[part]
 
 
 def never_hopeless(self, part):
@@ -191,8 +191,8 @@
         cut_off_core,
         [
             (Owner, "linearizable_state", unfenced_state),
-            (Ownership, "_owner", former_owner),
-            (Ownership, "why_hopeless", never_hopeless),
+            (Ownership, "_leader", former_owner),
+            (Ownership, "why_unavailable", never_hopeless),
         ],
     ),
 ]
--- a/proving/points/reading.py
+++ b/proving/points/reading.py
@@ -5,7 +5,7 @@
 from quillring.gossip import Gossip
 from quillring.kernel.errors import TimedOut
 from quillring.lots.prompts.api import show_results
-from quillring.ownership import asking
+from quillring.ownership import part_client
 from quillring.plans.front import confirm, propose, show_one
 from quillring.plans.runner import PlanRunner
 from quillring.quorum.parts import CONFIG
@@ -58,7 +58,7 @@
     """Return the numbers of the results that a live owner of the part has written."""
     part = lot.partition(".")[0]
     for node in stage.sim.up_nodes("core"):
-        owner = node.find("ownership").owners.get(part)
+        owner = node.find("ownership").leaders.get(part)
         if owner is not None and owner.has_lease() and lot in owner.state["lots"]:
             return set(owner.state["lots"][lot]["results"])
     return set()
@@ -167,7 +167,7 @@
 
 
 POINTS = [
-    ("a result can be read within 1 s", result_read, [(asking, "peek", never_peek)]),
+    ("a result can be read within 1 s", result_read, [(part_client, "peek", never_peek)]),
     (
         "a plan outlives the core that runs it",
         plan_core_dies,
--- a/proving/points/stalls.py
+++ b/proving/points/stalls.py
@@ -158,6 +158,6 @@
     (
         "a control machine that is cut off hands out and confirms nothing old",
         cut_off_control,
-        [(Ownership, "read", read_own), (Ownership, "why_hopeless", never_hopeless)],
+        [(Ownership, "read", read_own), (Ownership, "why_unavailable", never_hopeless)],
     ),
 ]
--- a/proving/points/waits.py
+++ b/proving/points/waits.py
@@ -154,11 +154,11 @@
     (
         "a lost majority is refused at once",
         lost_majority,
-        [(Ownership, "why_hopeless", never_lost)],
+        [(Ownership, "why_unavailable", never_lost)],
     ),
     (
         "lost cores are refused at once",
         lost_cores,
-        [(Ownership, "why_hopeless", never_lost), (Node, "on_graph", keep_pending)],
+        [(Ownership, "why_unavailable", never_lost), (Node, "on_graph", keep_pending)],
     ),
 ]
--- a/proving/points/zones.py
+++ b/proving/points/zones.py
@@ -75,7 +75,7 @@
                 stage.sim.history.violate(f"{node.me.name} takes work, emptied at {accepted_at}")
             except QuillringError:
                 pass
-        owned = [p for p, owner in node.find("ownership").owners.items() if owner.is_leader]
+        owned = [p for p, owner in node.find("ownership").leaders.items() if owner.is_leader]
         if owned:
             stage.sim.history.violate(f"{node.me.name} owns {owned}, emptied at {accepted_at}")
 
--- a/proving/sim/many_changes.py
+++ b/proving/sim/many_changes.py
@@ -100,9 +100,9 @@
     def owner(self):
         """Return the owner of the configuration with the highest term, or None."""
         owners = [
-            node.find("ownership").owners[CONFIG]
+            node.find("ownership").leaders[CONFIG]
             for node in self.sim.up_nodes("core")
-            if CONFIG in node.find("ownership").owners
+            if CONFIG in node.find("ownership").leaders
         ]
         return max((o for o in owners if o.is_leader), key=lambda o: o.ballot, default=None)
 
--- a/proving/sim/quorum_fuzz.py
+++ b/proving/sim/quorum_fuzz.py
@@ -153,10 +153,10 @@
         ownership = sim.nodes["core-1"].find("ownership")
         for part, names in self.acked.items():
             owners = [
-                n.find("ownership").owners[part]
+                n.find("ownership").leaders[part]
                 for n in sim.up_nodes("core")
-                if part in n.find("ownership").owners
-                and n.find("ownership").owners[part].has_lease()
+                if part in n.find("ownership").leaders
+                and n.find("ownership").leaders[part].has_lease()
             ]
             if len(owners) != 1:
                 sim.history.violate(f"{part} has {len(owners)} owners in the end")
--- a/proving/sim/repair_time.py
+++ b/proving/sim/repair_time.py
@@ -46,7 +46,7 @@
         """Return {part: its newest owner}."""
         owners = {}
         for node in self.sim.up_nodes("core"):
-            for part, owner in node.find("ownership").owners.items():
+            for part, owner in node.find("ownership").leaders.items():
                 if owner.is_leader and (part not in owners or owner.ballot > owners[part].ballot):
                     owners[part] = owner
         return owners
--- a/quillring/classes/granter.py
+++ b/quillring/classes/granter.py
@@ -29,7 +29,7 @@
         self.node = node
         self.asked = {}
         self.owned_since = {}
-        node.find("ownership").on_owner.append(self._on_owner)
+        node.find("ownership").leader_listeners.append(self._on_owner)
         node.handle("grants.ask", self.on_ask)
 
     @property
@@ -49,7 +49,7 @@
         service = body["service"]
         ownership = self.node.find("ownership")
         part = part_of(service, len(ownership.parts()) - 1)
-        owner = ownership.owners.get(part)
+        owner = ownership.leaders.get(part)
         if owner is None or not owner.has_lease():
             raise NotOwner(part=part)
         now = self.node.now()
--- a/quillring/edge/admission.py
+++ b/quillring/edge/admission.py
@@ -7,7 +7,7 @@
     """Refuse whatever comes in anew while this node drains or its domain is emptied."""
     if node.is_draining:
         raise Refused(reason="draining")
-    if node.find("layout").is_left(node.me.zone):
+    if node.find("layout").is_zone_draining(node.me.zone):
         raise Refused(reason="the domain is emptied", domain=node.me.zone)
 
 
--- a/quillring/edge/liveness.py
+++ b/quillring/edge/liveness.py
@@ -5,7 +5,7 @@
 """
 
 from quillring.kernel.effects import Sleep
-from quillring.ownership.rank import ranked_cores
+from quillring.ownership.candidates import order_candidates
 
 TELLERS = 2
 
@@ -29,7 +29,7 @@
         if nifty.graph is not self.graph or nifty.roster is not self.roster:
             self.graph, self.roster = nifty.graph, nifty.roster
             cores = [m.name for m in nifty.roster.members.values() if m.role == "core"]
-            self.teller_names = tuple(ranked_cores("replica", cores, nifty.graph)[:TELLERS])
+            self.teller_names = tuple(order_candidates("replica", cores, nifty.graph)[:TELLERS])
         return self.teller_names
 
     def note(self, name, incarnation, sequence):
--- a/quillring/fleet.py
+++ b/quillring/fleet.py
@@ -81,8 +81,8 @@
     """A core owns parts, runs lots and holds journals."""
     _start_serving(node)
     runner = node.offer("lots", LotRunner(node))
-    node.find("ownership").checks.append(runner.keeping.check)
-    node.find("ownership").on_owner.append(runner.on_batch)
+    node.find("ownership").submit_checks.append(runner.keeping.check)
+    node.find("ownership").leader_listeners.append(runner.on_batch)
     node.offer("granter", Granter(node))
     repair = node.offer("repair", Repair(node))
     plans = node.offer("plans", PlanRunner(node))
--- a/quillring/lots/__init__.py
+++ b/quillring/lots/__init__.py
@@ -16,7 +16,7 @@
     """
     node.offer("raw_worker", RawWorker(node))
     reads, runner = node.offer("raw_reads", RawReads(node)), node.offer("raw", RawRunner(node))
-    node.find("ownership").on_owner.extend([runner.on_batch, reads.on_batch])
+    node.find("ownership").leader_listeners.extend([runner.on_batch, reads.on_batch])
     quota = node.offer("raw_quota", RawQuota(node))
     node.spawn(quota.run())
     node.spawn(runner.demand.run())
--- a/quillring/lots/http_requests/api.py
+++ b/quillring/lots/http_requests/api.py
@@ -192,7 +192,7 @@
     ownership, bounds = node.find("ownership"), node.bounds
     try:
         return (
-            yield from ownership.ask(
+            yield from ownership.call_leader(
                 part, "raw.read", body, hold_seconds + bounds.read_timeout * 0.4
             )
         )
--- a/quillring/lots/http_requests/item_executor.py
+++ b/quillring/lots/http_requests/item_executor.py
@@ -217,7 +217,7 @@
             try:
                 if outcome in commands:
                     return (yield from ownership.submit(run.part, commands[outcome]))
-                return (yield from ownership.ask(run.part, "raw.report", report, None))
+                return (yield from ownership.call_leader(run.part, "raw.report", report, None))
             except QuillringError as error:
                 self.node.count("raw_deliveries_repeated")
                 self.node.log("debug", "raw delivery %s: %s", run.id, error)
--- a/quillring/lots/http_requests/quota_reconciler.py
+++ b/quillring/lots/http_requests/quota_reconciler.py
@@ -28,7 +28,7 @@
 
     def on_left(self, body, origin):
         """Tell the tokens that wait of lots of a part owned here, as far as they are known."""
-        owner = self.node.find("ownership").owners.get(body["part"])
+        owner = self.node.find("ownership").leaders.get(body["part"])
         if owner is None or not owner.is_leader:
             raise NotOwner(part=body["part"])
         return {"left": tokens_left(owner.state, body["lots"])}
@@ -37,7 +37,7 @@
         """Coroutine: look after the ledgers of owned parts."""
         while True:
             yield Sleep(self.node.bounds.read_timeout * CROWDED_PERIOD / 4)
-            for owner in list(self.node.find("ownership").owners.values()):
+            for owner in list(self.node.find("ownership").leaders.values()):
                 if owner.has_lease() and self._is_due(owner):
                     self.asked_at[owner.part] = self.node.now()
                     self._look_after(owner)
@@ -88,7 +88,9 @@
     def _ask(self, owner, part, entries):
         """Coroutine: return {lot: tokens left}; a lot that can never be taken any more has none."""
         ownership, seconds = self.node.find("ownership"), self.node.bounds.read_timeout
-        answer = yield from ownership.ask(part, "raw.left", {"lots": list(entries)}, seconds)
+        answer = yield from ownership.call_leader(
+            part, "raw.left", {"lots": list(entries)}, seconds
+        )
         left, now = answer["left"], self.node.now()
         late = {}
         for name, entry in entries.items():
--- a/quillring/lots/http_requests/result_reads.py
+++ b/quillring/lots/http_requests/result_reads.py
@@ -30,7 +30,7 @@
 
     def on_read(self, body, origin):
         """Answer a query, after some seconds at most while the lot has no further result."""
-        owner, query = self.node.find("ownership").owners.get(body["part"]), body["query"]
+        owner, query = self.node.find("ownership").leaders.get(body["part"]), body["query"]
         end_time = self.node.now() + body["seconds"]
         if owner is not None:
             yield from owner.in_flight.wait(query["lot"])
--- a/quillring/lots/http_requests/scheduler.py
+++ b/quillring/lots/http_requests/scheduler.py
@@ -177,7 +177,7 @@
     def _workers(self, ledger):
         ownership = self.node.find("ownership")
         members = self.node.find("nifty").roster.members
-        names = [n for n in ownership.rank(ledger.owner.part) if not ownership.is_leaving(n)]
+        names = [n for n in ownership.candidates(ledger.owner.part) if not ownership.is_leaving(n)]
         return [(n, members[n].zone) for n in names if not ledger.rests(n)]
 
     def _start(self, ledger, item, run, forward, is_near):
--- a/quillring/lots/http_requests/worker_selection.py
+++ b/quillring/lots/http_requests/worker_selection.py
@@ -17,7 +17,7 @@
     """Tell whether a lot of an owned part was ended."""
     return any(
         raw_lots(owner.state).get(lot_name, {}).get("ended", False)
-        for owner in node.find("ownership").owners.values()
+        for owner in node.find("ownership").leaders.values()
         if owner.state
     )
 
--- a/quillring/lots/prompts/scheduler.py
+++ b/quillring/lots/prompts/scheduler.py
@@ -48,7 +48,7 @@
         """Coroutine: start items while there is room, and stop those of ended lots."""
         while True:
             yield Sleep(self.node.bounds.heartbeat_interval / 5)
-            for owner in self.node.find("ownership").owners.values():
+            for owner in self.node.find("ownership").leaders.values():
                 if owner.has_lease():
                     self.keeping.drop_old(owner)
                     if not self.node.find("ownership").is_leaving(self.node.me.name):
@@ -116,7 +116,7 @@
         return lot is not None and lot["phase"] == OPEN and key[2] not in lot["results"]
 
     def _stop_ended(self):
-        owners = self.node.find("ownership").owners
+        owners = self.node.find("ownership").leaders
         for key, item in list(self.running.items()):
             if not self._is_wanted(owners[key[0]], key):
                 item.stop()
--- a/quillring/ownership/rank.py
+++ b/quillring/ownership/candidates.py
@@ -3,7 +3,7 @@
 from quillring.nifty.graph import score
 
 
-def ranked_cores(key, cores, graph, leaving_names=(), resting_names=()):
+def order_candidates(key, cores, graph, leaving_names=(), resting_names=()):
     """Return the reachable core names, the one that should own the key first.
 
     Those that rest come behind those that do not, and those that leave come last. Links with a
--- a/quillring/ownership/standing.py
+++ b/quillring/ownership/election_timing.py
@@ -7,7 +7,7 @@
 CUT_BEATS = 3
 
 
-class Standing:
+class ElectionTiming:
     """Who ranks first for each part and for how long, as one node sees it.
 
     While nodes start, or the loss of one is noticed at different times, the ranks waver: several
@@ -33,12 +33,12 @@
         if reached != self.reached:
             self.reached, self.reached_at = reached, self.node.now()
 
-    def begin_anew(self):
+    def forget_observations(self):
         """Trust nothing known: this process was stopped so long that others took it for dead."""
         self.known = {}
         self.started_at = self.reached_at = self.node.now()
 
-    def note(self, part, name):
+    def observe_first_candidate(self, part, name):
         """Take who ranks first now; return for how many seconds it has."""
         now = self.node.now()
         if self.known.get(part, (None,))[0] != name:
--- a/quillring/ownership/resting.py
+++ b/quillring/ownership/leadership_backoff.py
@@ -15,7 +15,7 @@
 JITTER = 0.25
 
 
-class Resting:
+class LeadershipBackoff:
     """Whether this core rests, for how long, and which others do, as one node sees it."""
 
     __slots__ = ("node", "lag", "beats", "until", "number")
@@ -27,7 +27,7 @@
         self.until = -math.inf
         self.number = 0
 
-    def is_resting(self, name):
+    def is_backing_off(self, name):
         """Tell whether a core told that it rests, in the life it now leads."""
         member = self.node.find("nifty").roster.members.get(name)
         return (
@@ -37,19 +37,19 @@
 
     def note_lost_term(self):
         """Begin to rest if the term that is over was lost because this process was late."""
-        if self.lag.was_late() and not self.is_resting(self.node.me.name):
-            self._begin()
+        if self.lag.was_late() and not self.is_backing_off(self.node.me.name):
+            self._back_off()
 
-    def look(self):
+    def refresh(self):
         """End a rest that is over, or begin a longer one while this process is still late."""
-        if not self.is_resting(self.node.me.name) or self.node.now() < self.until:
+        if not self.is_backing_off(self.node.me.name) or self.node.now() < self.until:
             return
         if self.lag.was_late():
-            self._begin()
+            self._back_off()
         else:
-            self._tell(None)
+            self._publish(None)
 
-    def _begin(self):
+    def _back_off(self):
         now, beat = self.node.now(), self.node.bounds.heartbeat_interval
         did_well = now - self.until > beat * LONGEST_REST_BEATS
         self.beats = FIRST_REST_BEATS if did_well else min(self.beats * 2, LONGEST_REST_BEATS)
@@ -57,9 +57,9 @@
         self.until = now + beat * self.beats * spread
         self.node.count("rests")
         self.node.log("warning", "late for its parts: rests for %.1f s", self.until - now)
-        self._tell(self.node.me.incarnation)
+        self._publish(self.node.me.incarnation)
 
-    def _tell(self, incarnation):
+    def _publish(self, incarnation):
         me = self.node.me
         self.number += 1
         version = [me.incarnation, self.number]
--- a/quillring/ownership/handover.py
+++ b/quillring/ownership/leadership_transfer.py
@@ -5,7 +5,7 @@
 from quillring.quorum.transfer import START, Place, StateBuilder, cut_piece
 
 
-class Handover:
+class LeadershipTransfer:
     """Both sides of a planned change of owners; the part is without one as briefly as can be."""
 
     __slots__ = ("ownership", "given")
@@ -21,9 +21,9 @@
         """Hand a part over to a core, unless that is under way."""
         if part not in self.given:
             self.given[part] = (owner.index, owner.state)
-            self.ownership.node.spawn(self._give(part, owner, name))
+            self.ownership.node.spawn(self._transfer(part, owner, name))
 
-    def _give(self, part, owner, name):
+    def _transfer(self, part, owner, name):
         """Coroutine: let the next owner fetch the state; then step down and tell it."""
         node = self.ownership.node
         body = {"part": part, "index": self.given[part][0]}
@@ -35,7 +35,7 @@
             node.log("warning", "%s is not ready to own %s: %s", name, part, error)
         finally:
             del self.given[part]
-        if owner.is_leader and self.ownership.rank(part)[:1] == [name]:
+        if owner.is_leader and self.ownership.candidates(part)[:1] == [name]:
             owner.step_down(NotOwner(part=part))
             node.send_oneway(name, "part.free", part)
 
@@ -50,7 +50,7 @@
     def on_ready(self, body, origin):
         """Coroutine: fetch the state of a part from its owner, so as to be its next one."""
         part, index = body["part"], body["index"]
-        former = self.ownership.owners.get(part)
+        former = self.ownership.leaders.get(part)
         if former is not None and (former.is_leader or former.index >= index):
             return True
         builder, place, node = StateBuilder(), START, self.ownership.node
@@ -61,9 +61,9 @@
             )
             builder.add(data, following)
             place = None if following is None else Place(*following)
-        is_unchanged = self.ownership.owners.get(part) is former
-        if is_unchanged and part not in self.ownership.taking:
+        is_unchanged = self.ownership.leaders.get(part) is former
+        if is_unchanged and part not in self.ownership.elections:
             successor = Owner(node, part, self.ownership.group(part), former)
             successor.index, successor.state = index, builder.whole()
-            self.ownership.owners[part] = successor
+            self.ownership.leaders[part] = successor
         return True
--- a/quillring/ownership/ownership.py
+++ b/quillring/ownership/ownership.py
@@ -2,12 +2,12 @@
 
 from quillring.kernel.effects import Signal, Wait
 from quillring.kernel.errors import Fenced, NoMajority, NotFounded, NotOwner, QuillringError
-from quillring.ownership.asking import Asking
-from quillring.ownership.handover import Handover
-from quillring.ownership.rank import ranked_cores
-from quillring.ownership.resting import Resting
-from quillring.ownership.standing import Standing
-from quillring.ownership.takeovers import status_of
+from quillring.ownership.candidates import order_candidates
+from quillring.ownership.election_timing import ElectionTiming
+from quillring.ownership.leadership_backoff import LeadershipBackoff
+from quillring.ownership.leadership_transfer import LeadershipTransfer
+from quillring.ownership.part_client import PartClient
+from quillring.ownership.status import status_of
 from quillring.quorum.commands import QUERIES
 from quillring.quorum.owner import Owner
 from quillring.quorum.parts import GROUP_SIZE
@@ -15,47 +15,47 @@
 from quillring.quorum.waits import wait_for_owner
 
 
-class Ownership(Asking):
+class Ownership(PartClient):
     """The table of parts as one node sees it; on a core also the owners it runs."""
 
     __slots__ = (
         "node",
-        "owners",
-        "on_owner",
-        "checks",
+        "leaders",
+        "leader_listeners",
+        "submit_checks",
         "started_at",
         "wake_signal",
-        "standing",
-        "resting",
-        "handover",
-        "taking",
+        "election_timing",
+        "backoff",
+        "leadership_transfer",
+        "elections",
     )
 
     def __init__(self, node):
         self.node = node
-        self.owners = {}
-        self.on_owner = []
-        self.checks = []
+        self.leaders = {}
+        self.leader_listeners = []
+        self.submit_checks = []
         self.started_at = node.now()
         self.wake_signal = Signal()
-        self.standing = Standing(node)
-        self.resting = Resting(node)
-        self.handover = None
-        self.taking = set()
+        self.election_timing = ElectionTiming(node)
+        self.backoff = LeadershipBackoff(node)
+        self.leadership_transfer = None
+        self.elections = set()
         if node.me.role == "core":
             node.handle("part.submit", self.on_submit)
             node.handle("part.read", self.on_read)
             node.handle("part.whole", self.on_whole)
             node.handle("part.free", self.on_free)
             node.handle("part.takeovers", self.on_takeovers)
-            self.handover = Handover(self)
-            node.find("nifty").listeners.append(self.standing.on_graph)
-            node.find("nifty").listeners.append(self._wake)
-            node.find("gossip").listen("founding", self._wake)
-            node.find("gossip").listen("group/", self._wake)
-            node.find("gossip").listen("resting/", self._wake)
-
-    def _wake(self, *news):
+            self.leadership_transfer = LeadershipTransfer(self)
+            node.find("nifty").listeners.append(self.election_timing.on_graph)
+            node.find("nifty").listeners.append(self._wake_control_loop)
+            node.find("gossip").listen("founding", self._wake_control_loop)
+            node.find("gossip").listen("group/", self._wake_control_loop)
+            node.find("gossip").listen("resting/", self._wake_control_loop)
+
+    def _wake_control_loop(self, *news):
         self.wake_signal.set()
 
     def founding(self):
@@ -83,13 +83,13 @@
         members = self.node.find("nifty").roster.members.values()
         return sorted(m.name for m in members if m.role == "core")
 
-    def rank(self, part):
+    def candidates(self, part):
         """Return the reachable cores in the order of their claim to the part."""
         cores = self.cores()
         leaving_names = {name for name in cores if self.is_leaving(name)}
-        resting_names = {name for name in cores if self.resting.is_resting(name)}
+        resting_names = {name for name in cores if self.backoff.is_backing_off(name)}
         graph = self.node.find("nifty").graph
-        return ranked_cores(part, cores, graph, leaving_names, resting_names)
+        return order_candidates(part, cores, graph, leaving_names, resting_names)
 
     def is_leaving(self, name):
         """Tell whether a member drains or stands in an emptied domain: nothing new goes there."""
@@ -97,11 +97,11 @@
         if member is None:
             return False
         drains = self.node.find("gossip").get(f"draining/{name}") == member.incarnation
-        return drains or self.node.find("layout").is_left(member.zone)
+        return drains or self.node.find("layout").is_zone_draining(member.zone)
 
     def declines_leadership(self, name):
         """Tell whether others take the parts of a core at once: it leaves, or rests."""
-        return self.is_leaving(name) or self.resting.is_resting(name)
+        return self.is_leaving(name) or self.backoff.is_backing_off(name)
 
     def announce_drain(self):
         """Tell all nodes that this one drains, until it starts again."""
@@ -110,7 +110,7 @@
 
     def run(self):
         """Coroutine, on a core: take the parts it ranks first for, hand over the others."""
-        self.node.spawn(self.resting.lag.run())
+        self.node.spawn(self.backoff.lag.run())
         while True:
             seconds = self.node.bounds.heartbeat_interval * (
                 0.8 + 0.4 * self.node.runtime.random.random()
@@ -119,41 +119,41 @@
             if (yield Wait(self.wake_signal, seconds)):
                 self.wake_signal = Signal()
             if self.node.now() - due_at > self.node.bounds.link_timeout:
-                self.standing.begin_anew()
-            self.resting.look()
+                self.election_timing.forget_observations()
+            self.backoff.refresh()
             if self.node.find("gossip").get("founding") is None:
                 continue
             for part in self.parts():
-                self._look_after(part)
+                self._review_part(part)
 
-    def _look_after(self, part):
+    def _review_part(self, part):
         """Take a part that this core should own; hand over one that another should."""
-        owner = self.owners.get(part)
+        owner = self.leaders.get(part)
         holds_part = owner is not None and owner.is_leader
-        is_first, is_settled = self._rank_standing(part)
+        is_first, is_settled = self._observe_candidacy(part)
         if holds_part and not is_first and is_settled and not owner.queue:
-            self._hand_over(part, owner)
-        elif is_first and not holds_part and part not in self.taking:
+            self._transfer_leadership(part, owner)
+        elif is_first and not holds_part and part not in self.elections:
             is_due = is_settled or not self._is_owned_elsewhere(part)
-            if is_due and not self.standing.is_starting():
-                self._begin_taking(part, is_settled)
+            if is_due and not self.election_timing.is_starting():
+                self._begin_election(part, is_settled)
 
-    def _begin_taking(self, part, is_settled):
-        if self.standing.has_majority(self.group(part)):
-            self.taking.add(part)
-            self.node.spawn(self._take(part, is_settled))
+    def _begin_election(self, part, is_settled):
+        if self.election_timing.has_majority(self.group(part)):
+            self.elections.add(part)
+            self.node.spawn(self._run_election(part, is_settled))
 
-    def _rank_standing(self, part):
+    def _observe_candidacy(self, part):
         """Tell whether this core ranks first, and whether that is settled.
 
         While the loss of a node is noticed at different times, the graph looks cut, and the ranks
         waver; a part that is owned well stays where it is meanwhile. Who leaves does so at once.
         """
-        name, me = next(iter(self.rank(part)), None), self.node.me.name
+        name, me = next(iter(self.candidates(part)), None), self.node.me.name
         is_leaving = self.node.is_draining or self.is_leaving(me)
-        seconds = self.standing.note(part, name)
+        seconds = self.election_timing.observe_first_candidate(part, name)
         is_first = name == me and not self.node.is_draining
-        return is_first, is_leaving or self.standing.is_settled(seconds)
+        return is_first, is_leaving or self.election_timing.is_settled(seconds)
 
     def _is_owned_elsewhere(self, part):
         name = (self.node.find("gossip").get(f"owner/{part}") or {}).get("owner")
@@ -163,48 +163,48 @@
             and (self.node.find("nifty").reaches(name) and not self.declines_leadership(name))
         )
 
-    def _hand_over(self, part, owner):
-        for name in self.rank(part)[:1]:
+    def _transfer_leadership(self, part, owner):
+        for name in self.candidates(part)[:1]:
             if name != self.node.me.name:
-                self.handover.begin(part, owner, name)
+                self.leadership_transfer.begin(part, owner, name)
 
-    def _take(self, part, is_settled):
-        former = self.owners.get(part)
-        owner = self.owners[part] = Owner(self.node, part, self.group(part), former)
-        owner.listeners.extend([*self.on_owner, self._publish])
+    def _run_election(self, part, is_settled):
+        former = self.leaders.get(part)
+        owner = self.leaders[part] = Owner(self.node, part, self.group(part), former)
+        owner.listeners.extend([*self.leader_listeners, self._publish_leader])
         try:
             yield from owner.run_election_with_retry(
-                lambda ballot: self._gives_way(ballot, is_settled)
+                lambda ballot: self._may_leave_to_winner(ballot, is_settled)
             )
         except QuillringError as error:
             owner.takeover.end(error)
             if isinstance(error, NoMajority):
-                self.resting.note_lost_term()
-            yield from wait_for_owner(self.node, self._pause_after(error))
+                self.backoff.note_lost_term()
+            yield from wait_for_owner(self.node, self._pause_after_failed_election(error))
             return
         finally:
-            self.taking.discard(part)
-            self._wake()
-        self.node.spawn(self._keep(owner))
+            self.elections.discard(part)
+            self._wake_control_loop()
+        self.node.spawn(self._lead(owner))
 
-    def _keep(self, owner):
+    def _lead(self, owner):
         """Coroutine: own a part until the term ends; a core that lost it by its own fault rests."""
         error = yield from owner.run()
         if isinstance(error, (Fenced, NoMajority)):
-            self.resting.note_lost_term()
+            self.backoff.note_lost_term()
 
-    def _gives_way(self, ballot, is_settled):
+    def _may_leave_to_winner(self, ballot, is_settled):
         """Tell whether the core whose ballot is higher is to be left to win the part."""
-        return not is_settled and self.standing.is_contended(ballot)
+        return not is_settled and self.election_timing.is_contended(ballot)
 
-    def _pause_after(self, error):
+    def _pause_after_failed_election(self, error):
         """Return seconds: where another core is winning, its news comes first."""
         beat = self.node.bounds.heartbeat_interval
         if not isinstance(error, Fenced):
             return beat / 2
-        return beat * 2 if self.standing.is_contended(error.detail["ballot"]) else beat / 4
+        return beat * 2 if self.election_timing.is_contended(error.detail["ballot"]) else beat / 4
 
-    def _publish(self, owner, batch):
+    def _publish_leader(self, owner, batch):
         gossip = self.node.find("gossip")
         if owner.is_leader:
             news = {"owner": owner.node.me.name, "ballot": list(owner.ballot)}
@@ -214,36 +214,36 @@
 
     def on_free(self, part, origin):
         """Coroutine: take a part that its owner hands over, unless it is truly owned here."""
-        owner = self.owners.get(part)
+        owner = self.leaders.get(part)
         if owner is not None and owner.is_leader:
             try:
                 yield from owner.linearizable_state()
             except Fenced as error:
                 owner.step_down(error)
-        self._wake()
+        self._wake_control_loop()
 
     def on_submit(self, body, origin):
         """Commit a command in a part owned here."""
-        owner = self._owner(body["part"])
-        for check in self.checks:
+        owner = self._leader(body["part"])
+        for check in self.submit_checks:
             check(owner, body["command"])
         return owner.submit(body["command"])
 
     def on_read(self, body, origin):
         """Answer a query from a part owned here, under its fence."""
-        read_state = yield from self._owner(body["part"]).linearizable_state()
+        read_state = yield from self._leader(body["part"]).linearizable_state()
         return QUERIES.find(body["query"]["ask"])(read_state, body["query"])
 
     def on_takeovers(self, body, origin):
         """Tell how far this core is with each part that it took or tried to take."""
-        return {part: status_of(owner) for part, owner in self.owners.items()}
+        return {part: status_of(owner) for part, owner in self.leaders.items()}
 
     def on_whole(self, body, origin):
         """Tell whether the stores of a part owned here hold everything."""
-        return tell_whole(self._owner(body["part"]))
+        return tell_whole(self._leader(body["part"]))
 
-    def _owner(self, part):
-        owner = self.owners.get(part)
+    def _leader(self, part):
+        owner = self.leaders.get(part)
         if owner is None or not owner.is_leader:
             raise NotOwner(part=part)
         return owner
--- a/quillring/ownership/asking.py
+++ b/quillring/ownership/part_client.py
@@ -1,4 +1,4 @@
-"""Asking for a part: commands and reads go to whichever core owns it, wherever they begin."""
+"""Client of a part: commands and reads go to whichever core owns it, wherever they begin."""
 
 from quillring.kernel.errors import (
     Fenced,
@@ -18,14 +18,14 @@
 LOOK_ELSEWHERE = (Fenced, NotOwner, TimedOut, Unreachable)
 
 
-class Asking:
+class PartClient:
     """The client side of ownership: finds a part's owner and repeats what may be repeated."""
 
     __slots__ = ()
 
     def submit(self, part, command, seconds=None):
         """Coroutine: commit a command that carries its own id, at whichever core owns the part."""
-        answer = yield from self.ask(part, "part.submit", {"command": command}, seconds)
+        answer = yield from self.call_leader(part, "part.submit", {"command": command}, seconds)
         return answer
 
     def read(self, part, query, seconds=None):
@@ -33,10 +33,10 @@
         bounds, last_error = self.node.bounds, NotOwner(part=part)
         end_time = self.node.now() + (bounds.propagation * 2 if seconds is None else seconds)
         while self.node.now() < end_time:
-            hopelessness = self.why_hopeless(part)
-            if hopelessness is not None:
-                raise Refused(reason=hopelessness.kind, part=part)
-            for owner_name in self._candidates(part)[:1]:
+            unavailability = self.why_unavailable(part)
+            if unavailability is not None:
+                raise Refused(reason=unavailability.kind, part=part)
+            for owner_name in self._call_targets(part)[:1]:
                 try:
                     body = {"part": part, "query": query}
                     seconds = min(bounds.read_timeout / 2, end_time - self.node.now())
@@ -50,10 +50,10 @@
                 if known is not None:
                     self.node.count("peeks")
                     return known()
-            yield from self._pause(end_time)
+            yield from self._pause_before_retry(end_time)
         raise Refused(reason=last_error.kind, part=part)
 
-    def ask(self, part, service, body, seconds):
+    def call_leader(self, part, service, body, seconds):
         """Coroutine: call a service of the core that owns the part, wherever it is.
 
         Once a call of a command may have run, its outcome is unknown whatever a later call answers
@@ -64,11 +64,11 @@
         self.founding()
         last_error, attempts, may_have_run = NotOwner(part=part), 0, False
         while self.node.now() < end_time:
-            hopelessness = self.why_hopeless(part)
-            if hopelessness is not None:
-                last_error = hopelessness
+            unavailability = self.why_unavailable(part)
+            if unavailability is not None:
+                last_error = unavailability
                 break
-            candidates = self._candidates(part)
+            candidates = self._call_targets(part)
             if candidates:
                 try:
                     answer = yield from self.node.call(
@@ -88,12 +88,12 @@
                         raise _unknown(part) from error
                     raise
             attempts += 1
-            yield from self._pause(end_time)
+            yield from self._pause_before_retry(end_time)
         if may_have_run:
             raise _unknown(part)
         raise Refused(reason=last_error.kind, part=part)
 
-    def why_hopeless(self, part):
+    def why_unavailable(self, part):
         """Return the error that no core this node reaches can overcome, or None.
 
         A node that has just started does not know yet whom it reaches.
@@ -104,9 +104,9 @@
         reached = [store[0] for store in group if store[0] in graph.reachable()]
         if len(reached) < majority(group):
             return NoMajority(part=part, heard=sorted(reached))
-        return None if self.rank(part) else Unreachable(part=part)
+        return None if self.candidates(part) else Unreachable(part=part)
 
-    def _pause(self, end_time):
+    def _pause_before_retry(self, end_time):
         """Coroutine: a pause between two attempts, which does not outlast the asking."""
         seconds = min(
             self.node.bounds.heartbeat_interval / 4, (end_time - self.node.now()) / LONGEST_PAUSE
@@ -114,9 +114,9 @@
         if seconds > 0:
             yield from wait_for_owner(self.node, seconds)
 
-    def _candidates(self, part):
+    def _call_targets(self, part):
         news = self.node.find("gossip").get(f"owner/{part}")
-        ranked_names = self.rank(part)
+        ranked_names = self.candidates(part)
         named_owner = [news["owner"]] if news and news["owner"] in ranked_names else []
         return [*named_owner, *(name for name in ranked_names[:2] if name not in named_owner)]
 
--- a/quillring/plans/runner.py
+++ b/quillring/plans/runner.py
@@ -38,7 +38,7 @@
 
 def count_busy(node):
     """Return how much is under way at a node: inquiries run or waiting, parts owned."""
-    dispatch, owners = node.find("dispatch"), node.find("ownership").owners.values()
+    dispatch, owners = node.find("dispatch"), node.find("ownership").leaders.values()
     requests = len(dispatch.leases) + len(dispatch.waiting) if dispatch is not None else 0
     return requests + sum(owner.is_leader for owner in owners)
 
@@ -63,7 +63,7 @@
         """Coroutine: do the next step of every running plan."""
         while True:
             yield Sleep(self.node.bounds.heartbeat_interval)
-            owner = self.node.find("ownership").owners.get(CONFIG)
+            owner = self.node.find("ownership").leaders.get(CONFIG)
             if owner is None or not owner.has_lease():
                 continue
             for name, plan in list(owner.state.get("plans", {}).items()):
--- a/quillring/quorum/leader/membership_repair.py
+++ b/quillring/quorum/leader/membership_repair.py
@@ -4,6 +4,8 @@
 
 from typing import TYPE_CHECKING
 
+from quillring.quorum.leader.retirement_check import may_join
+
 from quillring.kernel.effects import Sleep
 from quillring.kernel.errors import QuillringError
 from quillring.nifty.graph import score
@@ -14,7 +16,6 @@
     new_group,
     submit_first,
 )
-from quillring.quorum.leader.retirement_check import may_join
 from quillring.quorum.parts import majority
 from quillring.quorum.retirement import is_retirement_ordered
 
@@ -53,7 +54,7 @@
             self._note_lost()
             owners = [
                 owner
-                for owner in self.node.find("ownership").owners.values()
+                for owner in self.node.find("ownership").leaders.values()
                 if owner.part not in self.busy_parts and owner.has_lease()
             ]
             broken = [owner for owner in owners if self._next_change(owner) is not None]
--- a/quillring/quorum/repair.py
+++ b/quillring/quorum/repair.py
@@ -47,7 +47,7 @@
             self._note_lost()
             owners = [
                 owner
-                for owner in self.node.find("ownership").owners.values()
+                for owner in self.node.find("ownership").leaders.values()
                 if owner.part not in self.busy_parts and owner.has_lease()
             ]
             broken = [owner for owner in owners if self._next_change(owner) is not None]
--- a/quillring/quorum/retirement.py
+++ b/quillring/quorum/retirement.py
@@ -129,7 +129,7 @@
 
     def ask_part(part: str) -> Coroutine:
         try:
-            outcomes[part] = yield from ownership.ask(part, "part.whole", {}, seconds)
+            outcomes[part] = yield from ownership.call_leader(part, "part.whole", {}, seconds)
         except QuillringError as error:
             outcomes[part] = error
         if len(outcomes) == len(parts):
--- a/quillring/rollout/snapshot.py
+++ b/quillring/rollout/snapshot.py
@@ -20,7 +20,7 @@
         gossip.listen("layout", lambda key, news: self._swap(news))
         node.handle("layout.news", self.on_news)
         if node.me.role == "core":
-            node.find("ownership").on_owner.append(self._publish)
+            node.find("ownership").leader_listeners.append(self._publish)
 
     def _publish(self, owner, batch):
         if owner.part == CONFIG and owner.is_leader:
@@ -75,7 +75,7 @@
         """Tell whether operators want the domain's replicas to get nothing more."""
         return bool(self._order(zone).get("emptied"))
 
-    def is_left(self, zone):
+    def is_zone_draining(self, zone):
         """Tell whether operators want the domain's nodes, too, to take nothing more."""
         order = self._order(zone)
         return bool(order.get("emptied") and order.get("nodes", True))
--- a/quillring/verbs/part_routes.py
+++ b/quillring/verbs/part_routes.py
@@ -2,7 +2,7 @@
 
 from quillring.kernel.errors import QuillringError
 from quillring.kernel.wsgi import route
-from quillring.ownership.takeovers import list_parts
+from quillring.ownership.status import list_parts
 
 
 @route("GET", "/v1/parts")
@@ -21,7 +21,7 @@
     ownership, rows = node.find("ownership"), []
     for part in ownership.parts():
         try:
-            answer = yield from ownership.ask(
+            answer = yield from ownership.call_leader(
                 part, "part.whole", {}, node.bounds.heartbeat_interval
             )
         except QuillringError as error:
--- a/tests/fleet_stage.py
+++ b/tests/fleet_stage.py
@@ -62,10 +62,10 @@
     def owner(self, part="config"):
         """Return the core that owns a part by its own sight and that of its stores, or None."""
         owners = [
-            node.find("ownership").owners[part]
+            node.find("ownership").leaders[part]
             for node in self.sim.up_nodes("core")
-            if part in node.find("ownership").owners
-            and node.find("ownership").owners[part].is_leader
+            if part in node.find("ownership").leaders
+            and node.find("ownership").leaders[part].is_leader
         ]
         return max(owners, key=lambda owner: owner.ballot).node.me.name if owners else None
 
--- a/tests/http_lot_stage.py
+++ b/tests/http_lot_stage.py
@@ -178,7 +178,7 @@
     def state_of(self, part):
         """Return a part's newest state that any running core or store has applied."""
         cores, stores = self.sim.up_nodes("core"), self.sim.up_nodes("store")
-        owners = [core.find("ownership").owners.get(part) for core in cores]
+        owners = [core.find("ownership").leaders.get(part) for core in cores]
         records = [store.find("acceptors").parts.get(part) for store in stores]
         known = [(o.index, o.state) for o in owners if o is not None and o.state is not None]
         known += [(r.applied, r.state) for r in records if r is not None and r.state is not None]
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -15,12 +15,12 @@
     TimedOut,
     Unreachable,
 )
-from quillring.ownership.asking import Asking
+from quillring.ownership.part_client import PartClient
 from quillring.rollout.commands import BadConfiguration
 from quillring.verbs.part_routes import show_whole
 
 
-class Asker(Asking):
+class ScriptedClient(PartClient):
     """A node whose calls of an owner end, one after another, as they are told here."""
 
     def __init__(self, ends):
@@ -40,14 +40,14 @@
     def founding(self):
         return {}
 
-    def why_hopeless(self, part):
+    def why_unavailable(self, part):
         return None if self.ends else Unreachable(part=part)
 
-    def _candidates(self, part):
+    def _call_targets(self, part):
         return ["core-1"]
 
     def asked(self, service):
-        coroutine = self.ask("part-1", service, {}, None)
+        coroutine = self.call_leader("part-1", service, {}, None)
         try:
             while True:
                 effect = next(coroutine)
@@ -72,17 +72,17 @@
 )
 def test_a_refusal_after_a_call_that_may_have_run_leaves_the_outcome_unknown(ends, service, error):
     with pytest.raises(error) as raised:
-        Asker(ends).asked(service)
+        ScriptedClient(ends).asked(service)
     assert type(raised.value) is error
 
 
 def test_what_can_never_be_taken_is_refused_as_such_even_after_a_call_that_may_have_run():
     with pytest.raises(BadConfiguration):
-        Asker([TimedOut(), BadConfiguration(faults=[])]).asked("part.submit")
+        ScriptedClient([TimedOut(), BadConfiguration(faults=[])]).asked("part.submit")
 
 
 def test_a_success_after_a_call_that_may_have_run_is_a_success():
-    assert Asker([TimedOut(), {"written": True}]).asked("part.submit") == {"written": True}
+    assert ScriptedClient([TimedOut(), {"written": True}]).asked("part.submit") == {"written": True}
 
 
 @pytest.mark.parametrize(
@@ -96,7 +96,7 @@
         return {"group": [f"store-{n}" for n in range(count)], "late": late}
         yield
 
-    ownership = SimpleNamespace(ask=ask, parts=lambda: ["part-1"], size=lambda: 5)
+    ownership = SimpleNamespace(call_leader=ask, parts=lambda: ["part-1"], size=lambda: 5)
     coroutine = show_whole(SimpleNamespace(find=lambda name: ownership, bounds=Bounds()), None)
     with pytest.raises(StopIteration) as ended:
         next(coroutine)
--- a/tests/test_http_lot_failures.py
+++ b/tests/test_http_lot_failures.py
@@ -54,7 +54,7 @@
         owner = stage.owner()
         part = stage.part()
         while not any(
-            lot["results"] for lot in raw_lots(owner.find("ownership").owners[part].state).values()
+            lot["results"] for lot in raw_lots(owner.find("ownership").leaders[part].state).values()
         ):
             stage.env.step()
         stage.sim.kill(owner.me.name)
--- a/tests/test_http_lot_large_results.py
+++ b/tests/test_http_lot_large_results.py
@@ -26,7 +26,7 @@
         stage.read_all("a")
         node = stage.sim.up_nodes("edge")[0]
         part, key = stage.part(), lot_key(HOST, "a")
-        owner = stage.owner().find("ownership").owners[part]
+        owner = stage.owner().find("ownership").leaders[part]
         holders = [
             store.find("acceptors").parts[part]
             for store in stage.sim.up_nodes("store")
--- a/tests/test_loud_cuts.py
+++ b/tests/test_loud_cuts.py
@@ -36,7 +36,7 @@
 
 def owning_cores(stage, part="config"):
     """Return the cores that take themselves for the owner of a part."""
-    tables = {n.me.name: n.find("ownership").owners for n in stage.sim.up_nodes("core")}
+    tables = {n.me.name: n.find("ownership").leaders for n in stage.sim.up_nodes("core")}
     return [c for c, owners in tables.items() if part in owners and owners[part].is_leader]
 
 
--- a/tests/test_peek.py
+++ b/tests/test_peek.py
@@ -122,7 +122,7 @@
     stage = Stage(seed)
     name = stage.node("edge-1").find("gossip").get("owner/part-1")["owner"]
     node = stage.node(name)
-    owner = node.find("ownership").owners["part-1"]
+    owner = node.find("ownership").leaders["part-1"]
     stores = [stage.node(store[0]).find("acceptors").parts["part-1"] for store in owner.group]
     with mock.patch.object(Owner, "_cast_commit", lambda self: None):
         stage.start(stage.sim.run_script(node, owner.submit(accept("part-1.new")[0])))
--- a/tests/test_prompt_lot_acceptance_fence.py
+++ b/tests/test_prompt_lot_acceptance_fence.py
@@ -93,7 +93,7 @@
     """Return the list that every acceptance given to any core is copied into."""
     copies = []
     for node in fleet.sim.up_nodes("core"):
-        node.find("ownership").checks.append(
+        node.find("ownership").submit_checks.append(
             lambda owner, command: copies.append((owner.part, command))
         )
     return copies
--- a/tests/test_removed_members.py
+++ b/tests/test_removed_members.py
@@ -81,7 +81,7 @@
     ownership = stage.sim.nodes[former_owner].find("ownership")
     for _ in range(40):
         stage.run(0.1)
-        owner = ownership.owners[CONFIG]
+        owner = ownership.leaders[CONFIG]
         assert stage.ask(former_owner, owner.submit(zone_order("lost")), 0.5)[0] is None
         assert stage.ask(former_owner, owner.linearizable_state(), 0.5)[0] is None
     assert not stage.sim.nodes["edge-1"].find("freshness").is_fresh()
--- a/tests/test_repair.py
+++ b/tests/test_repair.py
@@ -8,7 +8,7 @@
 
 def owners(stage):
     return {
-        part: stage.sim.nodes[stage.owner(part)].find("ownership").owners[part]
+        part: stage.sim.nodes[stage.owner(part)].find("ownership").leaders[part]
         for part in PARTS
         if stage.owner(part)
     }
--- a/tests/test_slow_cores.py
+++ b/tests/test_slow_cores.py
@@ -3,7 +3,7 @@
 import pytest
 
 from quillring.kernel.effects import Sleep
-from quillring.ownership.resting import FIRST_REST_BEATS, JITTER, LONGEST_REST_BEATS
+from quillring.ownership.leadership_backoff import FIRST_REST_BEATS, JITTER, LONGEST_REST_BEATS
 from quillring.quorum.parts import CONFIG
 from tests.fleet_stage import SelfFounded
 
@@ -46,7 +46,7 @@
         for _ in range(round(seconds / STEP)):
             self.fleet.run(STEP)
             for node in self.fleet.sim.up_nodes("core"):
-                owner = node.find("ownership").owners.get(self.part)
+                owner = node.find("ownership").leaders.get(self.part)
                 if owner is not None and owner.is_leader and owner.ballot not in self.seen:
                     self.seen.append(owner.ballot)
 
@@ -118,7 +118,7 @@
     fleet.run(3.9)
     newer = fleet.owner()
     assert newer not in (None, name)
-    assert fleet.wait_for(lambda: ownership.resting.is_resting(name), 1)
+    assert fleet.wait_for(lambda: ownership.backoff.is_backing_off(name), 1)
     fleet.run(fleet.sim.bounds.heartbeat_interval * FIRST_REST_BEATS * (1 - JITTER) - 0.1)
     assert fleet.owner() == newer
 
@@ -147,31 +147,31 @@
 def test_rests_grow_up_to_their_bound_and_begin_anew_after_a_good_time():
     fleet = SelfFounded(71)
     node = fleet.sim.nodes["core-1"]
-    resting, beat = node.find("ownership").resting, fleet.sim.bounds.heartbeat_interval
-    resting.lag = AlwaysLate()
+    backoff, beat = node.find("ownership").backoff, fleet.sim.bounds.heartbeat_interval
+    backoff.lag = AlwaysLate()
     lengths = []
     for _ in range(8):
-        resting.note_lost_term()
-        resting.note_lost_term()
-        lengths.append((resting.until - node.now()) / beat)
-        resting.lag.is_late = False
-        fleet.run(resting.until - node.now() + beat * 2)
-        assert not resting.is_resting("core-1")
-        resting.lag.is_late = True
+        backoff.note_lost_term()
+        backoff.note_lost_term()
+        lengths.append((backoff.until - node.now()) / beat)
+        backoff.lag.is_late = False
+        fleet.run(backoff.until - node.now() + beat * 2)
+        assert not backoff.is_backing_off("core-1")
+        backoff.lag.is_late = True
     wanted = [4, 8, 16, 32, 64, 64, 64, 64]
     for length, middle in zip(lengths, wanted, strict=True):
         assert middle * (1 - JITTER) <= length <= middle * (1 + JITTER)
     fleet.run(beat * LONGEST_REST_BEATS + 1)
-    resting.note_lost_term()
-    assert (resting.until - node.now()) / beat <= FIRST_REST_BEATS * (1 + JITTER)
+    backoff.note_lost_term()
+    assert (backoff.until - node.now()) / beat <= FIRST_REST_BEATS * (1 + JITTER)
 
 
 def test_where_all_cores_rest_the_first_of_them_still_acts():
     fleet = SelfFounded(81)
     for name in fleet.sim.names("core"):
-        resting = fleet.sim.nodes[name].find("ownership").resting
-        resting.lag = AlwaysLate()
-        resting.note_lost_term()
+        backoff = fleet.sim.nodes[name].find("ownership").backoff
+        backoff.lag = AlwaysLate()
+        backoff.note_lost_term()
     fleet.run(1)
     fleet.sim.kill(fleet.owner())
     assert fleet.wait_for(lambda: fleet.owner() is not None, 4) is not None
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -22,7 +22,7 @@
 def frozen_during(fleet, service, seconds):
     """Freeze the owner of the configuration right after it began to ask for something."""
     name = fleet.owner()
-    owner = fleet.sim.nodes[name].find("ownership").owners[CONFIG]
+    owner = fleet.sim.nodes[name].find("ownership").leaders[CONFIG]
     frozen_at = []
 
     def freezing_round(self, asked_service, **body):
@@ -62,7 +62,7 @@
     assert fleet.submit("core-1", zone_order("north", False))[1] is None
     name = fleet.owner()
     node = fleet.sim.nodes[name]
-    owner = node.find("ownership").owners[CONFIG]
+    owner = node.find("ownership").leaders[CONFIG]
     reads = []
 
     def ask_during(self, service, **body):
@@ -134,7 +134,7 @@
 def other_owners(fleet, owner):
     """Return the ballots above an owner's that other cores own the configuration under."""
     owners = [
-        node.find("ownership").owners.get(CONFIG)
+        node.find("ownership").leaders.get(CONFIG)
         for node in fleet.sim.up_nodes("core")
         if node is not owner.node
     ]
@@ -159,7 +159,7 @@
                 (order["domain"], fleet.env.process(fleet.sim.run_script(asked, coroutine)))
             )
         fleet.run(0.02)
-        owner = node.find("ownership").owners.get(CONFIG)
+        owner = node.find("ownership").leaders.get(CONFIG)
         for ballot in other_owners(fleet, owner):
             since = newer_since.setdefault(ballot, fleet.env.now)
             if owner.has_lease():
--- a/tests/test_system_ctl.py
+++ b/tests/test_system_ctl.py
@@ -41,7 +41,7 @@
         stage.run(0.5)
         snapshots = [node.find("layout") for node in stage.sim.nodes.values()]
         assert {snapshot.is_emptied("north") for snapshot in snapshots} == {is_emptied}
-        assert not any(snapshot.is_left("north") for snapshot in snapshots)
+        assert not any(snapshot.is_zone_draining("north") for snapshot in snapshots)
 
 
 def test_a_store_machine_is_emptied():
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -70,7 +70,7 @@
         former = stage.owner("lot-0")
         stage.sim.kill(former.me.name)
         stage.run(6)
-        owner = stage.owner("lot-0").find("ownership").owners[part]
+        owner = stage.owner("lot-0").find("ownership").leaders[part]
         assert owner.is_leader and owner.node is not former
         stage.sim.lose_disk(owner.group[0][0])
         stage.run(1)
@@ -98,7 +98,7 @@
 
 def test_promises_bear_no_entries_and_an_unapplied_one_is_finished_by_the_next_owner():
     with RawStage(3, replicas=0) as stage:
-        owner = stage.owner("late").find("ownership").owners[stage.part("late")]
+        owner = stage.owner("late").find("ownership").leaders[stage.part("late")]
         for node in stage.sim.up_nodes("store"):
             node.handlers["quorum.commit"] = refuse
         answer, error = hand_in(stage, "late", 40)
--- a/tests/test_takeover_view.py
+++ b/tests/test_takeover_view.py
@@ -22,7 +22,7 @@
         for _ in range(300):
             stage.run(0.1)
             for node in stage.sim.up_nodes("core"):
-                owner = node.find("ownership").owners.get(part)
+                owner = node.find("ownership").leaders.get(part)
                 if owner is not None and owner.takeover.phase == STATE:
                     seen.append((node, owner.takeover.to_json()))
             if seen and seen[-1][1]["bytes_fetched"] > 0:
@@ -43,9 +43,9 @@
         node, lines = stage.owner("lot-0"), []
         node.log = lambda level, text, *fields: lines.append(text % fields)
         ownership = node.find("ownership")
-        part = next(name for name, owner in ownership.owners.items() if owner.is_leader)
-        ownership.owners[part].step_down(NotOwner(part=part))
-        assert ownership.owners[part].takeover.phase == ENDED
+        part = next(name for name, owner in ownership.leaders.items() if owner.is_leader)
+        ownership.leaders[part].step_down(NotOwner(part=part))
+        assert ownership.leaders[part].takeover.phase == ENDED
         assert any(line.startswith(f"end of {part}, ballot") for line in lines)
         stage.run(3)
         assert any(line.startswith(f"took {part}: ballot") for line in lines)
