--- a/proving/histories/bugs.py
+++ b/proving/histories/bugs.py
@@ -12,10 +12,10 @@
 from quillring.kernel.errors import Conflict, Refused
 from quillring.lots.http_requests import state_machine
 from quillring.ownership import part_client
-from quillring.quorum import owner, peek
 from quillring.quorum.acceptor import Acceptors, PartRecord
 from quillring.quorum.commands import COMMANDS
-from quillring.quorum.in_flight import InFlight
+from quillring.quorum.leader import follower_read, part_leader
+from quillring.quorum.leader.in_flight import InFlight
 from quillring.rollout import configuration_versions, operator_orders
 from quillring.rollout.freshness import Freshness
 from quillring.rollout.orders import place_order
@@ -158,7 +158,13 @@
         "number_faults",
         no_faults,
     ),
-    Bug("local read", "Owner.fenced_state", owner.Owner, "linearizable_state", local_state),
+    Bug(
+        "local read",
+        "PartLeader.linearizable_state",
+        part_leader.PartLeader,
+        "linearizable_state",
+        local_state,
+    ),
     Bug("unfenced orders", "orders.place_order", operator_orders, "place_order", place_unfenced),
     Bug(
         "any retirement",
@@ -182,7 +188,13 @@
     Bug(
         "unknown told as refused", "part_client._unknown", part_client, "_unknown", told_as_refused
     ),
-    Bug("reads past the log", "peek.find_answer", peek, "find_answer", newest_of_any),
+    Bug(
+        "reads past the log",
+        "follower_read.find_answer",
+        follower_read,
+        "find_answer",
+        newest_of_any,
+    ),
     Bug("entry in flight", "InFlight.wait", InFlight, "wait", wait_for_nothing),
     Bug("always fresh", "Freshness.is_fresh", Freshness, "is_fresh", always_fresh),
 )
--- a/proving/model/bugs.py
+++ b/proving/model/bugs.py
@@ -6,17 +6,16 @@
 from typing import NamedTuple
 from unittest import mock
 
-import quillring.quorum.owner as owner_module
-import quillring.quorum.peek as peek_module
 import quillring.quorum.record as record_module
 from proving.model.errors import UnknownName
 from proving.model.patches import all_of, around, without_sync
 from proving.model.phase_bugs import skip_promise_again, stay_in_phase_two
 from proving.model.store_machine import as_script
 from proving.model.vote_bugs import accept_below_vote, tell_no_record, vote_in_memory
-from quillring.quorum import commands, rounds
+from quillring.quorum import commands
 from quillring.quorum.commands import COMMANDS
-from quillring.quorum.owner import Owner
+from quillring.quorum.leader import follower_read, part_leader, quorum_call
+from quillring.quorum.leader.part_leader import PartLeader
 from quillring.quorum.record import PartRecord
 
 
@@ -83,12 +82,12 @@
 
 def reuse_ballot():
     """A core that takes a part again begins with its first ballot once more."""
-    real = Owner.__init__
+    real = PartLeader.__init__
 
     def begin(self, node, part, group, former=None):
         real(self, node, part, group)
 
-    return all_of([mock.patch.object(Owner, "__init__", begin)])
+    return all_of([mock.patch.object(PartLeader, "__init__", begin)])
 
 
 def learn_any_ballot():
@@ -118,7 +117,7 @@
 
 def change_group_twice():
     """An entry of the log may replace more than one member of the group."""
-    real = owner_module.apply_batch
+    real = part_leader.apply_batch
 
     def apply_batch(state, batch):
         answers = []
@@ -127,19 +126,19 @@
             answers.extend(answer)
         return state, answers
 
-    modules = (owner_module, record_module)
+    modules = (part_leader, record_module)
     return all_of([mock.patch.object(module, "apply_batch", apply_batch) for module in modules])
 
 
 def adopt_oldest():
     """A new owner starts from the oldest state among the promises."""
-    real = owner_module.adopt_state
+    real = part_leader.adopt_state
 
     def adopt_state(owner, promises):
         oldest = min(promises, key=lambda store: promises[store].applied)
         return real(owner, {oldest: promises[oldest]})
 
-    return all_of([mock.patch.object(owner_module, "adopt_state", adopt_state)])
+    return all_of([mock.patch.object(part_leader, "adopt_state", adopt_state)])
 
 
 def ignore_base_version():
@@ -154,18 +153,18 @@
 
 def peek_applied_only():
     """A read from the stores counts only what they applied."""
-    real = peek_module.find_answer
+    real = follower_read.find_answer
 
     def find_answer(replies, group, query):
         applied_only = [[reply[0], reply[1], [], *reply[3:5]] for reply in replies]
         return real(applied_only, group, query)
 
-    return all_of([mock.patch.object(peek_module, "find_answer", find_answer)])
+    return all_of([mock.patch.object(follower_read, "find_answer", find_answer)])
 
 
 def decide_alone():
     """An owner counts one store as a majority."""
-    return all_of([mock.patch.object(rounds, "majority", lambda group: 1)])
+    return all_of([mock.patch.object(quorum_call, "majority", lambda group: 1)])
 
 
 def read_without_fence():
@@ -175,7 +174,7 @@
         return self.state
         yield
 
-    return all_of([mock.patch.object(Owner, "linearizable_state", linearizable_state)])
+    return all_of([mock.patch.object(PartLeader, "linearizable_state", linearizable_state)])
 
 
 def take_second_founding():
--- a/proving/model/core_machine.py
+++ b/proving/model/core_machine.py
@@ -8,8 +8,8 @@
 from quillring.kernel.errors import NotOwner, QuillringError
 from quillring.quorum.electing import Elector, agree
 from quillring.quorum.founding import found_fleet
-from quillring.quorum.peek import peek
-from quillring.quorum.swap import submit_first
+from quillring.quorum.leader.follower_read import peek
+from quillring.quorum.leader.membership_change import submit_first
 from quillring.quorum.values import GroupMember
 
 CONFIGURATION = {"ask": "layout"}
--- a/proving/model/phase_bugs.py
+++ b/proving/model/phase_bugs.py
@@ -2,9 +2,9 @@
 
 from unittest import mock
 
-import quillring.quorum.owner as owner_module
 from proving.model.patches import all_of
-from quillring.quorum.tail import best_entries, fetch_batch
+from quillring.quorum.leader import part_leader
+from quillring.quorum.leader.uncommitted import best_entries, fetch_batch
 
 
 def stay_in_phase_two():
@@ -19,7 +19,7 @@
         yield from owner.replicate([])
         return True
 
-    return all_of([mock.patch.object(owner_module, "finish_tail", finish_tail)])
+    return all_of([mock.patch.object(part_leader, "finish_tail", finish_tail)])
 
 
 def skip_promise_again():
@@ -30,4 +30,4 @@
         return
         yield
 
-    return all_of([mock.patch.object(owner_module, "promise_again", promise_again)])
+    return all_of([mock.patch.object(part_leader, "promise_again", promise_again)])
--- a/proving/model/store_machine.py
+++ b/proving/model/store_machine.py
@@ -129,12 +129,12 @@
     def form(self):
         """Return the digest of memory, durable contents and coroutines under way."""
         memory = cbor2.dumps(self.acceptors.rows())
-        recent = [record.recent for record in self.acceptors.parts.values()]
+        log_caches = [record.log_cache for record in self.acceptors.parts.values()]
         elector = self.elector
         kept = [self.disk.durable.get(name) for name in FILES]
         votes = (list(elector.vote), elector.is_first_start, kept)
         durable = self._durable_form()
-        return super().form(memory, recent, durable, self.disk.is_held, self.disks, votes)
+        return super().form(memory, log_caches, durable, self.disk.is_held, self.disks, votes)
 
     def _durable_form(self):
         """Return what a start from this disk would find; folded logs of equal meaning are equal."""
--- a/proving/model/watched_owner.py
+++ b/proving/model/watched_owner.py
@@ -1,10 +1,10 @@
 """An owner that notes whether phase one asked a group before an entry is proposed there."""
 
 from proving.model.events import ProposedUnasked
-from quillring.quorum.owner import Owner
+from quillring.quorum.leader.part_leader import PartLeader
 
 
-class WatchedOwner(Owner):
+class WatchedOwner(PartLeader):
     """The production owner; `unasked` holds the events of entries that skip phase one."""
 
     __slots__ = ("asked_ballot", "asked_groups", "unasked")
--- a/proving/points/cuts.py
+++ b/proving/points/cuts.py
@@ -5,7 +5,7 @@
 from quillring.nifty.graph import Graph
 from quillring.ownership import Ownership
 from quillring.quorum.hints import Hints
-from quillring.quorum.repair import Repair
+from quillring.quorum.leader.membership_repair import MembershipRepair
 from quillring.store.slots import SlotStore
 
 
@@ -227,6 +227,6 @@
     (
         "a retired store leaves every part",
         retired_store,
-        [(Repair, "is_retired", lambda self, store: False)],
+        [(MembershipRepair, "is_retired", lambda self, store: False)],
     ),
 ]
--- a/proving/points/failures.py
+++ b/proving/points/failures.py
@@ -7,7 +7,7 @@
 from proving.points.state import adopt, names_but
 from quillring.edge import Replicas, streams
 from quillring.nifty.graph import Graph
-from quillring.quorum.repair import Repair
+from quillring.quorum.leader.membership_repair import MembershipRepair
 from quillring.rollout.freshness import Freshness
 from quillring.store import slots
 
@@ -217,7 +217,7 @@
     (
         "a store isolated, emptied and retired leaves all whole",
         isolated_store,
-        [(Repair, "is_emptied", never)],
+        [(MembershipRepair, "is_emptied", never)],
     ),
     (
         "two stores without power after a confirmation lose nothing",
--- a/proving/points/lots.py
+++ b/proving/points/lots.py
@@ -9,7 +9,8 @@
 from quillring.lots.prompts.scheduler import LotRunner
 from quillring.ownership.election_timing import ElectionTiming
 from quillring.ownership.leadership_backoff import LeadershipBackoff
-from quillring.quorum import acceptor, commands, owner, rounds
+from quillring.quorum import acceptor, commands
+from quillring.quorum.leader import part_leader, quorum_call
 from quillring.quorum.parts import CONFIG
 from quillring.rollout.freshness import Freshness
 from quillring.store import slots
@@ -206,7 +207,7 @@
     (
         "a domain and its disk lost loses no lot",
         zone_lost_after_accept,
-        [(rounds, "majority", lambda group: 1)],
+        [(quorum_call, "majority", lambda group: 1)],
     ),
     (
         "an owner that wakes without its fence accepts nothing",
@@ -214,8 +215,8 @@
         [
             (acceptor.Acceptors, "check", unfenced),
             (acceptor.Acceptors, "on_confirm", lambda self, body, origin: True),
-            (owner.Owner, "has_lease", lambda self: self.is_leader),
-            (owner.Owner, "linearizable_state", unfenced_state),
+            (part_leader.PartLeader, "has_lease", lambda self: self.is_leader),
+            (part_leader.PartLeader, "linearizable_state", unfenced_state),
             (LeadershipBackoff, "note_lost_term", no_check),
             (ElectionTiming, "forget_observations", no_check),
             (Freshness, "check", no_check),
--- a/proving/points/membership.py
+++ b/proving/points/membership.py
@@ -4,9 +4,9 @@
 from proving.points.cuts import traffic
 from proving.points.state import adopt
 from quillring.kernel.errors import TimedOut
-from quillring.quorum.repair import Repair
-from quillring.quorum.retirement import PartAnswer
-from quillring.quorum.swap import GroupChange
+from quillring.quorum.leader.membership_change import GroupChange
+from quillring.quorum.leader.membership_repair import MembershipRepair
+from quillring.quorum.leader.retirement_check import PartAnswer
 from quillring.rollout.operator_orders import is_retired
 
 SYNC_SECONDS = 5.0
@@ -135,7 +135,7 @@
         "a member that leaves never holds the only copy",
         leaving_member,
         [
-            (Repair, "_invite", without_catching_up),
+            (MembershipRepair, "_invite", without_catching_up),
             (PartAnswer, "is_whole_without", is_only_apart),
         ],
     ),
--- a/proving/points/orders.py
+++ b/proving/points/orders.py
@@ -6,7 +6,7 @@
 from proving.points.state import adopt
 from quillring.kernel.errors import Conflict, NotOwner
 from quillring.ownership import Ownership
-from quillring.quorum.owner import Owner
+from quillring.quorum.leader.part_leader import PartLeader
 from quillring.rollout import operator_orders, orders
 from quillring.rollout.operator_orders import retire_store
 from quillring.rollout.orders import submit_order
@@ -190,7 +190,7 @@
         "a core cut off for 20 s hands out and confirms nothing",
         cut_off_core,
         [
-            (Owner, "linearizable_state", unfenced_state),
+            (PartLeader, "linearizable_state", unfenced_state),
             (Ownership, "_leader", former_owner),
             (Ownership, "why_unavailable", never_hopeless),
         ],
--- a/proving/sim/repair_time.py
+++ b/proving/sim/repair_time.py
@@ -11,8 +11,9 @@
 
 from proving.sim.fleet import SimFleet
 from quillring.kernel.bounds import Bounds
-from quillring.quorum import catchup, transfer
+from quillring.quorum import transfer
 from quillring.quorum.autofound import found_by_itself
+from quillring.quorum.leader import catch_up
 from quillring.quorum.parts import CONFIG
 
 SCALE = 16
@@ -123,7 +124,7 @@
 def main(stores, parts, size, mebibytes, megabits, back, seed):
     """Measure the repair after the loss of one store."""
     for megabit in megabits:
-        with mock.patch.object(catchup, "cut_piece", cut_small_piece):
+        with mock.patch.object(catch_up, "cut_piece", cut_small_piece):
             run = RepairRun(seed, stores, parts, size, mebibytes)
             run.sim.net.link_bytes_per_second = megabit * 1e6 / 8 / SCALE
             figures = run.lose(back)
--- a/quillring/fleet.py
+++ b/quillring/fleet.py
@@ -19,7 +19,7 @@
 from quillring.quorum.disk_news import DiskNews
 from quillring.quorum.electing import Elector, Witness
 from quillring.quorum.hints import Hints
-from quillring.quorum.repair import Repair
+from quillring.quorum.leader.membership_repair import MembershipRepair
 from quillring.quorum.retirement import Leaving
 from quillring.rollout import ConfigurationSnapshot, Freshness
 from quillring.rollout import commands as rollout_commands
@@ -84,7 +84,7 @@
     node.find("ownership").submit_checks.append(runner.keeping.check)
     node.find("ownership").leader_listeners.append(runner.on_batch)
     node.offer("granter", Granter(node))
-    repair = node.offer("repair", Repair(node))
+    repair = node.offer("repair", MembershipRepair(node))
     plans = node.offer("plans", PlanRunner(node))
     node.spawn(repair.run())
     node.spawn(plans.run())
--- a/quillring/lots/http_requests/api.py
+++ b/quillring/lots/http_requests/api.py
@@ -27,7 +27,7 @@
     HeldTooMuch,
     QuotaExceeded,
 )
-from quillring.quorum.peek import peek
+from quillring.quorum.leader.follower_read import peek
 
 RESULT_BYTES = 200_000
 LONGEST_HOLD = 0.8
--- a/quillring/ownership/leadership_transfer.py
+++ b/quillring/ownership/leadership_transfer.py
@@ -1,7 +1,7 @@
 """Giving a part to the core that ranks first: it fetches the state before its owner steps down."""
 
 from quillring.kernel.errors import Conflict, NotOwner, QuillringError, UnknownService
-from quillring.quorum.owner import Owner
+from quillring.quorum.leader.part_leader import PartLeader
 from quillring.quorum.transfer import START, Place, StateBuilder, cut_piece
 
 
@@ -63,7 +63,7 @@
             place = None if following is None else Place(*following)
         is_unchanged = self.ownership.leaders.get(part) is former
         if is_unchanged and part not in self.ownership.elections:
-            successor = Owner(node, part, self.ownership.group(part), former)
+            successor = PartLeader(node, part, self.ownership.group(part), former)
             successor.index, successor.state = index, builder.whole()
             self.ownership.leaders[part] = successor
         return True
--- a/quillring/ownership/ownership.py
+++ b/quillring/ownership/ownership.py
@@ -9,9 +9,9 @@
 from quillring.ownership.part_client import PartClient
 from quillring.ownership.status import status_of
 from quillring.quorum.commands import QUERIES
-from quillring.quorum.owner import Owner
+from quillring.quorum.leader.part_leader import PartLeader
+from quillring.quorum.leader.retirement_check import tell_whole
 from quillring.quorum.parts import GROUP_SIZE
-from quillring.quorum.retirement import tell_whole
 from quillring.quorum.waits import wait_for_owner
 
 
@@ -170,14 +170,14 @@
 
     def _run_election(self, part, is_settled):
         former = self.leaders.get(part)
-        owner = self.leaders[part] = Owner(self.node, part, self.group(part), former)
+        owner = self.leaders[part] = PartLeader(self.node, part, self.group(part), former)
         owner.listeners.extend([*self.leader_listeners, self._publish_leader])
         try:
             yield from owner.run_election_with_retry(
                 lambda ballot: self._may_leave_to_winner(ballot, is_settled)
             )
         except QuillringError as error:
-            owner.takeover.end(error)
+            owner.election_progress.end(error)
             if isinstance(error, NoMajority):
                 self.backoff.note_lost_term()
             yield from wait_for_owner(self.node, self._pause_after_failed_election(error))
--- a/quillring/ownership/part_client.py
+++ b/quillring/ownership/part_client.py
@@ -10,8 +10,8 @@
     TimedOut,
     Unreachable,
 )
+from quillring.quorum.leader.follower_read import peek
 from quillring.quorum.parts import majority
-from quillring.quorum.peek import peek
 from quillring.quorum.waits import wait_for_owner
 
 LONGEST_PAUSE = 1.5
--- a/quillring/ownership/status.py
+++ b/quillring/ownership/status.py
@@ -5,9 +5,9 @@
 
 def status_of(owner):
     """Return how far a core is with a part: its takeover, index, and the store it mends."""
-    target = owner.mending.target
+    target = owner.anti_entropy.target
     fields = {"index": owner.index, "mends": [] if target is None else [target]}
-    return {**owner.takeover.to_json(), **fields}
+    return {**owner.election_progress.to_json(), **fields}
 
 
 def newest_takeovers(node):
--- a/quillring/quorum/__init__.py
+++ b/quillring/quorum/__init__.py
@@ -2,14 +2,14 @@
 
 from quillring.quorum.acceptor import Acceptors
 from quillring.quorum.commands import COMMANDS, QUERIES, apply_batch
-from quillring.quorum.owner import Owner
+from quillring.quorum.leader.part_leader import PartLeader
 from quillring.quorum.parts import CONFIG, part_names, part_of
 
 __all__ = [
     "Acceptors",
     "COMMANDS",
     "CONFIG",
-    "Owner",
+    "PartLeader",
     "QUERIES",
     "apply_batch",
     "part_names",
--- a/quillring/quorum/acceptor.py
+++ b/quillring/quorum/acceptor.py
@@ -8,9 +8,9 @@
 from quillring.quorum.commands import answer_query, first_state
 from quillring.quorum.identity import WrongIdentity
 from quillring.quorum.parts import CONFIG
+from quillring.quorum.promise import BRIEF_INDEXES
 from quillring.quorum.record import PartRecord
 from quillring.quorum.slot_rows import load_rows, load_whole, to_rows
-from quillring.quorum.tail import TAIL_INDEXES
 from quillring.quorum.transfers import Transfers
 
 if TYPE_CHECKING:
@@ -157,7 +157,7 @@
             raise Fenced(part=body["part"], ballot=list(part_record.promised))
         promise = part_record.to_promise()
         if body.get("brief"):
-            promise = promise.brief(has_batches=body["brief"] != TAIL_INDEXES)
+            promise = promise.brief(has_batches=body["brief"] != BRIEF_INDEXES)
         return promise.to_list()
 
     def on_catch_up(self, body: dict, origin: str) -> Coroutine:
--- a/quillring/quorum/commands.py
+++ b/quillring/quorum/commands.py
@@ -23,7 +23,8 @@
     """Return (new state, answers); a refused command changes nothing and answers an error.
 
     One batch is one entry of the log: in it one store may join the group and one may leave, so
-    that a member is replaced in one step (`quorum.swap` tells why that is safe), and no more.
+    that a member is replaced in one step, and no more; `quorum.leader.membership_change` tells why
+    that is safe.
     """
     answers, first_group = [], state.get("group")
     for command in batch:
--- a/quillring/quorum/hints.py
+++ b/quillring/quorum/hints.py
@@ -9,16 +9,12 @@
 
 from quillring.kernel.effects import Sleep
 from quillring.kernel.errors import Conflict, Fenced, QuillringError, Refused
-from quillring.nifty.graph import score
 from quillring.quorum.identity import WrongIdentity
-from quillring.quorum.retirement import is_retirement_ordered
 
 if TYPE_CHECKING:
     from quillring.kernel.node import Node
     from quillring.kernel.types import Coroutine
     from quillring.quorum.acceptor import Acceptors
-    from quillring.quorum.owner import Owner
-    from quillring.quorum.parts import Call
 
 KEPT_HINTS = 10_000
 KEPT_BYTES = 16 << 20
@@ -93,26 +89,3 @@
             self.kept_bytes = None
         except QuillringError as error:
             self.node.log("warning", "hints: %s", error)
-
-
-def send_hints(owner: Owner, calls: list[Call]) -> None:
-    """Send the accept calls of unreachable acceptors to the part's spare store."""
-    nifty = owner.node.find("nifty")
-    missing = [call for call in calls if not nifty.reaches(call[0])]
-    if not missing:
-        return
-    group_names = {store[0] for store in owner.group}
-    spares = [
-        m.name
-        for m in nifty.roster.members.values()
-        if m.role == "store"
-        and m.name not in group_names
-        and nifty.reaches(m.name)
-        and not is_retirement_ordered(owner.node, m.name)
-    ]
-    if not spares:
-        return
-    spare_name = max(spares, key=lambda name: score(owner.part, name))
-    for target, _, body in missing:
-        owner.node.count("hints_sent")
-        owner.node.send_oneway(spare_name, "quorum.hint", {"for": target, "record": body})
--- a/quillring/quorum/leader/membership_repair.py
+++ b/quillring/quorum/leader/membership_repair.py
@@ -4,8 +4,6 @@
 
 from typing import TYPE_CHECKING
 
-from quillring.quorum.leader.retirement_check import may_join
-
 from quillring.kernel.effects import Sleep
 from quillring.kernel.errors import QuillringError
 from quillring.nifty.graph import score
@@ -16,6 +14,7 @@
     new_group,
     submit_first,
 )
+from quillring.quorum.leader.retirement_check import may_join
 from quillring.quorum.parts import majority
 from quillring.quorum.retirement import is_retirement_ordered
 
--- a/quillring/quorum/leader/part_leader.py
+++ b/quillring/quorum/leader/part_leader.py
@@ -4,8 +4,6 @@
 
 from typing import TYPE_CHECKING, Any
 
-from quillring.quorum.leader.hinted_handoff import send_hints
-
 from quillring.kernel.effects import Signal, Wait
 from quillring.kernel.errors import Fenced, NoMajority, NotFounded, NotOwner, QuillringError
 from quillring.quorum.commands import apply_batch
@@ -13,6 +11,7 @@
 from quillring.quorum.leader.batching import split_batch
 from quillring.quorum.leader.catch_up import adopt_state
 from quillring.quorum.leader.election_progress import ENTRIES, PROMISES, ElectionProgress
+from quillring.quorum.leader.hinted_handoff import send_hints
 from quillring.quorum.leader.in_flight import InFlight
 from quillring.quorum.leader.membership_change import promise_again
 from quillring.quorum.leader.quorum_call import ask_majority
--- a/quillring/quorum/promise.py
+++ b/quillring/quorum/promise.py
@@ -4,6 +4,9 @@
 
 from typing import Any, NamedTuple
 
+BRIEF_INDEXES = "index"
+"""Asks for a brief promise whose accepted entries are named without their batches."""
+
 
 class TailRow(NamedTuple):
     """An entry that a store accepted and has not applied; a brief answer leaves the batch out."""
--- a/quillring/quorum/record.py
+++ b/quillring/quorum/record.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from quillring.quorum.commands import answer_query, apply_batch
+from quillring.quorum.log_cache import LogCache
 from quillring.quorum.promise import Promise, TailRow
-from quillring.quorum.recent import Recent
 
 if TYPE_CHECKING:
     from quillring.quorum.values import Ballot
@@ -25,7 +25,7 @@
 class PartRecord:
     """What one acceptor holds of a part."""
 
-    __slots__ = ("promised", "applied", "state", "entries", "committed", "recent")
+    __slots__ = ("promised", "applied", "state", "entries", "committed", "log_cache")
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         self.state = state
         self.entries = entries or {}
         self.committed = committed
-        self.recent = Recent(RECENT_WEIGHT)
+        self.log_cache = LogCache(RECENT_WEIGHT)
 
     def to_list(self) -> list:
         """Return the record for a slot."""
@@ -84,7 +84,7 @@
                 break
             self.state, _ = apply_batch(self.state, entry.batch)
             self.applied += 1
-            self.recent.add(self.applied, entry.batch)
+            self.log_cache.add(self.applied, entry.batch)
             del self.entries[self.applied]
         self.committed = max(self.committed, self.applied)
 
@@ -95,7 +95,7 @@
         self.applied, self.state = index, state
         self.committed = max(self.committed, index)
         self.entries = {i: entry for i, entry in self.entries.items() if i > index}
-        self.recent.clear()
+        self.log_cache.clear()
 
     def lots_beyond(self) -> list[list]:
         """Return [[index, lot or None], ...] of the commands accepted and not applied here."""
--- a/quillring/quorum/transfers.py
+++ b/quillring/quorum/transfers.py
@@ -103,7 +103,7 @@
 
     def on_entries(self, body: dict, origin: str) -> list | None:
         """Give applied entries after an index, as many as a piece may hold; None if gone."""
-        return self._record(body["part"]).recent.since(body["after"], PIECE_BYTES)
+        return self._record(body["part"]).log_cache.since(body["after"], PIECE_BYTES)
 
     def on_accepted(self, body: dict, origin: str) -> list:
         """Give the entry accepted at an index, as [ballot, batch]."""
--- a/quillring/rollout/operator_orders.py
+++ b/quillring/rollout/operator_orders.py
@@ -2,8 +2,8 @@
 
 from quillring.kernel.errors import Conflict, NotFound
 from quillring.quorum.commands import COMMANDS
+from quillring.quorum.leader.retirement_check import is_free
 from quillring.quorum.parts import CONFIG, is_enough
-from quillring.quorum.retirement import is_free
 from quillring.rollout.orders import place_order, submit_order
 from quillring.rollout.schema import EMPTY
 
--- a/tests/test_catchup_bytes.py
+++ b/tests/test_catchup_bytes.py
@@ -3,7 +3,7 @@
 import pytest
 
 from proving.sim.many_changes import ManyChanges, frozen_store, restarted_store
-from quillring.quorum.catchup import is_state_smaller
+from quillring.quorum.leader.catch_up import is_state_smaller
 from quillring.quorum.transfer import PIECE_BYTES
 
 
--- a/tests/test_histories_found.py
+++ b/tests/test_histories_found.py
@@ -3,8 +3,8 @@
 from quillring.kernel.errors import Conflict
 from quillring.lots.http_requests import api
 from quillring.lots.http_requests.lot_placement import place_of_lot
+from quillring.quorum.leader.follower_read import peek
 from quillring.quorum.parts import CONFIG
-from quillring.quorum.peek import peek
 from tests.http_lot_stage import FORWARD, HOST, RawStage
 
 MOST_TOKENS = 400
--- a/tests/test_killed_process.py
+++ b/tests/test_killed_process.py
@@ -4,7 +4,7 @@
 
 from quillring.kernel.errors import QuillringError
 from quillring.lots.http_requests import api
-from quillring.quorum.repair import Repair
+from quillring.quorum.leader.membership_repair import MembershipRepair
 from tests.http_lot_stage import FORWARD, RawStage, accepted, check_whole
 
 AIM = 0.4
@@ -91,7 +91,7 @@
 def test_a_killed_store_counts_as_lost_for_repair_no_sooner_than_its_beats_are_missed():
     with RawStage(531) as stage:
         core, victim = stage.up("core"), stage.up("store").me.name
-        repair = Repair(core)
+        repair = MembershipRepair(core)
         stage.sim.kill(victim)
         stage.run(0.5)
         repair._note_lost()
--- a/tests/test_removed_members.py
+++ b/tests/test_removed_members.py
@@ -5,8 +5,8 @@
 import pytest
 
 from quillring.gossip import Gossip
+from quillring.quorum.leader.follower_read import peek
 from quillring.quorum.parts import CONFIG, majority
-from quillring.quorum.peek import peek
 from tests.fleet_stage import SelfFounded
 from tests.test_repair import members, zone_order
 
--- a/tests/test_retirement.py
+++ b/tests/test_retirement.py
@@ -6,7 +6,7 @@
 
 from quillring.kernel.effects import Sleep
 from quillring.quorum.hints import Hints
-from quillring.quorum.repair import Repair
+from quillring.quorum.leader.membership_repair import MembershipRepair
 from quillring.rollout.operator_orders import is_retired
 from tests.fleet_stage import SelfFounded
 from tests.test_repair import PARTS, is_whole, members, owners, zone_order
@@ -80,7 +80,7 @@
     store = next(n for n in stage.sim.names("store") if n not in members(stage, "part-0"))
     retire(stage, store)
     assert stage.wait_for(lambda: is_finished(stage, store), 6) is not None
-    with mock.patch.object(Repair, "is_retired", lambda self, store: False):
+    with mock.patch.object(MembershipRepair, "is_retired", lambda self, store: False):
         spares = [n for n in stage.sim.names("store") if n not in members(stage, "part-0")]
         for name in (*(n for n in spares if n != store), members(stage, "part-0")[0]):
             stage.sim.kill(name)
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -2,7 +2,7 @@
 
 from quillring.kernel.errors import Refused
 from quillring.lots.http_requests import api
-from quillring.quorum.batching import BATCH_BYTES, split_batch
+from quillring.quorum.leader.batching import BATCH_BYTES, split_batch
 from tests.http_lot_stage import FORWARD, RawStage
 
 LINK = 8 << 20
--- a/tests/test_takeover_view.py
+++ b/tests/test_takeover_view.py
@@ -1,7 +1,7 @@
 """What operators see of parts that change hands: `parts`, and the log of the core."""
 
 from quillring.kernel.errors import NotOwner
-from quillring.quorum.takeover import ENDED, OWNED, STATE
+from quillring.quorum.leader.election_progress import ENDED, OWNED, STATE
 from quillring.verbs.part_routes import show_parts
 from tests.http_lot_stage import RawStage
 from tests.test_takeover import LINK, filled, lose_all_power
@@ -23,8 +23,8 @@
             stage.run(0.1)
             for node in stage.sim.up_nodes("core"):
                 owner = node.find("ownership").leaders.get(part)
-                if owner is not None and owner.takeover.phase == STATE:
-                    seen.append((node, owner.takeover.to_json()))
+                if owner is not None and owner.election_progress.phase == STATE:
+                    seen.append((node, owner.election_progress.to_json()))
             if seen and seen[-1][1]["bytes_fetched"] > 0:
                 break
         node, status = seen[-1]
@@ -45,7 +45,7 @@
         ownership = node.find("ownership")
         part = next(name for name, owner in ownership.leaders.items() if owner.is_leader)
         ownership.leaders[part].step_down(NotOwner(part=part))
-        assert ownership.leaders[part].takeover.phase == ENDED
+        assert ownership.leaders[part].election_progress.phase == ENDED
         assert any(line.startswith(f"end of {part}, ballot") for line in lines)
         stage.run(3)
         assert any(line.startswith(f"took {part}: ballot") for line in lines)
--- a/tests/test_transfer.py
+++ b/tests/test_transfer.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 
 from quillring.kernel.errors import Conflict, TimedOut
-from quillring.quorum.catchup import mend_store
-from quillring.quorum.recent import Recent
+from quillring.quorum.leader.catch_up import mend_store
+from quillring.quorum.log_cache import LogCache
 from quillring.quorum.transfer import PIECE_BYTES, START, BadPiece, Place, StateBuilder, cut_piece
 from tests.fleet_stage import SelfFounded
 from tests.test_repair import is_whole, members, owners, zone_order
@@ -74,7 +74,7 @@
     for each in (whole, store):
         node = SimpleNamespace(me=ME, call=each.call, find=PEERS.get, bounds=NEWS)
         node.count = lambda *words: None
-        fields = {"node": node, "recent": Recent(), "group": [], "index": 9, "state": state}
+        fields = {"node": node, "log_cache": LogCache(), "group": [], "index": 9, "state": state}
         owner = SimpleNamespace(part="part-0", is_leader=True, **fields)
         finish(mend_store(owner, 0, ("store-1", "quorum.install", {})))
         assert each.builder.whole() == state
