--- a/quillring/kernel/node.py
+++ b/quillring/kernel/node.py
@@ -22,8 +22,7 @@
 
     from quillring.kernel.member import Member
     from quillring.kernel.runtime import Runtime
-    from quillring.kernel.types import CallHandler, Coroutine, LogWriter
-    from quillring.nifty.graph import Graph
+    from quillring.kernel.types import CallHandler, Coroutine, LogWriter, RoutingGraph
 
     Call = tuple[str, str, Any]
 
@@ -177,7 +176,7 @@
             reply_signal.set(Unreachable(target=target))
         return call_id, reply_signal
 
-    def on_graph(self, graph: Graph) -> None:
+    def on_graph(self, graph: RoutingGraph) -> None:
         """End the calls to nodes that no route leads to any more; whether they ran is unknown."""
         for call in list(self.pending.values()):
             if call.target not in graph.routes:
--- a/quillring/kernel/types.py
+++ b/quillring/kernel/types.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Generator
-from typing import Any
+from collections.abc import Callable, Container, Generator
+from typing import Any, Protocol
 
 Address = tuple[str, int]
 """Host and port."""
@@ -19,3 +19,11 @@
 
 Clock = Callable[[], float]
 """A function that returns seconds."""
+
+
+class RoutingGraph(Protocol):
+    """What the kernel reads of the peer layer's graph."""
+
+    @property
+    def routes(self) -> Container[str]:
+        """Return the names of the nodes that a route leads to."""
