--- a/proving/histories/bugs.py
+++ b/proving/histories/bugs.py
@@ -186,7 +186,11 @@
         take_any_news,
     ),
     Bug(
-        "unknown told as refused", "part_client._unknown", part_client, "_unknown", told_as_refused
+        "unknown told as refused",
+        "part_client.outcome_unknown",
+        part_client,
+        "outcome_unknown",
+        told_as_refused,
     ),
     Bug(
         "reads past the log",
--- a/proving/points/cuts.py
+++ b/proving/points/cuts.py
@@ -3,7 +3,7 @@
 from proving.points.base import Stage
 from proving.points.state import FRESH, adopt, names_but
 from quillring.nifty.graph import Graph
-from quillring.ownership import Ownership
+from quillring.ownership.elections import Elections
 from quillring.quorum.hints import Hints
 from quillring.quorum.leader.membership_repair import MembershipRepair
 from quillring.store.slots import SlotStore
@@ -196,7 +196,7 @@
     yield from REAL_TAKE(self, part, attempts)
 
 
-REAL_TAKE = Ownership._run_election
+REAL_TAKE = Elections._run_election
 
 
 POINTS = [
@@ -216,7 +216,7 @@
     (
         "service returns after a closing fault",
         closing_fault,
-        [(Ownership, "_run_election", take_at_first_only)],
+        [(Elections, "_run_election", take_at_first_only)],
     ),
     (
         "hints are handed over and dropped",
--- a/proving/points/orders.py
+++ b/proving/points/orders.py
@@ -6,6 +6,7 @@
 from proving.points.state import adopt
 from quillring.kernel.errors import Conflict, NotOwner
 from quillring.ownership import Ownership
+from quillring.ownership.part_client import PartClient
 from quillring.quorum.leader.part_leader import PartLeader
 from quillring.rollout import operator_orders, orders
 from quillring.rollout.operator_orders import retire_store
@@ -192,7 +193,7 @@
         [
             (PartLeader, "linearizable_state", unfenced_state),
             (Ownership, "_leader", former_owner),
-            (Ownership, "why_unavailable", never_hopeless),
+            (PartClient, "why_unavailable", never_hopeless),
         ],
     ),
 ]
--- a/proving/points/stalls.py
+++ b/proving/points/stalls.py
@@ -4,6 +4,7 @@
 from proving.points.state import adopt
 from quillring.kernel.errors import Refused
 from quillring.ownership import Ownership
+from quillring.ownership.part_client import PartClient
 from quillring.quorum.parts import CONFIG
 
 CUT_SECONDS = 20
@@ -158,6 +159,6 @@
     (
         "a control machine that is cut off hands out and confirms nothing old",
         cut_off_control,
-        [(Ownership, "read", read_own), (Ownership, "why_unavailable", never_hopeless)],
+        [(Ownership, "read", read_own), (PartClient, "why_unavailable", never_hopeless)],
     ),
 ]
--- a/proving/points/waits.py
+++ b/proving/points/waits.py
@@ -7,7 +7,7 @@
 from quillring.kernel.node import Node
 from quillring.kernel.wsgi import Request
 from quillring.lots.prompts.api import submit_lot
-from quillring.ownership import Ownership
+from quillring.ownership.part_client import PartClient
 
 
 def timed_refusals(stage, make, bodies, client_name="ann"):
@@ -154,11 +154,11 @@
     (
         "a lost majority is refused at once",
         lost_majority,
-        [(Ownership, "why_unavailable", never_lost)],
+        [(PartClient, "why_unavailable", never_lost)],
     ),
     (
         "lost cores are refused at once",
         lost_cores,
-        [(Ownership, "why_unavailable", never_lost), (Node, "on_graph", keep_pending)],
+        [(PartClient, "why_unavailable", never_lost), (Node, "on_graph", keep_pending)],
     ),
 ]
--- a/quillring/kernel/types.py
+++ b/quillring/kernel/types.py
@@ -20,6 +20,9 @@
 Clock = Callable[[], float]
 """A function that returns seconds."""
 
+WireMap = dict[str, Any]
+"""A map as it stands on the wire, in the replicated state or in JSON."""
+
 
 class RoutingGraph(Protocol):
     """What the kernel reads of the peer layer's graph."""
--- a/quillring/ownership/__init__.py
+++ b/quillring/ownership/__init__.py
@@ -1,4 +1,4 @@
-"""Ownership of parts, cut by key over the live core nodes; a part changes hands under a ballot."""
+"""Leadership of parts, cut by key over the live core nodes; it changes hands under a ballot."""
 
 from quillring.ownership.candidates import order_candidates
 from quillring.ownership.ownership import Ownership
--- /dev/null
+++ b/quillring/ownership/elections.py
@@ -0,0 +1,149 @@
+"""The control loop of a core: for which parts it runs elections, and which it transfers."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+from quillring.kernel.effects import Signal, Wait
+from quillring.kernel.errors import Fenced, NoMajority, QuillringError
+from quillring.ownership.election_timing import ElectionTiming
+from quillring.quorum.waits import wait_for_owner
+
+if TYPE_CHECKING:
+    from quillring.kernel.node import Node
+    from quillring.kernel.types import Coroutine
+    from quillring.ownership.ownership import Ownership
+    from quillring.quorum.leader.part_leader import PartLeader
+
+MIN_INTERVAL_SHARE = 0.8
+INTERVAL_JITTER_SHARE = 0.4
+
+
+class Candidacy(NamedTuple):
+    """Whether this core is the first candidate for a part, and whether the order is stable."""
+
+    is_first: bool
+    is_stable: bool
+
+
+class Elections:
+    """Reviews every part once a heartbeat, and whenever something changes that bears on it."""
+
+    __slots__ = ("node", "ownership", "timing", "parts_in_election", "wake_signal")
+
+    def __init__(self, node: Node, ownership: Ownership) -> None:
+        self.node = node
+        self.ownership = ownership
+        self.timing = ElectionTiming(node)
+        self.parts_in_election: set[str] = set()
+        self.wake_signal = Signal()
+
+    def watch(self) -> None:
+        """Have the parts reviewed at once when the graph or the word of other nodes changes."""
+        nifty, gossip = self.node.find("nifty"), self.node.find("gossip")
+        nifty.listeners.append(self.timing.on_graph)
+        nifty.listeners.append(self.wake)
+        for prefix in ("founding", "group/", "resting/"):
+            gossip.listen(prefix, self.wake)
+
+    def wake(self, *change: Any) -> None:
+        """Review the parts at once."""
+        self.wake_signal.set()
+
+    def run(self) -> Coroutine:
+        """Lead the parts this core is the first candidate for, transfer the others."""
+        bounds, backoff = self.node.bounds, self.ownership.backoff
+        self.node.spawn(backoff.lag.run())
+        while True:
+            jitter = INTERVAL_JITTER_SHARE * self.node.runtime.random.random()
+            seconds = bounds.heartbeat_interval * (MIN_INTERVAL_SHARE + jitter)
+            due_at = self.node.now() + seconds
+            if (yield Wait(self.wake_signal, seconds)):
+                self.wake_signal = Signal()
+            if self.node.now() - due_at > bounds.link_timeout:
+                self.timing.forget_observations()
+            backoff.refresh()
+            if self.node.find("gossip").get("founding") is None:
+                continue
+            for part in self.ownership.parts():
+                self._review(part)
+
+    def _review(self, part: str) -> None:
+        """Run an election for a part that this core should lead; transfer one it should not."""
+        leader = self.ownership.leaders.get(part)
+        candidacy = self._observe_candidacy(part)
+        if leader is not None and leader.is_leader:
+            if not candidacy.is_first and candidacy.is_stable and not leader.queue:
+                self._transfer(part, leader)
+        elif candidacy.is_first and part not in self.parts_in_election:
+            is_due = candidacy.is_stable or not self._is_led_elsewhere(part)
+            if is_due and not self.timing.is_starting():
+                self._begin_election(part, candidacy.is_stable)
+
+    def _observe_candidacy(self, part: str) -> Candidacy:
+        """Tell whether this core is the first candidate, and whether that is stable.
+
+        While the loss of a node is noticed at different times, the graph looks cut, and the order
+        wavers; a part that is led well stays where it is meanwhile. Who leaves does so at once.
+        """
+        first_name = next(iter(self.ownership.candidates(part)), None)
+        me, is_draining = self.node.me.name, self.node.is_draining
+        is_leaving = is_draining or self.ownership.is_leaving(me)
+        seconds = self.timing.observe_first_candidate(part, first_name)
+        is_first = first_name == me and not is_draining
+        return Candidacy(is_first, is_leaving or self.timing.is_stable(seconds))
+
+    def _is_led_elsewhere(self, part: str) -> bool:
+        """Tell whether another core in reach leads the part and is to keep it."""
+        name = self.ownership.known_leader(part)
+        if name is None or name == self.node.me.name:
+            return False
+        is_in_reach = self.node.find("nifty").reaches(name)
+        return is_in_reach and not self.ownership.declines_leadership(name)
+
+    def _transfer(self, part: str, leader: PartLeader) -> None:
+        for name in self.ownership.candidates(part)[:1]:
+            if name != self.node.me.name:
+                self.ownership.leadership_transfer.begin(part, leader, name)
+
+    def _begin_election(self, part: str, is_stable: bool) -> None:
+        if self.timing.reaches_majority(self.ownership.group(part)):
+            self.parts_in_election.add(part)
+            self.node.spawn(self._run_election(part, is_stable))
+
+    def _run_election(self, part: str, is_stable: bool) -> Coroutine:
+        """Win a ballot for a part and lead it until the term ends."""
+        leader, backoff = self.ownership.new_leader(part), self.ownership.backoff
+
+        def leave_to_winner(ballot: list[Any]) -> bool:
+            return not is_stable and self.timing.is_contended(ballot)
+
+        try:
+            yield from leader.run_election_with_retry(leave_to_winner)
+        except QuillringError as error:
+            leader.election_progress.end(error)
+            if isinstance(error, NoMajority):
+                backoff.note_lost_term()
+            yield from wait_for_owner(self.node, self._pause_after(error))
+            return
+        finally:
+            self.parts_in_election.discard(part)
+            self.wake()
+        self.node.spawn(self._lead(leader))
+
+    def _lead(self, leader: PartLeader) -> Coroutine:
+        """Lead a part until the term ends; a core that lost it by its own fault backs off."""
+        error = yield from leader.run()
+        if isinstance(error, (Fenced, NoMajority)):
+            self.ownership.backoff.note_lost_term()
+
+    def _pause_after(self, error: QuillringError) -> float:
+        """Return the mean pause after a lost election, in seconds.
+
+        Where another core is winning, its announcement comes first.
+        """
+        interval = self.node.bounds.heartbeat_interval
+        if not isinstance(error, Fenced):
+            return interval / 2
+        is_contended = self.timing.is_contended(error.detail["ballot"])
+        return interval * 2 if is_contended else interval / 4
--- a/quillring/ownership/leadership_transfer.py
+++ b/quillring/ownership/leadership_transfer.py
@@ -1,69 +1,108 @@
-"""Giving a part to the core that ranks first: it fetches the state before its owner steps down."""
+"""Transfer of leadership to the first candidate, which fetches the state before it is free."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from quillring.kernel.errors import Conflict, NotOwner, QuillringError, UnknownService
+from quillring.ownership.messages import (
+    LEADERSHIP_OFFER,
+    PREPARE_TRANSFER,
+    STATE_CHUNK,
+    LeadershipOffer,
+    PrepareTransferRequest,
+    StateChunkReply,
+    StateChunkRequest,
+)
 from quillring.quorum.leader.part_leader import PartLeader
 from quillring.quorum.transfer import START, Place, StateBuilder, cut_piece
 
+if TYPE_CHECKING:
+    from quillring.kernel.node import Node
+    from quillring.kernel.types import Coroutine, WireMap
+    from quillring.ownership.ownership import Ownership
+
+
+class OfferedState(NamedTuple):
+    """The immutable state of a part that is transferred, and the last entry applied to it."""
+
+    log_index: int
+    state: Any
+
 
 class LeadershipTransfer:
-    """Both sides of a planned change of owners; the part is without one as briefly as can be."""
+    """Both sides of a planned change of leaders; the part is without one as briefly as can be."""
 
-    __slots__ = ("ownership", "given")
+    __slots__ = ("node", "ownership", "offered")
 
-    def __init__(self, ownership):
+    def __init__(self, node: Node, ownership: Ownership) -> None:
+        self.node = node
         self.ownership = ownership
-        self.given = {}
-        node = ownership.node
-        node.handle("part.ready", self.on_ready)
-        node.handle("part.piece", self.on_piece)
-
-    def begin(self, part, owner, name):
-        """Hand a part over to a core, unless that is under way."""
-        if part not in self.given:
-            self.given[part] = (owner.index, owner.state)
-            self.ownership.node.spawn(self._transfer(part, owner, name))
-
-    def _transfer(self, part, owner, name):
-        """Coroutine: let the next owner fetch the state; then step down and tell it."""
-        node = self.ownership.node
-        body = {"part": part, "index": self.given[part][0]}
+        self.offered: dict[str, OfferedState] = {}
+
+    def handle_calls(self) -> None:
+        """On a core: answer the calls of transfers."""
+        self.node.handle(PREPARE_TRANSFER, self.on_prepare)
+        self.node.handle(STATE_CHUNK, self.on_state_chunk)
+
+    def begin(self, part: str, leader: PartLeader, successor: str) -> None:
+        """Transfer a part to another core, unless that is under way."""
+        if part not in self.offered:
+            self.offered[part] = OfferedState(leader.index, leader.state)
+            self.node.spawn(self._transfer(part, leader, successor))
+
+    def _transfer(self, part: str, leader: PartLeader, successor: str) -> Coroutine:
+        """Let the next leader fetch the state; then step down and tell it."""
+        request = PrepareTransferRequest(part, self.offered[part].log_index)
+        seconds = self.node.bounds.propagation * 2
         try:
-            yield from node.call(name, "part.ready", body, node.bounds.propagation * 2)
+            yield from self.node.call(successor, PREPARE_TRANSFER, request.to_wire(), seconds)
         except UnknownService:
-            node.count("handovers_without_state")
+            self.node.count("handovers_without_state")
         except QuillringError as error:
-            node.log("warning", "%s is not ready to own %s: %s", name, part, error)
+            self.node.log(
+                "warning", "leadership transfer of %s: %s is not ready: %s", part, successor, error
+            )
         finally:
-            del self.given[part]
-        if owner.is_leader and self.ownership.candidates(part)[:1] == [name]:
-            owner.step_down(NotOwner(part=part))
-            node.send_oneway(name, "part.free", part)
-
-    def on_piece(self, body, origin):
-        """Give a piece of the state that is handed over, as [data, place behind it or None]."""
-        index, state = self.given.get(body["part"], (None, None))
-        if index != body["index"]:
-            raise Conflict(part=body["part"], index=index)
-        data, following = cut_piece(state, Place(*body["place"]))
-        return [data, following]
-
-    def on_ready(self, body, origin):
-        """Coroutine: fetch the state of a part from its owner, so as to be its next one."""
-        part, index = body["part"], body["index"]
-        former = self.ownership.leaders.get(part)
+            del self.offered[part]
+        if leader.is_leader and self.ownership.candidates(part)[:1] == [successor]:
+            leader.step_down(NotOwner(part=part))
+            self.node.send_oneway(successor, LEADERSHIP_OFFER, LeadershipOffer(part).to_wire())
+
+    def on_state_chunk(self, body: WireMap, origin: str) -> list[Any]:
+        """Give some bytes of a state that is offered; Conflict for any other state."""
+        request = StateChunkRequest.from_wire(body)
+        offered = self.offered.get(request.part)
+        if offered is None or offered.log_index != request.log_index:
+            known_index = None if offered is None else offered.log_index
+            raise Conflict(part=request.part, index=known_index)
+        data, next_offset = cut_piece(offered.state, request.offset)
+        return StateChunkReply(data, next_offset).to_wire()
+
+    def on_prepare(self, body: WireMap, origin: str) -> Coroutine:
+        """Fetch the state of a part from its leader, so as to be its next one."""
+        request = PrepareTransferRequest.from_wire(body)
+        part, index = request.part, request.log_index
+        leaders = self.ownership.leaders
+        former = leaders.get(part)
         if former is not None and (former.is_leader or former.index >= index):
             return True
-        builder, place, node = StateBuilder(), START, self.ownership.node
-        while place is not None:
-            wanted = {"part": part, "index": index, "place": list(place)}
-            data, following = yield from node.call(
-                origin, "part.piece", wanted, node.bounds.read_timeout
-            )
-            builder.add(data, following)
-            place = None if following is None else Place(*following)
-        is_unchanged = self.ownership.leaders.get(part) is former
-        if is_unchanged and part not in self.ownership.elections:
-            successor = PartLeader(node, part, self.ownership.group(part), former)
-            successor.index, successor.state = index, builder.whole()
-            self.ownership.leaders[part] = successor
+        state = yield from self._fetch_state(origin, part, index)
+        is_unchanged = leaders.get(part) is former
+        if is_unchanged and part not in self.ownership.elections.parts_in_election:
+            successor = PartLeader(self.node, part, self.ownership.group(part), former)
+            successor.index, successor.state = index, state
+            leaders[part] = successor
         return True
+
+    def _fetch_state(self, source: str, part: str, index: int) -> Coroutine:
+        """Return the state of a part at an index, fetched from its leader."""
+        builder, seconds = StateBuilder(), self.node.bounds.read_timeout
+        offset: Place | None = START
+        while offset is not None:
+            body = StateChunkRequest(part, index, offset).to_wire()
+            reply = yield from self.node.call(source, STATE_CHUNK, body, seconds)
+            chunk = StateChunkReply.from_wire(reply)
+            builder.add(chunk.data, chunk.next_offset)
+            offset = chunk.next_offset
+        return builder.whole()
--- a/quillring/ownership/ownership.py
+++ b/quillring/ownership/ownership.py
@@ -1,249 +1,216 @@
-"""Who owns which part: cores take the parts they rank first for; anyone can ask an owner."""
+"""Who leads which part, as one node sees it; on a core also the terms of leadership it runs."""
 
-from quillring.kernel.effects import Signal, Wait
-from quillring.kernel.errors import Fenced, NoMajority, NotFounded, NotOwner, QuillringError
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from quillring.kernel.errors import Fenced, NotFounded, NotOwner
 from quillring.ownership.candidates import order_candidates
-from quillring.ownership.election_timing import ElectionTiming
+from quillring.ownership.elections import Elections
 from quillring.ownership.leadership_backoff import LeadershipBackoff
 from quillring.ownership.leadership_transfer import LeadershipTransfer
+from quillring.ownership.messages import (
+    LEADERSHIP_OFFER,
+    READ,
+    STATUS,
+    SUBMIT,
+    WHOLE,
+    LeaderRecord,
+    LeadershipOffer,
+    LeadershipStatus,
+    ReadRequest,
+    SubmitRequest,
+    WholeRequest,
+)
 from quillring.ownership.part_client import PartClient
-from quillring.ownership.status import status_of
 from quillring.quorum.commands import QUERIES
 from quillring.quorum.leader.part_leader import PartLeader
 from quillring.quorum.leader.retirement_check import tell_whole
 from quillring.quorum.parts import GROUP_SIZE
-from quillring.quorum.waits import wait_for_owner
+from quillring.quorum.values import group_from_wire
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+    from typing import Any
+
+    from quillring.kernel.errors import QuillringError
+    from quillring.kernel.node import Node
+    from quillring.kernel.types import Coroutine, WireMap
+    from quillring.quorum.values import Group
 
+    LeaderListener = Callable[[PartLeader, list[WireMap]], None]
+    SubmitCheck = Callable[[PartLeader, WireMap], None]
 
-class Ownership(PartClient):
-    """The table of parts as one node sees it; on a core also the owners it runs."""
+
+class Ownership:
+    """The directory of parts, the client that reaches their leaders, and this core's own terms.
+
+    A listener is called with a leader and the commands of the entry that it applied, and with no
+    commands when a term begins or ends. A submit check may raise before a command is queued.
+    """
 
     __slots__ = (
         "node",
+        "client",
         "leaders",
         "leader_listeners",
         "submit_checks",
-        "started_at",
-        "wake_signal",
-        "election_timing",
         "backoff",
-        "leadership_transfer",
         "elections",
+        "leadership_transfer",
     )
 
-    def __init__(self, node):
+    def __init__(self, node: Node) -> None:
         self.node = node
-        self.leaders = {}
-        self.leader_listeners = []
-        self.submit_checks = []
-        self.started_at = node.now()
-        self.wake_signal = Signal()
-        self.election_timing = ElectionTiming(node)
+        self.client = PartClient(node, self)
+        self.leaders: dict[str, PartLeader] = {}
+        self.leader_listeners: list[LeaderListener] = []
+        self.submit_checks: list[SubmitCheck] = []
         self.backoff = LeadershipBackoff(node)
-        self.leadership_transfer = None
-        self.elections = set()
+        self.elections = Elections(node, self)
+        self.leadership_transfer = LeadershipTransfer(node, self)
         if node.me.role == "core":
-            node.handle("part.submit", self.on_submit)
-            node.handle("part.read", self.on_read)
-            node.handle("part.whole", self.on_whole)
-            node.handle("part.free", self.on_free)
-            node.handle("part.takeovers", self.on_takeovers)
-            self.leadership_transfer = LeadershipTransfer(self)
-            node.find("nifty").listeners.append(self.election_timing.on_graph)
-            node.find("nifty").listeners.append(self._wake_control_loop)
-            node.find("gossip").listen("founding", self._wake_control_loop)
-            node.find("gossip").listen("group/", self._wake_control_loop)
-            node.find("gossip").listen("resting/", self._wake_control_loop)
-
-    def _wake_control_loop(self, *news):
-        self.wake_signal.set()
-
-    def founding(self):
+            node.handle(SUBMIT, self.on_submit)
+            node.handle(READ, self.on_read)
+            node.handle(WHOLE, self.on_whole)
+            node.handle(LEADERSHIP_OFFER, self.on_leadership_offer)
+            node.handle(STATUS, self.on_status)
+            self.leadership_transfer.handle_calls()
+            self.elections.watch()
+
+    def submit(self, part: str, command: WireMap, seconds: float | None = None) -> Coroutine:
+        """Commit a command in a part, wherever its leader is; see `PartClient.submit`."""
+        return self.client.submit(part, command, seconds)
+
+    def read(self, part: str, query: WireMap, seconds: float | None = None) -> Coroutine:
+        """Read a part's state; see `PartClient.read`."""
+        return self.client.read(part, query, seconds)
+
+    def call_leader(
+        self, part: str, service: str, body: WireMap, seconds: float | None
+    ) -> Coroutine:
+        """Call a service of the core that leads a part; see `PartClient.call_leader`."""
+        return self.client.call_leader(part, service, body, seconds)
+
+    def why_unavailable(self, part: str) -> QuillringError | None:
+        """Return the error that no core this node reaches can overcome, or None."""
+        return self.client.why_unavailable(part)
+
+    def known_leader(self, part: str) -> str | None:
+        """Return the core that leads a part as last heard, or None."""
+        return self.client.known_leader(part)
+
+    def founding(self) -> WireMap:
         """Return the founding record, or raise NotFounded."""
-        record = self.node.find("gossip").get("founding")
+        record: WireMap | None = self.node.find("gossip").get("founding")
         if record is None:
             raise NotFounded()
         return record
 
-    def parts(self):
+    def parts(self) -> list[str]:
         """Return the names of all parts."""
         return sorted(self.founding()["groups"])
 
-    def group(self, part):
+    def group(self, part: str) -> Group:
         """Return the stores of a part as last heard."""
-        news = self.node.find("gossip").get(f"group/{part}")
-        return news or self.founding()["groups"][part]
+        heard_group = self.node.find("gossip").get(f"group/{part}")
+        return group_from_wire(heard_group or self.founding()["groups"][part])
 
-    def size(self):
+    def size(self) -> int:
         """Return how many stores a full group has."""
-        return self.founding().get("size", GROUP_SIZE)
+        size: int = self.founding().get("size", GROUP_SIZE)
+        return size
 
-    def cores(self):
+    def cores(self) -> list[str]:
         """Return the names of all core nodes of the roster."""
         members = self.node.find("nifty").roster.members.values()
-        return sorted(m.name for m in members if m.role == "core")
+        return sorted(member.name for member in members if member.role == "core")
 
-    def candidates(self, part):
+    def candidates(self, part: str) -> list[str]:
         """Return the reachable cores in the order of their claim to the part."""
         cores = self.cores()
         leaving_names = {name for name in cores if self.is_leaving(name)}
-        resting_names = {name for name in cores if self.backoff.is_backing_off(name)}
+        backing_off_names = {name for name in cores if self.backoff.is_backing_off(name)}
         graph = self.node.find("nifty").graph
-        return order_candidates(part, cores, graph, leaving_names, resting_names)
+        return order_candidates(part, cores, graph, leaving_names, backing_off_names)
 
-    def is_leaving(self, name):
-        """Tell whether a member drains or stands in an emptied domain: nothing new goes there."""
+    def is_leaving(self, name: str) -> bool:
+        """Tell whether a member drains or stands in an emptied zone: nothing new goes there."""
         member = self.node.find("nifty").roster.members.get(name)
         if member is None:
             return False
-        drains = self.node.find("gossip").get(f"draining/{name}") == member.incarnation
-        return drains or self.node.find("layout").is_zone_draining(member.zone)
+        if self.node.find("gossip").get(f"draining/{name}") == member.incarnation:
+            return True
+        return bool(self.node.find("layout").is_zone_draining(member.zone))
 
-    def declines_leadership(self, name):
-        """Tell whether others take the parts of a core at once: it leaves, or rests."""
+    def declines_leadership(self, name: str) -> bool:
+        """Tell whether others take the parts of a core at once: it leaves, or backs off."""
         return self.is_leaving(name) or self.backoff.is_backing_off(name)
 
-    def announce_drain(self):
+    def announce_drain(self) -> None:
         """Tell all nodes that this one drains, until it starts again."""
         me = self.node.me
         self.node.find("gossip").put(f"draining/{me.name}", [me.incarnation], me.incarnation)
 
-    def run(self):
-        """Coroutine, on a core: take the parts it ranks first for, hand over the others."""
-        self.node.spawn(self.backoff.lag.run())
-        while True:
-            seconds = self.node.bounds.heartbeat_interval * (
-                0.8 + 0.4 * self.node.runtime.random.random()
-            )
-            due_at = self.node.now() + seconds
-            if (yield Wait(self.wake_signal, seconds)):
-                self.wake_signal = Signal()
-            if self.node.now() - due_at > self.node.bounds.link_timeout:
-                self.election_timing.forget_observations()
-            self.backoff.refresh()
-            if self.node.find("gossip").get("founding") is None:
-                continue
-            for part in self.parts():
-                self._review_part(part)
-
-    def _review_part(self, part):
-        """Take a part that this core should own; hand over one that another should."""
-        owner = self.leaders.get(part)
-        holds_part = owner is not None and owner.is_leader
-        is_first, is_settled = self._observe_candidacy(part)
-        if holds_part and not is_first and is_settled and not owner.queue:
-            self._transfer_leadership(part, owner)
-        elif is_first and not holds_part and part not in self.elections:
-            is_due = is_settled or not self._is_owned_elsewhere(part)
-            if is_due and not self.election_timing.is_starting():
-                self._begin_election(part, is_settled)
-
-    def _begin_election(self, part, is_settled):
-        if self.election_timing.has_majority(self.group(part)):
-            self.elections.add(part)
-            self.node.spawn(self._run_election(part, is_settled))
-
-    def _observe_candidacy(self, part):
-        """Tell whether this core ranks first, and whether that is settled.
-
-        While the loss of a node is noticed at different times, the graph looks cut, and the ranks
-        waver; a part that is owned well stays where it is meanwhile. Who leaves does so at once.
-        """
-        name, me = next(iter(self.candidates(part)), None), self.node.me.name
-        is_leaving = self.node.is_draining or self.is_leaving(me)
-        seconds = self.election_timing.observe_first_candidate(part, name)
-        is_first = name == me and not self.node.is_draining
-        return is_first, is_leaving or self.election_timing.is_settled(seconds)
-
-    def _is_owned_elsewhere(self, part):
-        name = (self.node.find("gossip").get(f"owner/{part}") or {}).get("owner")
-        return (
-            name is not None
-            and name != self.node.me.name
-            and (self.node.find("nifty").reaches(name) and not self.declines_leadership(name))
-        )
-
-    def _transfer_leadership(self, part, owner):
-        for name in self.candidates(part)[:1]:
-            if name != self.node.me.name:
-                self.leadership_transfer.begin(part, owner, name)
-
-    def _run_election(self, part, is_settled):
+    def run(self) -> Coroutine:
+        """On a core: lead the parts it is the first candidate for, transfer the others."""
+        return self.elections.run()
+
+    def new_leader(self, part: str) -> PartLeader:
+        """Return a new term of this core for a part, which takes over what the last one knew."""
         former = self.leaders.get(part)
-        owner = self.leaders[part] = PartLeader(self.node, part, self.group(part), former)
-        owner.listeners.extend([*self.leader_listeners, self._publish_leader])
-        try:
-            yield from owner.run_election_with_retry(
-                lambda ballot: self._may_leave_to_winner(ballot, is_settled)
-            )
-        except QuillringError as error:
-            owner.election_progress.end(error)
-            if isinstance(error, NoMajority):
-                self.backoff.note_lost_term()
-            yield from wait_for_owner(self.node, self._pause_after_failed_election(error))
+        leader = self.leaders[part] = PartLeader(self.node, part, self.group(part), former)
+        leader.listeners.extend([*self.leader_listeners, self._publish_leader])
+        return leader
+
+    def _publish_leader(self, leader: PartLeader, batch: list[WireMap]) -> None:
+        """Tell all nodes who leads the part and which stores hold it."""
+        if not leader.is_leader or leader.state is None:
             return
-        finally:
-            self.elections.discard(part)
-            self._wake_control_loop()
-        self.node.spawn(self._lead(owner))
-
-    def _lead(self, owner):
-        """Coroutine: own a part until the term ends; a core that lost it by its own fault rests."""
-        error = yield from owner.run()
-        if isinstance(error, (Fenced, NoMajority)):
-            self.backoff.note_lost_term()
-
-    def _may_leave_to_winner(self, ballot, is_settled):
-        """Tell whether the core whose ballot is higher is to be left to win the part."""
-        return not is_settled and self.election_timing.is_contended(ballot)
-
-    def _pause_after_failed_election(self, error):
-        """Return seconds: where another core is winning, its news comes first."""
-        beat = self.node.bounds.heartbeat_interval
-        if not isinstance(error, Fenced):
-            return beat / 2
-        return beat * 2 if self.election_timing.is_contended(error.detail["ballot"]) else beat / 4
-
-    def _publish_leader(self, owner, batch):
-        gossip = self.node.find("gossip")
-        if owner.is_leader:
-            news = {"owner": owner.node.me.name, "ballot": list(owner.ballot)}
-            gossip.put(f"owner/{owner.part}", owner.ballot, news)
-            if gossip.get(f"group/{owner.part}") != owner.state["group"]:
-                gossip.put(f"group/{owner.part}", [owner.index], owner.state["group"])
-
-    def on_free(self, part, origin):
-        """Coroutine: take a part that its owner hands over, unless it is truly owned here."""
-        owner = self.leaders.get(part)
-        if owner is not None and owner.is_leader:
+        gossip, part = self.node.find("gossip"), leader.part
+        record = LeaderRecord(self.node.me.name, list(leader.ballot))
+        gossip.put(f"owner/{part}", leader.ballot, record.to_wire())
+        if gossip.get(f"group/{part}") != leader.state["group"]:
+            gossip.put(f"group/{part}", [leader.index], leader.state["group"])
+
+    def on_submit(self, body: WireMap, origin: str) -> Coroutine:
+        """Commit a command in a part led here."""
+        request = SubmitRequest.from_wire(body)
+        leader = self._leader(request.part)
+        for check in self.submit_checks:
+            check(leader, request.command)
+        return leader.submit(request.command)
+
+    def on_read(self, body: WireMap, origin: str) -> Coroutine:
+        """Answer a query from a part led here, once a majority confirmed the ballot."""
+        request = ReadRequest.from_wire(body)
+        state = yield from self._leader(request.part).linearizable_state()
+        answer_query = QUERIES.find(request.query["ask"])
+        return answer_query(state, request.query)
+
+    def on_whole(self, body: WireMap, origin: str) -> Coroutine:
+        """Tell whether the stores of a part led here hold everything."""
+        return tell_whole(self._leader(WholeRequest.from_wire(body).part))
+
+    def on_status(self, body: Any, origin: str) -> WireMap:
+        """Tell how far this core is with each part that it led or tried to lead."""
+        return {
+            part: LeadershipStatus.of_leader(leader).to_wire()
+            for part, leader in self.leaders.items()
+        }
+
+    def on_leadership_offer(self, body: str, origin: str) -> Coroutine:
+        """Run an election for a part whose leader stepped down, unless it is truly led here."""
+        leader = self.leaders.get(LeadershipOffer.from_wire(body).part)
+        if leader is not None and leader.is_leader:
             try:
-                yield from owner.linearizable_state()
+                yield from leader.linearizable_state()
             except Fenced as error:
-                owner.step_down(error)
-        self._wake_control_loop()
-
-    def on_submit(self, body, origin):
-        """Commit a command in a part owned here."""
-        owner = self._leader(body["part"])
-        for check in self.submit_checks:
-            check(owner, body["command"])
-        return owner.submit(body["command"])
-
-    def on_read(self, body, origin):
-        """Answer a query from a part owned here, under its fence."""
-        read_state = yield from self._leader(body["part"]).linearizable_state()
-        return QUERIES.find(body["query"]["ask"])(read_state, body["query"])
-
-    def on_takeovers(self, body, origin):
-        """Tell how far this core is with each part that it took or tried to take."""
-        return {part: status_of(owner) for part, owner in self.leaders.items()}
-
-    def on_whole(self, body, origin):
-        """Tell whether the stores of a part owned here hold everything."""
-        return tell_whole(self._leader(body["part"]))
+                leader.step_down(error)
+        self.elections.wake()
 
-    def _leader(self, part):
-        owner = self.leaders.get(part)
-        if owner is None or not owner.is_leader:
+    def _leader(self, part: str) -> PartLeader:
+        leader = self.leaders.get(part)
+        if leader is None or not leader.is_leader:
             raise NotOwner(part=part)
-        return owner
+        return leader
--- a/quillring/ownership/part_client.py
+++ b/quillring/ownership/part_client.py
@@ -1,4 +1,8 @@
-"""Client of a part: commands and reads go to whichever core owns it, wherever they begin."""
+"""Client of a part: commands and reads go to whichever core leads it, wherever they begin."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
 
 from quillring.kernel.errors import (
     Fenced,
@@ -10,116 +14,158 @@
     TimedOut,
     Unreachable,
 )
+from quillring.ownership.messages import READ, SUBMIT, LeaderRecord, ReadRequest, SubmitRequest
 from quillring.quorum.leader.follower_read import peek
 from quillring.quorum.parts import majority
 from quillring.quorum.waits import wait_for_owner
 
-LONGEST_PAUSE = 1.5
-LOOK_ELSEWHERE = (Fenced, NotOwner, TimedOut, Unreachable)
+if TYPE_CHECKING:
+    from typing import Any, Protocol
+
+    from quillring.kernel.node import Node
+    from quillring.kernel.types import Coroutine, WireMap
+    from quillring.quorum.values import Group
+
+    class PartDirectory(Protocol):
+        """What a client needs to know of the parts."""
+
+        def founding(self) -> WireMap:
+            """Return the founding record, or raise NotFounded."""
+
+        def group(self, part: str) -> Group:
+            """Return the stores of a part as last heard."""
+
+        def candidates(self, part: str) -> list[str]:
+            """Return the reachable cores in the order of their claim to the part."""
+
+
+# The longest pause between two attempts is 1.5 times the seconds given to `wait_for_owner`.
+MAX_PAUSE_FACTOR = 1.5
+TRY_ANOTHER_CORE = (Fenced, NoMajority, NotOwner, TimedOut, Unreachable)
+MAY_HAVE_RUN = (NoMajority, TimedOut)
 
 
 class PartClient:
-    """The client side of ownership: finds a part's owner and repeats what may be repeated."""
+    """Finds a part's leader, and repeats what may be repeated."""
+
+    __slots__ = ("node", "directory", "started_at")
+
+    def __init__(self, node: Node, directory: PartDirectory) -> None:
+        self.node = node
+        self.directory = directory
+        self.started_at = node.now()
+
+    def submit(self, part: str, command: WireMap, seconds: float | None = None) -> Coroutine:
+        """Commit a command that carries its own id, at whichever core leads the part.
 
-    __slots__ = ()
+        Raises OutcomeUnknown, Refused, or the error with which the command was refused.
+        """
+        body = SubmitRequest(part, command).to_wire()
+        return self.call_leader(part, SUBMIT, body, seconds)
 
-    def submit(self, part, command, seconds=None):
-        """Coroutine: commit a command that carries its own id, at whichever core owns the part."""
-        answer = yield from self.call_leader(part, "part.submit", {"command": command}, seconds)
-        return answer
+    def read(self, part: str, query: WireMap, seconds: float | None = None) -> Coroutine:
+        """Read a part's state from its leader, or from a majority of its stores.
 
-    def read(self, part, query, seconds=None):
-        """Coroutine: read a part's state from its owner, or from a majority of its stores."""
-        bounds, last_error = self.node.bounds, NotOwner(part=part)
+        Raises Refused when the time is over or nobody can answer, or the query's own error.
+        """
+        bounds = self.node.bounds
+        last_error: QuillringError = NotOwner(part=part)
         end_time = self.node.now() + (bounds.propagation * 2 if seconds is None else seconds)
         while self.node.now() < end_time:
             unavailability = self.why_unavailable(part)
             if unavailability is not None:
                 raise Refused(reason=unavailability.kind, part=part)
-            for owner_name in self._call_targets(part)[:1]:
+            for core in self._call_targets(part)[:1]:
                 try:
-                    body = {"part": part, "query": query}
+                    body = ReadRequest(part, query).to_wire()
                     seconds = min(bounds.read_timeout / 2, end_time - self.node.now())
-                    answer = yield from self.node.call(owner_name, "part.read", body, seconds)
+                    answer = yield from self.node.call(core, READ, body, seconds)
                     return answer
-                except (*LOOK_ELSEWHERE, NoMajority) as error:
+                except TRY_ANOTHER_CORE as error:
                     last_error = error
             seconds = min(bounds.read_timeout / 2, end_time - self.node.now())
             if seconds > 0:
-                known = yield from peek(self.node, part, self.group(part), query, seconds)
-                if known is not None:
+                group = self.directory.group(part)
+                give_answer = yield from peek(self.node, part, group, query, seconds)
+                if give_answer is not None:
                     self.node.count("peeks")
-                    return known()
+                    return give_answer()
             yield from self._pause_before_retry(end_time)
         raise Refused(reason=last_error.kind, part=part)
 
-    def call_leader(self, part, service, body, seconds):
-        """Coroutine: call a service of the core that owns the part, wherever it is.
+    def call_leader(
+        self, part: str, service: str, body: WireMap, seconds: float | None
+    ) -> Coroutine:
+        """Call a service of the core that leads the part, wherever it is.
 
         Once a call of a command may have run, its outcome is unknown whatever a later call answers
         but success or a refusal of what can never be taken: the earlier one may still take effect.
         """
         bounds = self.node.bounds
         end_time = self.node.now() + (bounds.propagation * 2 if seconds is None else seconds)
-        self.founding()
-        last_error, attempts, may_have_run = NotOwner(part=part), 0, False
+        self.directory.founding()
+        request = {"part": part, **body}
+        last_error: QuillringError = NotOwner(part=part)
+        attempts, may_have_run = 0, False
         while self.node.now() < end_time:
             unavailability = self.why_unavailable(part)
             if unavailability is not None:
                 last_error = unavailability
                 break
-            candidates = self._call_targets(part)
-            if candidates:
+            targets = self._call_targets(part)
+            if targets:
+                target = targets[attempts % len(targets)]
+                call_seconds = min(bounds.propagation, end_time - self.node.now())
                 try:
-                    answer = yield from self.node.call(
-                        candidates[attempts % len(candidates)],
-                        service,
-                        {"part": part, **body},
-                        min(bounds.propagation, end_time - self.node.now()),
-                    )
+                    answer = yield from self.node.call(target, service, request, call_seconds)
                     return answer
-                except (*LOOK_ELSEWHERE, NoMajority) as error:
+                except TRY_ANOTHER_CORE as error:
                     last_error = error
-                    may_have_run = may_have_run or (
-                        service == "part.submit" and isinstance(error, (NoMajority, TimedOut))
-                    )
+                    if service == SUBMIT and isinstance(error, MAY_HAVE_RUN):
+                        may_have_run = True
                 except QuillringError as error:
                     if may_have_run and not error.is_final:
-                        raise _unknown(part) from error
+                        raise outcome_unknown(part) from error
                     raise
             attempts += 1
             yield from self._pause_before_retry(end_time)
         if may_have_run:
-            raise _unknown(part)
+            raise outcome_unknown(part)
         raise Refused(reason=last_error.kind, part=part)
 
-    def why_unavailable(self, part):
+    def why_unavailable(self, part: str) -> QuillringError | None:
         """Return the error that no core this node reaches can overcome, or None.
 
         A node that has just started does not know yet whom it reaches.
         """
         if self.node.now() - self.started_at < self.node.bounds.propagation:
             return None
-        graph, group = self.node.find("nifty").graph, self.group(part)
-        reached = [store[0] for store in group if store[0] in graph.reachable()]
+        graph, group = self.node.find("nifty").graph, self.directory.group(part)
+        reached = [store.name for store in group if store.name in graph.reachable()]
         if len(reached) < majority(group):
             return NoMajority(part=part, heard=sorted(reached))
-        return None if self.candidates(part) else Unreachable(part=part)
+        return None if self.directory.candidates(part) else Unreachable(part=part)
+
+    def known_leader(self, part: str) -> str | None:
+        """Return the core that leads a part as last heard, or None."""
+        fields: Any = self.node.find("gossip").get(f"owner/{part}")
+        return LeaderRecord.from_wire(fields).leader if fields else None
 
-    def _pause_before_retry(self, end_time):
-        """Coroutine: a pause between two attempts, which does not outlast the asking."""
-        seconds = min(
-            self.node.bounds.heartbeat_interval / 4, (end_time - self.node.now()) / LONGEST_PAUSE
-        )
+    def _pause_before_retry(self, end_time: float) -> Coroutine:
+        """Pause between two attempts, no longer than until the end of the call."""
+        longest_seconds = end_time - self.node.now()
+        seconds = min(self.node.bounds.heartbeat_interval / 4, longest_seconds / MAX_PAUSE_FACTOR)
         if seconds > 0:
             yield from wait_for_owner(self.node, seconds)
 
-    def _call_targets(self, part):
-        news = self.node.find("gossip").get(f"owner/{part}")
-        ranked_names = self.candidates(part)
-        named_owner = [news["owner"]] if news and news["owner"] in ranked_names else []
-        return [*named_owner, *(name for name in ranked_names[:2] if name not in named_owner)]
+    def _call_targets(self, part: str) -> list[str]:
+        """Return the core known to lead the part, if it is in reach, and the first candidates."""
+        candidates = self.directory.candidates(part)
+        leader = self.known_leader(part)
+        first_targets = [leader] if leader is not None and leader in candidates else []
+        return [*first_targets, *(name for name in candidates[:2] if name not in first_targets)]
 
 
-def _unknown(part):
+def outcome_unknown(part: str) -> OutcomeUnknown:
+    """Return the error for a command that may or may not have been committed."""
     return OutcomeUnknown(part=part, reason="repeat it under the same key or id")
--- a/quillring/ownership/status.py
+++ b/quillring/ownership/status.py
@@ -1,41 +1,63 @@
-"""What operators see of parts that change hands."""
+"""What operators see of the parts, their leaders and the elections under way."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from quillring.kernel.errors import QuillringError
+from quillring.ownership.messages import STATUS, LeaderRecord, ReportedStatus, statuses_from_wire
 
+if TYPE_CHECKING:
+    from quillring.kernel.node import Node
+    from quillring.kernel.types import Coroutine, WireMap
 
-def status_of(owner):
-    """Return how far a core is with a part: its takeover, index, and the store it mends."""
-    target = owner.anti_entropy.target
-    fields = {"index": owner.index, "mends": [] if target is None else [target]}
-    return {**owner.election_progress.to_json(), **fields}
 
+class PartStatus(NamedTuple):
+    """A part with its stores, its leader and ballot as last heard, and its newest election."""
 
-def newest_takeovers(node):
-    """Coroutine: ask the cores in reach; return {part: the takeover under the highest ballot}."""
+    part: str
+    stores: list[str]
+    leader: LeaderRecord | None
+    newest_election: ReportedStatus | None
+
+    def to_json(self) -> WireMap:
+        """Return what operators see."""
+        leader, election = self.leader, self.newest_election
+        return {
+            "part": self.part,
+            "group": self.stores,
+            "owner": None if leader is None else leader.leader,
+            "ballot": None if leader is None else leader.ballot,
+            "takeover": None if election is None else election.fields,
+        }
+
+
+def newest_elections(node: Node) -> Coroutine:
+    """Ask the cores in reach; return {part: the status under the highest ballot}."""
     nifty = node.find("nifty")
     names = [name for name in node.find("ownership").cores() if nifty.reaches(name)]
-    calls = [(name, "part.takeovers", None) for name in names]
+    calls: list[tuple[str, str, Any]] = [(name, STATUS, None) for name in names]
     replies = yield from node.gather(calls, len(calls), node.bounds.call_timeout)
-    newest = {}
+    newest: dict[str, ReportedStatus] = {}
     for reply in replies.values():
-        for part, status in () if isinstance(reply, QuillringError) else reply.items():
+        if isinstance(reply, QuillringError):
+            continue
+        for part, status in statuses_from_wire(reply).items():
             known = newest.get(part)
-            if known is None or known["ballot"] < status["ballot"]:
+            if known is None or known.ballot < status.ballot:
                 newest[part] = status
     return newest
 
 
-def list_parts(node):
-    """Return the parts with group, owner and ballot as heard, and the newest takeover."""
+def list_parts(node: Node) -> Coroutine:
+    """Return the PartStatus of every part; NotFounded where no founding is known."""
     ownership, gossip = node.find("ownership"), node.find("gossip")
     ownership.founding()
-    takeovers = yield from newest_takeovers(node)
-    return [
-        {
-            "part": part,
-            "group": [store[0] for store in ownership.group(part)],
-            **(gossip.get(f"owner/{part}") or {"owner": None, "ballot": None}),
-            "takeover": takeovers.get(part),
-        }
-        for part in ownership.parts()
-    ]
+    elections = yield from newest_elections(node)
+    rows = []
+    for part in ownership.parts():
+        stores = [store.name for store in ownership.group(part)]
+        record = gossip.get(f"owner/{part}")
+        leader = LeaderRecord.from_wire(record) if record else None
+        rows.append(PartStatus(part, stores, leader, elections.get(part)))
+    return rows
--- a/quillring/verbs/part_routes.py
+++ b/quillring/verbs/part_routes.py
@@ -11,8 +11,8 @@
 
     The takeovers are asked of the cores in reach, and are None where none of them knows of one.
     """
-    rows = yield from list_parts(node)
-    return {"parts": rows}
+    parts = yield from list_parts(node)
+    return {"parts": [part.to_json() for part in parts]}
 
 
 @route("GET", "/v1/whole")
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -26,9 +26,10 @@
     def __init__(self, ends):
         self.time, self.ends = 0.0, list(ends)
         runtime = SimpleNamespace(random=SimpleNamespace(random=lambda: 0.5))
-        self.node = SimpleNamespace(
+        node = SimpleNamespace(
             bounds=Bounds(), now=lambda: self.time, call=self.call, runtime=runtime
         )
+        super().__init__(node, SimpleNamespace(founding=lambda: {}))
 
     def call(self, target, service, body, seconds):
         end = self.ends.pop(0)
@@ -37,9 +38,6 @@
         return end
         yield
 
-    def founding(self):
-        return {}
-
     def why_unavailable(self, part):
         return None if self.ends else Unreachable(part=part)
 
--- a/tests/test_slow_cores.py
+++ b/tests/test_slow_cores.py
@@ -3,7 +3,11 @@
 import pytest
 
 from quillring.kernel.effects import Sleep
-from quillring.ownership.leadership_backoff import FIRST_REST_BEATS, JITTER, LONGEST_REST_BEATS
+from quillring.ownership.leadership_backoff import (
+    JITTER_SHARE,
+    MAX_BACKOFF_HEARTBEATS,
+    MIN_BACKOFF_HEARTBEATS,
+)
 from quillring.quorum.parts import CONFIG
 from tests.fleet_stage import SelfFounded
 
@@ -93,7 +97,7 @@
     fleet, name = slowed(seed, 0.03)
     fleet.run(SLOW_SECONDS)
     fleet.sim.nodes[name].runtime.step_seconds = 0
-    longest = fleet.sim.bounds.heartbeat_interval * LONGEST_REST_BEATS * (1 + JITTER)
+    longest = fleet.sim.bounds.heartbeat_interval * MAX_BACKOFF_HEARTBEATS * (1 + JITTER_SHARE)
     assert fleet.wait_for(lambda: fleet.owner() == name, longest + fleet.sim.bounds.propagation)
 
 
@@ -119,7 +123,9 @@
     newer = fleet.owner()
     assert newer not in (None, name)
     assert fleet.wait_for(lambda: ownership.backoff.is_backing_off(name), 1)
-    fleet.run(fleet.sim.bounds.heartbeat_interval * FIRST_REST_BEATS * (1 - JITTER) - 0.1)
+    fleet.run(
+        fleet.sim.bounds.heartbeat_interval * MIN_BACKOFF_HEARTBEATS * (1 - JITTER_SHARE) - 0.1
+    )
     assert fleet.owner() == newer
 
 
@@ -160,10 +166,10 @@
         backoff.lag.is_late = True
     wanted = [4, 8, 16, 32, 64, 64, 64, 64]
     for length, middle in zip(lengths, wanted, strict=True):
-        assert middle * (1 - JITTER) <= length <= middle * (1 + JITTER)
-    fleet.run(beat * LONGEST_REST_BEATS + 1)
+        assert middle * (1 - JITTER_SHARE) <= length <= middle * (1 + JITTER_SHARE)
+    fleet.run(beat * MAX_BACKOFF_HEARTBEATS + 1)
     backoff.note_lost_term()
-    assert (backoff.until - node.now()) / beat <= FIRST_REST_BEATS * (1 + JITTER)
+    assert (backoff.until - node.now()) / beat <= MIN_BACKOFF_HEARTBEATS * (1 + JITTER_SHARE)
 
 
 def test_where_all_cores_rest_the_first_of_them_still_acts():
