--- a/proving/points/callers.py
+++ b/proving/points/callers.py
@@ -6,8 +6,8 @@
 from proving.tools.fake_wire import END, RESET, FakeWire
 from quillring.fleet import make_node
 from quillring.forward import Request
-from quillring.forward.request_handler import serve
-from quillring.forward.route_table import Forward
+from quillring.forward.request_handler import forward_request
+from quillring.forward.route_table import ForwardRoute
 from quillring.kernel.bounds import Bounds
 from quillring.kernel.connections import Pool
 from quillring.kernel.effects import SendOn
@@ -161,7 +161,7 @@
     request = Request(node.find("dialect"), "POST", "/a/x", pairs, b"")
     try:
         answer = runtime.run(
-            serve(node, node.find("forwards").find("h", "/a/x"), request, START_TIME)
+            forward_request(node, node.find("forwards").find("h", "/a/x"), request, START_TIME)
         )
     except Refused:
         return "refused"
@@ -217,6 +217,6 @@
     (
         "what may not repeat is sent once through resets and silences",
         resets_and_silences,
-        [(Forward, "may_repeat", ALWAYS)],
+        [(ForwardRoute, "is_retryable", ALWAYS)],
     ),
 ]
--- a/quillring/edge/replicas.py
+++ b/quillring/edge/replicas.py
@@ -126,13 +126,13 @@
 class Replicas:
     """The table of replicas, fed by beats that any node took and gossip passed on."""
 
-    __slots__ = ("node", "table", "on_change", "table_version", "misplaced_names", "liveness")
+    __slots__ = ("node", "table", "on_change", "table_version", "misdirected_names", "liveness")
 
     def __init__(self, node):
         self.node = node
         self.table = {}
         self.table_version = 0
-        self.misplaced_names = frozenset()
+        self.misdirected_names = frozenset()
         self.on_change = []
         self.liveness = Liveness(node)
         node.find("gossip").listen("replica/", self._on_news)
@@ -206,13 +206,13 @@
         return (
             known is not None
             and known.state not in AWAY
-            and replica.name not in self.misplaced_names
+            and replica.name not in self.misdirected_names
             and not self.node.find("layout").is_emptied(replica.zone)
         )
 
-    def misplaced(self, replica):
+    def note_misdirected(self, replica):
         """Note that another one answered at a replica's address: this one is gone for good."""
-        self.misplaced_names = self.misplaced_names | {replica.name}
+        self.misdirected_names = self.misdirected_names | {replica.name}
         self.table_version += 1
 
     def may_get_work(self, replica):
--- a/quillring/fleet.py
+++ b/quillring/fleet.py
@@ -4,7 +4,7 @@
 from quillring.edge import Dispatch, Journal, Replicas
 from quillring.edge.memory import ReplicaMemory
 from quillring.edge.tokens import LIFE_SECONDS
-from quillring.forward import Dialect, ForwardTable, Placement
+from quillring.forward import ForwardRouteTable, HeaderNames, LoadBalancer
 from quillring.gossip import Gossip
 from quillring.kernel.errors import DiskError
 from quillring.kernel.node import Node
@@ -41,9 +41,9 @@
     node.offer("freshness", Freshness(node))
     node.offer("replicas", Replicas(node))
     node.offer("meter", Meter(node))
-    node.offer("dialect", Dialect())
-    node.offer("forwards", ForwardTable(node))
-    node.offer("placement", Placement(node))
+    node.offer("dialect", HeaderNames())
+    node.offer("forwards", ForwardRouteTable(node))
+    node.offer("placement", LoadBalancer(node))
 
     def put_member(member):
         gossip.put(f"member/{member.name}", [member.incarnation], member.to_list())
--- a/quillring/forward/__init__.py
+++ b/quillring/forward/__init__.py
@@ -1,9 +1,9 @@
-"""Forwarding: requests passed to replicas unchanged, placed by tokens, resumed where allowed."""
+"""Requests forwarded unchanged to replicas: load balancing, retry, resumed streams."""
 
 from quillring.forward.events import EventReader
-from quillring.forward.header_names import Dialect
-from quillring.forward.load_balancer import Placement
+from quillring.forward.header_names import HeaderNames
+from quillring.forward.load_balancer import LoadBalancer
 from quillring.forward.request import Request
-from quillring.forward.route_table import ForwardTable
+from quillring.forward.route_table import ForwardRouteTable
 
-__all__ = ["Dialect", "EventReader", "ForwardTable", "Placement", "Request"]
+__all__ = ["EventReader", "ForwardRouteTable", "HeaderNames", "LoadBalancer", "Request"]
--- a/quillring/forward/events.py
+++ b/quillring/forward/events.py
@@ -1,4 +1,9 @@
-"""Events of a stream: split, numbered, and never passed on in part."""
+"""Server-sent events: split from a byte stream, checked for their order, never passed on in part.
+
+Source: the event stream format of the HTML standard, section "Server-sent events".
+"""
+
+from __future__ import annotations
 
 import re
 
@@ -12,9 +17,10 @@
 
     __slots__ = ("id", "data", "raw")
 
-    def __init__(self, raw):
+    def __init__(self, raw: bytes) -> None:
         self.raw = raw
-        self.id, self.data = None, []
+        self.id: int | None = None
+        self.data: list[bytes] = []
         for line in raw.replace(b"\r\n", b"\n").split(b"\n"):
             name, _, value = line.partition(b":")
             value = value[1:] if value[:1] == b" " else value
@@ -25,34 +31,40 @@
 
 
 class EventReader:
-    """Splits the bytes of a stream into whole events; ids rise by one from `last_event` on."""
+    """Splits the bytes of a stream into whole events; ids rise by one from `last_event_id` on."""
+
+    __slots__ = ("unparsed", "last_event_id")
 
-    __slots__ = ("rest", "last_event")
+    def __init__(self, last_event_id: int | None = None) -> None:
+        self.unparsed = b""
+        self.last_event_id = last_event_id
 
-    def __init__(self, last_event=None):
-        self.rest = b""
-        self.last_event = last_event
+    def feed(self, data: bytes) -> list[Event]:
+        """Return the events that the bytes complete.
 
-    def feed(self, data):
-        """Return the events that the bytes complete; ids that do not rise raise BackendError."""
-        events = [Event(raw) for raw in self._split(self.rest + data)]
+        Raises
+        ------
+        BackendError
+            An event's id does not follow the one before it.
+        """
+        events = [Event(raw) for raw in self._split(self.unparsed + data)]
         for event in events:
             if event.id is None:
                 continue
-            if self.last_event is not None and event.id != self.last_event + 1:
+            if self.last_event_id is not None and event.id != self.last_event_id + 1:
                 raise BackendError(reason="events out of order", got=event.id)
-            self.last_event = event.id
+            self.last_event_id = event.id
         return events
 
-    def _split(self, data):
-        """Return the bytes of each whole event and keep what is left over."""
+    def _split(self, data: bytes) -> list[bytes]:
+        """Return the bytes of each whole event and keep the incomplete rest."""
         if b"\r" not in data:
-            *blocks, self.rest = data.split(b"\n\n")
+            *blocks, self.unparsed = data.split(b"\n\n")
             return [block + b"\n\n" for block in blocks]
-        *pieces, self.rest = END_OF_EVENT.split(data)
+        *pieces, self.unparsed = END_OF_EVENT.split(data)
         return [block + end for block, end in zip(pieces[::2], pieces[1::2])]
 
     @property
-    def is_clean(self):
+    def is_at_event_boundary(self) -> bool:
         """True when no part of an event is left over."""
-        return not self.rest.strip()
+        return not self.unparsed.strip()
--- a/quillring/forward/header_names.py
+++ b/quillring/forward/header_names.py
@@ -1,6 +1,8 @@
-"""The header names under which an inquiry's id, its replica, its seal and so on travel."""
+"""The header names under which a request's id, its replica, its seal and so on travel."""
 
-FIELDS = {
+from __future__ import annotations
+
+DEFAULT_HEADER_NAMES = {
     "request_id": "x-inquiry",
     "replica": "x-replica-named",
     "seal": "x-seal",
@@ -13,11 +15,21 @@
 }
 
 
-class Dialect:
-    """Header names, lower case; the product has its own, an outside system gives its own."""
+class HeaderNames:
+    """Header names in lower case; the product has its own, an outside system gives its own."""
+
+    __slots__ = tuple(DEFAULT_HEADER_NAMES)
 
-    __slots__ = tuple(FIELDS)
+    request_id: str
+    replica: str
+    seal: str
+    not_run: str
+    deadline: str
+    chain: str
+    tokens: str
+    urgency: str
+    resume: str
 
-    def __init__(self, **names):
-        for field, own_name in FIELDS.items():
-            setattr(self, field, names.get(field, own_name).lower())
+    def __init__(self, **names: str) -> None:
+        for field, default_name in DEFAULT_HEADER_NAMES.items():
+            setattr(self, field, names.get(field, default_name).lower())
--- a/quillring/forward/load_balancer.py
+++ b/quillring/forward/load_balancer.py
@@ -1,151 +1,192 @@
-"""Which replica gets a request: by kept prompt parts, by load, by error, by ramp while cold."""
+"""Which replica gets a request: prompt-cache affinity, least load, outlier ejection, slow start."""
 
-from quillring.forward.replica_health import View, is_quiet
-from quillring.forward.slow_start import Ramp
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+from quillring.forward.replica_health import ReplicaHealth, has_missed_heartbeats
+from quillring.forward.slow_start import SlowStart
 from quillring.kernel.effects import Signal
 from quillring.nifty.graph import score
 
-LONG_PART = 1024
-READING_AHEAD = 24_000
-OTHER_ZONE = 0.4
+if TYPE_CHECKING:
+    from collections.abc import Collection, Sequence
+
+    from quillring.forward.request import Request
+    from quillring.forward.types import Replica
+    from quillring.kernel.node import Node
+
+AFFINITY_MIN_TOKENS = 1024
+"""A shared prompt part of at least so many tokens keeps to its replica."""
+AFFINITY_REPLICA_COUNT = 2
+MAX_PENDING_PROMPT_TOKENS = 24_000
+"""Affinity gives way at a replica with so many prompt tokens not processed yet."""
+TOKENS_PER_REQUEST = 4000
+"""So many prompt tokens not processed yet weigh as much as one request in flight."""
+LOAD_SCALE = 8
+OTHER_ZONE_PENALTY = 0.4
+RANDOM_SPREAD = 0.3
 
 
-class Lease:
-    """A request under way at a replica."""
+class InFlightRequest:
+    """A request in flight at a replica: counted in its load until it is finished."""
 
-    __slots__ = ("placement", "view", "replica", "tokens", "is_reading", "is_over")
+    __slots__ = (
+        "load_balancer",
+        "health",
+        "replica",
+        "token_count",
+        "is_prompt_pending",
+        "is_over",
+    )
 
-    def __init__(self, placement, view, replica, tokens):
-        self.placement = placement
-        self.view = view
+    def __init__(
+        self, load_balancer: LoadBalancer, health: ReplicaHealth, replica: Replica, token_count: int
+    ) -> None:
+        self.load_balancer = load_balancer
+        self.health = health
         self.replica = replica
-        self.tokens = tokens
-        self.is_reading = True
+        self.token_count = token_count
+        self.is_prompt_pending = True
         self.is_over = False
-        view.in_flight += 1
-        view.reading += tokens
-
-    def heard(self):
-        """Note bytes of the answer: the replica works, and the prompt is read."""
-        self.view.heard_at = self.placement.node.now()
-        self.view.failures = 0
-        self.view.is_on_trial = False
-        if self.is_reading:
-            self.is_reading = False
-            self.view.reading -= self.tokens
-
-    def end(self):
-        """Give the place back."""
+        health.in_flight += 1
+        health.pending_prompt_tokens += token_count
+
+    def note_response_bytes(self) -> None:
+        """Note bytes of the response: the replica works, and the prompt is processed."""
+        self.health.last_byte_at = self.load_balancer.node.now()
+        self.health.consecutive_failures = 0
+        self.health.has_trial_request = False
+        if self.is_prompt_pending:
+            self.is_prompt_pending = False
+            self.health.pending_prompt_tokens -= self.token_count
+
+    def finish(self) -> None:
+        """Take the request out of the replica's load; a second call changes nothing."""
         if self.is_over:
             return
         self.is_over = True
-        self.view.in_flight -= 1
-        self.view.is_on_trial = False
-        if self.is_reading:
-            self.view.reading -= self.tokens
-        self.placement.wake()
+        self.health.in_flight -= 1
+        self.health.has_trial_request = False
+        if self.is_prompt_pending:
+            self.health.pending_prompt_tokens -= self.token_count
+        self.load_balancer.wake()
 
 
-class Placement:
-    """The replicas as this node's own sendings show them, and the choice among them."""
+class LoadBalancer:
+    """The health of the replicas by this node's own requests, and the choice among them."""
 
     __slots__ = (
         "node",
-        "views",
-        "ramp",
+        "health_by_replica",
+        "slow_start",
         "changed",
-        "usable",
-        "usable_table",
-        "usable_configuration",
+        "names_by_service",
+        "seen_table_version",
+        "seen_configuration",
     )
 
-    def __init__(self, node):
+    def __init__(self, node: Node) -> None:
         self.node = node
-        self.views = {}
-        self.ramp = Ramp(node)
+        self.health_by_replica: dict[str, ReplicaHealth] = {}
+        self.slow_start = SlowStart(node)
         self.changed = Signal()
-        self.usable = {}
-        self.usable_table = self.usable_configuration = None
+        self.names_by_service: dict[str, list[str]] = {}
+        self.seen_table_version: int | None = None
+        self.seen_configuration: Any = None
         node.find("replicas").on_change.append(self.wake)
 
-    def wake(self):
-        """Let those look again who wait for a place."""
+    def wake(self) -> None:
+        """Wake the requests that are queued for a replica."""
         if self.changed.watchers:
             changed_signal, self.changed = self.changed, Signal()
             changed_signal.set()
 
-    def view(self, replica):
-        """Return what this node's own sendings show of a replica."""
-        view = self.views.get(replica.name)
-        if view is None:
+    def health(self, replica: Replica) -> ReplicaHealth:
+        """Return a replica's health; that of replicas no longer known is dropped meanwhile."""
+        health = self.health_by_replica.get(replica.name)
+        if health is None:
             known = self.node.find("replicas").table
-            self.views = {n: v for n, v in self.views.items() if n in known or v.in_flight}
-            view = self.views[replica.name] = View()
-        return view
-
-    def replicas(self, service):
-        """Return the replicas of a service that may be sent something."""
+            self.health_by_replica = {
+                name: health
+                for name, health in self.health_by_replica.items()
+                if name in known or health.in_flight
+            }
+            health = self.health_by_replica[replica.name] = ReplicaHealth()
+        return health
+
+    def replicas(self, service: str) -> list[Replica]:
+        """Return the replicas of a service that may be sent a request."""
         replicas, configuration = self.node.find("replicas"), self.node.find("layout").configuration
         if (
-            self.usable_table != replicas.table_version
-            or self.usable_configuration is not configuration
+            self.seen_table_version != replicas.table_version
+            or self.seen_configuration is not configuration
         ):
-            by_service = {}
+            names_by_service: dict[str, list[str]] = {}
             for replica in replicas.table.values():
                 if replicas.may_be_sent(replica):
-                    by_service.setdefault(replica.service, []).append(replica.name)
-            self.usable = by_service
-            self.usable_table, self.usable_configuration = replicas.table_version, configuration
-        return [replicas.table[name] for name in self.usable.get(service, ())]
-
-    def choose(self, service, request, avoided_names=(), may_send_cold=True):
+                    names_by_service.setdefault(replica.service, []).append(replica.name)
+            self.names_by_service = names_by_service
+            self.seen_table_version = replicas.table_version
+            self.seen_configuration = configuration
+        return [replicas.table[name] for name in self.names_by_service.get(service, ())]
+
+    def choose(
+        self,
+        service: str,
+        request: Request,
+        avoided_names: Collection[str] = (),
+        may_send_cold: bool = True,
+    ) -> Replica | None:
         """Return the replica for a request, or None when none may be sent it now."""
         now = self.node.now()
         candidates = [r for r in self.replicas(service) if r.name not in avoided_names]
         if not candidates:
             return None
-        trusted = [r for r in candidates if self.view(r).is_trusted(now)]
-        silent = self.node.bounds.replica_timeout
-        heard = [r for r in trusted if not is_quiet(r, now, silent)] or trusted
-        sound = [r for r in heard if may_send_cold or not r.is_cold(now)]
-        while sound:
-            chosen_replica = self._prefer(sound, request)
-            if not chosen_replica.is_cold(now) or self.ramp.take(chosen_replica, now):
-                return chosen_replica
-            sound = [r for r in sound if r is not chosen_replica]
+        healthy = [r for r in candidates if self.health(r).may_get_request(now)]
+        timeout = self.node.bounds.replica_timeout
+        alive = [r for r in healthy if not has_missed_heartbeats(r, now, timeout)] or healthy
+        eligible = [r for r in alive if may_send_cold or not r.is_cold(now)]
+        while eligible:
+            replica = self._prefer(eligible, request)
+            if not replica.is_cold(now) or self.slow_start.try_acquire(replica, now):
+                return replica
+            eligible = [r for r in eligible if r is not replica]
         return None
 
-    def _prefer(self, candidates, request):
-        long_parts = [name for name, tokens in request.chain[:-1] if tokens >= LONG_PART]
+    def _prefer(self, candidates: Sequence[Replica], request: Request) -> Replica:
+        """Return the replica likely to have the prompt cached, else the least loaded one."""
+        long_parts = [
+            name for name, count in request.prompt_parts[:-1] if count >= AFFINITY_MIN_TOKENS
+        ]
         if long_parts:
             ranked = sorted(candidates, key=lambda r: score(long_parts[0], r.name), reverse=True)
-            for replica in ranked[:2]:
-                if self.view(replica).reading < READING_AHEAD:
+            for replica in ranked[:AFFINITY_REPLICA_COUNT]:
+                if self.health(replica).pending_prompt_tokens < MAX_PENDING_PROMPT_TOKENS:
                     return replica
-        return min(candidates, key=self._weight)
-
-    def _weight(self, replica):
-        view = self.view(replica)
-        is_elsewhere = replica.zone != self.node.me.zone
-        return (
-            (view.in_flight + view.reading / 4000) / replica.slots * 8
-            + OTHER_ZONE * is_elsewhere
-            + 0.3 * self.node.runtime.random.random()
-        )
-
-    def begin(self, replica, request):
-        """Return the lease of a request that goes to the replica now."""
-        view = self.view(replica)
-        if view.failures:
-            view.is_on_trial = True
-        return Lease(self, view, replica, request.tokens_in)
-
-    def failed(self, replica, is_surely):
-        """Note a failure of a replica; one that is surely down gets nothing for a while."""
-        view = self.view(replica)
-        view.fail(self.node.now(), is_surely, self.node.bounds)
+        return min(candidates, key=self._load)
+
+    def _load(self, replica: Replica) -> float:
+        """Return the load per slot, with a penalty for another zone and a random spread."""
+        health = self.health(replica)
+        is_other_zone = replica.zone != self.node.me.zone
+        load = health.in_flight + health.pending_prompt_tokens / TOKENS_PER_REQUEST
+        spread: float = RANDOM_SPREAD * self.node.runtime.random.random()
+        penalty = OTHER_ZONE_PENALTY if is_other_zone else 0.0
+        return load / replica.slots * LOAD_SCALE + penalty + spread
+
+    def start_request(self, replica: Replica, request: Request) -> InFlightRequest:
+        """Count a request that goes to the replica now in its load."""
+        health = self.health(replica)
+        if health.consecutive_failures:
+            health.has_trial_request = True
+        return InFlightRequest(self, health, replica, request.prompt_tokens)
+
+    def record_failure(self, replica: Replica, is_certain: bool) -> None:
+        """Note a failed request; a replica that is down for certain is ejected at once."""
+        self.health(replica).record_failure(self.node.now(), is_certain, self.node.bounds)
         self.wake()
 
-    def is_silent(self, replica, seconds):
-        """Tell whether nothing came from a replica, on any of this node's sendings, for so long."""
-        return self.node.now() - self.view(replica).heard_at >= seconds
+    def is_unresponsive(self, replica: Replica, seconds: float) -> bool:
+        """Tell whether no byte came from a replica, on any request of this node, for so long."""
+        return self.node.now() - self.health(replica).last_byte_at >= seconds
--- a/quillring/forward/replica_health.py
+++ b/quillring/forward/replica_health.py
@@ -1,33 +1,54 @@
-"""What one node's own sendings show of a replica."""
+"""Load and health of one replica as this node's own requests show them (outlier detection)."""
 
+from __future__ import annotations
 
-def is_quiet(replica, now, seconds):
-    """Tell whether a replica has not beaten for so long; one only just learnt of still may."""
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from quillring.forward.types import Replica
+    from quillring.kernel.bounds import Bounds
+
+EJECTION_GROWTH = 1.6
+CERTAIN_FAILURE_WEIGHT = 2
+
+
+def has_missed_heartbeats(replica: Replica, now: float, seconds: float) -> bool:
+    """Tell whether no heartbeat came for so long; a replica only just learnt of has time yet."""
     return now - max(replica.heard_at, replica.born_at) >= seconds
 
 
-class View:
-    """Requests under way, prompt tokens not read yet, and how the last ones went."""
+class ReplicaHealth:
+    """Requests in flight, prompt tokens not processed yet, and failures in a row.
+
+    A replica that fails twice in a row, or once for certain, is ejected for a while; after that a
+    single trial request at a time tells whether it is well again (a half-open circuit breaker).
+    """
 
-    __slots__ = ("in_flight", "reading", "failures", "suspect_until", "is_on_trial", "heard_at")
+    __slots__ = (
+        "in_flight",
+        "pending_prompt_tokens",
+        "consecutive_failures",
+        "ejected_until",
+        "has_trial_request",
+        "last_byte_at",
+    )
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.in_flight = 0
-        self.reading = 0
-        self.failures = 0
-        self.suspect_until = 0
-        self.is_on_trial = False
-        self.heard_at = 0
-
-    def is_trusted(self, now):
-        """Tell whether the replica may get something: no error lately, or a single trial."""
-        return now >= self.suspect_until and not self.is_on_trial
-
-    def fail(self, now, is_surely, bounds):
-        """Note a failure; from the second in a row, or a sure one, the replica is left alone."""
-        self.failures += 2 if is_surely else 1
-        self.is_on_trial = False
-        if self.failures > 1:
-            self.suspect_until = now + min(
-                bounds.propagation * 2, bounds.heartbeat_interval / 2 * 1.6**self.failures
-            )
+        self.pending_prompt_tokens = 0
+        self.consecutive_failures = 0
+        self.ejected_until = 0.0
+        self.has_trial_request = False
+        self.last_byte_at = 0.0
+
+    def may_get_request(self, now: float) -> bool:
+        """Tell whether the replica is neither ejected nor busy with its trial request."""
+        return now >= self.ejected_until and not self.has_trial_request
+
+    def record_failure(self, now: float, is_certain: bool, bounds: Bounds) -> None:
+        """Note a failure; the second in a row, or a certain one, ejects the replica."""
+        self.consecutive_failures += CERTAIN_FAILURE_WEIGHT if is_certain else 1
+        self.has_trial_request = False
+        if self.consecutive_failures > 1:
+            backoff = bounds.heartbeat_interval / 2 * EJECTION_GROWTH**self.consecutive_failures
+            self.ejected_until = now + min(bounds.propagation * 2, backoff)
--- a/quillring/forward/request.py
+++ b/quillring/forward/request.py
@@ -1,6 +1,15 @@
 """One request to be forwarded, and the bytes in which it goes to a replica."""
 
-OF_ONE_CONNECTION = frozenset(
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, NamedTuple
+
+if TYPE_CHECKING:
+    from collections.abc import Mapping, Sequence
+
+    from quillring.forward.header_names import HeaderNames
+
+HOP_BY_HOP_HEADERS = frozenset(
     (
         "connection",
         "keep-alive",
@@ -15,83 +24,118 @@
         "expect",
     )
 )
+"""Headers of one connection (RFC 9110, section 7.6.1), and those that are written anew."""
+BODILESS_METHODS = ("GET", "HEAD", "DELETE")
+MAX_DIGITS = 15
+
+
+class PromptPart(NamedTuple):
+    """A part of a prompt that other requests may share, and its length."""
+
+    name: str
+    token_count: int
+
+
+class TokenCounts(NamedTuple):
+    """Tokens of the prompt, and the most that the answer may have; 0 where nothing is said."""
+
+    prompt: int
+    max_output: int
 
 
 class Request:
-    """Method, target, host, header pairs and body as they came, and what they say of the prompt.
+    """Method, target, host, headers and body as they came, and what they say of the prompt.
 
-    `chain` is ((part id, tokens), ...) in order; the last part is the request's own.
+    `prompt_parts` are in order; the last one is the request's own.
     """
 
     __slots__ = (
         "method",
         "target",
         "host",
-        "pairs",
+        "header_pairs",
         "body",
         "id",
-        "chain",
-        "tokens_in",
-        "tokens_out",
-        "last_event",
+        "prompt_parts",
+        "prompt_tokens",
+        "max_output_tokens",
+        "last_event_id",
         "deadline_ms",
     )
 
-    def __init__(self, dialect, method, target, pairs, body):
-        headers = {name.lower(): value for name, value in pairs}
-        named = {
-            word.strip().lower() for word in headers.get("connection", "").split(",")
-        } | OF_ONE_CONNECTION
-        own = {dialect.replica, dialect.deadline, dialect.urgency, dialect.resume}
+    def __init__(
+        self,
+        header_names: HeaderNames,
+        method: str,
+        target: str,
+        header_pairs: Sequence[tuple[str, str]],
+        body: bytes,
+    ) -> None:
+        headers = {name.lower(): value for name, value in header_pairs}
+        removed = hop_by_hop_headers(headers) | {
+            header_names.replica,
+            header_names.deadline,
+            header_names.urgency,
+            header_names.resume,
+        }
         self.method = method
         self.target = target
         self.host = headers.get("host", "")
-        self.pairs = [(n, v) for n, v in pairs if n.lower() not in named and n.lower() not in own]
+        self.header_pairs = [pair for pair in header_pairs if pair[0].lower() not in removed]
         self.body = body
-        self.id = headers.get(dialect.request_id)
-        self.chain = read_chain(headers.get(dialect.chain, ""))
-        self.tokens_in, self.tokens_out = read_tokens(headers.get(dialect.tokens, ""))
-        self.last_event = read_number(headers.get(dialect.resume))
-        self.deadline_ms = read_number(headers.get(dialect.deadline))
-
-    def to_bytes(self, dialect, replica_name, seconds_left, urgency, last_event):
-        """Return the request for one replica."""
+        self.id = headers.get(header_names.request_id)
+        self.prompt_parts = parse_prompt_parts(headers.get(header_names.chain, ""))
+        self.prompt_tokens, self.max_output_tokens = parse_token_counts(
+            headers.get(header_names.tokens, "")
+        )
+        self.last_event_id = parse_number(headers.get(header_names.resume))
+        self.deadline_ms = parse_number(headers.get(header_names.deadline))
+
+    def to_bytes(
+        self,
+        header_names: HeaderNames,
+        replica_name: str,
+        seconds_left: float,
+        urgency: int | None,
+        last_event_id: int | None,
+    ) -> bytes:
+        """Return the request as HTTP/1.1 bytes for one replica."""
         lines = [f"{self.method} {self.target} HTTP/1.1"]
-        lines.extend(f"{name}: {value}" for name, value in self.pairs)
-        lines.append(f"{dialect.replica}: {replica_name}")
-        lines.append(f"{dialect.deadline}: {max(1, int(seconds_left * 1000))}")
+        lines.extend(f"{name}: {value}" for name, value in self.header_pairs)
+        lines.append(f"{header_names.replica}: {replica_name}")
+        lines.append(f"{header_names.deadline}: {max(1, int(seconds_left * 1000))}")
         if urgency is not None:
-            lines.append(f"{dialect.urgency}: {urgency}")
-        if last_event is not None:
-            lines.append(f"{dialect.resume}: {last_event}")
-        if self.body or self.method not in ("GET", "HEAD", "DELETE"):
+            lines.append(f"{header_names.urgency}: {urgency}")
+        if last_event_id is not None:
+            lines.append(f"{header_names.resume}: {last_event_id}")
+        if self.body or self.method not in BODILESS_METHODS:
             lines.append(f"Content-Length: {len(self.body)}")
         return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1") + self.body
 
 
-def read_number(text):
-    """Return the whole number a header gives, or None."""
-    text = (text or "").strip()
-    return int(text) if text.isascii() and text.isdigit() and len(text) < 16 else None
+def hop_by_hop_headers(headers: Mapping[str, str]) -> set[str] | frozenset[str]:
+    """Return the names of the headers that are not passed on, those `Connection` lists included."""
+    connection = headers.get("connection")
+    if not connection:
+        return HOP_BY_HOP_HEADERS
+    return HOP_BY_HOP_HEADERS.union(word.strip().lower() for word in connection.split(","))
 
 
-def read_chain(text):
-    """Return ((part id, tokens), ...); whatever is malformed gives an empty chain."""
-    parts = [word.strip().partition(":") for word in text.split(",") if word.strip()]
-    if not all(name and count.isascii() and count.isdigit() for name, _, count in parts):
-        return ()
-    return tuple((name, int(count)) for name, _, count in parts)
+def parse_number(text: str | None) -> int | None:
+    """Return the whole number that a header gives, or None."""
+    text = (text or "").strip()
+    return int(text) if text.isascii() and text.isdigit() and len(text) <= MAX_DIGITS else None
 
 
-def read_tokens(text):
-    """Return (tokens in, most tokens out); 0 where nothing is said."""
-    tokens_in, _, tokens_out = text.partition(",")
-    return read_number(tokens_in) or 0, read_number(tokens_out) or 0
+def parse_prompt_parts(text: str) -> tuple[PromptPart, ...]:
+    """Return the prompt parts of `name:tokens, ...`; malformed text gives an empty tuple."""
+    words = [word.strip().partition(":") for word in text.split(",") if word.strip()]
+    if not all(name and count.isascii() and count.isdigit() for name, _, count in words):
+        return ()
+    return tuple(PromptPart(name, int(count)) for name, _, count in words)
 
 
-def answer_pairs(headers):
-    """Return the header pairs of a replica's answer that are passed on."""
-    named = {
-        word.strip().lower() for word in headers.get("connection", "").split(",")
-    } | OF_ONE_CONNECTION
-    return [(name, value) for name, value in headers.items() if name not in named]
+def parse_token_counts(text: str) -> TokenCounts:
+    """Return the counts of `prompt tokens, most output tokens`."""
+    prompt, _, max_output = text.partition(",")
+    return TokenCounts(parse_number(prompt) or 0, parse_number(max_output) or 0)
--- a/quillring/forward/request_handler.py
+++ b/quillring/forward/request_handler.py
@@ -1,45 +1,61 @@
-"""The way of a forwarded request through a node: one function a kind, read top to bottom."""
+"""The path of a forwarded request through a node, read top to bottom."""
 
-from quillring.forward.attempt import is_not_run, is_sealed, note_misplaced, open_answer
-from quillring.forward.queueing import acquire, come_back
-from quillring.forward.response import read_whole, relay_events
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+from quillring.forward.attempt import is_not_run, is_sealed, note_if_misdirected, open_response
+from quillring.forward.queueing import retry_after_seconds, wait_for_replica
+from quillring.forward.response import Response, read_response, stream_events
 from quillring.forward.retry import (
-    GO_ON,
-    STREAM_ENDED,
-    Outcome,
-    Progress,
-    check_may_follow,
-    first_patience,
-    may_go_on,
-    note_error,
+    RETRY,
+    STREAM_COMPLETE,
+    AttemptOutcome,
+    RequestProgress,
+    check_may_retry,
+    first_byte_timeout,
+    may_retry,
+    record_failed_attempt,
 )
 from quillring.kernel.errors import BackendError, NotSent, OutcomeUnknown, Refused
 
-URGENCIES = (1, 3, 4, 5, 6)
-LONG_PROMPT = 4000
+if TYPE_CHECKING:
+    from quillring.forward.header_names import HeaderNames
+    from quillring.forward.load_balancer import InFlightRequest
+    from quillring.forward.request import Request
+    from quillring.forward.route_table import ForwardRoute
+    from quillring.forward.types import Replica
+    from quillring.kernel.node import Node
+    from quillring.kernel.types import Coroutine
+
+URGENCY_BY_RANK = (1, 3, 4, 5, 6)
+MAX_URGENCY = 9
+LONG_PROMPT_TOKENS = 4000
 SUCCESSES = range(200, 300)
-FAILURES = range(500, 600)
-PROMISES = frozenset((408, 421, 429, 503))
+SERVER_ERRORS = range(500, 600)
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
+"""Statuses that a client takes for the word that its request has not run."""
 
 
-def urgency_of(forward, request):
+def urgency_of(route: ForwardRoute, request: Request) -> int:
     """Return the urgency a replica is told: short questions before long ones, by rank."""
-    is_long = request.tokens_in >= LONG_PROMPT
-    return min(9, URGENCIES[min(forward.urgency, len(URGENCIES) - 1)] + is_long)
+    is_long = request.prompt_tokens >= LONG_PROMPT_TOKENS
+    rank = min(route.urgency, len(URGENCY_BY_RANK) - 1)
+    return min(MAX_URGENCY, URGENCY_BY_RANK[rank] + is_long)
 
 
-def end_time(node, forward, request, arrived_at):
-    """Return when the request is no longer worth anything: its deadline or the route's hold."""
-    seconds = forward.hold_seconds
+def end_time_of(route: ForwardRoute, request: Request, arrived_at: float) -> float:
+    """Return when the request is worth nothing more: its deadline or the route's timeout."""
+    seconds = route.timeout_seconds
     if request.deadline_ms is not None:
         seconds = min(seconds, request.deadline_ms / 1000)
     return arrived_at + seconds
 
 
-def check_known(node):
-    """Refuse while no layout is known yet, and what a node that ends might have to cut.
+def check_ready(node: Node) -> None:
+    """Refuse requests while no layout is known yet, and while the node is closing.
 
-    A node that just started can't tell what there is.
+    A node that just started can't tell what there is; one that closes might have to cut them.
     """
     if node.is_closing:
         raise Refused(reason="closing", come_back_s=node.bounds.gossip_interval)
@@ -47,97 +63,118 @@
         raise Refused(reason="no layout yet", come_back_s=node.bounds.read_timeout)
 
 
-def serve(node, forward, request, arrived_at):
-    """Coroutine: pass a request on; emits head and bytes of a stream, or returns a whole answer."""
-    progress = Progress(end_time(node, forward, request, arrived_at), request.last_event)
-    service = forward.service_for(request.id or request.target)
+def forward_request(
+    node: Node, route: ForwardRoute, request: Request, arrived_at: float
+) -> Coroutine:
+    """Pass a request on; emits head and bytes of a stream, or returns a whole Response."""
+    progress = RequestProgress(end_time_of(route, request, arrived_at), request.last_event_id)
+    service = route.pick_service(request.id or request.target)
     while True:
         try:
-            replica = yield from acquire(node, forward, service, request, progress, arrived_at)
+            replica = yield from wait_for_replica(
+                node, route, service, request, progress, arrived_at
+            )
         except Refused:
-            if progress.last_answer is not None:
-                return progress.last_answer
+            if progress.last_response is not None:
+                return progress.last_response
             raise
-        outcome = yield from try_replica(node, forward, request, progress, replica)
+        outcome = yield from try_replica(node, route, request, progress, replica)
         if outcome.is_final:
-            return outcome.answer
+            return outcome.response
+
 
+def try_replica(
+    node: Node, route: ForwardRoute, request: Request, progress: RequestProgress, replica: Replica
+) -> Coroutine:
+    """Make one attempt and return its AttemptOutcome.
 
-def try_replica(node, forward, request, progress, replica):
-    """Coroutine: make one attempt; OutcomeUnknown where it failed and no other may follow."""
+    Raises
+    ------
+    OutcomeUnknown
+        The attempt failed, the request may have run, and no other attempt may follow.
+    """
     progress.attempts += 1
-    lease = node.find("placement").begin(replica, request)
+    in_flight_request = node.find("placement").start_request(replica, request)
     handle = None
     try:
-        handle = yield from open_answer(
+        handle = yield from open_response(
             node,
             replica,
             request,
-            progress.last_event,
-            urgency_of(forward, request),
+            progress.last_event_id,
+            urgency_of(route, request),
             progress.end_time,
-            forward.may_repeat,
-            first_patience(node, forward, progress),
+            route.is_retryable,
+            first_byte_timeout(node, route, progress),
         )
-        lease.heard()
-        return (yield from take_answer(node, forward, progress, handle, lease))
+        in_flight_request.note_response_bytes()
+        return (yield from pass_response_on(node, route, progress, handle, in_flight_request))
     except NotSent as error:
-        note_error(node, progress, replica, error, True)
+        record_failed_attempt(node, progress, replica, error, True)
         progress.attempts -= 1
     except BackendError as error:
-        note_error(node, progress, replica, error, False)
-        check_may_follow(node, forward, progress, error)
+        record_failed_attempt(node, progress, replica, error, False)
+        check_may_retry(node, route, progress, error)
     finally:
-        lease.end()
+        in_flight_request.finish()
         if handle is not None:
             handle.close()
-    return GO_ON
-
-
-def take_answer(node, forward, progress, handle, lease):
-    """Coroutine: judge the head of an answer and take its body; BackendError where it is none."""
-    dialect = node.find("dialect")
-    if is_not_run(dialect, handle):
-        take_refusal(node, forward, progress, handle, lease.replica)
-        return GO_ON
-    check_head(dialect, handle)
+    return RETRY
+
+
+def pass_response_on(
+    node: Node,
+    route: ForwardRoute,
+    progress: RequestProgress,
+    handle: Any,
+    in_flight_request: InFlightRequest,
+) -> Coroutine:
+    """Judge the head of a response and take its body; BackendError where it is none."""
+    header_names = node.find("dialect")
+    if is_not_run(header_names, handle):
+        handle_not_run(node, route, progress, handle, in_flight_request.replica)
+        return RETRY
+    check_head(header_names, handle)
     is_stream = handle.headers.get("content-type", "").startswith("text/event-stream")
     if is_stream and handle.status == 200:
-        yield from relay_events(node, forward, progress, handle, lease)
-        return STREAM_ENDED
-    answer = yield from read_whole(node, progress, handle)
-    if handle.status in FAILURES and may_go_on(node, forward, progress):
-        progress.avoided_names.add(lease.replica.name)
-        progress.last_answer = answer
-        return GO_ON
-    return Outcome(True, check_whole(progress, answer))
+        yield from stream_events(node, route, progress, handle, in_flight_request)
+        return STREAM_COMPLETE
+    response = yield from read_response(node, progress, handle)
+    if handle.status in SERVER_ERRORS and may_retry(node, route, progress):
+        progress.avoided_names.add(in_flight_request.replica.name)
+        progress.last_response = response
+        return RETRY
+    return AttemptOutcome(True, check_no_head(progress, response))
 
 
-def check_head(dialect, handle):
-    """Refuse a success without the replica's seal, and a promise without the word of not run.
+def check_head(header_names: HeaderNames, handle: Any) -> None:
+    """Refuse a success without a seal, and a "not run" status without the replica's word for it.
 
-    A client takes the statuses of PROMISES for the word that the request has not run; without that
-    word of the replica it may have.
+    A client takes NOT_RUN_STATUSES for the word that its request has not run; without that word of
+    the replica it may have.
     """
-    if handle.status in SUCCESSES and not is_sealed(dialect, handle):
+    if handle.status in SUCCESSES and not is_sealed(header_names, handle):
         raise BackendError(reason="no seal")
-    if handle.status in PROMISES:
+    if handle.status in NOT_RUN_STATUSES:
         raise BackendError(reason="no word of not run", status=handle.status)
 
 
-def take_refusal(node, forward, progress, handle, replica):
+def handle_not_run(
+    node: Node, route: ForwardRoute, progress: RequestProgress, handle: Any, replica: Replica
+) -> None:
     """Note that a replica did not run the request; Refused when no other may be asked.
 
     A stream that has begun may be offered to further replicas: those that refused it ran nothing.
     """
     progress.avoided_names.add(replica.name)
-    note_misplaced(node, replica, handle)
-    if progress.attempts >= forward.tries and not progress.has_head:
-        raise Refused(reason="replicas are full", come_back_s=come_back(node, progress) / 2)
+    note_if_misdirected(node, replica, handle)
+    if progress.attempts >= route.max_attempts and not progress.has_head:
+        seconds = retry_after_seconds(node, progress) / 2
+        raise Refused(reason="replicas are full", come_back_s=seconds)
 
 
-def check_whole(progress, answer):
-    """Return the answer; where a stream's head is out already, nothing can follow it."""
+def check_no_head(progress: RequestProgress, response: Response) -> Response:
+    """Return the response; where a stream's head is out already, nothing can follow it."""
     if progress.has_head:
         raise OutcomeUnknown(reason="a failure amid the stream")
-    return answer
+    return response
--- a/quillring/forward/response.py
+++ b/quillring/forward/response.py
@@ -1,67 +1,107 @@
-"""The body of a replica's answer on its way to the client: whole, or event by event."""
+"""A replica's response on its way to the client: whole, or streamed event by event."""
 
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+from quillring.forward.attempt import GRACE_SECONDS
 from quillring.forward.events import EventReader
-from quillring.forward.request import answer_pairs
-from quillring.forward.retry import PATIENCE_SHARE, may_go_on
+from quillring.forward.request import hop_by_hop_headers
+from quillring.forward.retry import SILENCE_TIMEOUT_FACTOR, STALL, may_retry
 from quillring.kernel.effects import Emit, NextPart
 from quillring.kernel.errors import BackendError
 
-LONG_PATIENCE_SHARE = 4
-AFTER_END = 0.05
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
+    from quillring.forward.load_balancer import InFlightRequest
+    from quillring.forward.retry import RequestProgress
+    from quillring.forward.route_table import ForwardRoute
+    from quillring.kernel.node import Node
+    from quillring.kernel.types import Coroutine
+
+LONG_SILENCE_TIMEOUT_FACTOR = 4
+"""The same for a replica that answers other requests meanwhile."""
+
+
+class Response(NamedTuple):
+    """Status, headers and body for the client; a stream's first piece has the same form."""
+
+    status: int
+    header_pairs: list[tuple[str, str]]
+    body: bytes
+
+
+def passed_headers(headers: Mapping[str, str]) -> list[tuple[str, str]]:
+    """Return the header pairs of a replica's response that are passed on."""
+    removed = hop_by_hop_headers(headers)
+    return [(name, value) for name, value in headers.items() if name not in removed]
 
 
-def read_whole(node, progress, handle):
-    """Coroutine: read the whole body; returns (status, header pairs, body)."""
-    parts = []
+def read_response(node: Node, progress: RequestProgress, handle: Any) -> Coroutine:
+    """Read the whole body; returns a Response."""
+    parts: list[bytes] = []
     while True:
-        part = yield NextPart(handle, progress.end_time - node.now() + AFTER_END)
+        part = yield NextPart(handle, progress.end_time - node.now() + GRACE_SECONDS)
         if part is None:
-            return handle.status, answer_pairs(handle.headers), b"".join(parts)
+            return Response(handle.status, passed_headers(handle.headers), b"".join(parts))
         parts.append(part)
 
 
-def relay_events(node, forward, progress, handle, lease):
-    """Coroutine: pass whole events on as they come, until the stream's proper end."""
-    reader = EventReader(progress.last_event)
+def stream_events(
+    node: Node,
+    route: ForwardRoute,
+    progress: RequestProgress,
+    handle: Any,
+    in_flight_request: InFlightRequest,
+) -> Coroutine:
+    """Pass whole events on as they come, until the stream's proper end."""
+    reader = EventReader(progress.last_event_id)
     while True:
-        data = yield from next_part(node, forward, progress, handle, lease)
+        data = yield from next_part(node, route, progress, handle, in_flight_request)
         if data is None:
             break
-        lease.heard()
+        in_flight_request.note_response_bytes()
         events = reader.feed(data)
         if events:
             yield from emit_stream(progress, handle, b"".join(event.raw for event in events))
-        if reader.last_event is not None:
-            progress.last_event = reader.last_event
-    if not reader.is_clean:
+        if reader.last_event_id is not None:
+            progress.last_event_id = reader.last_event_id
+    if not reader.is_at_event_boundary:
         raise BackendError(reason="cut event")
-    if reader.rest or not progress.has_head:
-        yield from emit_stream(progress, handle, reader.rest)
+    if reader.unparsed or not progress.has_head:
+        yield from emit_stream(progress, handle, reader.unparsed)
 
 
-def emit_stream(progress, handle, data):
-    """Coroutine: emit bytes of a stream, the first ones together with its head."""
+def emit_stream(progress: RequestProgress, handle: Any, data: bytes) -> Coroutine:
+    """Emit bytes of a stream, the first ones together with its head."""
     if progress.has_head:
         yield Emit(data)
         return
     progress.has_head = True
-    yield Emit((handle.status, answer_pairs(handle.headers), data))
+    yield Emit(Response(handle.status, passed_headers(handle.headers), data))
 
 
-def next_part(node, forward, progress, handle, lease):
-    """Coroutine: wait for bytes; a silent replica is left while another may go on in time."""
-    patience = forward.pause_seconds * PATIENCE_SHARE
+def next_part(
+    node: Node,
+    route: ForwardRoute,
+    progress: RequestProgress,
+    handle: Any,
+    in_flight_request: InFlightRequest,
+) -> Coroutine:
+    """Return the next bytes; a silent replica is left while another may go on in time."""
+    timeout = route.gap_goal_seconds * SILENCE_TIMEOUT_FACTOR
     while True:
-        seconds_left = progress.end_time - node.now() + AFTER_END
-        if not may_go_on(node, forward, progress):
+        seconds_left = progress.end_time - node.now() + GRACE_SECONDS
+        if not may_retry(node, route, progress):
             return (yield NextPart(handle, seconds_left))
         try:
-            return (yield NextPart(handle, min(patience, seconds_left)))
+            return (yield NextPart(handle, min(timeout, seconds_left)))
         except BackendError as error:
             is_over = node.now() >= progress.end_time
-            is_long = patience >= forward.pause_seconds * LONG_PATIENCE_SHARE
-            if error.detail["reason"] != "stall" or is_over or is_long:
+            is_long = timeout >= route.gap_goal_seconds * LONG_SILENCE_TIMEOUT_FACTOR
+            if error.detail["reason"] != STALL or is_over or is_long:
                 raise
-            if node.find("placement").is_silent(lease.replica, patience):
+            if node.find("placement").is_unresponsive(in_flight_request.replica, timeout):
                 raise
-            patience = forward.pause_seconds * LONG_PATIENCE_SHARE
+            timeout = route.gap_goal_seconds * LONG_SILENCE_TIMEOUT_FACTOR
--- a/quillring/forward/route_table.py
+++ b/quillring/forward/route_table.py
@@ -1,12 +1,33 @@
-"""Which forward a request belongs to: an immutable table made of each layout image."""
+"""Which forwarding route a request matches: by host and longest path prefix."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from quillring.nifty.graph import score
 
+if TYPE_CHECKING:
+    from quillring.kernel.node import Node
+
 STREAM, LOT, REPEATABLE = "stream", "lot", "repeatable"
+DEFAULT_TIMEOUT_MS = 60_000
+DEFAULT_LATENCY_GOAL_MS = 1000
+DEFAULT_GAP_GOAL_MS = 300
+
 
+class WeightedService(NamedTuple):
+    """A service of a route and its weight in the traffic split."""
 
-class Forward:
-    """One forward of the layout, with what the path of a request asks of it."""
+    service: str
+    weight: float
+
+
+class ForwardRoute:
+    """One forwarding route of the layout (an entry of `forwards`), as the request path reads it.
+
+    `latency_goal_seconds` is the goal for the first byte, `gap_goal_seconds` the one between two
+    pieces of a stream, `timeout_seconds` the longest that a request is held.
+    """
 
     __slots__ = (
         "name",
@@ -14,84 +35,83 @@
         "prefix",
         "kind",
         "split",
-        "tries",
-        "hold_seconds",
-        "goal_seconds",
+        "max_attempts",
+        "timeout_seconds",
+        "latency_goal_seconds",
         "urgency",
-        "may_resume",
-        "pause_seconds",
+        "is_resumable",
+        "gap_goal_seconds",
         "fields",
     )
 
-    def __init__(self, name, fields):
+    def __init__(self, name: str, fields: dict[str, Any]) -> None:
         self.name = name
-        self.host = fields["host"].lower()
-        self.prefix = fields["prefix"]
-        self.kind = fields["kind"]
-        self.split = [(service, weight) for service, weight in fields["split"] if weight > 0]
-        self.tries = max(1, fields.get("rounds") or 1)
-        self.hold_seconds = (fields.get("hold_ms") or 60_000) / 1000
-        self.goal_seconds = (fields.get("goal_ms") or 1000) / 1000
-        self.urgency = fields.get("urgency", 0)
-        self.may_resume = bool(fields.get("resumable"))
-        self.pause_seconds = (fields.get("pause_ms") or 300) / 1000
+        self.host: str = fields["host"].lower()
+        self.prefix: str = fields["prefix"]
+        self.kind: str = fields["kind"]
+        self.split = [
+            WeightedService(service, weight) for service, weight in fields["split"] if weight > 0
+        ]
+        self.max_attempts: int = max(1, fields.get("rounds") or 1)
+        self.timeout_seconds: float = (fields.get("hold_ms") or DEFAULT_TIMEOUT_MS) / 1000
+        self.latency_goal_seconds: float = (fields.get("goal_ms") or DEFAULT_LATENCY_GOAL_MS) / 1000
+        self.urgency: int = fields.get("urgency", 0)
+        self.is_resumable = bool(fields.get("resumable"))
+        self.gap_goal_seconds: float = (fields.get("pause_ms") or DEFAULT_GAP_GOAL_MS) / 1000
         self.fields = fields
 
     @property
-    def may_repeat(self):
+    def is_retryable(self) -> bool:
         """True where a request may run again after a replica may have begun it."""
-        return self.kind == REPEATABLE or (self.kind == STREAM and self.may_resume)
+        return self.kind == REPEATABLE or (self.kind == STREAM and self.is_resumable)
 
-    def service_for(self, key):
+    def pick_service(self, key: str) -> str:
         """Return the service that the weights give to a request of this key."""
         if len(self.split) == 1:
-            return self.split[0][0]
+            return self.split[0].service
         total = sum(weight for _, weight in self.split)
-        drawn = int.from_bytes(score(self.name, key)[:7], "big") / (1 << 56) * total
+        position = int.from_bytes(score(self.name, key)[:7], "big") / (1 << 56) * total
         for service, weight in self.split:
-            drawn -= weight
-            if drawn < 0:
+            position -= weight
+            if position < 0:
                 return service
-        return self.split[-1][0]
+        return self.split[-1].service
 
 
-class ForwardTable:
-    """Forwards by host and longest prefix; made anew, and swapped whole, when the layout moves."""
+class ForwardRouteTable:
+    """Routes by host and longest prefix; built anew, and swapped whole, with each layout."""
 
     __slots__ = ("node", "configuration", "by_host", "by_name")
 
-    def __init__(self, node):
+    def __init__(self, node: Node) -> None:
         self.node = node
-        self.configuration = None
-        self.by_host = {}
-        self.by_name = {}
+        self.configuration: dict[str, Any] | None = None
+        self.by_host: dict[str, dict[str, ForwardRoute]] = {}
+        self.by_name: dict[str, ForwardRoute] = {}
 
-    def _renew(self):
+    def _rebuild_if_changed(self) -> None:
         configuration = self.node.find("layout").configuration
         if configuration is self.configuration:
             return
-        forwards = [
-            Forward(name, fields)
+        routes = [
+            ForwardRoute(name, fields)
             for name, fields in (configuration or {}).get("forwards", {}).items()
         ]
-        by_host = {}
-        for forward in sorted(forwards, key=lambda f: -len(f.prefix)):
-            by_host.setdefault(forward.host, []).append(forward)
-        self.by_host = {
-            host: {forward.prefix: forward for forward in hosted}
-            for host, hosted in by_host.items()
-        }
-        self.by_name = {forward.name: forward for forward in forwards}
+        by_host: dict[str, dict[str, ForwardRoute]] = {}
+        for route in sorted(routes, key=lambda route: -len(route.prefix)):
+            by_host.setdefault(route.host, {})[route.prefix] = route
+        self.by_host = by_host
+        self.by_name = {route.name: route for route in routes}
         self.configuration = configuration
 
-    def is_empty(self):
-        """Tell whether no layout with forwards is known yet."""
-        self._renew()
+    def is_empty(self) -> bool:
+        """Tell whether no layout with forwarding routes is known yet."""
+        self._rebuild_if_changed()
         return not self.by_name
 
-    def find(self, host, target):
-        """Return the forward with the longest prefix that begins the target's path, or None."""
-        self._renew()
+    def find(self, host: str, target: str) -> ForwardRoute | None:
+        """Return the route with the longest prefix that begins the target's path, or None."""
+        self._rebuild_if_changed()
         host = host.lower()
         prefixes = self.by_host.get(host)
         if prefixes is None and ":" in host:
@@ -109,7 +129,7 @@
             end -= 1
         return None
 
-    def named(self, name):
-        """Return the forward of a name, or None."""
-        self._renew()
+    def find_by_name(self, name: str) -> ForwardRoute | None:
+        """Return the route of a name, or None."""
+        self._rebuild_if_changed()
         return self.by_name.get(name)
--- a/quillring/forward/slow_start.py
+++ b/quillring/forward/slow_start.py
@@ -1,57 +1,71 @@
-"""What a cold replica bears, summed over the fleet without asking anybody.
+"""Slow start: a request rate limit for a cold replica, kept by the whole fleet without messages.
 
-A few nodes, chosen by rendezvous, may send to a cold replica; each has an equal part of what it
-bears a second. Nodes whose rosters differ for a moment differ in few of the chosen.
+A few nodes, chosen by rendezvous hashing, may send to a cold replica; each has an equal share of
+the rate that it bears. Nodes whose rosters differ for a moment differ in few of the chosen.
 """
 
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
 from quillring.nifty.graph import score
 
-PART = 4.0
+if TYPE_CHECKING:
+    from quillring.forward.types import Replica
+    from quillring.kernel.node import Node
+
+RATE_PER_SENDER = 4.0
+"""Requests a second that one sending node should have at least."""
 SENDING_ROLES = ("edge", "core")
 
 
-class Ramp:
-    """The node's own part of each cold replica's bearable requests a second."""
+class SlowStart:
+    """This node's own share of each cold replica's request rate."""
 
-    __slots__ = ("node", "spent", "parts", "basis")
+    __slots__ = ("node", "next_at_by_replica", "rate_shares", "inputs")
 
-    def __init__(self, node):
+    def __init__(self, node: Node) -> None:
         self.node = node
-        self.spent = {}
-        self.parts = {}
-        self.basis = None
-
-    def take(self, replica, now):
-        """Take one request's worth at a cold replica; False when there is none left now."""
-        part = self.part(replica)
-        if part <= 0:
+        self.next_at_by_replica: dict[str, float] = {}
+        self.rate_shares: dict[tuple[str, int], float] = {}
+        self.inputs: tuple[Any, Any, Any] | None = None
+
+    def try_acquire(self, replica: Replica, now: float) -> bool:
+        """Take one request's worth of the rate; False when there is none left now."""
+        rate = self.rate_share(replica)
+        if rate <= 0:
             return False
-        next_at = self.spent.get(replica.name, 0)
+        next_at = self.next_at_by_replica.get(replica.name, 0)
         if now < next_at:
             return False
-        self.spent = {name: at for name, at in self.spent.items() if at > now - 1}
-        self.spent[replica.name] = max(next_at, now - 1 / part) + 1 / part
+        self.next_at_by_replica = {
+            name: at for name, at in self.next_at_by_replica.items() if at > now - 1
+        }
+        self.next_at_by_replica[replica.name] = max(next_at, now - 1 / rate) + 1 / rate
         return True
 
-    def part(self, replica):
+    def rate_share(self, replica: Replica) -> float:
         """Return how many requests a second this node may send to a cold replica."""
         nifty, configuration = self.node.find("nifty"), self.node.find("layout").configuration
-        basis = (nifty.graph, nifty.roster, configuration)
-        if self.basis is None or any(old is not new for old, new in zip(self.basis, basis)):
-            self.basis, self.parts = basis, {}
+        inputs = (nifty.graph, nifty.roster, configuration)
+        if self.inputs is None or any(old is not new for old, new in zip(self.inputs, inputs)):
+            self.inputs, self.rate_shares = inputs, {}
         key = (replica.name, replica.slots)
-        if key not in self.parts:
-            self.parts[key] = self._find_part(replica, *basis)
-        return self.parts[key]
+        if key not in self.rate_shares:
+            self.rate_shares[key] = self._compute_rate_share(replica, *inputs)
+        return self.rate_shares[key]
 
-    def _find_part(self, replica, graph, roster, configuration):
+    def _compute_rate_share(
+        self, replica: Replica, graph: Any, roster: Any, configuration: dict[str, Any] | None
+    ) -> float:
         services = (configuration or {}).get("services", {})
-        rate = services.get(replica.service, {}).get("warm_rate") or replica.slots
+        rate: float = services.get(replica.service, {}).get("warm_rate") or replica.slots
         names = [
-            m.name
-            for m in roster.members.values()
-            if m.role in SENDING_ROLES and (m.name in graph.routes or m.name == self.node.me.name)
+            member.name
+            for member in roster.members.values()
+            if member.role in SENDING_ROLES
+            and (member.name in graph.routes or member.name == self.node.me.name)
         ]
-        sender_count = max(1, min(len(names), int(rate / PART)))
+        sender_count = max(1, min(len(names), int(rate / RATE_PER_SENDER)))
         ranked = sorted(names, key=lambda name: score(replica.name, name), reverse=True)
         return rate / sender_count if self.node.me.name in ranked[:sender_count] else 0
--- a/quillring/lots/http_requests/__init__.py
+++ b/quillring/lots/http_requests/__init__.py
@@ -25,7 +25,7 @@
 def start_http_request_lots(node: Node) -> Coroutine:
     """Let a core schedule, execute and read these lots; return the scheduler's coroutine.
 
-    The node's forwards, placement and dialect are there already.
+    The node's forward routes, load balancer and header names are there already.
     """
     node.offer("raw_worker", ItemExecutor(node))
     reader = node.offer("raw_reads", ResultReader(node))
--- a/quillring/lots/http_requests/api.py
+++ b/quillring/lots/http_requests/api.py
@@ -66,7 +66,7 @@
     bounds the wait; where none are given, the forward's goal does, and a bit. No wait outlasts the
     forward's hold.
     """
-    forward = node.find("forwards").named(forward_name)
+    forward = node.find("forwards").find_by_name(forward_name)
     node.find("freshness").check()
     if forward is None or forward.kind != "lot":
         raise NotFound(field="forward")
@@ -83,10 +83,12 @@
         "at": int(node.runtime.wall_time() * 1000),
         "due_ms": fields.get("due_ms") or 60_000,
         "retain_ms": fields.get("retain_ms") or 3_600_000,
-        "rounds": forward.tries,
+        "rounds": forward.max_attempts,
     }
-    seconds = forward.goal_seconds + node.bounds.read_timeout if seconds is None else seconds
-    seconds = min(seconds, forward.hold_seconds)
+    seconds = (
+        forward.latency_goal_seconds + node.bounds.read_timeout if seconds is None else seconds
+    )
+    seconds = min(seconds, forward.timeout_seconds)
     end_time, is_spread = node.now() + seconds, are_lots_spread(node)
     if is_spread and command["most_tokens"]:
         answer = yield from accept_reserved(node, place, command, end_time)
--- a/quillring/lots/http_requests/backlog.py
+++ b/quillring/lots/http_requests/backlog.py
@@ -137,7 +137,7 @@
     def _due_items(self, ledger):
         by_service, forwards = {}, self.node.find("forwards")
         for lot in ledger.lots.values():
-            forward = forwards.named(lot.forward)
+            forward = forwards.find_by_name(lot.forward)
             split = forward.split if forward is not None else []
             total = sum(weight for _, weight in split)
             for service, weight in split:
--- a/quillring/lots/http_requests/concurrency_limits.py
+++ b/quillring/lots/http_requests/concurrency_limits.py
@@ -2,7 +2,7 @@
 
 import math
 
-from quillring.forward.replica_health import is_quiet
+from quillring.forward.replica_health import has_missed_heartbeats
 from quillring.lots.http_requests.item_executor import BROKEN, NOT_RUN, UNSENT
 
 CALM_SHARE, NEAR_SHARE, LEAST_SHARE = 0.75, 0.85, 0.08
@@ -63,7 +63,7 @@
         patience = self.node.bounds.propagation * 1.5
         known = placement.replicas(service)
         phase = rounding_offsets(known)
-        heard = [r for r in known if not is_quiet(r, now, patience)] or known
+        heard = [r for r in known if not has_missed_heartbeats(r, now, patience)] or known
         fit = [
             r
             for r in [r for r in heard if r.name not in avoided_names] or heard
@@ -72,11 +72,11 @@
             and self.alone_until.get(r.name, 0) <= now
             and self.next_starts.get(r.name, 0) <= now
             and replicas.may_be_sent(r)
-            and placement.view(r).is_trusted(now)
+            and placement.health(r).may_get_request(now)
         ]
         warm = [r for r in fit if not r.is_cold(now)]
         if not warm:
-            warm = [r for r in fit[:1] if placement.ramp.take(r, now)]
+            warm = [r for r in fit[:1] if placement.slow_start.try_acquire(r, now)]
         return min(
             warm,
             default=None,
--- a/quillring/lots/http_requests/item_executor.py
+++ b/quillring/lots/http_requests/item_executor.py
@@ -4,7 +4,7 @@
 commits itself at whichever core owns the part by then, so a finished run outlives its owner.
 """
 
-from quillring.forward.attempt import is_not_run, is_sealed, open_answer
+from quillring.forward.attempt import is_not_run, is_sealed, open_response
 from quillring.forward.events import EventReader
 from quillring.forward.request import Request
 from quillring.kernel.effects import NextPart, Sleep
@@ -88,7 +88,7 @@
         if node.is_draining:
             raise Refused(reason="draining")
         node.find("freshness").check()
-        forward = node.find("forwards").named(body["forward"])
+        forward = node.find("forwards").find_by_name(body["forward"])
         if forward is None or body["service"] not in dict(forward.split):
             raise Refused(reason="the layout names another service")
         replica = node.find("replicas").find(body["replica"])
@@ -124,19 +124,19 @@
 
     def _attempt(self, run, replica, body):
         """Send the item once; return how it went. The run holds what came of its text."""
-        node, dialect = self.node, self.node.find("dialect")
+        node, header_names = self.node, self.node.find("dialect")
         item_id, target, pairs, content = body["item"]
-        own_names = {"host", dialect.request_id}
+        own_names = {"host", header_names.request_id}
         headers = [
             ("Host", body["host"]),
-            (dialect.request_id, item_id),
+            (header_names.request_id, item_id),
             *((name, value) for name, value in pairs if name.lower() not in own_names),
         ]
-        request = Request(dialect, "POST", target, headers, content)
-        lease = node.find("placement").begin(replica, request)
+        request = Request(header_names, "POST", target, headers, content)
+        in_flight_request = node.find("placement").start_request(replica, request)
         stall_seconds = node.bounds.shutdown
         try:
-            run.handle = yield from open_answer(
+            run.handle = yield from open_response(
                 node,
                 replica,
                 request,
@@ -146,8 +146,8 @@
                 True,
                 stall_seconds / 2,
             )
-            lease.heard()
-            return BROKEN if run.is_stopped else (yield from self._read(run, lease))
+            in_flight_request.note_response_bytes()
+            return BROKEN if run.is_stopped else (yield from self._read(run, in_flight_request))
         except NotSent as error:
             self._note(run, replica, error)
             return UNSENT
@@ -155,38 +155,40 @@
             self._note(run, replica, error)
             return BROKEN
         finally:
-            lease.end()
+            in_flight_request.finish()
             if run.handle is not None:
                 run.handle.close()
 
     def _note(self, run, replica, error):
         self.node.count(f"raw_{error.kind}")
         if not run.is_stopped and error.detail.get("reason") not in ("left", "no time left"):
-            self.node.find("placement").failed(replica, isinstance(error, NotSent))
+            self.node.find("placement").record_failure(replica, isinstance(error, NotSent))
 
-    def _read(self, run, lease):
+    def _read(self, run, in_flight_request):
         """Coroutine: take the answer's head, then the events in order until the proper end."""
-        dialect, handle = self.node.find("dialect"), run.handle
-        if is_not_run(dialect, handle):
+        header_names, handle = self.node.find("dialect"), run.handle
+        if is_not_run(header_names, handle):
             return NOT_RUN
         if handle.status in (500, 422):
             return FAILED if handle.status == 500 else DEAD
-        if handle.status != 200 or not is_sealed(dialect, handle):
+        if handle.status != 200 or not is_sealed(header_names, handle):
             return BROKEN
         reader = EventReader(run.last)
-        while (data := (yield from self._next_part(handle, lease))) is not None:
-            lease.heard()
+        while (data := (yield from self._next_part(handle, in_flight_request))) is not None:
+            in_flight_request.note_response_bytes()
             self._take(run, reader.feed(data))
-        return WHOLE if reader.is_clean and run.last is not None else BROKEN
+        return WHOLE if reader.is_at_event_boundary and run.last is not None else BROKEN
 
-    def _next_part(self, handle, lease):
+    def _next_part(self, handle, in_flight_request):
         """Coroutine: wait for bytes; a replica that is silent to all is left at half time."""
         seconds = self.node.bounds.shutdown / 2
         try:
             return (yield NextPart(handle, seconds))
         except BackendError as error:
-            is_silent = self.node.find("placement").is_silent(lease.replica, seconds)
-            if error.detail["reason"] != "stall" or is_silent:
+            is_unresponsive = self.node.find("placement").is_unresponsive(
+                in_flight_request.replica, seconds
+            )
+            if error.detail["reason"] != "stall" or is_unresponsive:
                 raise
         return (yield NextPart(handle, seconds))
 
--- a/quillring/lots/http_requests/scheduler.py
+++ b/quillring/lots/http_requests/scheduler.py
@@ -148,9 +148,9 @@
             return
         cores = self._workers(ledger)
         for lot, items in waiting:
-            forward, is_near = forwards.named(lot.forward), lot.due_at - now < NEAR
+            forward, is_near = forwards.find_by_name(lot.forward), lot.due_at - now < NEAR
             for item in items if forward is not None else ():
-                service = forward.service_for(str(item.number))
+                service = forward.pick_service(str(item.number))
                 if (service, is_near) in full:
                     continue
                 avoided_names = item.avoided_at(now)
--- a/quillring/lots/http_requests/worker_selection.py
+++ b/quillring/lots/http_requests/worker_selection.py
@@ -37,7 +37,11 @@
         names = {lot.forward for lot in ledger.lots.values()}
         is_fresh = self.node.find("freshness").is_fresh()
         for name in names:
-            if not is_fresh or forwards.named(name) is not None or name not in self.forward_seen_at:
+            if (
+                not is_fresh
+                or forwards.find_by_name(name) is not None
+                or name not in self.forward_seen_at
+            ):
                 self.forward_seen_at[name] = now
         patience = self.node.bounds.read_timeout
         return [
--- a/tests/forward_stage.py
+++ b/tests/forward_stage.py
@@ -2,8 +2,8 @@
 
 from proving.sim.scripted import ScriptedRuntime
 from quillring.fleet import make_node
-from quillring.forward import Dialect, Request
-from quillring.forward.request_handler import serve
+from quillring.forward import HeaderNames, Request
+from quillring.forward.request_handler import forward_request
 from quillring.kernel.bounds import Bounds
 from quillring.nifty import Member
 
@@ -65,15 +65,15 @@
     )
 
 
-def request(dialect=None, **headers):
+def request(header_names=None, **headers):
     pairs = [("Host", "h"), ("X-Inquiry", "q1"), ("X-Deadline-Ms", "4000"), *headers.items()]
-    return Request(dialect or Dialect(), "POST", "/a/x?y=%20z", pairs, b"body")
+    return Request(header_names or HeaderNames(), "POST", "/a/x?y=%20z", pairs, b"body")
 
 
 def run(runtime, node, sent=None):
     sent = sent or request()
     forward = node.find("forwards").find("h", sent.target)
-    return runtime.run(serve(node, forward, sent, node.now()))
+    return runtime.run(forward_request(node, forward, sent, node.now()))
 
 
 def text(runtime):
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -5,8 +5,8 @@
 import pytest
 
 from proving.sim.scripted import BREAK, END, SILENT, STALE
-from quillring.forward import Dialect, Request
-from quillring.forward.request_handler import serve
+from quillring.forward import HeaderNames, Request
+from quillring.forward.request_handler import forward_request
 from quillring.kernel.errors import QuillringError
 from tests.forward_stage import HEAD, PLAIN_HEAD, both, event, make
 
@@ -35,7 +35,7 @@
 def asked(deadline_ms):
     pairs = [("Host", "h"), ("X-Inquiry", "q1")]
     pairs += [("X-Deadline-Ms", deadline_ms)] if deadline_ms is not None else []
-    return Request(Dialect(), "POST", "/a/x", pairs, b"body")
+    return Request(HeaderNames(), "POST", "/a/x", pairs, b"body")
 
 
 def given_ms(data):
@@ -63,7 +63,7 @@
     sent = asked(deadline_ms)
     forward = node.find("forwards").find("h", sent.target)
     with contextlib.suppress(QuillringError):
-        runtime.run(serve(node, forward, sent, arrived_at))
+        runtime.run(forward_request(node, forward, sent, arrived_at))
     seconds = 5.0
     if deadline_ms is not None and deadline_ms.isdigit():
         seconds = min(seconds, int(deadline_ms) / 1000)
--- a/tests/test_event_bytes.py
+++ b/tests/test_event_bytes.py
@@ -28,7 +28,7 @@
         assert text(runtime) == body, cut
         reader = EventReader()
         ids = [e.id for e in [*reader.feed(body[:cut]), *reader.feed(body[cut:])] if e.data]
-        assert ids == list(range(len(ids))) and reader.last_event == ids[-1]
+        assert ids == list(range(len(ids))) and reader.last_event_id == ids[-1]
 
 
 @pytest.mark.parametrize("cut", range(len(VERSIONED)))
--- a/tests/test_forward.py
+++ b/tests/test_forward.py
@@ -107,8 +107,8 @@
 
 
 def test_a_wrong_replica_at_the_address_is_not_asked_again():
-    misplaced = [(0.01, (421, {"x-inquiry": "q1"}))]
-    runtime, node = make(both(misplaced), attempts=3)
+    misdirected = [(0.01, (421, {"x-inquiry": "q1"}))]
+    runtime, node = make(both(misdirected), attempts=3)
     with pytest.raises(Refused):
         run(runtime, node)
     assert {sent[0] for sent in runtime.sent} == {address(0), address(1)}
@@ -135,6 +135,6 @@
     for cut in range(len(data)):
         reader = EventReader()
         events = reader.feed(data[:cut]) + reader.feed(data[cut:])
-        assert b"".join(e.raw for e in events) == data and reader.is_clean
+        assert b"".join(e.raw for e in events) == data and reader.is_at_event_boundary
     with pytest.raises(BackendError):
         EventReader(4).feed(event(6))
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -4,7 +4,7 @@
 import pytest
 
 from proving.sim.scripted import BREAK, END, SILENT, STALE
-from quillring.forward.request_handler import serve as serve_forward
+from quillring.forward.request_handler import forward_request
 from quillring.kernel.effects import Emit
 from quillring.kernel.errors import BackendError, QuillringError
 from tests.forward_stage import HEAD, PLAIN_HEAD, both, event, make, request
@@ -51,12 +51,17 @@
         runtime, node = make(answers, kind=kind, attempts=2, replicas=2 if steps else 0)
         sent = request()
         forward = node.find("forwards").find("h", sent.target)
-        coroutine = serve_forward(node, forward, sent, node.now())
+        coroutine = forward_request(node, forward, sent, node.now())
         came_so_far = run_until(runtime, coroutine, stop_at)
         coroutine.close()
         assert all(handle.is_closed for handle in runtime.handles)
-        assert all(view.in_flight == 0 for view in node.find("placement").views.values())
-        assert all(view.reading == 0 for view in node.find("placement").views.values())
+        assert all(
+            health.in_flight == 0 for health in node.find("placement").health_by_replica.values()
+        )
+        assert all(
+            health.pending_prompt_tokens == 0
+            for health in node.find("placement").health_by_replica.values()
+        )
         if not came_so_far:
             break
     assert not came_so_far and stop_at > 0
--- a/tests/test_http_lot_placement.py
+++ b/tests/test_http_lot_placement.py
@@ -125,7 +125,7 @@
             lot_placement.place_of_lot(node, HOST, "a")
         )
         assert isinstance(lot_placement.place_of_lot(node, HOST, "a"), LotPlacement)
-        assert node.find("forwards").named(FORWARD).host == "lots.example"
+        assert node.find("forwards").find_by_name(FORWARD).host == "lots.example"
 
 
 def keys_at_home(stage, names):
--- a/tests/test_placement.py
+++ b/tests/test_load_balancer.py
@@ -6,7 +6,7 @@
 from proving.sim.scripted import ScriptedRuntime
 from quillring.edge.memory import ReplicaMemory
 from quillring.fleet import make_node
-from quillring.forward.request_handler import check_known
+from quillring.forward.request_handler import check_ready
 from quillring.kernel.bounds import Bounds
 from quillring.kernel.errors import Refused
 from quillring.nifty import Member
@@ -31,7 +31,7 @@
     chosen = [placement.choose("s", long) for _ in range(20)]
     assert len({replica.name for replica in chosen}) == 1
     for _ in range(3):
-        placement.begin(chosen[0], long)
+        placement.start_request(chosen[0], long)
     assert placement.choose("s", long).name != chosen[0].name
 
 
@@ -60,9 +60,9 @@
     me = Member("edge-1", 1, "edge", "north", "10.0.0.9", 7, 8, "")
     node = make_node(me, runtime, [], Bounds())
     with pytest.raises(Refused) as refusal:
-        check_known(node)
+        check_ready(node)
     assert refusal.value.status == 503 and refusal.value.detail["come_back_s"] > 0
-    check_known(make({})[1])
+    check_ready(make({})[1])
 
 
 def test_a_store_knows_the_replicas_again_after_power_was_lost():
--- a/tests/test_newer_calls.py
+++ b/tests/test_newer_calls.py
@@ -6,7 +6,7 @@
 
 from proving.sim.scripted import ScriptedRuntime
 from quillring.fleet import make_node
-from quillring.forward import Dialect
+from quillring.forward import HeaderNames
 from quillring.kernel.bounds import Bounds
 from quillring.kernel.raw_http import RawRequest
 from quillring.nifty import Member
@@ -32,7 +32,7 @@
     node = make_node(
         Member("e", 1, "edge", "north", "10.0.0.9", 7000, 7001, ""), runtime, [], Bounds()
     )
-    node.offer("dialect", Dialect())
+    node.offer("dialect", HeaderNames())
     raw = RawRequest(method, target, [("Host", "h"), ("X-Inquiry", "1")], b"{}", True, node.now())
     status, headers, _ = runtime.run(handle_client(node, raw))
     assert status == 503 and "Retry-After" in dict(headers)
--- a/tests/test_smuggling.py
+++ b/tests/test_smuggling.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from quillring.forward import Dialect, Request
+from quillring.forward import HeaderNames, Request
 from tests.test_raw_server import Client, serve  # noqa: F401
 
 HIDDEN = b"GET /hidden HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -54,8 +54,8 @@
     sent_on = []
 
     def handle(node, raw):
-        request = Request(Dialect(), raw.method, raw.target, raw.lines, raw.body)
-        sent_on.append(request.to_bytes(Dialect(), "r1", 1, 5, None))
+        request = Request(HeaderNames(), raw.method, raw.target, raw.lines, raw.body)
+        sent_on.append(request.to_bytes(HeaderNames(), "r1", 1, 5, None))
         return 200, [], b""
         yield
 
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -5,7 +5,7 @@
 import pytest
 
 from proving.sim.scripted import END
-from quillring.forward import Dialect
+from quillring.forward import HeaderNames
 from quillring.kernel.bounds import Bounds
 from quillring.kernel.raw_http import RawRequest
 from quillring.verbs import process
@@ -30,7 +30,7 @@
 
     def __init__(self, grace):
         self.runtime, self.node = make(both(*[WHOLE] * 99), kind="repeatable", attempts=1)
-        self.node.offer("dialect", Dialect())
+        self.node.offer("dialect", HeaderNames())
         self.node.bounds = Bounds(grace_period=grace)
         self.node.under_way = 1
         self.seen = []
--- a/tests/test_system_lots.py
+++ b/tests/test_system_lots.py
@@ -31,7 +31,7 @@
 
 def call(stage, method, target, body=b"", **headers):
     def make(node):
-        forward = node.find("forwards").named(FORWARD) if method == "POST" else None
+        forward = node.find("forwards").find_by_name(FORWARD) if method == "POST" else None
         named = {name.replace("_", "-"): value for name, value in headers.items()}
         return system_lots.handle_lot(
             node, forward, method, target, {"host": HOST.upper() + ":80", **named}, body
