--- a/proving/points/failures.py
+++ b/proving/points/failures.py
@@ -5,7 +5,7 @@
 from proving.points.lots import accept_at_once
 from proving.points.serving import rerun_attempt
 from proving.points.state import adopt, names_but
-from quillring.edge import Replicas, streams
+from quillring.edge import Replicas, stream_handlers
 from quillring.nifty.graph import Graph
 from quillring.quorum.leader.membership_repair import MembershipRepair
 from quillring.rollout.freshness import Freshness
@@ -202,7 +202,7 @@
 )
 FRESH = [
     (Freshness, "is_fresh", always_fresh),
-    (streams, "check_before_sending", no_check),
+    (stream_handlers, "check_before_sending", no_check),
     (Replicas, "is_heard", lambda self, name: True),
 ]
 POINTS = [
@@ -212,7 +212,7 @@
     (
         "a woken replica mixes nothing and runs nothing twice",
         woken_replica,
-        [(streams, "one_attempt", rerun_attempt)],
+        [(stream_handlers, "one_attempt", rerun_attempt)],
     ),
     (
         "a store isolated, emptied and retired leaves all whole",
--- a/proving/points/fleet.py
+++ b/proving/points/fleet.py
@@ -4,7 +4,7 @@
 from proving.points.cuts import traffic
 from proving.sim.fleet import SimFleet
 from quillring.classes import Taker
-from quillring.edge.lease import Waiter
+from quillring.edge.slot_lease import Waiter
 from quillring.lots.prompts import scheduler
 from quillring.nifty import Nifty
 from quillring.quorum.acceptor import Acceptors
--- a/proving/points/keeping.py
+++ b/proving/points/keeping.py
@@ -3,7 +3,7 @@
 from unittest import mock
 
 from proving.points.base import Stage, no_check
-from quillring.edge import claim, journal
+from quillring.edge import journal, stream_takeover
 from quillring.lots.prompts import api, retention
 from quillring.lots.prompts.api import release_lot, show_results, submit_lot
 from quillring.lots.prompts.retention import Retention
@@ -175,7 +175,7 @@
     (
         "a piece is held twice before a resumed sender sees it",
         frozen_holders,
-        [(claim, "ensure_held", lambda journal, stream: iter(()))],
+        [(stream_takeover, "ensure_held", lambda journal, stream: iter(()))],
     ),
     (
         "what was refused leaves nothing behind",
--- a/proving/points/resume.py
+++ b/proving/points/resume.py
@@ -6,9 +6,9 @@
 
 from proving.points.base import Stage, no_check
 from proving.sim.callers import Connection
-from quillring.edge import streams
+from quillring.edge import stream_handlers
+from quillring.edge.resume_token import LIFE_SECONDS, make_token
 from quillring.edge.streams import resume_stream, serve_model
-from quillring.edge.tokens import LIFE_SECONDS, make_token
 from quillring.kernel.errors import NotFound, QuillringError
 from quillring.kernel.wsgi import Request
 from quillring.lots.prompts import state_machine
@@ -152,12 +152,12 @@
     (
         "a class that forbids resuming is not resumed",
         forbidden_resume,
-        [(streams, "check_resumable", no_check)],
+        [(stream_handlers, "check_resumable", no_check)],
     ),
     (
         "a strange token discloses nothing",
         strange_tokens,
-        [(streams, "read_token", read_any_token)],
+        [(stream_handlers, "read_token", read_any_token)],
     ),
     (
         "another sender's lot is not told of",
--- a/proving/points/serving.py
+++ b/proving/points/serving.py
@@ -2,7 +2,7 @@
 
 from proving.points.base import Stage, always_hopeful, no_check
 from quillring.classes.taker import Taker
-from quillring.edge import dispatch, replicas, streams
+from quillring.edge import dispatch, replicas, stream_handlers
 from quillring.rollout.freshness import Freshness
 
 
@@ -152,14 +152,18 @@
         return getattr(self.holder if name == "route" else self.real, name)
 
 
-REAL_ATTEMPT = streams.one_attempt
+REAL_ATTEMPT = stream_handlers.one_attempt
 FRESH = (Freshness, "check", no_check)
 POINTS = [
-    ("what may not repeat never runs twice", lost_reply, [(streams, "one_attempt", rerun_attempt)]),
+    (
+        "what may not repeat never runs twice",
+        lost_reply,
+        [(stream_handlers, "one_attempt", rerun_attempt)],
+    ),
     (
         "nothing runs after a refusal",
         frozen_before_sending,
-        [(streams, "check_before_sending", no_check)],
+        [(stream_handlers, "check_before_sending", no_check)],
     ),
     (
         "a leaving replica gets nothing after 2 s",
--- a/proving/points/streams.py
+++ b/proving/points/streams.py
@@ -6,7 +6,7 @@
 from proving.points.base import Stage, no_check
 from proving.sim import callers
 from proving.tools.callers import Answer
-from quillring.edge import journal, streams
+from quillring.edge import journal, stream_handlers
 from quillring.kernel.errors import QuillringError, Refused
 
 STREAMS_CUT = 4
@@ -188,7 +188,7 @@
     (
         "no answer mixed or complete when it is not",
         mixed_answers,
-        [(streams, "check_line", lambda line, name, count: None)],
+        [(stream_handlers, "check_line", lambda line, name, count: None)],
     ),
     (
         "no conversation dropped when an edge dies",
--- a/proving/points/waits.py
+++ b/proving/points/waits.py
@@ -3,7 +3,7 @@
 from proving.points.base import Stage, always_hopeful
 from proving.points.state import names_but
 from quillring.edge.dispatch import Dispatch
-from quillring.edge.streams import serve_model
+from quillring.edge.stream_handlers import serve_model
 from quillring.kernel.node import Node
 from quillring.kernel.wsgi import Request
 from quillring.lots.prompts.api import submit_lot
--- a/proving/points/zones.py
+++ b/proving/points/zones.py
@@ -6,7 +6,7 @@
 from proving.points.base import Stage, no_check
 from proving.points.state import adopt
 from proving.sim import backends
-from quillring.edge import Journal, short, streams
+from quillring.edge import Journal, short_requests, stream_handlers
 from quillring.edge.admission import check_admission
 from quillring.kernel.errors import QuillringError
 from quillring.lots.prompts import api
@@ -132,8 +132,8 @@
         emptied_nodes,
         [
             (Ownership, "is_leaving", never_leaving),
-            (streams, "check_admission", no_check),
-            (short, "check_admission", no_check),
+            (stream_handlers, "check_admission", no_check),
+            (short_requests, "check_admission", no_check),
             (api, "check_admission", no_check),
         ],
     ),
--- a/proving/sim/callers.py
+++ b/proving/sim/callers.py
@@ -2,8 +2,8 @@
 
 from proving.tools.callers import Answer, Record
 from proving.tools.standin_logic import piece_count, piece_text, seat_word, tile_word
-from quillring.edge.short import serve_seat, serve_tile
-from quillring.edge.streams import resume_stream, serve_model
+from quillring.edge.short_requests import serve_seat, serve_tile
+from quillring.edge.stream_handlers import resume_stream, serve_model
 from quillring.kernel.effects import Signal
 from quillring.kernel.errors import QuillringError, Refused
 from quillring.kernel.wsgi import Request
--- a/quillring/edge/dispatch.py
+++ b/quillring/edge/dispatch.py
@@ -2,8 +2,8 @@
 
 import hashlib
 
-from quillring.edge.lease import Lease, Waiter
-from quillring.edge.pace import Pace
+from quillring.edge.queue_wait import Pace
+from quillring.edge.slot_lease import Lease, Waiter
 from quillring.kernel.effects import Sleep, Wait
 from quillring.kernel.errors import Refused
 from quillring.nifty.graph import score
--- a/quillring/edge/journal.py
+++ b/quillring/edge/journal.py
@@ -1,7 +1,7 @@
 """The stream journal: each piece is held on a second node before a sender sees it."""
 
-from quillring.edge.claim import claim_stream
-from quillring.edge.stream import Stream, append_body
+from quillring.edge.journaled_stream import Stream, append_body
+from quillring.edge.stream_takeover import claim_stream
 from quillring.kernel.effects import Sleep
 from quillring.kernel.errors import Fenced, NotFound, QuillringError, Refused
 from quillring.nifty.graph import score
--- a/quillring/edge/replicas.py
+++ b/quillring/edge/replicas.py
@@ -3,7 +3,7 @@
 import math
 from urllib.parse import urlencode
 
-from quillring.edge.liveness import Liveness
+from quillring.edge.heartbeat_relay import Liveness
 from quillring.kernel.checks import StrictValidator
 from quillring.kernel.errors import Conflict
 from quillring.kernel.wsgi import check_body
--- a/quillring/edge/short.py
+++ b/quillring/edge/short_requests.py
@@ -2,7 +2,7 @@
 
 from quillring.classes.promises import may_repeat
 from quillring.edge.admission import check_admission
-from quillring.edge.streams import check_before_sending
+from quillring.edge.stream_handlers import check_before_sending
 from quillring.kernel.checks import StrictValidator, read_count
 from quillring.kernel.effects import Fetch
 from quillring.kernel.errors import (
--- a/quillring/edge/streams.py
+++ b/quillring/edge/stream_handlers.py
@@ -3,7 +3,7 @@
 from quillring.classes.promises import may_resume, may_run_on
 from quillring.edge.admission import check_admission, check_open
 from quillring.edge.dispatch import prefix_key
-from quillring.edge.tokens import make_token, read_token
+from quillring.edge.resume_token import make_token, read_token
 from quillring.kernel.checks import StrictValidator, read_count
 from quillring.kernel.effects import Emit, Next, Open
 from quillring.kernel.errors import (
--- a/quillring/edge/claim.py
+++ b/quillring/edge/stream_takeover.py
@@ -1,6 +1,6 @@
 """Claiming a stream: the newest copy is found, its former round fenced, a second copy ensured."""
 
-from quillring.edge.stream import Stream
+from quillring.edge.journaled_stream import Stream
 from quillring.kernel.errors import NotFound, QuillringError, Refused
 
 
--- a/quillring/fleet.py
+++ b/quillring/fleet.py
@@ -2,8 +2,8 @@
 
 from quillring.classes import Granter, Meter, Taker
 from quillring.edge import Dispatch, Journal, Replicas
-from quillring.edge.memory import ReplicaMemory
-from quillring.edge.tokens import LIFE_SECONDS
+from quillring.edge.replica_snapshot import ReplicaMemory
+from quillring.edge.resume_token import LIFE_SECONDS
 from quillring.forward import ForwardRouteTable, HeaderNames, LoadBalancer
 from quillring.gossip import Gossip
 from quillring.kernel.errors import DiskError
--- a/quillring/lots/prompts/scheduler.py
+++ b/quillring/lots/prompts/scheduler.py
@@ -6,7 +6,7 @@
 
 from quillring.classes.promises import may_repeat
 from quillring.edge.dispatch import prefix_key
-from quillring.edge.streams import STALL_MS, check_before_sending, check_line
+from quillring.edge.stream_handlers import STALL_MS, check_before_sending, check_line
 from quillring.kernel.effects import Fetch, Next, Open, Signal, Sleep, Wait
 from quillring.kernel.errors import BackendError, Busy, NotSent, QuillringError
 from quillring.lots.prompts.retention import Retention
--- a/quillring/verbs/routes.py
+++ b/quillring/verbs/routes.py
@@ -1,6 +1,6 @@
 """HTTP routes for operators, back ends and the platform."""
 
-from quillring.edge import short, streams
+from quillring.edge import short_requests, stream_handlers
 from quillring.edge.admission import check_admission
 from quillring.kernel.checks import StrictValidator
 from quillring.kernel.errors import Conflict, NotFound, NotFounded, Refused
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from quillring.edge.tokens import LIFE_SECONDS, BadToken, make_token, read_token
+from quillring.edge.resume_token import LIFE_SECONDS, BadToken, make_token, read_token
 from quillring.lots.http_requests.lot_placement import lot_key
 from quillring.quorum.parts import CONFIG
 from tests.fleet_stage import SelfFounded
@@ -14,7 +14,7 @@
 
 MINUTE = 60
 READERS = {
-    "quillring/edge/streams.py",
+    "quillring/edge/stream_handlers.py",
     "quillring/kernel/gevent_runtime.py",
     "quillring/lots/http_requests/api.py",
     "quillring/lots/http_requests/item_table.py",
--- a/tests/test_landed_folders.py
+++ b/tests/test_landed_folders.py
@@ -7,7 +7,7 @@
 import cbor2
 import pytest
 
-from quillring.edge.memory import ReplicaMemory
+from quillring.edge.replica_snapshot import ReplicaMemory
 from quillring.fleet import open_store
 from quillring.kernel.node import Node
 from quillring.nifty import Member
--- a/tests/test_load_balancer.py
+++ b/tests/test_load_balancer.py
@@ -4,7 +4,7 @@
 
 from proving.sim.disk import SimDisk
 from proving.sim.scripted import ScriptedRuntime
-from quillring.edge.memory import ReplicaMemory
+from quillring.edge.replica_snapshot import ReplicaMemory
 from quillring.fleet import make_node
 from quillring.forward.request_handler import check_ready
 from quillring.kernel.bounds import Bounds
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -14,7 +14,7 @@
 TOPS = ("quillring", "platform")
 ASKS = re.compile(r"wall_time\(\)|def wall_time|(?<!date)time\.time\(|datetime\.now|\btime_ns")
 MAY_ASK = {
-    "quillring/edge/streams.py": "the age of a stream's token",
+    "quillring/edge/stream_handlers.py": "the age of a stream's token",
     "quillring/kernel/gevent_runtime.py": "gives the clock to the others",
     "quillring/lots/http_requests/api.py": "when a lot was handed in, for its turn",
     "quillring/lots/http_requests/item_table.py": "a lot's turn after its owner changed",
