--- a/examples/embed/quorum_counter.py
+++ b/examples/embed/quorum_counter.py
@@ -10,7 +10,7 @@
 from quillring.nifty import Member
 from quillring.ownership import QUERIES
 from quillring.quorum import COMMANDS
-from quillring.quorum.founding import found_fleet
+from quillring.quorum.founding.founding import found_fleet
 from quillring.store import FolderDisk
 
 SEED = ("127.0.44.1", 7601)
--- a/proving/histories/bugs.py
+++ b/proving/histories/bugs.py
@@ -12,7 +12,7 @@
 from quillring.kernel.errors import Conflict, Refused
 from quillring.lots.http_requests import state_machine
 from quillring.ownership import part_client
-from quillring.quorum.acceptor import Acceptors, PartRecord
+from quillring.quorum.acceptor import Acceptors, AcceptorState
 from quillring.quorum.commands import COMMANDS
 from quillring.quorum.leader import follower_read, part_leader
 from quillring.quorum.leader.in_flight import InFlight
@@ -89,7 +89,7 @@
 
 def check_without_ballot(self, body):
     """Stand-in: an acceptor takes what an owner of an older term sends."""
-    record = self.parts.get(body["part"]) or PartRecord()
+    record = self.parts.get(body["part"]) or AcceptorState()
     return record, max(tuple(body["ballot"]), record.promised)
 
 
--- a/proving/model/bugs.py
+++ b/proving/model/bugs.py
@@ -6,17 +6,17 @@
 from typing import NamedTuple
 from unittest import mock
 
-import quillring.quorum.record as record_module
+import quillring.quorum.acceptor.state as record_module
 from proving.model.errors import UnknownName
 from proving.model.patches import all_of, around, without_sync
 from proving.model.phase_bugs import skip_promise_again, stay_in_phase_two
 from proving.model.store_machine import as_script
 from proving.model.vote_bugs import accept_below_vote, tell_no_record, vote_in_memory
 from quillring.quorum import commands
+from quillring.quorum.acceptor.state import AcceptorState
 from quillring.quorum.commands import COMMANDS
 from quillring.quorum.leader import follower_read, part_leader, quorum_call
 from quillring.quorum.leader.part_leader import PartLeader
-from quillring.quorum.record import PartRecord
 
 
 class Bug(NamedTuple):
@@ -92,13 +92,13 @@
 
 def learn_any_ballot():
     """A store applies whatever entry it holds at an index that was committed."""
-    real = PartRecord.learn
+    real = AcceptorState.learn
 
     def learn(self, ballot, committed):
         self.entries = {i: entry._replace(ballot=ballot) for i, entry in self.entries.items()}
         real(self, ballot, committed)
 
-    return all_of([mock.patch.object(PartRecord, "learn", learn)])
+    return all_of([mock.patch.object(AcceptorState, "learn", learn)])
 
 
 def change_group_at_will():
--- a/proving/model/core_machine.py
+++ b/proving/model/core_machine.py
@@ -6,8 +6,8 @@
 from proving.model.machines import Machine, applied_event, digest_state
 from proving.model.watched_owner import WatchedOwner
 from quillring.kernel.errors import NotOwner, QuillringError
-from quillring.quorum.electing import Elector, agree
-from quillring.quorum.founding import found_fleet
+from quillring.quorum.founding.founding import found_fleet
+from quillring.quorum.founding.founding_vote import FoundingVoter, agree
 from quillring.quorum.leader.follower_read import peek
 from quillring.quorum.leader.membership_change import submit_first
 from quillring.quorum.values import GroupMember
@@ -56,7 +56,7 @@
         """Start again with nothing."""
         self.start()
         self.node.offer("gossip", News())
-        self.node.offer("elector", Elector(self.node))
+        self.node.offer("elector", FoundingVoter(self.node))
         self.owner, self.busy, self.told = None, set(), None
 
     def on_take(self, step_input):
--- a/proving/model/store_machine.py
+++ b/proving/model/store_machine.py
@@ -7,7 +7,7 @@
 from proving.sim.disk import SimDisk
 from quillring.fleet import open_store
 from quillring.quorum import Acceptors
-from quillring.quorum.electing import FILES, Elector, Witness
+from quillring.quorum.founding.founding_vote import FILES, FoundingVoter, Witness
 from quillring.store import SlotStore
 
 SYNC_SECONDS = 1.0
@@ -53,7 +53,7 @@
 
     def _join_seeds(self):
         """Vote on the founding if this store is a seed; its own disk is the witness."""
-        self.elector = Elector(self.node)
+        self.elector = FoundingVoter(self.node)
         if self.name not in self.model.seeds:
             return
         self.node.offer("witness", Witness(self.node, self.disk))
--- a/proving/model/vote_bugs.py
+++ b/proving/model/vote_bugs.py
@@ -3,7 +3,7 @@
 from unittest import mock
 
 from proving.model.patches import all_of
-from quillring.quorum.electing import NO_BALLOT, Elector
+from quillring.quorum.founding.founding_vote import NO_BALLOT, FoundingVoter
 
 
 def vote_in_memory():
@@ -20,28 +20,28 @@
 
     names = {"_recall": recall, "_keep": keep}
     return all_of(
-        [mock.patch.object(Elector, name, coroutine) for name, coroutine in names.items()]
+        [mock.patch.object(FoundingVoter, name, coroutine) for name, coroutine in names.items()]
     )
 
 
 def accept_below_vote():
     """A seed accepts a record under a ballot below the one it promised."""
-    real = Elector.on_accept
+    real = FoundingVoter.on_accept
 
     def on_accept(self, body, origin):
         vote = yield from self._recall()
         promised = max(vote.promised, tuple(body["ballot"]))
         return (yield from real(self, {**body, "ballot": list(promised)}, origin))
 
-    return all_of([mock.patch.object(Elector, "on_accept", on_accept)])
+    return all_of([mock.patch.object(FoundingVoter, "on_accept", on_accept)])
 
 
 def tell_no_record():
     """A seed that promises doesn't tell the record that it accepted."""
-    real = Elector.on_prepare
+    real = FoundingVoter.on_prepare
 
     def on_prepare(self, body, origin):
         yield from real(self, body, origin)
         return [list(NO_BALLOT), None]
 
-    return all_of([mock.patch.object(Elector, "on_prepare", on_prepare)])
+    return all_of([mock.patch.object(FoundingVoter, "on_prepare", on_prepare)])
--- a/proving/points/cuts.py
+++ b/proving/points/cuts.py
@@ -4,7 +4,7 @@
 from proving.points.state import FRESH, adopt, names_but
 from quillring.nifty.graph import Graph
 from quillring.ownership.elections import Elections
-from quillring.quorum.hints import Hints
+from quillring.quorum.acceptor.hint_store import HintStore
 from quillring.quorum.leader.membership_repair import MembershipRepair
 from quillring.store.slots import SlotStore
 
@@ -221,7 +221,7 @@
     (
         "hints are handed over and dropped",
         hinted_handoff,
-        [(Hints, "_hand_over", no_script := (lambda self, name: iter(())))],
+        [(HintStore, "_hand_over", no_script := (lambda self, name: iter(())))],
     ),
     ("full disks accept nothing", full_disks, [(SlotStore, "_write", write_nothing)]),
     (
--- a/proving/points/departed.py
+++ b/proving/points/departed.py
@@ -7,9 +7,9 @@
 from proving.sim.fleet import SimFleet
 from quillring.gossip import Gossip
 from quillring.kernel.errors import NotFounded
-from quillring.quorum import autofound
 from quillring.quorum.acceptor import Acceptors
-from quillring.quorum.autofound import found_by_itself
+from quillring.quorum.founding import bootstrap
+from quillring.quorum.founding.bootstrap import found_at_first_start
 from quillring.quorum.parts import CONFIG, majority
 from quillring.rollout import Freshness
 
@@ -80,7 +80,7 @@
     for name in sim.rows:
         node = sim.start(name)
         if node.me.role == "core":
-            node.spawn(found_by_itself(node, True, 2))
+            node.spawn(found_at_first_start(node, True, 2))
     side = ["core-1", "core-4", "edge-1", "store-1", "store-2", "store-3"]
     sim.cut(side, [name for name in sim.nodes if name not in side])
     sim.env.run(until=20)
@@ -119,6 +119,6 @@
     (
         "a first start in a cut founds one fleet",
         first_start_apart,
-        [(autofound, "agree", choose_alone)],
+        [(bootstrap, "agree", choose_alone)],
     ),
 ]
--- a/proving/points/fleet.py
+++ b/proving/points/fleet.py
@@ -8,7 +8,7 @@
 from quillring.lots.prompts import scheduler
 from quillring.nifty import Nifty
 from quillring.quorum.acceptor import Acceptors
-from quillring.quorum.founding import found_fleet
+from quillring.quorum.founding.founding import found_fleet
 
 
 def swapped_machines(seed):
--- a/proving/points/lots.py
+++ b/proving/points/lots.py
@@ -10,6 +10,7 @@
 from quillring.ownership.election_timing import ElectionTiming
 from quillring.ownership.leadership_backoff import LeadershipBackoff
 from quillring.quorum import acceptor, commands
+from quillring.quorum.identity import WrongIdentity
 from quillring.quorum.leader import part_leader, quorum_call
 from quillring.quorum.parts import CONFIG
 from quillring.rollout.freshness import Freshness
@@ -161,7 +162,7 @@
 
 def unfenced(self, body):
     """Stand-in for the guard: any ballot and any identity will do."""
-    part_record = self.parts.get(body["part"]) or acceptor.PartRecord()
+    part_record = self.parts.get(body["part"]) or acceptor.AcceptorState()
     return part_record, tuple(body["ballot"])
 
 
@@ -186,7 +187,7 @@
     body = {"part": CONFIG, "ballot": [99, "core-9"], "identity": identity}
     call = stage.node("core-1").call("store-1", "quorum.prepare", body)
     _, error = stage.finish(stage.start(stage.sim.run_script(stage.node("core-1"), call)))
-    if not isinstance(error, acceptor.WrongIdentity):
+    if not isinstance(error, WrongIdentity):
         stage.sim.history.violate(f"the emptied store voted for the old one: {error}")
     stage.run(20)
     table = stage.node("core-1").find("ownership")
--- a/proving/sim/fleet.py
+++ b/proving/sim/fleet.py
@@ -171,7 +171,7 @@
 
     def found(self):
         """Process: found the fleet and adopt the example layout."""
-        from quillring.quorum.founding import found_fleet
+        from quillring.quorum.founding.founding import found_fleet
         from quillring.quorum.parts import CONFIG
 
         while True:
--- a/proving/sim/many_changes.py
+++ b/proving/sim/many_changes.py
@@ -15,7 +15,7 @@
 from proving.sim.fleet import SimFleet
 from quillring.fleet import open_store
 from quillring.kernel.bounds import Bounds
-from quillring.quorum.autofound import found_by_itself
+from quillring.quorum.founding.bootstrap import found_at_first_start
 from quillring.quorum.parts import CONFIG, GROUP_SIZE
 
 READY_AT = 8
@@ -48,7 +48,7 @@
         """Start a node; cores found the fleet at the first start."""
         node = self.sim.start(name)
         if node.me.role == "core":
-            node.spawn(found_by_itself(node, is_first, self.parts))
+            node.spawn(found_at_first_start(node, is_first, self.parts))
         return node
 
     def run(self, seconds):
--- a/proving/sim/repair_time.py
+++ b/proving/sim/repair_time.py
@@ -11,8 +11,8 @@
 
 from proving.sim.fleet import SimFleet
 from quillring.kernel.bounds import Bounds
-from quillring.quorum import transfer
-from quillring.quorum.autofound import found_by_itself
+from quillring.quorum import snapshot_chunks
+from quillring.quorum.founding.bootstrap import found_at_first_start
 from quillring.quorum.leader import catch_up
 from quillring.quorum.parts import CONFIG
 
@@ -34,7 +34,7 @@
         for name in self.sim.rows:
             node = self.sim.start(name)
             if node.me.role == "core":
-                node.spawn(found_by_itself(node, True, parts - 1, size))
+                node.spawn(found_at_first_start(node, True, parts - 1, size))
         self.sim.env.run(until=READY_AT / 2)
         node = self.sim.nodes["core-1"]
         command = {"do": "domain.mark", "domain": "none", "emptied": False}
@@ -110,7 +110,7 @@
 
 def cut_small_piece(state, place):
     """Cut pieces a sixteenth as long as the product does."""
-    return transfer.cut_piece(state, place, transfer.PIECE_BYTES // SCALE)
+    return snapshot_chunks.cut_chunk(state, place, snapshot_chunks.CHUNK_BYTES // SCALE)
 
 
 @click.command()
--- a/quillring/fleet.py
+++ b/quillring/fleet.py
@@ -17,11 +17,11 @@
 from quillring.plans import PlanRunner
 from quillring.plans.runner import count_busy
 from quillring.quorum import Acceptors
-from quillring.quorum.disk_news import DiskNews
-from quillring.quorum.electing import Elector, Witness
-from quillring.quorum.hints import Hints
+from quillring.quorum.acceptor.hint_store import HintStore
+from quillring.quorum.acceptor.retirement_gate import RetirementGate
+from quillring.quorum.disk_health import DiskHealth
+from quillring.quorum.founding.founding_vote import FoundingVoter, Witness
 from quillring.quorum.leader.membership_repair import MembershipRepair
-from quillring.quorum.retirement import Leaving
 from quillring.rollout import ConfigurationSnapshot, Freshness
 from quillring.rollout import commands as rollout_commands
 from quillring.store import SlotStore
@@ -36,7 +36,7 @@
     nifty = node.offer("nifty", Nifty(node, seeds, versions))
     gossip = node.offer("gossip", Gossip(node))
     node.offer("ownership", Ownership(node))
-    node.offer("elector", Elector(node))
+    node.offer("elector", FoundingVoter(node))
     node.offer("layout", ConfigurationSnapshot(node))
     node.offer("freshness", Freshness(node))
     node.offer("replicas", Replicas(node))
@@ -109,13 +109,13 @@
     acceptors = node.offer("acceptors", acceptors)
     acceptors.attach(node)
     node.find("nifty").stamp_source = acceptors.stamp
-    hints = node.offer("hints", Hints(node, acceptors))
+    hints = node.offer("hints", HintStore(node, acceptors))
     memory = node.offer("memory", ReplicaMemory(node, acceptors.slots.disk))
     memory.recall()
     node.spawn(memory.run())
     node.spawn(acceptors.slots.run(node.bounds.heartbeat_interval))
-    node.spawn(DiskNews(node, acceptors.slots).run())
-    node.offer("leaving", Leaving(node, acceptors))
+    node.spawn(DiskHealth(node, acceptors.slots).run())
+    node.offer("leaving", RetirementGate(node, acceptors))
     node.offer("witness", Witness(node, acceptors.slots.disk))
     node.spawn(hints.run())
     if acceptors.founding is not None:
--- a/quillring/ownership/leadership_transfer.py
+++ b/quillring/ownership/leadership_transfer.py
@@ -15,7 +15,7 @@
     StateChunkRequest,
 )
 from quillring.quorum.leader.part_leader import PartLeader
-from quillring.quorum.transfer import START, Place, StateBuilder, cut_piece
+from quillring.quorum.snapshot_chunks import SNAPSHOT_START, ChunkOffset, StateBuilder, cut_chunk
 
 if TYPE_CHECKING:
     from quillring.kernel.node import Node
@@ -76,7 +76,7 @@
         if offered is None or offered.log_index != request.log_index:
             known_index = None if offered is None else offered.log_index
             raise Conflict(part=request.part, index=known_index)
-        data, next_offset = cut_piece(offered.state, request.offset)
+        data, next_offset = cut_chunk(offered.state, request.offset)
         return StateChunkReply(data, next_offset).to_wire()
 
     def on_prepare(self, body: WireMap, origin: str) -> Coroutine:
@@ -98,7 +98,7 @@
     def _fetch_state(self, source: str, part: str, index: int) -> Coroutine:
         """Return the state of a part at an index, fetched from its leader."""
         builder, seconds = StateBuilder(), self.node.bounds.read_timeout
-        offset: Place | None = START
+        offset: ChunkOffset | None = SNAPSHOT_START
         while offset is not None:
             body = StateChunkRequest(part, index, offset).to_wire()
             reply = yield from self.node.call(source, STATE_CHUNK, body, seconds)
--- a/quillring/ownership/messages.py
+++ b/quillring/ownership/messages.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from quillring.quorum.transfer import Place
+from quillring.quorum.snapshot_chunks import ChunkOffset
 
 if TYPE_CHECKING:
     from quillring.kernel.types import WireMap
@@ -102,12 +102,12 @@
 
     part: str
     log_index: int
-    offset: Place
+    offset: ChunkOffset
 
     @classmethod
     def from_wire(cls, body: WireMap) -> StateChunkRequest:
         """Read the request from its wire form."""
-        return cls(body["part"], body["index"], Place(*body["place"]))
+        return cls(body["part"], body["index"], ChunkOffset(*body["place"]))
 
     def to_wire(self) -> WireMap:
         """Return the request in its wire form."""
@@ -118,13 +118,13 @@
     """The reply to `part.piece`: bytes, and the offset behind them; None at the state's end."""
 
     data: bytes
-    next_offset: Place | None
+    next_offset: ChunkOffset | None
 
     @classmethod
     def from_wire(cls, body: list[Any]) -> StateChunkReply:
         """Read the reply from its wire form."""
         data, next_offset = body
-        return cls(data, None if next_offset is None else Place(*next_offset))
+        return cls(data, None if next_offset is None else ChunkOffset(*next_offset))
 
     def to_wire(self) -> list[Any]:
         """Return the reply in its wire form."""
--- /dev/null
+++ b/quillring/quorum/acceptor/__init__.py
@@ -0,0 +1,6 @@
+"""The acceptors' side of a part: promises, accepted entries and applied state on a store's disk."""
+
+from quillring.quorum.acceptor.acceptor import Acceptors
+from quillring.quorum.acceptor.state import AcceptedEntry, AcceptorState
+
+__all__ = ["AcceptedEntry", "AcceptorState", "Acceptors"]
--- a/quillring/quorum/acceptor.py
+++ b/quillring/quorum/acceptor/acceptor.py
@@ -5,13 +5,13 @@
 from typing import TYPE_CHECKING
 
 from quillring.kernel.errors import Conflict, Fenced, NotFounded
+from quillring.quorum.acceptor.snapshot_rows import load_rows, load_whole, to_rows
+from quillring.quorum.acceptor.snapshot_transfer import SnapshotTransfer
+from quillring.quorum.acceptor.state import AcceptorState
 from quillring.quorum.commands import answer_query, first_state
 from quillring.quorum.identity import WrongIdentity
+from quillring.quorum.messages import BRIEF_WITHOUT_BATCHES
 from quillring.quorum.parts import CONFIG
-from quillring.quorum.promise import BRIEF_INDEXES
-from quillring.quorum.record import PartRecord
-from quillring.quorum.slot_rows import load_rows, load_whole, to_rows
-from quillring.quorum.transfers import Transfers
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -48,7 +48,7 @@
         self.slots = None
         self.hints = {}
         self.listeners = []
-        self.transfers = Transfers(self)
+        self.transfers = SnapshotTransfer(self)
 
     def attach(self, node: Node) -> None:
         """Join the node, whose member record carries the identity found on disk."""
@@ -63,7 +63,7 @@
                 self._publish(part, record)
             gossip.listen("founding", self._on_founding_news)
 
-    def _publish(self, part: str, record: PartRecord):
+    def _publish(self, part: str, record: AcceptorState):
         """Tell all nodes what is committed here, so that it needs no owner to be known."""
         if record.state is None:
             return
@@ -96,7 +96,7 @@
             self.founding = part
             for name, group in part["groups"].items():
                 if any(store[1] == self.identity for store in group):
-                    part_record = self.parts.setdefault(name, PartRecord())
+                    part_record = self.parts.setdefault(name, AcceptorState())
                     if part_record.state is None:
                         part_record.state = first_state(group)
             return
@@ -108,7 +108,7 @@
             others = {name: kept for name, kept in self.hints.items() if name != part}
             self.hints = {**others, part: left_hints} if left_hints else others
             return
-        part_record = self.parts.setdefault(part, PartRecord())
+        part_record = self.parts.setdefault(part, AcceptorState())
         ballot = tuple(rest[0])
         part_record.replay(verb, ballot, rest[1:])
         if verb == "piece":
@@ -122,13 +122,13 @@
         self.replay(record)
         yield from self.slots.commit([record])
 
-    def check(self, body: dict) -> tuple[PartRecord, Ballot]:
+    def check(self, body: dict) -> tuple[AcceptorState, Ballot]:
         """Return (record of the part, ballot) of a call that this store may follow, or raise."""
         if body["identity"] != self.identity:
             raise WrongIdentity(store=self.node.me.name, identity=self.identity)
         if self.slots.error is not None:
             raise self.slots.error
-        part_record = self.parts.get(body["part"]) or PartRecord()
+        part_record = self.parts.get(body["part"]) or AcceptorState()
         ballot = tuple(body["ballot"])
         if ballot < part_record.promised:
             raise Fenced(part=body["part"], ballot=list(part_record.promised))
@@ -157,7 +157,7 @@
             raise Fenced(part=body["part"], ballot=list(part_record.promised))
         promise = part_record.to_promise()
         if body.get("brief"):
-            promise = promise.brief(has_batches=body["brief"] != BRIEF_INDEXES)
+            promise = promise.brief(has_batches=body["brief"] != BRIEF_WITHOUT_BATCHES)
         return promise.to_list()
 
     def on_catch_up(self, body: dict, origin: str) -> Coroutine:
--- a/quillring/quorum/hints.py
+++ b/quillring/quorum/acceptor/hint_store.py
@@ -1,4 +1,7 @@
-"""Hints: a spare store keeps what a missing acceptor should have had, and hands it over."""
+"""Hinted handoff: a spare store keeps what a missing acceptor should have had, and hands it over.
+
+Source: DeCandia et al., "Dynamo: Amazon's highly available key-value store", section 4.6.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,7 @@
 if TYPE_CHECKING:
     from quillring.kernel.node import Node
     from quillring.kernel.types import Coroutine
-    from quillring.quorum.acceptor import Acceptors
+    from quillring.quorum.acceptor.acceptor import Acceptors
 
 KEPT_HINTS = 10_000
 KEPT_BYTES = 16 << 20
@@ -22,7 +25,7 @@
 FINAL = (Fenced, WrongIdentity, Conflict)
 
 
-class Hints:
+class HintStore:
     """The spare's side; hints add durability, they are no votes."""
 
     __slots__ = ("node", "acceptors", "kept_bytes")
--- a/quillring/quorum/retirement.py
+++ b/quillring/quorum/acceptor/retirement_gate.py
@@ -1,19 +1,20 @@
-"""The store side of a retirement; `quorum.leader.retirement_check` tells why it is safe."""
+"""Retirement, the store's side; `quorum.leader.retirement_check` tells why it is safe."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from quillring.kernel.errors import Conflict
+from quillring.quorum.retirement_orders import is_retirement_ordered
 
 if TYPE_CHECKING:
     from typing import Any
 
     from quillring.kernel.node import Node
-    from quillring.quorum.acceptor import Acceptors
+    from quillring.quorum.acceptor.acceptor import Acceptors
 
 
-class Leaving:
+class RetirementGate:
     """The store's side: whether it may join a part, and whether it has handed over its hints."""
 
     __slots__ = ("node", "acceptors")
@@ -38,9 +39,3 @@
 
     def _is_retired(self):
         return is_retirement_ordered(self.node, self.node.me.name)
-
-
-def is_retirement_ordered(node: Node, store: str) -> bool:
-    """Tell whether the newest layout of a node names the store as retired."""
-    stores = (node.find("layout").configuration or {}).get("stores") or {}
-    return bool(stores.get(store, {}).get("retired"))
--- a/quillring/quorum/slot_rows.py
+++ b/quillring/quorum/acceptor/snapshot_rows.py
@@ -4,13 +4,13 @@
 
 from typing import TYPE_CHECKING
 
-from quillring.quorum.record import PartRecord
-from quillring.quorum.transfer import rows_of, take_row
+from quillring.quorum.acceptor.state import AcceptorState
+from quillring.quorum.snapshot_chunks import put_row, state_rows
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from quillring.quorum.acceptor import Acceptors
+    from quillring.quorum.acceptor.acceptor import Acceptors
 
 
 def to_rows(acceptors: Acceptors) -> list[list]:
@@ -21,11 +21,11 @@
     for name, record in acceptors.parts.items():
         promised, applied, state, tail, committed = record.to_list()
         rows.append(["part", name, [promised, applied, None, tail, committed]])
-        rows.extend(["state", name, *fields] for fields in rows_of(state or {}))
+        rows.extend(["state", name, *fields] for fields in state_rows(state or {}))
     for name, fields in acceptors.transfers.to_map().items():
         ballot, index, (sections, rest, place) = fields
         rows.append(["arriving", name, [ballot, index, [{}, rest, place]]])
-        rows.extend(["arrived", name, *fields] for fields in rows_of(sections))
+        rows.extend(["arrived", name, *fields] for fields in state_rows(sections))
     return rows
 
 
@@ -38,14 +38,14 @@
         elif kind == "hint":
             hints.setdefault(name, []).append(fields[0])
         elif kind == "part":
-            parts[name] = PartRecord.from_list(fields[0])
+            parts[name] = AcceptorState.from_list(fields[0])
         elif kind == "state":
             parts[name].state = parts[name].state or {}
-            take_row(parts[name].state, fields)
+            put_row(parts[name].state, fields)
         elif kind == "arriving":
             arriving[name] = fields[0]
         elif kind == "arrived":
-            take_row(arriving[name][2][0], fields)
+            put_row(arriving[name][2][0], fields)
     acceptors.parts, acceptors.hints = parts, hints
     acceptors.transfers.load(arriving)
 
@@ -53,5 +53,7 @@
 def load_whole(acceptors: Acceptors, snapshot: dict) -> None:
     """Take the state of a slot of the version before, which is one value."""
     acceptors.identity, acceptors.founding = snapshot["identity"], snapshot["founding"]
-    acceptors.parts = {n: PartRecord.from_list(fields) for n, fields in snapshot["parts"].items()}
+    acceptors.parts = {
+        n: AcceptorState.from_list(fields) for n, fields in snapshot["parts"].items()
+    }
     acceptors.hints = snapshot["hints"]
--- a/quillring/quorum/transfers.py
+++ b/quillring/quorum/acceptor/snapshot_transfer.py
@@ -5,17 +5,23 @@
 from typing import TYPE_CHECKING
 
 from quillring.kernel.errors import Conflict, NotFounded
-from quillring.quorum.transfer import PIECE_BYTES, START, Place, StateBuilder, cut_piece
+from quillring.quorum.snapshot_chunks import (
+    CHUNK_BYTES,
+    SNAPSHOT_START,
+    ChunkOffset,
+    StateBuilder,
+    cut_chunk,
+)
 
 if TYPE_CHECKING:
     from quillring.kernel.node import Node
     from quillring.kernel.types import Coroutine
-    from quillring.quorum.acceptor import Acceptors
-    from quillring.quorum.record import PartRecord
+    from quillring.quorum.acceptor.acceptor import Acceptors
+    from quillring.quorum.acceptor.state import AcceptorState
     from quillring.quorum.values import Ballot
 
 
-class Arriving:
+class IncomingSnapshot:
     """A state that an owner sends piece by piece; `index` is what it will have applied."""
 
     __slots__ = ("ballot", "index", "builder")
@@ -26,7 +32,7 @@
         self.builder = builder
 
 
-class Transfers:
+class SnapshotTransfer:
     """Gives out pieces of applied states, and puts together those that owners install."""
 
     __slots__ = ("acceptors", "arriving")
@@ -52,7 +58,7 @@
     def load(self, arriving: dict[str, list]) -> None:
         """Take what a slot holds."""
         self.arriving = {
-            part: Arriving(tuple(ballot), index, StateBuilder.from_list(fields))
+            part: IncomingSnapshot(tuple(ballot), index, StateBuilder.from_list(fields))
             for part, (ballot, index, fields) in arriving.items()
         }
 
@@ -69,9 +75,9 @@
 
         A piece that does not begin where the one before ended changes nothing.
         """
-        place = Place(*place)
-        if place == START:
-            self.arriving[part] = Arriving(ballot, index, StateBuilder())
+        place = ChunkOffset(*place)
+        if place == SNAPSHOT_START:
+            self.arriving[part] = IncomingSnapshot(ballot, index, StateBuilder())
         arriving = self._expected(part, ballot, index)
         if arriving is None or arriving.builder.place != place:
             return None
@@ -80,7 +86,7 @@
             return None
         return self.arriving.pop(part).builder.whole()
 
-    def forget(self, part: str, record: PartRecord) -> None:
+    def forget(self, part: str, record: AcceptorState) -> None:
         """Drop what a newer ballot, or what was applied meanwhile, made useless."""
         arriving = self.arriving.get(part)
         if arriving is not None and (
@@ -98,12 +104,12 @@
         record = self._record(body["part"])
         if record.applied != body["index"]:
             raise Conflict(part=body["part"], applied=record.applied)
-        data, following = cut_piece(record.state, Place(*body["place"]))
+        data, following = cut_chunk(record.state, ChunkOffset(*body["place"]))
         return [data, None if following is None else list(following)]
 
     def on_entries(self, body: dict, origin: str) -> list | None:
         """Give applied entries after an index, as many as a piece may hold; None if gone."""
-        return self._record(body["part"]).log_cache.since(body["after"], PIECE_BYTES)
+        return self._record(body["part"]).log_cache.since(body["after"], CHUNK_BYTES)
 
     def on_accepted(self, body: dict, origin: str) -> list:
         """Give the entry accepted at an index, as [ballot, batch]."""
@@ -125,10 +131,10 @@
         A piece that is not the next one is answered with a conflict that names the place wanted.
         """
         _, ballot = self.acceptors.check(body)
-        part, index, place = body["part"], body["index"], Place(*body["place"])
+        part, index, place = body["part"], body["index"], ChunkOffset(*body["place"])
         arriving = self._expected(part, ballot, index)
-        wanted_place = START if arriving is None else arriving.builder.place
-        if place not in (wanted_place, START):
+        wanted_place = SNAPSHOT_START if arriving is None else arriving.builder.place
+        if place not in (wanted_place, SNAPSHOT_START):
             raise Conflict(part=part, place=list(wanted_place))
         fields = [index, list(place), body["data"], body["following"]]
         yield from self.acceptors.keep(["piece", part, list(ballot), *fields])
--- a/quillring/quorum/record.py
+++ b/quillring/quorum/acceptor/state.py
@@ -7,7 +7,7 @@
 
 from quillring.quorum.commands import answer_query, apply_batch
 from quillring.quorum.log_cache import LogCache
-from quillring.quorum.promise import Promise, TailRow
+from quillring.quorum.messages import AcceptedProposal, Promise
 
 if TYPE_CHECKING:
     from quillring.quorum.values import Ballot
@@ -22,7 +22,7 @@
     batch: list
 
 
-class PartRecord:
+class AcceptorState:
     """What one acceptor holds of a part."""
 
     __slots__ = ("promised", "applied", "state", "entries", "committed", "log_cache")
@@ -48,11 +48,13 @@
 
     def to_promise(self) -> Promise:
         """Return what this store tells with a promise."""
-        tail = tuple(TailRow(index, *entry) for index, entry in sorted(self.entries.items()))
+        tail = tuple(
+            AcceptedProposal(index, *entry) for index, entry in sorted(self.entries.items())
+        )
         return Promise(self.promised, self.applied, self.state, tail, self.committed)
 
     @classmethod
-    def from_list(cls, fields: list) -> PartRecord:
+    def from_list(cls, fields: list) -> AcceptorState:
         """Read a record from a slot."""
         promised, applied, state, tail, committed = Promise.from_list(fields)
         entries = {row.index: AcceptedEntry(row.ballot, row.batch) for row in tail}
--- a/quillring/quorum/disk_news.py
+++ b/quillring/quorum/disk_health.py
@@ -12,7 +12,7 @@
     from quillring.store import SlotStore
 
 
-class DiskNews:
+class DiskHealth:
     """Tells all nodes when this store's disk begins to fail, and when it is well again."""
 
     __slots__ = ("node", "slots", "is_failing", "sequence")
--- a/quillring/quorum/autofound.py
+++ b/quillring/quorum/founding/bootstrap.py
@@ -6,8 +6,8 @@
 
 from quillring.kernel.effects import Sleep
 from quillring.kernel.errors import QuillringError
-from quillring.quorum.electing import agree
-from quillring.quorum.founding import found_fleet, roster_stores
+from quillring.quorum.founding.founding import found_fleet, roster_stores
+from quillring.quorum.founding.founding_vote import agree
 from quillring.quorum.parts import GROUP_SIZE, is_enough
 
 if TYPE_CHECKING:
@@ -19,7 +19,7 @@
 TURN_BEATS = 8
 
 
-def found_by_itself(
+def found_at_first_start(
     node: Node, is_first_start: bool, part_count: int, size: int = GROUP_SIZE
 ) -> Coroutine:
     """Found the fleet at its very first start, as soon as its stores are there.
--- a/quillring/quorum/electing.py
+++ b/quillring/quorum/founding/founding_vote.py
@@ -46,7 +46,7 @@
         return cls(number, tuple(promised), tuple(accepted), founding)
 
 
-class Elector:
+class FoundingVoter:
     """A seed's side: promises and accepts, each kept before it is answered."""
 
     __slots__ = ("node", "witness", "is_first_start", "vote", "attempt")
--- a/quillring/quorum/leader/catch_up.py
+++ b/quillring/quorum/leader/catch_up.py
@@ -13,14 +13,21 @@
 from quillring.kernel.errors import Conflict, NoMajority, QuillringError, UnknownService
 from quillring.quorum.commands import apply_batch
 from quillring.quorum.leader.election_progress import STATE
-from quillring.quorum.transfer import PIECE_BYTES, START, Place, StateBuilder, cut_piece, rows_of
+from quillring.quorum.snapshot_chunks import (
+    CHUNK_BYTES,
+    SNAPSHOT_START,
+    ChunkOffset,
+    StateBuilder,
+    cut_chunk,
+    state_rows,
+)
 
 if TYPE_CHECKING:
     from quillring.kernel.node import Node
     from quillring.kernel.types import Coroutine
     from quillring.quorum.leader.part_leader import PartLeader
+    from quillring.quorum.messages import Promise
     from quillring.quorum.parts import Call
-    from quillring.quorum.promise import Promise
 
 MOST_RESUMPTIONS = 8
 
@@ -91,7 +98,7 @@
 
 def _fetch_state(owner: PartLeader, store: str, index: int) -> Coroutine:
     """Coroutine: return the state that a store applied at an index, fetched piece by piece."""
-    builder, place, seconds = StateBuilder(), START, owner.node.bounds.propagation / 2
+    builder, place, seconds = StateBuilder(), SNAPSHOT_START, owner.node.bounds.propagation / 2
     while place is not None:
         body = {"part": owner.part, "index": index, "place": list(place)}
         try:
@@ -104,7 +111,7 @@
         owner.node.count("pieces_fetched")
         owner.election_progress.fetched += len(data)
         builder.add(data, following)
-        place = None if following is None else Place(*following)
+        place = None if following is None else ChunkOffset(*following)
     return builder.whole()
 
 
@@ -125,7 +132,7 @@
     if is_state_smaller(owner.state, owner.log_cache.weight_since(applied)):
         return False
     while applied < owner.index:
-        entries = owner.log_cache.since(applied, PIECE_BYTES)
+        entries = owner.log_cache.since(applied, CHUNK_BYTES)
         if not entries:
             return False
         catch_up = {**body, "entries": entries, "committed": entries[-1][0]}
@@ -140,9 +147,9 @@
 
 def is_state_smaller(state: dict, weight: int) -> bool:
     """Tell whether a state takes fewer bytes than entries of a weight; it is read no further."""
-    if weight <= PIECE_BYTES // 4:
+    if weight <= CHUNK_BYTES // 4:
         return False
-    for fields in rows_of(state):
+    for fields in state_rows(state):
         weight -= len(cbor2.dumps(fields))
         if weight < 0:
             return False
@@ -166,10 +173,10 @@
 
 def _install(owner: PartLeader, target: str, body: dict) -> Coroutine:
     """Coroutine: send the state to a store piece by piece; it tells where to go on after a loss."""
-    index, state, place, resumptions = owner.index, owner.state, START, 0
+    index, state, place, resumptions = owner.index, owner.state, SNAPSHOT_START, 0
     seconds = owner.node.bounds.propagation
     while place is not None and owner.is_leader:
-        data, following = cut_piece(state, place)
+        data, following = cut_chunk(state, place)
         fields = {"index": index, "place": list(place), "data": data, "following": following}
         try:
             yield from owner.node.call(target, "quorum.install_piece", {**body, **fields}, seconds)
@@ -177,7 +184,7 @@
             resumptions += 1
             if resumptions > MOST_RESUMPTIONS:
                 raise
-            place = Place(*error.detail["place"])
+            place = ChunkOffset(*error.detail["place"])
             continue
         except UnknownService:
             whole = {**body, "index": index, "state": state}
--- a/quillring/quorum/leader/hinted_handoff.py
+++ b/quillring/quorum/leader/hinted_handoff.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from quillring.nifty.graph import score
-from quillring.quorum.retirement import is_retirement_ordered
+from quillring.quorum.retirement_orders import is_retirement_ordered
 
 if TYPE_CHECKING:
     from quillring.quorum.leader.part_leader import PartLeader
--- a/quillring/quorum/leader/membership_repair.py
+++ b/quillring/quorum/leader/membership_repair.py
@@ -7,7 +7,7 @@
 from quillring.kernel.effects import Sleep
 from quillring.kernel.errors import QuillringError
 from quillring.nifty.graph import score
-from quillring.quorum.disk_news import is_disk_failing
+from quillring.quorum.disk_health import is_disk_failing
 from quillring.quorum.leader.membership_change import (
     catch_up,
     is_durable_without,
@@ -16,7 +16,7 @@
 )
 from quillring.quorum.leader.retirement_check import may_join
 from quillring.quorum.parts import majority
-from quillring.quorum.retirement import is_retirement_ordered
+from quillring.quorum.retirement_orders import is_retirement_ordered
 
 if TYPE_CHECKING:
     from quillring.kernel.node import Node
--- a/quillring/quorum/leader/part_leader.py
+++ b/quillring/quorum/leader/part_leader.py
@@ -17,8 +17,8 @@
 from quillring.quorum.leader.quorum_call import ask_majority
 from quillring.quorum.leader.uncommitted import finish_tail
 from quillring.quorum.log_cache import LogCache
+from quillring.quorum.messages import BRIEF_WITHOUT_BATCHES, Promise
 from quillring.quorum.parts import CONFIG
-from quillring.quorum.promise import BRIEF_INDEXES, Promise
 from quillring.quorum.waits import answer_of
 
 if TYPE_CHECKING:
@@ -91,7 +91,7 @@
 
     def _prepare(self) -> Coroutine:
         """Coroutine: ask the group to promise the ballot; return {store: Promise} of a majority."""
-        replies = yield from self._round("prepare", brief=BRIEF_INDEXES)
+        replies = yield from self._round("prepare", brief=BRIEF_WITHOUT_BATCHES)
         return {store: Promise.from_list(fields) for store, fields in replies.items()}
 
     def run_election_with_retry(self, declines_leadership: Callable[[list], bool]) -> Coroutine:
--- a/quillring/quorum/leader/uncommitted.py
+++ b/quillring/quorum/leader/uncommitted.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from quillring.kernel.types import Coroutine
     from quillring.quorum.leader.part_leader import PartLeader
-    from quillring.quorum.promise import Promise
+    from quillring.quorum.messages import Promise
 
 
 class TailEntry(NamedTuple):
--- a/quillring/quorum/promise.py
+++ b/quillring/quorum/messages.py
@@ -4,11 +4,11 @@
 
 from typing import Any, NamedTuple
 
-BRIEF_INDEXES = "index"
+BRIEF_WITHOUT_BATCHES = "index"
 """Asks for a brief promise whose accepted entries are named without their batches."""
 
 
-class TailRow(NamedTuple):
+class AcceptedProposal(NamedTuple):
     """An entry that a store accepted and has not applied; a brief answer leaves the batch out."""
 
     index: int
@@ -33,7 +33,7 @@
     def from_list(cls, fields: list) -> Promise:
         """Read the answer as it came over the wire."""
         promised, applied, state, rows, committed = fields
-        tail = tuple(TailRow(index, tuple(ballot), batch) for index, ballot, batch in rows)
+        tail = tuple(AcceptedProposal(index, tuple(ballot), batch) for index, ballot, batch in rows)
         return cls(tuple(promised), applied, state, tail, committed)
 
     def to_list(self) -> list:
--- a/quillring/quorum/transfer.py
+++ b/quillring/quorum/snapshot_chunks.py
@@ -18,35 +18,35 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator, Sequence
 
-PIECE_BYTES = 256 << 10
+CHUNK_BYTES = 256 << 10
 LENGTH = struct.Struct(">I")
 
 
-class BadPiece(QuillringError):
+class BadChunk(QuillringError):
     """The pieces of a state do not make up a whole one."""
 
     kind = "bad_piece"
     status = 409
 
 
-class Place(NamedTuple):
+class ChunkOffset(NamedTuple):
     """How far a state was sent: the next row, and the bytes of that row that were sent already."""
 
     row: int = 0
     offset: int = 0
 
 
-START = Place()
+SNAPSHOT_START = ChunkOffset()
 
 
-class Piece(NamedTuple):
+class Chunk(NamedTuple):
     """Some bytes of a state, and the place behind them; None at the end of the state."""
 
     data: bytes
-    following: Place | None
+    following: ChunkOffset | None
 
 
-def rows_of(state: dict) -> Iterator[tuple]:
+def state_rows(state: dict) -> Iterator[tuple]:
     """Yield (section, value) of a plain section; (section, {}), (section, key, value) of a map."""
     for section, value in state.items():
         if not isinstance(value, dict):
@@ -57,7 +57,7 @@
             yield section, key, kept
 
 
-def take_row(sections: dict, fields: Sequence) -> None:
+def put_row(sections: dict, fields: Sequence) -> None:
     """Put a row of `rows_of` into the state that is being made."""
     if len(fields) == 2:
         sections[fields[0]] = fields[1]
@@ -65,20 +65,20 @@
         sections[fields[0]][fields[1]] = fields[2]
 
 
-def cut_piece(state: dict, place: Place, limit: int = PIECE_BYTES) -> Piece:
+def cut_chunk(state: dict, place: ChunkOffset, limit: int = CHUNK_BYTES) -> Chunk:
     """Return the piece of an immutable state from a place on, `limit` bytes long at most."""
     data, (row, offset) = b"", place
-    for fields in islice(rows_of(state), row, None):
+    for fields in islice(state_rows(state), row, None):
         body = cbor2.dumps(fields)
         packed = LENGTH.pack(len(body)) + body
         taken = packed[offset : offset + limit - len(data)]
         data, offset = data + taken, offset + len(taken)
         if offset < len(packed):
-            return Piece(data, Place(row, offset))
+            return Chunk(data, ChunkOffset(row, offset))
         row, offset = row + 1, 0
         if len(data) >= limit:
-            return Piece(data, Place(row, 0))
-    return Piece(data, None)
+            return Chunk(data, ChunkOffset(row, 0))
+    return Chunk(data, None)
 
 
 class StateBuilder:
@@ -87,7 +87,7 @@
     __slots__ = ("sections", "rest", "place")
 
     def __init__(
-        self, sections: dict | None = None, rest: bytes = b"", place: Place = START
+        self, sections: dict | None = None, rest: bytes = b"", place: ChunkOffset = SNAPSHOT_START
     ) -> None:
         self.sections = sections or {}
         self.rest = bytearray(rest)
@@ -102,17 +102,17 @@
             end = start + LENGTH.size + length
             if end > len(self.rest):
                 break
-            take_row(self.sections, cbor2.loads(bytes(self.rest[start + LENGTH.size : end])))
-            start, place = end, Place(place.row + 1, 0)
+            put_row(self.sections, cbor2.loads(bytes(self.rest[start + LENGTH.size : end])))
+            start, place = end, ChunkOffset(place.row + 1, 0)
         del self.rest[:start]
-        self.place = Place(place.row, len(self.rest))
-        if following is not None and Place(*following) != self.place:
-            raise BadPiece(place=list(self.place), following=list(following))
+        self.place = ChunkOffset(place.row, len(self.rest))
+        if following is not None and ChunkOffset(*following) != self.place:
+            raise BadChunk(place=list(self.place), following=list(following))
 
     def whole(self) -> dict:
-        """Return the state; BadPiece when its last row is not there in full."""
+        """Return the state; BadChunk when its last row is not there in full."""
         if self.rest:
-            raise BadPiece(place=list(self.place))
+            raise BadChunk(place=list(self.place))
         return self.sections
 
     def to_list(self) -> list:
@@ -127,4 +127,4 @@
     def from_list(cls, fields: list) -> StateBuilder:
         """Read from a slot what had come so far."""
         sections, rest, place = fields
-        return cls(sections, rest, Place(*place))
+        return cls(sections, rest, ChunkOffset(*place))
--- a/quillring/verbs/process.py
+++ b/quillring/verbs/process.py
@@ -15,7 +15,7 @@
 from quillring.kernel.steps import Steps
 from quillring.kernel.wsgi import make_app
 from quillring.nifty import Member
-from quillring.quorum.autofound import found_by_itself
+from quillring.quorum.founding.bootstrap import found_at_first_start
 from quillring.store import FolderDisk
 from quillring.verbs import routes
 
@@ -99,7 +99,7 @@
     elector.is_first_start, elector.witness = settings.bootstrap, settings.witness
     if settings.role == "core":
         node.spawn(
-            found_by_itself(node, settings.bootstrap, settings.parts, settings.losses * 2 + 1)
+            found_at_first_start(node, settings.bootstrap, settings.parts, settings.losses * 2 + 1)
         )
     stop_event, clashes = gevent.event.Event(), []
     node.offer("stop", stop_event.set)
--- a/quillring/verbs/routes.py
+++ b/quillring/verbs/routes.py
@@ -7,7 +7,7 @@
 from quillring.kernel.wsgi import check_body, route
 from quillring.lots.prompts import api as prompt_lots_api
 from quillring.plans import front as plans_front
-from quillring.quorum.founding import found_fleet
+from quillring.quorum.founding.founding import found_fleet
 from quillring.quorum.parts import CONFIG
 from quillring.verbs import part_routes, status_routes
 
--- a/tests/fleet_stage.py
+++ b/tests/fleet_stage.py
@@ -3,7 +3,7 @@
 from proving.sim.fleet import SimFleet
 from quillring.kernel.bounds import Bounds
 from quillring.kernel.effects import Sleep
-from quillring.quorum.autofound import found_by_itself
+from quillring.quorum.founding.bootstrap import found_at_first_start
 
 SIZES = {"sizes": {"edge": 2, "core": 4, "store": 4}}
 
@@ -37,7 +37,7 @@
         if node.me.role == "core":
             if self.has_witnesses:
                 node.find("elector").witness = name.replace("core", "store")
-            node.spawn(found_by_itself(node, is_first, self.parts, self.size))
+            node.spawn(found_at_first_start(node, is_first, self.parts, self.size))
         return node
 
     def run(self, seconds):
--- a/tests/test_autofound.py
+++ b/tests/test_autofound.py
@@ -1,7 +1,7 @@
 import pytest
 
-from quillring.quorum.autofound import place_of, reached_stores
-from quillring.quorum.founding import found_fleet, make_founding, roster_stores
+from quillring.quorum.founding.bootstrap import place_of, reached_stores
+from quillring.quorum.founding.founding import found_fleet, make_founding, roster_stores
 from quillring.quorum.parts import choose_group, is_enough
 from quillring.quorum.values import GroupMember
 from tests.fleet_stage import SIZES, SelfFounded
--- a/tests/test_catchup_bytes.py
+++ b/tests/test_catchup_bytes.py
@@ -4,7 +4,7 @@
 
 from proving.sim.many_changes import ManyChanges, frozen_store, restarted_store
 from quillring.quorum.leader.catch_up import is_state_smaller
-from quillring.quorum.transfer import PIECE_BYTES
+from quillring.quorum.snapshot_chunks import CHUNK_BYTES
 
 
 @pytest.mark.parametrize("case", [frozen_store, restarted_store], ids=lambda case: case.__name__)
@@ -13,7 +13,7 @@
     fleet.change(1)
     taken, (seconds, sent) = case(fleet, 240)
     assert taken == 240 and seconds is not None and seconds < 4
-    assert sent < PIECE_BYTES // 4
+    assert sent < CHUNK_BYTES // 4
 
 
 def test_a_state_is_chosen_only_where_it_is_smaller_than_the_entries():
--- a/tests/test_electing.py
+++ b/tests/test_electing.py
@@ -7,7 +7,14 @@
 
 from proving.sim.disk import SimDisk
 from quillring.kernel.errors import Conflict, Fenced, NoMajority, QuillringError, Refused, TimedOut
-from quillring.quorum.electing import FILES, NO_BALLOT, Elector, Vote, Witness, agree
+from quillring.quorum.founding.founding_vote import (
+    FILES,
+    NO_BALLOT,
+    FoundingVoter,
+    Vote,
+    Witness,
+    agree,
+)
 
 
 class LoneNode:
@@ -34,7 +41,7 @@
 
 def make(disk=None, is_first_start=True):
     node = LoneNode()
-    elector = Elector(node)
+    elector = FoundingVoter(node)
     elector.is_first_start = is_first_start
     if disk is not None:
         Witness(node, disk)
@@ -97,7 +104,7 @@
         self.electors, self.reached = electors, {}
         addresses = {(seed, 1): (seed,) for seed in electors}
         nifty = SimpleNamespace(seeds=tuple(addresses), roster=SimpleNamespace(addresses=addresses))
-        self.services = {"elector": Elector(self), "nifty": nifty}
+        self.services = {"elector": FoundingVoter(self), "nifty": nifty}
 
     def find(self, name):
         return self.services[name]
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -4,9 +4,9 @@
 
 from proving.sim.many_changes import ManyChanges
 from quillring.kernel.errors import Refused
-from quillring.quorum import hints
+from quillring.quorum.acceptor import hint_store
 from quillring.quorum.parts import CONFIG
-from quillring.quorum.transfer import PIECE_BYTES
+from quillring.quorum.snapshot_chunks import CHUNK_BYTES
 
 
 def is_handed_over(fleet):
@@ -36,7 +36,7 @@
     node.handlers["quorum.accept"] = accept
     _, sent = fleet.time_and_bytes(store, lambda: is_handed_over(fleet))
     assert is_handed_over(fleet)
-    assert len(handed) < 10 and sent < PIECE_BYTES // 2
+    assert len(handed) < 10 and sent < CHUNK_BYTES // 2
     fleet.run(1)
     assert fleet.change(1) == 1
     fleet.run(1)
@@ -44,7 +44,7 @@
 
 
 def test_a_spare_keeps_no_more_hints_than_so_many_bytes(monkeypatch):
-    monkeypatch.setattr(hints, "KEPT_BYTES", 100_000)
+    monkeypatch.setattr(hint_store, "KEPT_BYTES", 100_000)
     fleet = ManyChanges(1, 2, 20)
     fleet.change(1)
     store = fleet.group()[0]
--- a/tests/test_landed_folders.py
+++ b/tests/test_landed_folders.py
@@ -11,7 +11,7 @@
 from quillring.fleet import open_store
 from quillring.kernel.node import Node
 from quillring.nifty import Member
-from quillring.quorum.electing import Witness
+from quillring.quorum.founding.founding_vote import Witness
 from quillring.store import FolderDisk
 from quillring.store.records import read_records
 from quillring.store.slot_file import HEADER
--- a/tests/test_ownership_messages.py
+++ b/tests/test_ownership_messages.py
@@ -20,7 +20,7 @@
     statuses_from_wire,
 )
 from quillring.ownership.status import PartStatus
-from quillring.quorum.transfer import Place
+from quillring.quorum.snapshot_chunks import ChunkOffset
 
 COMMAND = {"do": "domain.mark", "domain": "north", "emptied": True}
 ELECTION = {
@@ -52,11 +52,11 @@
         "a2647061727466706172742d3165696e6465781828",
     ),
     (
-        StateChunkRequest("part-1", 40, Place(2, 100)),
+        StateChunkRequest("part-1", 40, ChunkOffset(2, 100)),
         {"part": "part-1", "index": 40, "place": [2, 100]},
         "a3647061727466706172742d3165696e646578182865706c61636582021864",
     ),
-    (StateChunkReply(b"abc", Place(2, 103)), [b"abc", [2, 103]], "824361626382021867"),
+    (StateChunkReply(b"abc", ChunkOffset(2, 103)), [b"abc", [2, 103]], "824361626382021867"),
     (StateChunkReply(b"", None), [b"", None], "8240f6"),
     (
         LeaderRecord("core-1", [3, "core-1#9"]),
--- a/tests/test_peek.py
+++ b/tests/test_peek.py
@@ -6,10 +6,10 @@
 from quillring.kernel.effects import Signal, Wait
 from quillring.kernel.errors import NotFound
 from quillring.quorum.acceptor import Acceptors
+from quillring.quorum.acceptor.state import AcceptedEntry, AcceptorState
 from quillring.quorum.commands import first_state
 from quillring.quorum.leader.follower_read import find_answer, give
 from quillring.quorum.leader.part_leader import PartLeader
-from quillring.quorum.record import AcceptedEntry, PartRecord
 
 GROUP = [["store-1", "a", "north"], ["store-2", "b", "east"], ["store-3", "c", "south"]]
 OTHER = [["store-4", "d", "west"], *GROUP[1:]]
@@ -23,7 +23,7 @@
 def reply(applied=0, group=GROUP, **entries):
     """What a store answers that holds these entries: i3=(ballot, batch)."""
     held = {int(name[1:]): entry for name, entry in entries.items()}
-    record = PartRecord((9, "z"), applied, first_state(group), held)
+    record = AcceptorState((9, "z"), applied, first_state(group), held)
     later = [[i, c.get("lot")] for i, (_, batch) in held.items() for c in batch]
     return [
         applied,
@@ -105,7 +105,7 @@
             yield Wait(synced, 1)
 
     acceptors.identity, acceptors.slots = "a", SlowSlots()
-    acceptors.parts["part-1"] = PartRecord(
+    acceptors.parts["part-1"] = AcceptorState(
         ONE, 4, first_state(GROUP), {5: AcceptedEntry(ONE, accept("l"))}
     )
     body = {"part": "part-1", "identity": "a", "query": ASKED, "beyond": True}
--- a/tests/test_promise.py
+++ b/tests/test_promise.py
@@ -3,15 +3,15 @@
 import cbor2
 import pytest
 
-from quillring.quorum.promise import Promise, TailRow
-from quillring.quorum.record import PartRecord
+from quillring.quorum.acceptor.state import AcceptorState
+from quillring.quorum.messages import AcceptedProposal, Promise
 
 # cbor of [[3, "core-1#7"], 12, {"group": [], "version": 4},
 #          [[13, [2, "core-2#1"], [{"do": "x"}]]], 11], as the version before wrote it.
 FORMER = bytes.fromhex(
     "85820368636f72652d3123370ca26567726f7570806776657273696f6e0481830d820268636f72652d32233181a162646f61780b"
 )
-ROW = TailRow(13, (2, "core-2#1"), [{"do": "x"}])
+ROW = AcceptedProposal(13, (2, "core-2#1"), [{"do": "x"}])
 PROMISE = Promise((3, "core-1#7"), 12, {"group": [], "version": 4}, (ROW,), 11)
 
 
@@ -21,7 +21,7 @@
 
 
 def test_a_record_of_a_slot_of_the_version_before_is_read_and_written_byte_for_byte():
-    record = PartRecord.from_list(cbor2.loads(FORMER))
+    record = AcceptorState.from_list(cbor2.loads(FORMER))
     assert (record.applied, record.committed, list(record.entries)) == (12, 11, [13])
     assert cbor2.dumps(record.to_list()) == FORMER
 
--- a/tests/test_retirement.py
+++ b/tests/test_retirement.py
@@ -5,7 +5,7 @@
 import pytest
 
 from quillring.kernel.effects import Sleep
-from quillring.quorum.hints import Hints
+from quillring.quorum.acceptor.hint_store import HintStore
 from quillring.quorum.leader.membership_repair import MembershipRepair
 from quillring.rollout.operator_orders import is_retired
 from tests.fleet_stage import SelfFounded
@@ -50,7 +50,7 @@
     stage = SelfFounded(seed, FIVE)
     store = next(n for n in stage.sim.names("store") if n not in members(stage, "part-0"))
     other = members(stage, "part-0")[0]
-    with mock.patch.object(Hints, "_hand_over", lambda self, name: iter(())):
+    with mock.patch.object(HintStore, "_hand_over", lambda self, name: iter(())):
         record = {"part": "part-0", "ballot": [0, ""], "identity": "", "index": 0}
         acceptors = stage.stores()[store]
         stage.ask(store, acceptors.keep(["hint", other, {**record, "batch": [], "committed": 0}]))
--- a/tests/test_slot_turns.py
+++ b/tests/test_slot_turns.py
@@ -11,7 +11,7 @@
 from quillring.kernel.effects import Signal
 from quillring.kernel.errors import Damaged
 from quillring.quorum.commands import first_state
-from quillring.quorum.transfer import START, cut_piece
+from quillring.quorum.snapshot_chunks import SNAPSHOT_START, cut_chunk
 from quillring.store import SlotStore
 from quillring.store.slot_file import HEADER, STEP_BYTES
 from tests.test_store import Holder
@@ -141,9 +141,9 @@
 def test_a_state_that_arrives_in_pieces_is_gone_on_with_after_a_turn_and_a_crash():
     lots = {f"lot-{n}": {"items": [bytes(3000)] * 100} for n in range(4)}
     state = {**first_state(GROUP), "raw": lots}
-    pieces, place = [], START
+    pieces, place = [], SNAPSHOT_START
     while place is not None:
-        data, following = cut_piece(state, place)
+        data, following = cut_chunk(state, place)
         pieces.append(["piece", "part-0", [1, "c"], 5, list(place), data, following])
         place = following
     acceptors = open_store(WatchedDisk(), "store-1", lambda: "x")
--- a/tests/test_transfer.py
+++ b/tests/test_transfer.py
@@ -10,7 +10,14 @@
 from quillring.kernel.errors import Conflict, TimedOut
 from quillring.quorum.leader.catch_up import mend_store
 from quillring.quorum.log_cache import LogCache
-from quillring.quorum.transfer import PIECE_BYTES, START, BadPiece, Place, StateBuilder, cut_piece
+from quillring.quorum.snapshot_chunks import (
+    CHUNK_BYTES,
+    SNAPSHOT_START,
+    BadChunk,
+    ChunkOffset,
+    StateBuilder,
+    cut_chunk,
+)
 from tests.fleet_stage import SelfFounded
 from tests.test_repair import is_whole, members, owners, zone_order
 
@@ -30,9 +37,9 @@
 @settings(derandomize=True, max_examples=200, deadline=None, database=None)
 @given(state=STATES, limit=st.integers(min_value=1, max_value=400))
 def test_pieces_of_any_size_make_up_the_state_in_its_order(state, limit):
-    builder, place, sizes = StateBuilder(), START, []
+    builder, place, sizes = StateBuilder(), SNAPSHOT_START, []
     while place is not None:
-        data, following = cut_piece(state, place, limit)
+        data, following = cut_chunk(state, place, limit)
         sizes.append(len(data))
         builder.add(data, following)
         place = following
@@ -41,9 +48,10 @@
 
 
 def test_a_state_whose_last_piece_is_missing_is_not_whole():
-    builder, (data, following) = StateBuilder(), cut_piece({"raw": {"a": b"x" * 100}}, START, 50)
+    state = {"raw": {"a": b"x" * 100}}
+    builder, (data, following) = StateBuilder(), cut_chunk(state, SNAPSHOT_START, 50)
     builder.add(data, following)
-    with pytest.raises(BadPiece):
+    with pytest.raises(BadChunk):
         builder.whole()
 
 
@@ -55,9 +63,9 @@
         self.former, self.builder, self.places = [], StateBuilder(), []
 
     def call(self, target, service, body, seconds):
-        place = Place(*body["place"])
+        place = ChunkOffset(*body["place"])
         self.places.append(place)
-        if place not in (self.builder.place, START):
+        if place not in (self.builder.place, SNAPSHOT_START):
             raise Conflict(place=list(self.builder.place))
         self.former.append(self.builder.to_list())
         self.builder.add(body["data"], body["following"])
@@ -69,7 +77,7 @@
 
 @pytest.mark.parametrize("loses_after", [1, 2, 5, 7])
 def test_an_installation_goes_on_where_the_store_says_that_it_stopped(loses_after):
-    state = {"raw": {n: b"%d" % n * (PIECE_BYTES // 2) for n in range(10, 20)}}
+    state = {"raw": {n: b"%d" % n * (CHUNK_BYTES // 2) for n in range(10, 20)}}
     whole, store = ForgetfulStore(None), ForgetfulStore(loses_after)
     for each in (whole, store):
         node = SimpleNamespace(me=ME, call=each.call, find=PEERS.get, bounds=NEWS)
@@ -81,7 +89,7 @@
     lost = whole.places[loses_after - 1]
     assert len(whole.places) > 7 and store.places.count(lost) == 2
     assert len(store.places) == len(whole.places) + 2
-    assert store.places.count(START) == (2 if lost == START else 1)
+    assert store.places.count(SNAPSHOT_START) == (2 if lost == SNAPSHOT_START else 1)
 
 
 def finish(coroutine):
