--- a/proving/points/resume.py
+++ b/proving/points/resume.py
@@ -8,7 +8,7 @@
 from proving.sim.callers import Connection
 from quillring.edge import stream_handlers
 from quillring.edge.resume_token import LIFE_SECONDS, make_token
-from quillring.edge.streams import resume_stream, serve_model
+from quillring.edge.stream_handlers import resume_stream, serve_model
 from quillring.kernel.errors import NotFound, QuillringError
 from quillring.kernel.wsgi import Request
 from quillring.lots.prompts import state_machine
--- a/quillring/verbs/routes.py
+++ b/quillring/verbs/routes.py
@@ -11,7 +11,14 @@
 from quillring.quorum.parts import CONFIG
 from quillring.verbs import part_routes, status_routes
 
-PLUGINS = (part_routes, status_routes, short, streams, prompt_lots_api, plans_front)
+PLUGINS = (
+    part_routes,
+    status_routes,
+    short_requests,
+    stream_handlers,
+    prompt_lots_api,
+    plans_front,
+)
 CHANGE = StrictValidator(
     {
         "type": "object",
