--- /dev/null
+++ b/tests/mixed_fleet.py
@@ -0,0 +1,156 @@
+"""A simulated fleet in which some nodes run the landed version's code and others the present one.
+
+Both speak over the one simulated network, in bytes; a store's disk is handed from one version to
+the other when its node is started anew.
+"""
+
+import operator
+import random
+
+from proving.sim import callers as present
+from proving.sim.callers import Connection, SimCallers
+from proving.sim.disk import SimDisk
+from proving.sim.fleet import SimFleet
+from proving.sim.run import SMALL
+from quillring.kernel.errors import rebuild
+from quillring.kernel.settings import split_address
+from quillring.kernel.wsgi import Request
+from quillring.quorum.founding import found_fleet
+from tests.landed_code import landed
+
+READY_AT = 8.0
+
+LandedError = landed("quillring.kernel.errors", "QuillringError")
+LandedRequest = landed("quillring.kernel.wsgi", "Request")
+LandedNode = landed("quillring.kernel.node", "Node")
+LandedNode.runtime = property(operator.attrgetter("world"))
+
+LANDED_TWINS = {
+    present.serve_model: landed("quillring.edge.streams", "serve_model"),
+    present.resume_stream: landed("quillring.edge.streams", "resume_stream"),
+    present.serve_tile: landed("quillring.edge.short", "serve_tile"),
+    present.submit_lot: landed("quillring.lots.front", "submit_lot"),
+    present.show_results: landed("quillring.lots.front", "show_results"),
+    present.cancel_lot: landed("quillring.lots.front", "cancel_lot"),
+    found_fleet: landed("quillring.quorum.founding", "found_fleet"),
+}
+
+
+def is_landed(node):
+    """Tell whether a node runs the landed version."""
+    return isinstance(node, LandedNode)
+
+
+def called_on(node, function, *words):
+    """Return the coroutine of a function of the node's own version, called on it."""
+    if not is_landed(node):
+        return function(node, *words)
+    return LANDED_TWINS[function](node, *map(to_landed, words))
+
+
+def to_landed(value):
+    """Return a request as the landed version's; anything else as it is."""
+    if not isinstance(value, Request):
+        return value
+    return LandedRequest(*(getattr(value, slot) for slot in Request.__slots__))
+
+
+class MixedFleet(SimFleet):
+    """A small fleet; the nodes named in `landed_names` start under the landed version."""
+
+    def __init__(self, seed, landed_names, sizes=SMALL):
+        super().__init__("ferrowa", seed, sizes)
+        self.landed_names = set(landed_names)
+        self.landed_backends = landed("proving.sim.backends", "Backends")(self)
+        self.landed_backends.replicas = self.backends.replicas
+
+    def start(self, name):
+        """Start a node under its version, with whatever its disk holds."""
+        if name not in self.landed_names:
+            return super().start(name)
+        row, address = self.rows[name], split_address(self.rows[name]["address"])
+        self.starts += 1
+        world = landed("proving.sim.world", "SimWorld")(
+            self.env,
+            self.net,
+            self.landed_backends,
+            address,
+            f"{self.seed} {name} {self.starts}",
+            self.faults,
+        )
+        acceptors = None
+        if row["role"] == "store":
+            disk = self.disks.setdefault(name, SimDisk(random.Random(f"{self.seed} {name}")))
+            acceptors = landed("quillring.fleet", "open_store")(
+                disk, name, lambda: f"{self.starts:04d}"
+            )
+        identity = acceptors.identity if acceptors else ""
+        me = landed("quillring.nifty", "Member")(
+            name, 100 + self.starts, row["role"], row["domain"], *address, 8400, identity
+        )
+        seeds = [split_address(seed) for seed in row["seeds"]]
+        bounds = landed("quillring.kernel.bounds", "Bounds")()
+        node = landed("quillring.fleet", "make_node")(me, world, seeds, bounds, self._logger(name))
+        landed("quillring.fleet", "start_node")(node, acceptors)
+        world.on_refused = node.find("nifty").on_refused
+        world.listen(node.find("nifty").on_datagram, node.find("nifty").on_frame)
+        self.nodes[name] = node
+        return node
+
+    def run_script(self, node, coroutine, sink=None):
+        """Process: run a coroutine on a node; a landed error is returned as the present's."""
+        try:
+            return (yield from super().run_script(node, coroutine, sink))
+        except LandedError as error:
+            return None, rebuild(error.kind, error.detail)
+
+    def found(self):
+        """Process: found the fleet from its first core and adopt the example's configuration."""
+        core, error = self.nodes["core-1"], True
+        while error:
+            yield self.env.timeout(0.5)
+            _, error = yield from self.run_script(core, called_on(core, found_fleet, 2))
+        command = {
+            "do": "layout.adopt",
+            "id": "first",
+            "base_version": 0,
+            "change": self.configuration,
+            "whole": True,
+        }
+        error = True
+        while error:
+            yield self.env.timeout(0.3)
+            submitting = core.find("ownership").submit("config", command)
+            _, error = yield from self.run_script(core, submitting)
+
+    def begin(self):
+        """Start all nodes and replicas; return the callers once the fleet serves."""
+        self.start_all()
+        self.env.process(self.found())
+        self.env.run(until=READY_AT)
+        return MixedCallers(self)
+
+    def restart(self, name, is_landed):
+        """Stop a node and start it under a version."""
+        (self.landed_names.add if is_landed else self.landed_names.discard)(name)
+        self.kill(name)
+        self.env.run(until=self.env.now + 0.3)
+        self.start(name)
+
+
+class MixedCallers(SimCallers):
+    """Callers that reach edges of both versions."""
+
+    def ask(self, make, *words, **options):
+        """Process: one exchange that ends in one answer; return (answer, error)."""
+        return super().ask(lambda node, request: called_on(node, make, request), *words, **options)
+
+    def _open(self, node, answer, client_name, route):
+        if answer.token is None:
+            body = {"entry": route, "prompt": answer.prompt, "max_pieces": answer.max_pieces}
+            request, function = Request("POST", {}, {}, body, client_name), present.serve_model
+        else:
+            query = {"after": [str(len(answer.pieces))]}
+            request = Request("GET", {"token": answer.token}, query, None, client_name)
+            function = present.resume_stream
+        return Connection(self.sim, node, called_on(node, function, request))
