--- a/examples/embed/nifty_trio.py
+++ b/examples/embed/nifty_trio.py
@@ -20,11 +20,11 @@
     gossip = node.offer("gossip", Gossip(node))
 
     def put_member(member):
-        gossip.put(f"member/{member.name}", [member.incarnation], member.to_list())
+        gossip.publish(f"member/{member.name}", [member.incarnation], member.to_list())
 
     nifty.on_member = put_member
-    nifty.on_strange_roster = gossip.mend_with
-    gossip.listen("member/", lambda key, fields: nifty.learn(Member.from_list(fields)))
+    nifty.on_strange_roster = gossip.start_anti_entropy
+    gossip.subscribe("member/", lambda key, fields: nifty.learn(Member.from_list(fields)))
     put_member(me)
     node.handle("greet", lambda body, origin: f"{me.name} greets {origin}")
     runtime.listen(host, port, nifty.on_datagram, nifty.on_frame)
@@ -43,7 +43,7 @@
             gevent.sleep(0.05)
         print("bridges:", nodes[0].find("nifty").bridge_nodes())
         print(nodes[0].runtime.drive(nodes[0].call("node-2", "greet", None)))
-        nodes[1].find("gossip").put("weather", [1], "fog")
+        nodes[1].find("gossip").publish("weather", [1], "fog")
         while nodes[2].find("gossip").get("weather") is None:
             gevent.sleep(0.05)
         print("news at node-2:", nodes[2].find("gossip").get("weather"))
--- a/proving/model/core_machine.py
+++ b/proving/model/core_machine.py
@@ -34,11 +34,11 @@
         """Return the newest value under a key, or None."""
         return self.known.get(key)
 
-    def put(self, key, version, value):
+    def publish(self, key, version, value):
         """Keep a value."""
         self.known[key] = value
 
-    def listen(self, prefix, listener):
+    def subscribe(self, prefix, listener):
         """Nothing is heard from others."""
 
 
--- a/proving/points/callers.py
+++ b/proving/points/callers.py
@@ -154,7 +154,7 @@
     node = make_node(
         Member("edge-1", 1, "edge", "north", "10.0.0.9", 7000, 7001, ""), runtime, [], Bounds()
     )
-    node.find("gossip").put("layout", [1], [1, 1, _configuration(kind, is_resumable), []])
+    node.find("gossip").publish("layout", [1], [1, 1, _configuration(kind, is_resumable), []])
     for number in range(REPLICAS):
         node.find("replicas").on_beat(_beat(number))
     pairs = [("Host", "h"), ("X-Inquiry", "q"), ("X-Deadline-Ms", str(DEADLINE_SECONDS * 1000))]
--- a/proving/points/departed.py
+++ b/proving/points/departed.py
@@ -22,13 +22,13 @@
 def removed_members(seed):
     """Two members leave one by one; an edge that missed their leaving is cut off with both."""
     stage = quick_stage(seed, sizes=SIX_STORES)
-    sim, edge, real_put = stage.sim, stage.node("edge-1"), Gossip.put
+    sim, edge, real_publish = stage.sim, stage.node("edge-1"), Gossip.publish
 
-    def put(self, key, version, value):
+    def publish(self, key, version, value):
         is_lost = self.node is edge and key == "group/config"
-        return False if is_lost else real_put(self, key, version, value)
+        return False if is_lost else real_publish(self, key, version, value)
 
-    with mock.patch.object(Gossip, "put", put):
+    with mock.patch.object(Gossip, "publish", publish):
         left = members(stage, CONFIG)[1:]
         for store in left:
             adopt(stage, "core-1", {"stores": {store: {"retired": True}}})
--- a/proving/points/reading.py
+++ b/proving/points/reading.py
@@ -178,7 +178,7 @@
         growing_configuration,
         [
             (ConfigurationSnapshot, "_cast_all", no_news),
-            (Gossip, "push_news", no_news),
+            (Gossip, "push_updates", no_news),
             (Gossip, "on_digest", no_news),
             (Freshness, "_fetch_newer", no_news),
         ],
--- a/proving/scale/fleet.py
+++ b/proving/scale/fleet.py
@@ -87,12 +87,12 @@
         known = [node.me for node in self.nodes.values()] if is_warm else []
         for node in self.nodes.values():
             for member in known:
-                node.find("gossip").put(
+                node.find("gossip").publish(
                     f"member/{member.name}", [member.incarnation], member.to_list()
                 )
-            node.find("gossip").fresh = {}
+            node.find("gossip").remaining_sends = {}
         node = self.nodes[self.members[0].name]
-        node.find("gossip").put("founding", [1], {"groups": self.groups})
+        node.find("gossip").publish("founding", [1], {"groups": self.groups})
         node.find("layout").take(self.index, self.config_state())
         for number in range(self.replicas):
             self.env.process(self._replica(number))
--- a/quillring/edge/replica_snapshot.py
+++ b/quillring/edge/replica_snapshot.py
@@ -34,7 +34,9 @@
         gossip = self.node.find("gossip")
         for beat in beats:
             try:
-                gossip.put(f"replica/{beat['name']}", [beat["incarnation"], beat["sequence"]], beat)
+                gossip.publish(
+                    f"replica/{beat['name']}", [beat["incarnation"], beat["sequence"]], beat
+                )
             except (QuillringError, KeyError, TypeError):
                 self.node.count("replicas_not_recalled")
         self.kept_version = self.node.find("replicas").table_version
@@ -55,7 +57,7 @@
     def _keep(self):
         replicas = self.node.find("replicas")
         self.turn, self.kept_version = self.turn + 1, replicas.table_version
-        beats = list(self.node.find("gossip").under("replica/").values())
+        beats = list(self.node.find("gossip").values_with_prefix("replica/").values())
         body = cbor2.dumps([self.turn, beats])
         try:
             self.disk.write(NAMES[self.turn % 2], zlib.crc32(body).to_bytes(4, "big") + body)
--- a/quillring/edge/replicas.py
+++ b/quillring/edge/replicas.py
@@ -135,7 +135,7 @@
         self.misdirected_names = frozenset()
         self.on_change = []
         self.liveness = Liveness(node)
-        node.find("gossip").listen("replica/", self._on_news)
+        node.find("gossip").subscribe("replica/", self._on_news)
 
     def on_beat(self, beat):
         """Take a beat that reached this node; an older incarnation is refused."""
@@ -151,7 +151,7 @@
         else:
             is_news = is_newer and (known is None or not known.is_over(beat))
         key = f"replica/{beat['name']}"
-        if is_news and self.node.find("gossip").put(key, version, beat):
+        if is_news and self.node.find("gossip").publish(key, version, beat):
             for name in self.node.find("nifty").graph.routes:
                 self.node.send_oneway(name, "gossip.news", [[key, version, beat]])
         return {"taken": True}
--- a/quillring/fleet.py
+++ b/quillring/fleet.py
@@ -46,11 +46,11 @@
     node.offer("placement", LoadBalancer(node))
 
     def put_member(member):
-        gossip.put(f"member/{member.name}", [member.incarnation], member.to_list())
+        gossip.publish(f"member/{member.name}", [member.incarnation], member.to_list())
 
     nifty.listeners.append(node.on_graph)
     nifty.on_member = put_member
-    nifty.on_strange_roster = gossip.mend_with
+    nifty.on_strange_roster = gossip.start_anti_entropy
 
     def take_member(key, fields):
         if fields is None:
@@ -58,7 +58,7 @@
         else:
             nifty.learn(Member.from_list(fields))
 
-    gossip.listen("member/", take_member)
+    gossip.subscribe("member/", take_member)
     node.handle("node.busy", lambda body, origin: count_busy(node))
     put_member(me)
     return node
@@ -119,7 +119,7 @@
     node.offer("witness", Witness(node, acceptors.slots.disk))
     node.spawn(hints.run())
     if acceptors.founding is not None:
-        node.find("gossip").put("founding", [1], acceptors.founding)
+        node.find("gossip").publish("founding", [1], acceptors.founding)
 
 
 def open_store(disk, name, make_identity):
--- a/quillring/gossip/__init__.py
+++ b/quillring/gossip/__init__.py
@@ -1,4 +1,4 @@
-"""News passed on to a few members; gaps are mended by comparing digests."""
+"""Versioned updates passed on to a few members; gaps are closed by anti-entropy."""
 
 from quillring.gossip.gossip import Gossip
 
--- a/quillring/gossip/gossip.py
+++ b/quillring/gossip/gossip.py
@@ -1,170 +1,214 @@
-"""Versioned news: pushed to a few, mended by digest comparison."""
+"""Versioned updates: pushed to a few members, and completed by anti-entropy.
+
+Source: Demers et al., "Epidemic algorithms for replicated database maintenance", 1987: rumor
+mongering for what is new, anti-entropy for what was missed.
+"""
+
+from __future__ import annotations
 
 import hashlib
 import math
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 import cbor2
 
+from quillring.gossip.messages import (
+    DIGEST,
+    UPDATES,
+    VERSIONS,
+    Update,
+    Version,
+    VersionsMessage,
+    updates_from_wire,
+    updates_to_wire,
+)
 from quillring.kernel.effects import Sleep
 from quillring.kernel.errors import BadWire
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Sequence
+
+    from quillring.kernel.node import Node
+    from quillring.kernel.types import Coroutine
+
+    Subscriber = Callable[[str, Any], None]
+
 FANOUT = 3
+STARTUP_FANOUT = 2
+DIGEST_BYTES = 8
+MALFORMED = (KeyError, TypeError, ValueError, IndexError, AttributeError)
+
+
+class Entry(NamedTuple):
+    """The newest known value of a key, and its version."""
+
+    version: Version
+    value: Any
 
 
 class Gossip:
-    """The news table of a node; a key only ever moves to a higher version."""
+    """The table of a node; a key only ever moves to a higher version.
+
+    `remaining_sends` is {key: how many more rounds push it}.
+    """
 
     __slots__ = (
         "node",
         "table",
-        "fresh",
-        "listeners",
+        "remaining_sends",
+        "subscribers",
         "digest",
-        "synced_at",
+        "compared_at",
         "started_at",
     )
 
-    def __init__(self, node):
+    def __init__(self, node: Node) -> None:
         self.node = node
-        self.table = {}
-        self.fresh = {}
-        self.listeners = {}
-        self.digest = None
-        self.synced_at = {}
+        self.table: dict[str, Entry] = {}
+        self.remaining_sends: dict[str, int] = {}
+        self.subscribers: dict[str, list[Subscriber]] = {}
+        self.digest: bytes | None = None
+        self.compared_at: dict[str, float] = {}
         self.started_at = node.now()
-        node.handle("gossip.news", self.on_news)
-        node.handle("gossip.digest", self.on_digest)
-        node.handle("gossip.versions", self.on_versions)
+        node.handle(UPDATES, self.on_updates)
+        node.handle(DIGEST, self.on_digest)
+        node.handle(VERSIONS, self.on_versions)
 
-    def listen(self, prefix, listener):
-        """Call listener(key, value) whenever a key under the prefix moves on."""
-        self.listeners.setdefault(prefix, []).append(listener)
+    def subscribe(self, prefix: str, subscriber: Subscriber) -> None:
+        """Call subscriber(key, value) whenever a key under the prefix moves on."""
+        self.subscribers.setdefault(prefix, []).append(subscriber)
 
-    def get(self, key):
+    def get(self, key: str) -> Any:
         """Return the value of a key, or None."""
-        return self.table[key][1] if key in self.table else None
+        return self.table[key].value if key in self.table else None
 
-    def under(self, prefix):
+    def values_with_prefix(self, prefix: str) -> dict[str, Any]:
         """Return {key: value} of all keys under the prefix."""
-        return {k: value for k, (_, value) in self.table.items() if k.startswith(prefix)}
+        return {key: entry.value for key, entry in self.table.items() if key.startswith(prefix)}
 
-    def put(self, key, version, value):
-        """Take news; False when the version is no newer than the known one."""
+    def publish(self, key: str, version: Sequence[Any], value: Any) -> bool:
+        """Take an update and pass it on; False when its version is no newer than the known one.
+
+        Raises BadWire, and takes nothing, for a value that a subscriber can't read.
+        """
         version = tuple(version)
-        if key in self.table and self.table[key][0] >= version:
-            return False
         former = self.table.get(key)
-        self.table[key] = (version, value)
+        if former is not None and former.version >= version:
+            return False
+        self.table[key] = Entry(version, value)
         try:
-            self._tell(key, value)
-        except (KeyError, TypeError, ValueError, IndexError, AttributeError) as error:
-            self.table = {k: kept for k, kept in self.table.items() if k != key}
+            self._notify_subscribers(key, value)
+        except MALFORMED as error:
+            self.table = {k: entry for k, entry in self.table.items() if k != key}
             if former is not None:
                 self.table[key] = former
             raise BadWire(reason="news", key=key) from error
         self.digest = None
         member_count = self.node.find("nifty").member_count()
-        self.fresh[key] = math.ceil(math.log2(member_count + 1)) + 1
+        self.remaining_sends[key] = math.ceil(math.log2(member_count + 1)) + 1
         return True
 
-    def _tell(self, key, value):
-        for prefix, prefix_listeners in self.listeners.items():
+    def _notify_subscribers(self, key: str, value: Any) -> None:
+        for prefix, subscribers in self.subscribers.items():
             if key.startswith(prefix):
-                for listener in prefix_listeners:
-                    listener(key, value)
+                for subscriber in subscribers:
+                    subscriber(key, value)
 
-    def run(self):
-        """Coroutine: pass fresh news on, and compare digests once a beat."""
-        ticks = 0
+    def run(self) -> Coroutine:
+        """Push what is new in each round, and compare digests once a heartbeat."""
+        bounds, rounds = self.node.bounds, 0
         while True:
-            yield Sleep(self.node.bounds.gossip_interval)
-            ticks += 1
-            self.push_news()
-            self.ask_for_all()
-            if (
-                ticks
-                % round(self.node.bounds.heartbeat_interval / self.node.bounds.gossip_interval)
-                == 0
-            ):
-                for name in self._some_members(1):
-                    self.node.send_oneway(name, "gossip.digest", self.table_digest())
-
-    def push_news(self):
-        """Send the fresh keys to a few members; each key goes out a few times."""
-        if not self.fresh or not self.node.find("nifty").graph.routes:
+            yield Sleep(bounds.gossip_interval)
+            rounds += 1
+            self.push_updates()
+            self.request_missing()
+            if rounds % round(bounds.heartbeat_interval / bounds.gossip_interval) == 0:
+                for name in self._random_members(1):
+                    self.node.send_oneway(name, DIGEST, self.table_digest())
+
+    def push_updates(self) -> None:
+        """Send the new keys to a few members; each key goes out a few times."""
+        if not self.remaining_sends or not self.node.find("nifty").graph.routes:
             return
-        items = [[key, list(self.table[key][0]), self.table[key][1]] for key in self.fresh]
-        for name in self._some_members(FANOUT):
-            self.node.send_oneway(name, "gossip.news", items)
-        self.fresh = {key: left - 1 for key, left in self.fresh.items() if left > 1}
-
-    def _some_members(self, count):
+        updates = updates_to_wire(Update(key, *self.table[key]) for key in self.remaining_sends)
+        for name in self._random_members(FANOUT):
+            self.node.send_oneway(name, UPDATES, updates)
+        self.remaining_sends = {
+            key: count - 1 for key, count in self.remaining_sends.items() if count > 1
+        }
+
+    def _random_members(self, count: int) -> list[str]:
         reached_names = sorted(self.node.find("nifty").graph.routes)
         return self.node.runtime.random.sample(reached_names, min(count, len(reached_names)))
 
-    def table_digest(self):
+    def table_digest(self) -> bytes:
         """Return the digest over all keys and versions."""
         if self.digest is None:
-            versions = sorted((key, list(version)) for key, (version, _) in self.table.items())
-            self.digest = hashlib.sha256(cbor2.dumps(versions)).digest()[:8]
+            versions = sorted((key, list(entry.version)) for key, entry in self.table.items())
+            self.digest = hashlib.sha256(cbor2.dumps(versions)).digest()[:DIGEST_BYTES]
         return self.digest
 
-    def ask_for_all(self):
+    def _versions(self) -> dict[str, Version]:
+        return {key: entry.version for key, entry in self.table.items()}
+
+    def request_missing(self) -> None:
         """At the start, while no layout is known, ask members in reach for all that is lacking."""
-        if (
-            "layout" in self.table
-            or self.node.now() - self.started_at > self.node.bounds.propagation
-        ):
+        age_seconds = self.node.now() - self.started_at
+        if "layout" in self.table or age_seconds > self.node.bounds.propagation:
             return
-        versions = {key: list(version) for key, (version, _) in self.table.items()}
+        body = VersionsMessage(self._versions(), wants_reply=False).to_wire()
         nifty, chance = self.node.find("nifty"), self.node.runtime.random
         members = nifty.roster.members
         reached_names = sorted(name for name in nifty.graph.routes if name in members)
         store_names = [name for name in reached_names if members[name].role == "store"]
         for names in (store_names, reached_names):
-            for name in chance.sample(names, min(2, len(names))):
-                self.node.send_oneway(name, "gossip.versions", [versions, False])
+            for name in chance.sample(names, min(STARTUP_FANOUT, len(names))):
+                self.node.send_oneway(name, VERSIONS, body)
 
-    def mend_with(self, name):
-        """Compare the whole table with one member in reach, at most once a beat."""
-        now = self.node.now()
+    def start_anti_entropy(self, name: str) -> None:
+        """Compare the whole table with one member in reach, at most twice a heartbeat."""
         if not self.node.find("nifty").reaches(name):
             return
-        if now - self.synced_at.get(name, -math.inf) >= self.node.bounds.heartbeat_interval / 2:
-            self.synced_at[name] = now
-            self.node.send_oneway(name, "gossip.digest", self.table_digest())
-
-    def on_news(self, items, origin):
-        """Take pushed news; what others tell here too needs to be told less often."""
-        for key, version, value in items:
-            if not self.put(key, version, value) and key in self.fresh:
-                self._told_again(key, tuple(version))
-
-    def _told_again(self, key, version):
-        if self.table[key][0] == version:
-            self.fresh[key] -= 1
-            self.fresh = {known: left for known, left in self.fresh.items() if left > 0}
-
-    def on_digest(self, digest, origin):
-        """Answer a differing digest with the versions held here."""
+        now, min_pause = self.node.now(), self.node.bounds.heartbeat_interval / 2
+        if now - self.compared_at.get(name, -math.inf) >= min_pause:
+            self.compared_at[name] = now
+            self.node.send_oneway(name, DIGEST, self.table_digest())
+
+    def on_updates(self, body: list[Any], origin: str) -> None:
+        """Take pushed updates; what others push here too needs to be pushed less often."""
+        for key, version, value in updates_from_wire(body):
+            if not self.publish(key, version, value) and key in self.remaining_sends:
+                self._count_received_copy(key, tuple(version))
+
+    def _count_received_copy(self, key: str, version: Version) -> None:
+        if self.table[key].version == version:
+            self.remaining_sends[key] -= 1
+            self.remaining_sends = {
+                known: count for known, count in self.remaining_sends.items() if count > 0
+            }
+
+    def on_digest(self, digest: bytes, origin: str) -> None:
+        """Answer a digest that differs with the versions held here."""
         if digest != self.table_digest():
-            versions = {key: list(version) for key, (version, _) in self.table.items()}
-            self.node.send_oneway(origin, "gossip.versions", [versions, True])
+            body = VersionsMessage(self._versions(), wants_reply=True).to_wire()
+            self.node.send_oneway(origin, VERSIONS, body)
 
-    def on_versions(self, body, origin):
+    def on_versions(self, body: list[Any], origin: str) -> None:
         """Send what the other side lacks; let it send what is lacking here."""
-        other_versions, wants_back = body
-        newer_items = [
-            [key, list(version), value]
-            for key, (version, value) in self.table.items()
-            if tuple(other_versions.get(key, ())) < version
+        message = VersionsMessage.from_wire(body)
+        newer_updates = [
+            Update(key, *entry)
+            for key, entry in self.table.items()
+            if message.versions.get(key, ()) < entry.version
         ]
-        if newer_items:
-            self.node.send_oneway(origin, "gossip.news", newer_items)
-        is_behind = any(
-            key not in self.table or self.table[key][0] < tuple(version)
-            for key, version in other_versions.items()
+        if newer_updates:
+            self.node.send_oneway(origin, UPDATES, updates_to_wire(newer_updates))
+        if message.wants_reply and self._is_behind(message.versions):
+            reply = VersionsMessage(self._versions(), wants_reply=False).to_wire()
+            self.node.send_oneway(origin, VERSIONS, reply)
+
+    def _is_behind(self, versions: dict[str, Version]) -> bool:
+        return any(
+            key not in self.table or self.table[key].version < version
+            for key, version in versions.items()
         )
-        if wants_back and is_behind:
-            versions = {key: list(version) for key, (version, _) in self.table.items()}
-            self.node.send_oneway(origin, "gossip.versions", [versions, False])
--- a/quillring/ownership/elections.py
+++ b/quillring/ownership/elections.py
@@ -44,7 +44,7 @@
         nifty.listeners.append(self.timing.on_graph)
         nifty.listeners.append(self.wake)
         for prefix in ("founding", "group/", "resting/"):
-            gossip.listen(prefix, self.wake)
+            gossip.subscribe(prefix, self.wake)
 
     def wake(self, *change: Any) -> None:
         """Review the parts at once."""
--- a/quillring/ownership/leadership_backoff.py
+++ b/quillring/ownership/leadership_backoff.py
@@ -78,4 +78,4 @@
         me = self.node.me
         self.announcement_number += 1
         version = [me.incarnation, self.announcement_number]
-        self.node.find("gossip").put(f"resting/{me.name}", version, incarnation)
+        self.node.find("gossip").publish(f"resting/{me.name}", version, incarnation)
--- a/quillring/ownership/ownership.py
+++ b/quillring/ownership/ownership.py
@@ -150,7 +150,7 @@
     def announce_drain(self) -> None:
         """Tell all nodes that this one drains, until it starts again."""
         me = self.node.me
-        self.node.find("gossip").put(f"draining/{me.name}", [me.incarnation], me.incarnation)
+        self.node.find("gossip").publish(f"draining/{me.name}", [me.incarnation], me.incarnation)
 
     def run(self) -> Coroutine:
         """On a core: lead the parts it is the first candidate for, transfer the others."""
@@ -169,9 +169,9 @@
             return
         gossip, part = self.node.find("gossip"), leader.part
         record = LeaderRecord(self.node.me.name, list(leader.ballot))
-        gossip.put(f"owner/{part}", leader.ballot, record.to_wire())
+        gossip.publish(f"owner/{part}", leader.ballot, record.to_wire())
         if gossip.get(f"group/{part}") != leader.state["group"]:
-            gossip.put(f"group/{part}", [leader.index], leader.state["group"])
+            gossip.publish(f"group/{part}", [leader.index], leader.state["group"])
 
     def on_submit(self, body: WireMap, origin: str) -> Coroutine:
         """Commit a command in a part led here."""
--- a/quillring/plans/front.py
+++ b/quillring/plans/front.py
@@ -41,7 +41,7 @@
         {m.name: m.zone for m in nifty.roster.members.values() if m.role == "store"},
         [
             beat
-            for beat in node.find("gossip").under("replica/").values()
+            for beat in node.find("gossip").values_with_prefix("replica/").values()
             if replicas.is_heard(beat["name"])
         ],
         {m.name: (m.role, m.zone) for m in nifty.roster.members.values()},
--- a/quillring/plans/runner.py
+++ b/quillring/plans/runner.py
@@ -15,7 +15,7 @@
 
     A node out of reach counts once it was silent for as long as service may be away.
     """
-    beats = node.find("gossip").under("replica/").values()
+    beats = node.find("gossip").values_with_prefix("replica/").values()
     if any(
         beat["domain"] == zone
         and beat.get("busy")
--- a/quillring/quorum/acceptor/acceptor.py
+++ b/quillring/quorum/acceptor/acceptor.py
@@ -61,7 +61,7 @@
             self.listeners.append(self._publish)
             for part, record in self.parts.items():
                 self._publish(part, record)
-            gossip.listen("founding", self._on_founding_news)
+            gossip.subscribe("founding", self._on_founding_news)
 
     def _publish(self, part: str, record: AcceptorState):
         """Tell all nodes what is committed here, so that it needs no owner to be known."""
@@ -71,7 +71,7 @@
         if part == CONFIG:
             self.node.find("layout").take(record.applied, record.state)
         elif gossip.get(f"group/{part}") != record.state["group"]:
-            gossip.put(f"group/{part}", [record.applied], record.state["group"])
+            gossip.publish(f"group/{part}", [record.applied], record.state["group"])
 
     def _on_founding_news(self, key: str, founding: dict):
         if self.founding is None:
--- a/quillring/quorum/disk_health.py
+++ b/quillring/quorum/disk_health.py
@@ -37,7 +37,7 @@
         me = self.node.me
         self.node.log("warning", "disk of %s: %s", me.name, self.slots.error or "takes data again")
         version, news = [me.incarnation, self.sequence], [me.incarnation, self.is_failing]
-        self.node.find("gossip").put(f"disk/{me.name}", version, news)
+        self.node.find("gossip").publish(f"disk/{me.name}", version, news)
 
 
 def is_disk_failing(node: Node, name: str) -> bool:
--- a/quillring/quorum/founding/founding.py
+++ b/quillring/quorum/founding/founding.py
@@ -53,7 +53,7 @@
     errors = {name: r.kind for name, r in replies.items() if isinstance(r, QuillringError)}
     if errors:
         raise NoMajority(reason="run the command again", stores=errors)
-    gossip.put("founding", [1], founding)
+    gossip.publish("founding", [1], founding)
     return {"fleet": founding["fleet"], "was_founded": held_founding is not None}
 
 
--- a/quillring/rollout/snapshot.py
+++ b/quillring/rollout/snapshot.py
@@ -17,7 +17,7 @@
         self.group = None
         self.taken_at = None
         gossip = node.find("gossip")
-        gossip.listen("layout", lambda key, news: self._swap(news))
+        gossip.subscribe("layout", lambda key, news: self._swap(news))
         node.handle("layout.news", self.on_news)
         if node.me.role == "core":
             node.find("ownership").leader_listeners.append(self._publish)
@@ -38,18 +38,18 @@
         """Take what the owner told everyone; it needs no passing on."""
         version, news = body
         gossip = self.node.find("gossip")
-        gossip.put("group/config", version, news[3])
-        if gossip.put("layout", version, news):
-            gossip.fresh.pop("layout", None)
+        gossip.publish("group/config", version, news[3])
+        if gossip.publish("layout", version, news):
+            gossip.remaining_sends.pop("layout", None)
 
     def take(self, index, state):
         """Take a config state read from its owner or a store, and pass it on once as news."""
         gossip = self.node.find("gossip")
-        gossip.put("group/config", [index], state["group"])
+        gossip.publish("group/config", [index], state["group"])
         if index > self.index:
             news = [index, state["version"], state["layout"], state["group"]]
-            gossip.put("layout", [index], news)
-            gossip.fresh["layout"] = 1
+            gossip.publish("layout", [index], news)
+            gossip.remaining_sends["layout"] = 1
 
     def _swap(self, news):
         index, version, configuration, group = news
--- a/quillring/verbs/routes.py
+++ b/quillring/verbs/routes.py
@@ -94,7 +94,7 @@
         raise NotFound(field="name", name=name)
     if nifty.reaches(name):
         raise Conflict(field="name", reason="the member lives")
-    node.find("gossip").put(f"member/{name}", [member.incarnation, 1], None)
+    node.find("gossip").publish(f"member/{name}", [member.incarnation, 1], None)
     return {"forgotten": name}
 
 
--- a/tests/forward_stage.py
+++ b/tests/forward_stage.py
@@ -43,7 +43,7 @@
             }
         },
     }
-    node.find("gossip").put("layout", [1], [1, 1, configuration, []])
+    node.find("gossip").publish("layout", [1], [1, 1, configuration, []])
     for number in range(replicas):
         beat(node, number)
     return runtime, node
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -15,7 +15,7 @@
                 take(items, origin),
             )[1],
         )
-    nodes["core-1"].find("gossip").put("some/thing", [1], "new")
+    nodes["core-1"].find("gossip").publish("some/thing", [1], "new")
     stage.run(3)
     assert all(made.find("gossip").get("some/thing") == "new" for made in nodes.values())
     assert len(took) <= len(nodes) * 12
--- a/tests/test_landed_folders.py
+++ b/tests/test_landed_folders.py
@@ -40,10 +40,10 @@
     def __init__(self):
         self.news = {}
 
-    def put(self, key, version, value):
+    def publish(self, key, version, value):
         self.news[key] = (version, value)
 
-    def under(self, prefix):
+    def values_with_prefix(self, prefix):
         return {key: value for key, (_, value) in self.news.items() if key.startswith(prefix)}
 
 
--- a/tests/test_load_balancer.py
+++ b/tests/test_load_balancer.py
@@ -43,7 +43,7 @@
         "b": {**configuration["forwards"]["f"], "prefix": "/a/b/"},
         "c": {**configuration["forwards"]["f"], "prefix": "/a/"},
     }
-    node.find("gossip").put("layout", [2], [2, 2, {**configuration, "forwards": forwards}, []])
+    node.find("gossip").publish("layout", [2], [2, 2, {**configuration, "forwards": forwards}, []])
     table = node.find("forwards")
     found = {path: table.find("H", path) for path in ("/a/b/c?d=/x/", "/a/b", "/q", "/a/")}
     assert {path: f.name for path, f in found.items()} == {
--- a/tests/test_removed_members.py
+++ b/tests/test_removed_members.py
@@ -32,15 +32,15 @@
 
 
 def losing_group_news(name):
-    """Return a stand-in for Gossip.put that loses the news of the config part's group at a node."""
-    real_put = Gossip.put
+    """Return a stand-in for Gossip.publish: a node never hears of the config part's group."""
+    real_publish = Gossip.publish
 
-    def put(self, key, version, value):
+    def publish(self, key, version, value):
         if self.node.me.name == name and key == "group/config":
             return False
-        return real_put(self, key, version, value)
+        return real_publish(self, key, version, value)
 
-    return mock.patch.object(Gossip, "put", put)
+    return mock.patch.object(Gossip, "publish", publish)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
