--- a/proving/histories/bugs.py
+++ b/proving/histories/bugs.py
@@ -10,7 +10,7 @@
 from proving.histories.run import PROGRAM, run_seed
 from quillring.kernel.effects import Signal
 from quillring.kernel.errors import Conflict, Refused
-from quillring.lots.http_requests import state_machine
+from quillring.lots.http_requests import lot_table, state_machine
 from quillring.ownership import part_client
 from quillring.quorum.acceptor import Acceptors, AcceptorState
 from quillring.quorum.commands import COMMANDS
@@ -103,13 +103,13 @@
 
 def accept_anew(state, command):
     """Stand-in: a lot that is handed in again starts afresh."""
-    lots = {n: lot for n, lot in state_machine.lot_records(state).items() if n != command["lot"]}
+    lots = {n: lot for n, lot in lot_table.lot_records(state).items() if n != command["lot"]}
     return state_machine.accept_lot({**state, "raw": lots}, command)
 
 
 def end_nothing(state, command):
     """Stand-in: an end is acknowledged, and the lot goes on."""
-    state_machine.find_lot(state, command)
+    lot_table.find_lot(state, command["lot"])
     return state, {"ended": True}
 
 
--- a/proving/histories/calls.py
+++ b/proving/histories/calls.py
@@ -29,7 +29,7 @@
 from proving.sim.raw_replicas import SERVICE
 from quillring.kernel.errors import Conflict, NotFound, Refused
 from quillring.lots.http_requests import api
-from quillring.lots.http_requests.state_machine import HeldTooMuch, QuotaExceeded
+from quillring.lots.http_requests.lot_table import HeldTooMuch, QuotaExceeded
 from quillring.quorum.parts import CONFIG
 from quillring.rollout.commands import BadConfiguration
 from quillring.rollout.operator_orders import retire_store
--- a/quillring/lots/http_requests/api.py
+++ b/quillring/lots/http_requests/api.py
@@ -1,6 +1,13 @@
-"""Lots of HTTP requests at an edge: hand in, read, end; every unsure case is told as such."""
+"""What an edge offers: submit a lot, read results and bodies, end a lot.
+
+An unsure outcome is told as unknown, never as refused.
+"""
+
+from __future__ import annotations
 
 import hashlib
+from collections.abc import Sequence
+from typing import TYPE_CHECKING, Any
 
 import cbor2
 
@@ -13,30 +20,111 @@
     Refused,
     TimedOut,
 )
+from quillring.lots.http_requests.commands import (
+    AcceptLot,
+    EndLot,
+    QueryItemBody,
+    QueryKnownLot,
+    QueryResults,
+    ReserveTokens,
+)
 from quillring.lots.http_requests.lot_placement import (
+    LotPlacement,
     are_lots_spread,
+    held_limit_of_part,
     in_either_part,
-    most_weight_of_part,
     place_of_lot,
 )
 from quillring.lots.http_requests.lot_table import (
     FENCED,
     HELD,
-    ITEM_TOKENS,
     MOVED,
     HeldTooMuch,
+    Item,
     QuotaExceeded,
 )
+from quillring.lots.http_requests.messages import READ, HeldRead
 from quillring.quorum.leader.follower_read import peek
 
+if TYPE_CHECKING:
+    from quillring.kernel.node import Node
+    from quillring.kernel.types import Coroutine
+
 RESULT_BYTES = 200_000
-LONGEST_HOLD = 0.8
-RETURN_SECONDS = 0.5
-LOOK_SHARE = 0.4
+LONGEST_HOLD_SECONDS = 0.8
+RETRY_AFTER_SECONDS = 0.5
+DEFAULT_DUE_MS = 60_000
+DEFAULT_RETAIN_MS = 3_600_000
 
+# Shares of the reading bound.
+KNOWN_LOT_SHARE = 0.4
+LEADER_READ_SHARE = 0.4
+LOG_READ_SHARE = 0.6
+END_SHARE = 1.2
 
-def submit_surely(node, part, command, seconds):
-    """Coroutine: commit a command that may be repeated, asking again until the time is over.
+
+def submit_lot(
+    node: Node,
+    forward_name: str,
+    lot_name: str,
+    items: Sequence[Sequence[Any]],
+    seconds: float | None = None,
+) -> Coroutine:
+    """Submit a lot; return the answer of its acceptance.
+
+    Parameters
+    ----------
+    items
+        Stored forms of `lot_table.Item`.
+    seconds
+        Bounds the wait; without it the forward's goal does, and a bit. No wait outlasts the
+        forward's hold.
+
+    Raises QuotaExceeded, HeldTooMuch and Refused when none of it will run, OutcomeUnknown when it
+    may.
+    """
+    forward = node.find("forwards").find_by_name(forward_name)
+    node.find("freshness").check()
+    if forward is None or forward.kind != "lot":
+        raise NotFound(field="forward")
+    place = place_of_lot(node, forward.host, lot_name)
+    command = acceptance_of(node, forward, place.key, items)
+    if seconds is None:
+        seconds = forward.latency_goal_seconds + node.bounds.read_timeout
+    end_time = node.now() + min(seconds, forward.timeout_seconds)
+    is_spread = are_lots_spread(node)
+    if is_spread and command.most_tokens:
+        answer = yield from accept_reserved(node, place, command, end_time)
+    else:
+        answer = yield from accept_unreserved(node, place, command, end_time, is_spread)
+    refusal = answer.get("refused")
+    if refusal is not None:
+        node.count(f"raw_refused_{refusal}")
+        error_type = HeldTooMuch if refusal == HELD else QuotaExceeded
+        raise error_type(come_back_s=RETRY_AFTER_SECONDS)
+    return answer
+
+
+def acceptance_of(node: Node, forward: Any, key: str, items: Sequence[Sequence[Any]]) -> AcceptLot:
+    """Return the command that accepts a lot of this forward, under a new attempt's name."""
+    fields = forward.fields
+    return AcceptLot(
+        lot=key,
+        forward=forward.name,
+        host=fields["host"],
+        items=items,
+        digest=hashlib.sha256(cbor2.dumps([forward.name, items])).digest()[:16],
+        attempt=f"{node.runtime.random.getrandbits(96):024x}",
+        most_tokens=fields.get("most_tokens") or 0,
+        submitted_at_ms=int(node.runtime.wall_time() * 1000),
+        due_ms=fields.get("due_ms") or DEFAULT_DUE_MS,
+        retain_ms=fields.get("retain_ms") or DEFAULT_RETAIN_MS,
+        rounds=forward.max_attempts,
+    )
+
+
+def submit_until_sure(node: Node, part: str, command: dict[str, Any], seconds: float) -> Coroutine:
+    """Commit a command that may be repeated, asking again until the time is over.
 
     Raises Refused only when it surely was not taken, OutcomeUnknown when it may still be.
     """
@@ -59,93 +147,80 @@
     raise OutcomeUnknown(part=part, reason="hand it in again under the same name")
 
 
-def submit_lot(node, forward_name, lot_name, items, seconds=None):
-    """Coroutine: hand a lot in; items are [id, target, header pairs, body, tokens].
-
-    Raises QuotaExceeded and Refused when none of it will run, OutcomeUnknown when it may. `seconds`
-    bounds the wait; where none are given, the forward's goal does, and a bit. No wait outlasts the
-    forward's hold.
-    """
-    forward = node.find("forwards").find_by_name(forward_name)
-    node.find("freshness").check()
-    if forward is None or forward.kind != "lot":
-        raise NotFound(field="forward")
-    fields, place = forward.fields, place_of_lot(node, forward.host, lot_name)
-    command = {
-        "do": "raw.accept",
-        "lot": place.key,
-        "forward": forward.name,
-        "host": fields["host"],
-        "items": items,
-        "digest": hashlib.sha256(cbor2.dumps([forward.name, items])).digest()[:16],
-        "try": f"{node.runtime.random.getrandbits(96):024x}",
-        "most_tokens": fields.get("most_tokens") or 0,
-        "at": int(node.runtime.wall_time() * 1000),
-        "due_ms": fields.get("due_ms") or 60_000,
-        "retain_ms": fields.get("retain_ms") or 3_600_000,
-        "rounds": forward.max_attempts,
-    }
-    seconds = (
-        forward.latency_goal_seconds + node.bounds.read_timeout if seconds is None else seconds
-    )
-    seconds = min(seconds, forward.timeout_seconds)
-    end_time, is_spread = node.now() + seconds, are_lots_spread(node)
-    if is_spread and command["most_tokens"]:
-        answer = yield from accept_reserved(node, place, command, end_time)
-    else:
-        answer = yield from accept_unreserved(node, place, command, end_time, is_spread)
-    refusal = answer.get("refused")
-    if refusal is not None:
-        node.count(f"raw_refused_{refusal}")
-        kind = HeldTooMuch if refusal == HELD else QuotaExceeded
-        raise kind(come_back_s=RETURN_SECONDS)
-    return answer
-
-
-def accept_reserved(node, place, command, end_time):
-    """Coroutine: reserve the lot's tokens at its home, then have its own part accept it.
+def accept_reserved(
+    node: Node, place: LotPlacement, command: AcceptLot, end_time: float
+) -> Coroutine:
+    """Reserve the lot's tokens at its home, then have its own part accept it.
 
     A reservation that was taken back meanwhile is made anew. Where there is no room for the lot, it
     may still be one that was accepted before.
     """
-    command = {**command, "most_weight": most_weight_of_part(node)}
-    reserve = {
-        "do": "raw.reserve",
-        "part": place.own,
-        "home": place.home,
-        "tokens": sum(item[ITEM_TOKENS] for item in command["items"]),
-        "fenced": None,
-        **{name: command[name] for name in ("lot", "forward", "digest", "try", "most_tokens")},
-    }
+    command = command._replace(most_held_bytes=held_limit_of_part(node))
+    reserve = reservation_of(place, command)
     while True:
-        try:
-            reserved = yield from submit_surely(node, place.home, reserve, end_time - node.now())
-        except OutcomeUnknown as error:
-            raise Refused(reason="no reservation", part=place.home) from error
-        except Conflict as error:
-            known = yield from find_accepted(node, place.own, command)
-            if known is None:
-                reason = "another lot of this name is reserved"
-                raise Refused(reason=reason, part=place.home) from error
-            return known
-        if reserved.get("refused") is not None:
-            known = yield from find_accepted(node, place.own, command)
-            return known or reserved
-        if "ticket" not in reserved:
+        reserved = yield from try_to_reserve(node, place, reserve, command, end_time)
+        ticket = reserved.get("ticket")
+        if ticket is None:
             return reserved
-        ticket = {"ledger": place.home, "ticket": reserved["ticket"]}
-        answer = yield from submit_surely(
-            node, place.own, {**command, **ticket}, end_time - node.now()
+        accept = command._replace(reserving_part=place.home, ticket=ticket)
+        answer = yield from submit_until_sure(
+            node, place.own, accept.to_wire(), end_time - node.now()
         )
         if answer.get("refused") != FENCED:
             return answer
         node.count("raw_accepts_fenced")
-        reserve = {**reserve, "fenced": reserved["ticket"]}
+        reserve = reserve._replace(fenced_ticket=ticket)
         if node.now() >= end_time:
             raise Refused(reason="the reservation ran out", part=place.own)
 
 
-def accept_unreserved(node, place, command, end_time, is_spread):
+def reservation_of(place: LotPlacement, command: AcceptLot) -> ReserveTokens:
+    """Return the command that reserves a lot's tokens."""
+    return ReserveTokens(
+        lot_part=place.own,
+        host_part=place.home,
+        tokens=sum(Item.from_stored(fields).tokens for fields in command.items),
+        fenced_ticket=None,
+        lot=command.lot,
+        forward=command.forward,
+        digest=command.digest,
+        attempt=command.attempt,
+        most_tokens=command.most_tokens,
+    )
+
+
+def try_to_reserve(
+    node: Node,
+    place: LotPlacement,
+    reserve: ReserveTokens,
+    command: AcceptLot,
+    end_time: float,
+) -> Coroutine:
+    """Return an answer with a ticket, or the final one: refused, or accepted before.
+
+    Nothing has been submitted to the lot's part yet, so an unsure end of this step is a refusal.
+    """
+    try:
+        reserved = yield from submit_until_sure(
+            node, place.home, reserve.to_wire(), end_time - node.now()
+        )
+    except OutcomeUnknown as error:
+        raise Refused(reason="no reservation", part=place.home) from error
+    except Conflict as error:
+        known = yield from find_accepted(node, place.own, command)
+        if known is None:
+            reason = "another lot of this name is reserved"
+            raise Refused(reason=reason, part=place.home) from error
+        return known
+    if reserved.get("refused") is not None:
+        known = yield from find_accepted(node, place.own, command)
+        return known or reserved
+    return reserved
+
+
+def accept_unreserved(
+    node: Node, place: LotPlacement, command: AcceptLot, end_time: float, is_spread: bool
+) -> Coroutine:
     """Accept a lot of a forward without limit, or where some member is of a former version.
 
     Nothing is reserved then, so the part in which the lot may lie already is asked first.
@@ -154,63 +229,58 @@
     known = None if part == other else (yield from find_accepted(node, other, command))
     if known is not None:
         return known
-    weight = {"most_weight": most_weight_of_part(node)} if is_spread else {}
-    answer = yield from submit_surely(node, part, {**command, **weight}, end_time - node.now())
+    accept = command._replace(most_held_bytes=held_limit_of_part(node)) if is_spread else command
+    answer = yield from submit_until_sure(node, part, accept.to_wire(), end_time - node.now())
     if answer.get("refused") == MOVED:
         return (yield from accept_reserved(node, place, command, end_time))
     return answer
 
 
-def find_accepted(node, part, command):
+def find_accepted(node: Node, part: str, command: AcceptLot) -> Coroutine:
     """Return the answer to a lot that a part accepted before, None where it surely did not.
 
-    Raises Refused where nobody can tell: nothing was handed in then.
+    Raises Refused where nobody can tell: nothing was submitted then.
     """
-    query = {"ask": "raw.known", "lot": command["lot"], "digest": command["digest"]}
+    query = QueryKnownLot(command.lot, command.digest)
+    seconds = node.bounds.read_timeout * KNOWN_LOT_SHARE
     try:
-        return (yield from surely_read(node, part, query, node.bounds.read_timeout * LOOK_SHARE))
+        return (yield from read_surely(node, part, query.to_wire(), seconds))
     except NotFound:
         return None
 
 
-def read_results(node, host, lot_name, start, hold_seconds=0.0):
-    """Coroutine: return items, results from a position on and the next one; held until one exists.
+def read_results(
+    node: Node, host: str, lot_name: str, start: int, hold_seconds: float = 0.0
+) -> Coroutine:
+    """Return {"items", "results", "next", "is_over"} from a position on; held until one exists.
 
     Raises NotFound only where it is sure, Refused otherwise.
     """
-    hold_seconds = min(hold_seconds, LONGEST_HOLD)
     place = place_of_lot(node, host, lot_name)
-    query = {"ask": "raw.results", "lot": place.key, "from": start, "limit": RESULT_BYTES}
-    body = {"query": query, "seconds": hold_seconds}
-    return (
-        yield from in_either_part(
-            place, lambda part: read_held(node, part, query, body, hold_seconds)
-        )
-    )
+    query = QueryResults(place.key, start, RESULT_BYTES).to_wire()
+    read = HeldRead(query, min(hold_seconds, LONGEST_HOLD_SECONDS))
+    return (yield from in_either_part(place, lambda part: read_held(node, part, read)))
 
 
-def read_held(node, part, query, body, hold_seconds):
-    """Coroutine: ask the part's owner, which may hold the call, else a majority of its stores."""
+def read_held(node: Node, part: str, read: HeldRead) -> Coroutine:
+    """Ask the part's leader, which may hold the call, else a majority of its stores."""
     ownership, bounds = node.find("ownership"), node.bounds
+    leader_seconds = read.hold_seconds + bounds.read_timeout * LEADER_READ_SHARE
     try:
-        return (
-            yield from ownership.call_leader(
-                part, "raw.read", body, hold_seconds + bounds.read_timeout * 0.4
-            )
-        )
+        return (yield from ownership.call_leader(part, READ, read.to_wire(), leader_seconds))
     except NotFound:
         raise
     except QuillringError as error:
         node.count("raw_reads_elsewhere")
         node.log("debug", "raw.read %s: %s", part, error)
-    known = yield from peek(node, part, ownership.group(part), query)
+    known = yield from peek(node, part, ownership.group(part), read.query)
     if known is not None:
         return known()
-    return (yield from surely_read(node, part, query, bounds.read_timeout * 0.6))
+    return (yield from read_surely(node, part, read.query, bounds.read_timeout * LOG_READ_SHARE))
 
 
-def surely_read(node, part, query, seconds):
-    """Coroutine: read a part; whatever goes wrong and is no sure answer becomes a refusal."""
+def read_surely(node: Node, part: str, query: dict[str, Any], seconds: float) -> Coroutine:
+    """Read a part; whatever goes wrong and is no sure answer becomes a refusal."""
     try:
         return (yield from node.find("ownership").read(part, query, seconds))
     except (Conflict, NotFound, NotFounded, Refused):
@@ -219,22 +289,22 @@
         raise Refused(reason=error.kind, part=part) from error
 
 
-def read_item_body(node, host, lot_name, item_id):
-    """Coroutine: return the body of an item that is not listed yet, as bytes."""
+def read_item_body(node: Node, host: str, lot_name: str, item_id: str) -> Coroutine:
+    """Return the body of an item that is not listed yet, as bytes."""
     place = place_of_lot(node, host, lot_name)
-    query = {"ask": "raw.body", "lot": place.key, "item": item_id}
-    answer = yield from in_either_part(
-        place, lambda part: surely_read(node, part, query, node.bounds.read_timeout)
-    )
+    query = QueryItemBody(place.key, item_id).to_wire()
+    seconds = node.bounds.read_timeout
+    answer = yield from in_either_part(place, lambda part: read_surely(node, part, query, seconds))
     return answer["body"]
 
 
-def end_lot(node, host, lot_name):
-    """Coroutine: end a lot; a second call finds it ended."""
+def end_lot(node: Node, host: str, lot_name: str) -> Coroutine:
+    """End a lot; a second call finds it ended."""
     place = place_of_lot(node, host, lot_name)
-    command = {"do": "raw.end", "lot": place.key}
+    command = EndLot(place.key).to_wire()
+    seconds = node.bounds.read_timeout * END_SHARE
     return (
         yield from in_either_part(
-            place, lambda part: submit_surely(node, part, command, node.bounds.read_timeout * 1.2)
+            place, lambda part: submit_until_sure(node, part, command, seconds)
         )
     )
--- /dev/null
+++ b/quillring/lots/http_requests/commands.py
@@ -0,0 +1,377 @@
+"""Commands and queries of the replicated log, and the one place that reads and writes their form.
+
+The field names on the wire (`do`, `ask`, `n`, `try`, `at` ...) are those of the landed version and
+stay; `to_wire` writes the fields in the order in which that version did.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping, Sequence
+from typing import Any, NamedTuple
+
+Wire = Mapping[str, Any]
+"""A command or query as it stands in the log and on the wire."""
+
+ACCEPT, END, DROP, EXPIRE = "raw.accept", "raw.end", "raw.drop", "raw.expire"
+LIST_RESULT, COUNT_FAILURE = "raw.result", "raw.failed"
+RESERVE, RELEASE, FENCE = "raw.reserve", "raw.release", "raw.fence"
+RESULTS, KNOWN, ITEM_BODY = "raw.results", "raw.known", "raw.body"
+
+LOT_CHANGES = frozenset((ACCEPT, LIST_RESULT, COUNT_FAILURE, EXPIRE, END, DROP))
+"""The commands after which the items of their lot have to be looked at."""
+
+NO_LOT = ""
+"""The lot name of commands that concern several lots."""
+
+
+class AcceptLot(NamedTuple):
+    """Accept a lot in its own part, once.
+
+    Parameters
+    ----------
+    lot
+        Key of the lot in its part, see `lot_placement.lot_key`.
+    items
+        Stored forms of `lot_table.Item`.
+    digest
+        Tells whether the same lot is submitted again.
+    attempt
+        Random name of this submission; a refusal is remembered under it.
+    most_tokens
+        Quota of the forward in tokens, 0 for none.
+    submitted_at_ms, due_ms, retain_ms
+        Wall time of the submission, and how long after it the lot is due and its items are kept.
+    rounds
+        How many failed runs make an item errored.
+    most_held_bytes
+        What the part may hold; None from the former version.
+    reserving_part, ticket
+        The part and number of the reservation of the lot's tokens, if there is one. The ticket is a
+        fencing token: the part refuses one that is not above its fence.
+    """
+
+    lot: str
+    forward: str
+    host: str
+    items: Sequence[Sequence[Any]]
+    digest: bytes
+    attempt: str
+    most_tokens: int
+    submitted_at_ms: int
+    due_ms: int
+    retain_ms: int
+    rounds: int
+    most_held_bytes: int | None = None
+    reserving_part: str | None = None
+    ticket: int | None = None
+
+    @classmethod
+    def from_wire(cls, wire: Wire) -> AcceptLot:
+        """Read the command; the last three fields may be missing."""
+        return cls(
+            wire["lot"],
+            wire["forward"],
+            wire["host"],
+            wire["items"],
+            wire["digest"],
+            wire["try"],
+            wire["most_tokens"],
+            wire["at"],
+            wire["due_ms"],
+            wire["retain_ms"],
+            wire["rounds"],
+            wire.get("most_weight"),
+            wire.get("ledger"),
+            wire.get("ticket"),
+        )
+
+    def to_wire(self) -> dict[str, Any]:
+        """Return the command's form in the log."""
+        wire = {
+            "do": ACCEPT,
+            "lot": self.lot,
+            "forward": self.forward,
+            "host": self.host,
+            "items": self.items,
+            "digest": self.digest,
+            "try": self.attempt,
+            "most_tokens": self.most_tokens,
+            "at": self.submitted_at_ms,
+            "due_ms": self.due_ms,
+            "retain_ms": self.retain_ms,
+            "rounds": self.rounds,
+        }
+        if self.most_held_bytes is not None:
+            wire["most_weight"] = self.most_held_bytes
+        if self.ticket is not None:
+            wire["ledger"] = self.reserving_part
+            wire["ticket"] = self.ticket
+        return wire
+
+
+class ListResult(NamedTuple):
+    """List an item's result at the lot's next position."""
+
+    lot: str
+    number: int
+    state: str
+    text: bytes
+    run_id: str
+
+    @classmethod
+    def from_wire(cls, wire: Wire) -> ListResult:
+        """Read the command."""
+        return cls(wire["lot"], wire["n"], wire["state"], wire["text"], wire["run"])
+
+    def to_wire(self) -> dict[str, Any]:
+        """Return the command's form in the log."""
+        return {
+            "do": LIST_RESULT,
+            "state": self.state,
+            "text": self.text,
+            "lot": self.lot,
+            "n": self.number,
+            "run": self.run_id,
+        }
+
+
+class CountFailure(NamedTuple):
+    """Count a run of an item that a replica answered as failed."""
+
+    lot: str
+    number: int
+    run_id: str
+
+    @classmethod
+    def from_wire(cls, wire: Wire) -> CountFailure:
+        """Read the command."""
+        return cls(wire["lot"], wire["n"], wire["run"])
+
+    def to_wire(self) -> dict[str, Any]:
+        """Return the command's form in the log."""
+        return {"do": COUNT_FAILURE, "lot": self.lot, "n": self.number, "run": self.run_id}
+
+
+class EndLot(NamedTuple):
+    """End a lot: what is listed stays, the rest is dropped."""
+
+    lot: str
+
+    @classmethod
+    def from_wire(cls, wire: Wire) -> EndLot:
+        """Read the command."""
+        return cls(wire["lot"])
+
+    def to_wire(self) -> dict[str, Any]:
+        """Return the command's form in the log."""
+        return {"do": END, "lot": self.lot}
+
+
+class ExpireLot(NamedTuple):
+    """List whatever is left of a lot as errored."""
+
+    lot: str
+
+    @classmethod
+    def from_wire(cls, wire: Wire) -> ExpireLot:
+        """Read the command."""
+        return cls(wire["lot"])
+
+    def to_wire(self) -> dict[str, Any]:
+        """Return the command's form in the log."""
+        return {"do": EXPIRE, "lot": self.lot}
+
+
+class DropLot(NamedTuple):
+    """Forget a lot of which nothing is pending."""
+
+    lot: str
+
+    @classmethod
+    def from_wire(cls, wire: Wire) -> DropLot:
+        """Read the command."""
+        return cls(wire["lot"])
+
+    def to_wire(self) -> dict[str, Any]:
+        """Return the command's form in the log."""
+        return {"do": DROP, "lot": self.lot}
+
+
+class ReserveTokens(NamedTuple):
+    """Reserve a lot's tokens of its forward's quota, in the part of the forward's host.
+
+    Parameters
+    ----------
+    lot_part, host_part
+        The part that shall accept the lot, and the one that keeps the reservations.
+    tokens
+        The sum over the lot's items.
+    fenced_ticket
+        A ticket that the lot's part refuses for ever by now: a new one takes its place.
+    """
+
+    lot_part: str
+    host_part: str
+    tokens: int
+    fenced_ticket: int | None
+    lot: str
+    forward: str
+    digest: bytes
+    attempt: str
+    most_tokens: int
+
+    @classmethod
+    def from_wire(cls, wire: Wire) -> ReserveTokens:
+        """Read the command."""
+        return cls(
+            wire["part"],
+            wire["home"],
+            wire["tokens"],
+            wire["fenced"],
+            wire["lot"],
+            wire["forward"],
+            wire["digest"],
+            wire["try"],
+            wire["most_tokens"],
+        )
+
+    def to_wire(self) -> dict[str, Any]:
+        """Return the command's form in the log."""
+        return {
+            "do": RESERVE,
+            "part": self.lot_part,
+            "home": self.host_part,
+            "tokens": self.tokens,
+            "fenced": self.fenced_ticket,
+            "lot": self.lot,
+            "forward": self.forward,
+            "digest": self.digest,
+            "try": self.attempt,
+            "most_tokens": self.most_tokens,
+        }
+
+
+class PendingTokens(NamedTuple):
+    """What still waits of a lot with a reservation: stored as [lot, ticket, tokens]."""
+
+    lot: str
+    ticket: int
+    tokens: int
+
+    @classmethod
+    def from_wire(cls, fields: Sequence[Any]) -> PendingTokens:
+        """Read a row of `raw.release`."""
+        lot, ticket, tokens = fields
+        return cls(lot, ticket, tokens)
+
+    def to_wire(self) -> list[Any]:
+        """Return the row of `raw.release`."""
+        return [self.lot, self.ticket, self.tokens]
+
+
+class ReleaseTokens(NamedTuple):
+    """Lower reservations to what still waits."""
+
+    pending: Sequence[PendingTokens]
+
+    @classmethod
+    def from_wire(cls, wire: Wire) -> ReleaseTokens:
+        """Read the command."""
+        return cls([PendingTokens.from_wire(fields) for fields in wire["rows"]])
+
+    def to_wire(self) -> dict[str, Any]:
+        """Return the command's form in the log."""
+        return {"do": RELEASE, "lot": NO_LOT, "rows": [row.to_wire() for row in self.pending]}
+
+
+class FenceTickets(NamedTuple):
+    """Refuse from now on every unknown lot with a ticket of this part up to the one named."""
+
+    reserving_part: str
+    ticket: int
+    lots: Sequence[str]
+
+    @classmethod
+    def from_wire(cls, wire: Wire) -> FenceTickets:
+        """Read the command."""
+        return cls(wire["ledger"], wire["ticket"], wire["lots"])
+
+    def to_wire(self) -> dict[str, Any]:
+        """Return the command's form in the log."""
+        return {
+            "do": FENCE,
+            "lot": NO_LOT,
+            "ledger": self.reserving_part,
+            "ticket": self.ticket,
+            "lots": self.lots,
+        }
+
+
+class LotChange(NamedTuple):
+    """What the leader has to know of a committed command that changed a lot's items."""
+
+    kind: str
+    lot: str
+    number: int | None
+    run_id: str | None
+
+    @classmethod
+    def from_wire(cls, wire: Wire) -> LotChange | None:
+        """Read a command of the log; None for one that changes no lot's items."""
+        if wire["do"] not in LOT_CHANGES:
+            return None
+        return cls(wire["do"], wire["lot"], wire.get("n"), wire.get("run"))
+
+
+def lot_in(wire: Wire) -> str | None:
+    """Return the lot that a command of the log concerns, or None."""
+    return wire.get("lot")
+
+
+class QueryResults(NamedTuple):
+    """Ask for results from a position on, up to about so many bytes."""
+
+    lot: str
+    start: int
+    limit_bytes: int
+
+    @classmethod
+    def from_wire(cls, wire: Wire) -> QueryResults:
+        """Read the query."""
+        return cls(wire["lot"], wire["from"], wire["limit"])
+
+    def to_wire(self) -> dict[str, Any]:
+        """Return the query's form on the wire."""
+        return {"ask": RESULTS, "lot": self.lot, "from": self.start, "limit": self.limit_bytes}
+
+
+class QueryKnownLot(NamedTuple):
+    """Ask whether a lot of this digest was accepted."""
+
+    lot: str
+    digest: bytes
+
+    @classmethod
+    def from_wire(cls, wire: Wire) -> QueryKnownLot:
+        """Read the query."""
+        return cls(wire["lot"], wire["digest"])
+
+    def to_wire(self) -> dict[str, Any]:
+        """Return the query's form on the wire."""
+        return {"ask": KNOWN, "lot": self.lot, "digest": self.digest}
+
+
+class QueryItemBody(NamedTuple):
+    """Ask for the body of an item that is not listed yet."""
+
+    lot: str
+    item_id: str
+
+    @classmethod
+    def from_wire(cls, wire: Wire) -> QueryItemBody:
+        """Read the query."""
+        return cls(wire["lot"], wire["item"])
+
+    def to_wire(self) -> dict[str, Any]:
+        """Return the query's form on the wire."""
+        return {"ask": ITEM_BODY, "lot": self.lot, "item": self.item_id}
--- a/quillring/lots/http_requests/lot_placement.py
+++ b/quillring/lots/http_requests/lot_placement.py
@@ -1,20 +1,35 @@
 """In which part a lot lives, and where one lies that a former version accepted."""
 
-from typing import NamedTuple
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, NamedTuple
 
 from quillring.kernel.errors import NotFound
-from quillring.lots.http_requests.lot_table import HELD_WEIGHT
+from quillring.lots.http_requests.lot_table import HELD_LIMIT_BYTES
 from quillring.quorum.parts import part_of
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from quillring.kernel.node import Node
+    from quillring.kernel.types import Coroutine
+
 SPREAD_LEVEL = 3
+"""The wire version from which lots live in the part of their own key."""
 
 
 class LotPlacement(NamedTuple):
     """The parts that concern one lot.
 
-    `own` is the part that the lot's key hashes to: bodies, results and runs. `home` is the part
-    that its host hashes to: it keeps the reservations of the host's forwards, and the lots of the
-    host that were accepted by a version which kept all of them there.
+    Parameters
+    ----------
+    key
+        The lot's key in its part.
+    own
+        The part that the key hashes to: bodies, results and runs.
+    home
+        The part that the lot's host hashes to: it keeps the reservations of the host's forwards,
+        and the lots of the host that were accepted by a version which kept all of them there.
     """
 
     key: str
@@ -22,39 +37,43 @@
     home: str
 
 
-def bare_host(host):
+def bare_host(host: str) -> str:
     """Return a host's name without its port, in lower case."""
     return host.lower().partition(":")[0]
 
 
-def lot_key(host, lot_name):
+def lot_key(host: str, lot_name: str) -> str:
     """Return the name under which a host's lot stands in its part."""
     return f"{lot_name}@{bare_host(host)}"
 
 
-def count_parts(node):
+def count_parts(node: Node) -> int:
     """Return how many parts hold lots; NotFounded while the fleet is not founded."""
     return len(node.find("ownership").parts()) - 1
 
 
-def place_of_lot(node, host, lot_name):
-    """Return the LotPlacement of a host's lot; NotFounded while the fleet is not founded."""
+def place_of_lot(node: Node, host: str, lot_name: str) -> LotPlacement:
+    """Return the placement of a host's lot; NotFounded while the fleet is not founded."""
     count, key = count_parts(node), lot_key(host, lot_name)
     return LotPlacement(key, part_of(key, count), part_of(bare_host(host), count))
 
 
-def most_weight_of_part(node):
-    """Return the bytes of lots that one part may hold: all parts together hold HELD_WEIGHT."""
-    return HELD_WEIGHT // count_parts(node)
+def held_limit_of_part(node: Node) -> int:
+    """Return the bytes of lots that a part may hold: its equal share of HELD_LIMIT_BYTES."""
+    return HELD_LIMIT_BYTES // count_parts(node)
 
 
-def are_lots_spread(node):
+def are_lots_spread(node: Node) -> bool:
     """Tell whether every member in reach knows lots that live outside their host's part."""
-    return node.find("nifty").level() >= SPREAD_LEVEL
+    level: int = node.find("nifty").level()
+    return level >= SPREAD_LEVEL
 
 
-def in_either_part(place, ask):
-    """Coroutine: run ask(part) at the lot's own part; where it surely is not there, at its home."""
+def in_either_part(place: LotPlacement, ask: Callable[[str], Coroutine]) -> Coroutine:
+    """Run ask(part) at the lot's own part; where it surely is not there, at its home.
+
+    Raises NotFound where neither has the lot.
+    """
     try:
         return (yield from ask(place.own))
     except NotFound:
--- a/quillring/lots/http_requests/lot_table.py
+++ b/quillring/lots/http_requests/lot_table.py
@@ -1,13 +1,32 @@
-"""The state that a part keeps of lots of HTTP requests, and the errors of handing one in."""
+"""The lots of HTTP requests in a part's state: their stored form, and the submission's errors.
+
+The state is what is on disk and what goes to a new replica of the part, so its keys are those of
+the landed version: `raw` (lots), `raw_held` (bytes), `raw_refusals` (by attempt), `raw_fences` (by
+part), `raw_ledger` (reservations).
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping, Sequence
+from typing import Any, Literal, NamedTuple, NotRequired, TypedDict
 
 from quillring.kernel.errors import NotFound, QuillringError
 
-FINISHED, ERRORED = "finished", "errored"
-ITEM_ID, ITEM_TARGET, ITEM_PAIRS, ITEM_BODY, ITEM_TOKENS = range(5)
-ITEM_WEIGHT = 400
-HELD_WEIGHT = 40 << 20
+State = dict[str, Any]
+"""The whole state of a part; it is copied, never changed."""
+
+FINISHED: Literal["finished"] = "finished"
+ERRORED: Literal["errored"] = "errored"
+
+RefusalReason = Literal["quota", "held", "fenced", "moved"]
+QUOTA: RefusalReason = "quota"
+HELD: RefusalReason = "held"
+FENCED: RefusalReason = "fenced"
+MOVED: RefusalReason = "moved"
+
+ITEM_OVERHEAD_BYTES = 400
+HELD_LIMIT_BYTES = 40 << 20
 KEPT_REFUSALS = 128
-QUOTA, HELD, FENCED, MOVED = "quota", "held", "fenced", "moved"
 
 
 class QuotaExceeded(QuillringError):
@@ -26,43 +45,126 @@
     comes_back = True
 
 
-def lot_records(state):
-    """Return {lot: its record} of a part."""
-    return state.get("raw") or {}
+class Item(NamedTuple):
+    """An HTTP request of a lot; `headers` are [name, value] pairs, `tokens` its declared cost."""
+
+    item_id: str
+    target: str
+    headers: Sequence[Sequence[str]]
+    body: bytes
+    tokens: int
+
+    @classmethod
+    def from_stored(cls, fields: Sequence[Any]) -> Item:
+        """Read an item as it stands in the state and in `raw.accept`."""
+        item_id, target, headers, body, tokens = fields
+        return cls(item_id, target, headers, body, tokens)
+
+
+class ItemResult(NamedTuple):
+    """A listed result; `state` is FINISHED or ERRORED, `text` the whole stream of events."""
+
+    item_id: str
+    state: str
+    text: bytes
+
+    def to_stored(self) -> list[Any]:
+        """Return the result as it stands in the state and in answers."""
+        return [self.item_id, self.state, self.text]
+
 
+class LotRecord(TypedDict):
+    """A lot in the state.
 
-def find_lot(state, command):
-    """Return the record of the lot that a command or query names, or raise NotFound."""
-    lot = lot_records(state).get(command["lot"])
+    `items` holds the pending items by number, `results` the listed ones in their order; `failed`
+    the runs that failed by item number; `tokens` and `weight` (bytes) are sums kept along.
+    """
+
+    forward: str
+    host: str
+    digest: bytes
+    at: int
+    due_ms: int
+    retain_ms: int
+    rounds: int
+    count: int
+    tokens: int
+    weight: int
+    items: dict[int, Sequence[Any]]
+    results: list[list[Any]]
+    failed: dict[int, list[str]]
+    ended: bool
+    ledger: NotRequired[str]
+    ticket: NotRequired[int]
+
+
+def lot_records(state: State) -> dict[str, LotRecord]:
+    """Return the part's lots by key."""
+    records: dict[str, LotRecord] | None = state.get("raw")
+    return records or {}
+
+
+def find_lot(state: State, key: str) -> LotRecord:
+    """Return the lot of this key, or raise NotFound."""
+    lot = lot_records(state).get(key)
     if lot is None:
         raise NotFound(field="lot")
     return lot
 
 
-def waiting_tokens(state, forward):
+def waiting_tokens(state: State, forward: str) -> int:
     """Return the tokens of the accepted items of a forward that have no result yet."""
     return sum(lot["tokens"] for lot in lot_records(state).values() if lot["forward"] == forward)
 
 
-def weight_of(items):
-    """Return about how many bytes items take."""
-    return sum(len(item[ITEM_BODY]) + ITEM_WEIGHT for item in items)
+def bytes_of_items(items: Iterable[Sequence[Any]]) -> int:
+    """Return about how many bytes stored items take."""
+    return sum(len(Item.from_stored(fields).body) + ITEM_OVERHEAD_BYTES for fields in items)
 
 
-def held_weight(state):
+def held_bytes(state: State) -> int:
     """Return about how many bytes the lots of a part take."""
-    known = state.get("raw_held")
-    return sum(lot["weight"] for lot in lot_records(state).values()) if known is None else known
+    counted: int | None = state.get("raw_held")
+    if counted is not None:
+        return counted
+    return sum(lot["weight"] for lot in lot_records(state).values())
 
 
-def with_lots(state, lots, change):
-    """Return the state with other lots, whose weight changed by so much."""
+def with_lots(state: State, lots: Mapping[str, LotRecord], change_bytes: int) -> State:
+    """Return the state with other lots, whose weight changed by so many bytes."""
     if "raw_held" not in state:
         return {**state, "raw": lots}
-    return {**state, "raw": lots, "raw_held": state["raw_held"] + change}
+    return {**state, "raw": lots, "raw_held": state["raw_held"] + change_bytes}
 
 
-def with_lot(state, name, lot):
+def with_lot(state: State, key: str, lot: LotRecord) -> State:
     """Return the state with a lot's record put in its place."""
-    former = lot_records(state).get(name, {"weight": 0})
-    return with_lots(state, {**lot_records(state), name: lot}, lot["weight"] - former["weight"])
+    lots = lot_records(state)
+    former = lots.get(key)
+    former_bytes = 0 if former is None else former["weight"]
+    return with_lots(state, {**lots, key: lot}, lot["weight"] - former_bytes)
+
+
+def refusals(state: State) -> dict[str, RefusalReason]:
+    """Return the refusals that are remembered, by attempt."""
+    kept: dict[str, RefusalReason] | None = state.get("raw_refusals")
+    return kept or {}
+
+
+def with_refusal(state: State, attempt: str, reason: RefusalReason) -> State:
+    """Return the state that refuses this attempt from now on; the oldest ones are forgotten."""
+    kept = [*refusals(state).items(), (attempt, reason)][-KEPT_REFUSALS:]
+    return {**state, "raw_refusals": dict(kept)}
+
+
+def fence_of(state: State, reserving_part: str) -> int:
+    """Return the highest ticket of a reserving part that is refused here; 0 when none is."""
+    fences: dict[str, int] = state.get("raw_fences") or {}
+    return fences.get(reserving_part, 0)
+
+
+def with_fence(state: State, reserving_part: str, ticket: int) -> State:
+    """Return the state that refuses the tickets of a part up to this one; a fence never falls."""
+    fences: dict[str, int] = state.get("raw_fences") or {}
+    highest = max(ticket, fences.get(reserving_part, 0))
+    return {**state, "raw_fences": {**fences, reserving_part: highest}}
--- a/quillring/lots/http_requests/quota_reconciler.py
+++ b/quillring/lots/http_requests/quota_reconciler.py
@@ -2,7 +2,8 @@
 
 from quillring.kernel.effects import Sleep
 from quillring.kernel.errors import NotOwner, QuillringError
-from quillring.lots.http_requests.token_reservations import NO_LOT, reserved_lots, tokens_left
+from quillring.lots.http_requests.commands import NO_LOT
+from quillring.lots.http_requests.token_reservations import reserved_lots, tokens_left
 
 CROWDED = 0.5
 CROWDED_PERIOD, CALM_PERIOD, UNKNOWN_PATIENCE = 0.4, 0.8, 0.5
--- a/quillring/lots/http_requests/scheduler.py
+++ b/quillring/lots/http_requests/scheduler.py
@@ -8,8 +8,8 @@
 from quillring.lots.http_requests.concurrency_limits import ConcurrencyLimits
 from quillring.lots.http_requests.item_executor import BROKEN, NOT_RUN, UNSENT
 from quillring.lots.http_requests.item_table import DispatchedRun, ItemTable
-from quillring.lots.http_requests.lot_placement import most_weight_of_part
-from quillring.lots.http_requests.lot_table import held_weight, lot_records
+from quillring.lots.http_requests.lot_placement import held_limit_of_part
+from quillring.lots.http_requests.lot_table import held_bytes, lot_records
 from quillring.lots.http_requests.worker_selection import LotExpiry, choose_worker, is_lot_ended
 
 PAUSES = {NOT_RUN: 0.2, UNSENT: 0.1, BROKEN: 0.05}
@@ -102,7 +102,7 @@
             for name in self.ends.lots_over(ledger):
                 self.node.spawn(ledger.owner.submit({"do": "raw.expire", "lot": name}))
         ledger.is_reported = ledger.is_reported or not ledger.lots
-        if held_weight(ledger.owner.state) > most_weight_of_part(self.node) / 2:
+        if held_bytes(ledger.owner.state) > held_limit_of_part(self.node) / 2:
             for name in ledger.long_over(KEPT_SECONDS)[:DROPS_AT_ONCE]:
                 self.node.spawn(ledger.owner.submit({"do": "raw.drop", "lot": name}))
 
--- a/quillring/lots/http_requests/state_machine.py
+++ b/quillring/lots/http_requests/state_machine.py
@@ -2,233 +2,275 @@
 
 Items go to replicas unchanged, results have one order. A lot lives in the part that its key (lot
 and host) hashes to; the tokens that wait on a forward are reserved in the part of its host before
-(`token_reservations`). Every change copies the lot's
-own small tables only; bodies and texts are shared, and what the part holds is counted along.
+(`token_reservations`). Every change copies the lot's own small tables only; bodies and texts are
+shared, and what the part holds is counted along.
 """
 
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping
+from typing import Any, NamedTuple
+
 from quillring.kernel.errors import Conflict, NotFound
+from quillring.lots.http_requests import commands
+from quillring.lots.http_requests.commands import (
+    AcceptLot,
+    CountFailure,
+    DropLot,
+    EndLot,
+    ExpireLot,
+    ListResult,
+    QueryItemBody,
+    QueryKnownLot,
+    QueryResults,
+    Wire,
+)
 from quillring.lots.http_requests.lot_table import (
     ERRORED,
     FENCED,
-    FINISHED,
     HELD,
-    HELD_WEIGHT,
-    ITEM_BODY,
-    ITEM_ID,
-    ITEM_TOKENS,
-    ITEM_WEIGHT,
-    KEPT_REFUSALS,
+    HELD_LIMIT_BYTES,
+    ITEM_OVERHEAD_BYTES,
     MOVED,
     QUOTA,
-    HeldTooMuch,
-    QuotaExceeded,
+    Item,
+    ItemResult,
+    LotRecord,
+    RefusalReason,
+    State,
+    bytes_of_items,
+    fence_of,
     find_lot,
-    held_weight,
+    held_bytes,
     lot_records,
+    refusals,
     waiting_tokens,
-    weight_of,
+    with_fence,
     with_lot,
     with_lots,
+    with_refusal,
 )
 from quillring.quorum.commands import COMMANDS, QUERIES
 
-__all__ = [
-    "ERRORED",
-    "FINISHED",
-    "HELD",
-    "QUOTA",
-    "HeldTooMuch",
-    "QuotaExceeded",
-    "lot_records",
-    "waiting_tokens",
-    "with_lot",
-]
-
-
-def repeat_answer(lot, command):
-    """Return the answer to a lot that is handed in again; Conflict where it is another one."""
-    if lot["digest"] != command["digest"]:
-        raise Conflict(field="lot")
-    return {"items": lot["count"], "repeated": True}
+RESULT_OVERHEAD_BYTES = 100
+
+Answer = dict[str, Any]
+"""What a command or query answers, as it goes on the wire."""
 
 
-def keep_refusal(state, attempt, reason):
-    """Return the state that refuses this try from now on, and the answer."""
-    refusals = state.get("raw_refusals") or {}
-    kept = dict([*refusals.items(), (attempt, reason)][-KEPT_REFUSALS:])
-    return {**state, "raw_refusals": kept}, {"refused": reason}
+class NewResult(NamedTuple):
+    """The result of an item that is about to be listed."""
 
+    number: int
+    state: str
+    text: bytes
 
-def why_refused(state, command, tokens, weight):
+
+def repeat_answer(lot: LotRecord, digest: bytes) -> Answer:
+    """Return the answer to a lot that is submitted again; Conflict where it is another one."""
+    if lot["digest"] != digest:
+        raise Conflict(field="lot")
+    return {"items": lot["count"], "repeated": True}
+
+
+def refusal_reason(
+    state: State, command: AcceptLot, tokens: int, weight: int
+) -> RefusalReason | None:
     """Return why a part does not take a new lot, or None.
 
-    A lot with a ticket was counted by the ledger that gave it. One without is of a former version,
-    or its forward has no limit; in a part that keeps a ledger already the former way is closed.
+    A lot with a ticket was counted by the part that gave it. One without is of a former version,
+    or its forward has no limit; in a part that keeps reservations the former way is closed.
     """
-    if command.get("ticket") is not None:
-        if command["ticket"] <= (state.get("raw_fences") or {}).get(command["ledger"], 0):
+    if command.ticket is not None:
+        if command.ticket <= fence_of(state, command.reserving_part or ""):
             return FENCED
-    elif command["most_tokens"]:
+    elif command.most_tokens:
         if state.get("raw_ledger") is not None:
             return MOVED
-        if waiting_tokens(state, command["forward"]) + tokens > command["most_tokens"]:
+        if waiting_tokens(state, command.forward) + tokens > command.most_tokens:
             return QUOTA
-    most_weight = command.get("most_weight") or HELD_WEIGHT
-    return HELD if held_weight(state) + weight > most_weight else None
+    most_bytes = command.most_held_bytes or HELD_LIMIT_BYTES
+    return HELD if held_bytes(state) + weight > most_bytes else None
 
 
-@COMMANDS.entry("raw.accept")
-def accept_lot(state, command):
-    """Accept a lot once; a try that was refused stays refused, however late it comes again."""
-    name, known = command["lot"], lot_records(state).get(command["lot"])
+@COMMANDS.entry(commands.ACCEPT)
+def accept_lot(state: State, wire: Wire) -> tuple[State, Answer]:
+    """Accept a lot once; an attempt that was refused stays refused, however late it comes again."""
+    command = AcceptLot.from_wire(wire)
+    known = lot_records(state).get(command.lot)
     if known is not None:
-        return state, repeat_answer(known, command)
-    refusals = state.get("raw_refusals") or {}
-    if command["try"] in refusals:
-        return state, {"refused": refusals[command["try"]]}
-    items = command["items"]
-    tokens, weight = sum(item[ITEM_TOKENS] for item in items), weight_of(items)
-    reason = why_refused(state, command, tokens, weight)
+        return state, repeat_answer(known, command.digest)
+    kept_refusals = refusals(state)
+    if command.attempt in kept_refusals:
+        return state, {"refused": kept_refusals[command.attempt]}
+    tokens = sum(Item.from_stored(fields).tokens for fields in command.items)
+    weight = bytes_of_items(command.items)
+    reason = refusal_reason(state, command, tokens, weight)
     if reason in (FENCED, MOVED):
         return state, {"refused": reason}
     if reason is not None:
-        return keep_refusal(state, command["try"], reason)
-    lot = {
-        "forward": command["forward"],
-        "host": command["host"],
-        "digest": command["digest"],
-        "at": command["at"],
-        "due_ms": command["due_ms"],
-        "retain_ms": command["retain_ms"],
-        "rounds": command["rounds"],
-        "count": len(items),
+        return with_refusal(state, command.attempt, reason), {"refused": reason}
+    if command.most_held_bytes is not None and "raw_held" not in state:
+        state = {**state, "raw_held": held_bytes(state)}
+    lot = new_record(command, tokens, weight)
+    return with_lot(state, command.lot, lot), {"items": len(command.items)}
+
+
+def new_record(command: AcceptLot, tokens: int, weight: int) -> LotRecord:
+    """Return the record of a lot of which nothing has run yet."""
+    lot: LotRecord = {
+        "forward": command.forward,
+        "host": command.host,
+        "digest": command.digest,
+        "at": command.submitted_at_ms,
+        "due_ms": command.due_ms,
+        "retain_ms": command.retain_ms,
+        "rounds": command.rounds,
+        "count": len(command.items),
         "tokens": tokens,
         "weight": weight,
-        "items": dict(enumerate(items)),
+        "items": dict(enumerate(command.items)),
         "results": [],
         "failed": {},
         "ended": False,
     }
-    if command.get("ticket") is not None:
-        lot = {**lot, "ledger": command["ledger"], "ticket": command["ticket"]}
-    if "most_weight" in command and "raw_held" not in state:
-        state = {**state, "raw_held": held_weight(state)}
-    return with_lot(state, name, lot), {"items": len(items)}
+    if command.ticket is not None and command.reserving_part is not None:
+        lot["ledger"] = command.reserving_part
+        lot["ticket"] = command.ticket
+    return lot
 
 
-def list_items(lot, rows):
-    """Return the record with results at its next positions; rows are [number, state, text]."""
-    numbers = {number for number, _, _ in rows}
-    listed = [lot["items"][number] for number in numbers]
+def list_items(lot: LotRecord, new_results: Iterable[NewResult]) -> LotRecord:
+    """Return the record with results at its next positions."""
+    listed, results = {}, list(lot["results"])
+    added_bytes = 0
+    for new in new_results:
+        item = Item.from_stored(lot["items"][new.number])
+        listed[new.number] = item
+        results.append(ItemResult(item.item_id, new.state, new.text).to_stored())
+        added_bytes += len(new.text) + ITEM_OVERHEAD_BYTES
+    freed_bytes = sum(len(item.body) + ITEM_OVERHEAD_BYTES for item in listed.values())
     return {
         **lot,
-        "results": [*lot["results"], *([lot["items"][n][ITEM_ID], s, t] for n, s, t in rows)],
-        "items": {n: item for n, item in lot["items"].items() if n not in numbers},
-        "failed": {n: runs for n, runs in lot["failed"].items() if n not in numbers},
-        "tokens": lot["tokens"] - sum(item[ITEM_TOKENS] for item in listed),
-        "weight": lot["weight"]
-        - weight_of(listed)
-        + sum(len(text) + ITEM_WEIGHT for _, _, text in rows),
+        "results": results,
+        "items": _without(lot["items"], listed),
+        "failed": _without(lot["failed"], listed),
+        "tokens": lot["tokens"] - sum(item.tokens for item in listed.values()),
+        "weight": lot["weight"] - freed_bytes + added_bytes,
     }
 
 
-@COMMANDS.entry("raw.result")
-def list_result(state, command):
+def _without(table: Mapping[int, Any], numbers: Mapping[int, Any]) -> dict[int, Any]:
+    return {number: value for number, value in table.items() if number not in numbers}
+
+
+@COMMANDS.entry(commands.LIST_RESULT)
+def list_result(state: State, wire: Wire) -> tuple[State, Answer]:
     """List an item's result at the next position; an item that stands already changes nothing."""
-    lot = lot_records(state).get(command["lot"])
-    if lot is None or command["n"] not in lot["items"]:
+    command = ListResult.from_wire(wire)
+    lot = lot_records(state).get(command.lot)
+    if lot is None or command.number not in lot["items"]:
         return state, {"listed": False}
-    new_lot = list_items(lot, [[command["n"], command["state"], command["text"]]])
-    return with_lot(state, command["lot"], new_lot), {"listed": True}
+    new_lot = list_items(lot, [NewResult(command.number, command.state, command.text)])
+    return with_lot(state, command.lot, new_lot), {"listed": True}
 
 
-@COMMANDS.entry("raw.failed")
-def count_failure(state, command):
+@COMMANDS.entry(commands.COUNT_FAILURE)
+def count_failure(state: State, wire: Wire) -> tuple[State, Answer]:
     """Count a run that a replica answered as failed; the last round's one lists the item."""
-    lot, number = lot_records(state).get(command["lot"]), command["n"]
-    if lot is None or number not in lot["items"]:
+    command = CountFailure.from_wire(wire)
+    lot = lot_records(state).get(command.lot)
+    if lot is None or command.number not in lot["items"]:
         return state, {"listed": False}
-    runs = lot["failed"].get(number, [])
-    if command["run"] in runs:
+    failed_runs = lot["failed"].get(command.number, [])
+    if command.run_id in failed_runs:
         return state, {"listed": False}
-    if len(runs) + 1 >= lot["rounds"]:
-        new_lot = list_items(lot, [[number, ERRORED, b""]])
-        return with_lot(state, command["lot"], new_lot), {"listed": True}
-    new_lot = {**lot, "failed": {**lot["failed"], number: [*runs, command["run"]]}}
-    return with_lot(state, command["lot"], new_lot), {"listed": False}
+    if len(failed_runs) + 1 >= lot["rounds"]:
+        new_lot = list_items(lot, [NewResult(command.number, ERRORED, b"")])
+        return with_lot(state, command.lot, new_lot), {"listed": True}
+    failed = {**lot["failed"], command.number: [*failed_runs, command.run_id]}
+    return with_lot(state, command.lot, {**lot, "failed": failed}), {"listed": False}
 
 
-@COMMANDS.entry("raw.expire")
-def expire_lot(state, command):
+@COMMANDS.entry(commands.EXPIRE)
+def expire_lot(state: State, wire: Wire) -> tuple[State, Answer]:
     """List whatever is left of a lot as errored: its time or its forward is over."""
-    lot = lot_records(state).get(command["lot"])
+    command = ExpireLot.from_wire(wire)
+    lot = lot_records(state).get(command.lot)
     if lot is None or not lot["items"]:
         return state, {"listed": 0}
-    new_lot = list_items(lot, [[number, ERRORED, b""] for number in lot["items"]])
-    return with_lot(state, command["lot"], new_lot), {"listed": len(lot["items"])}
+    new_lot = list_items(lot, [NewResult(number, ERRORED, b"") for number in lot["items"]])
+    return with_lot(state, command.lot, new_lot), {"listed": len(lot["items"])}
 
 
-@COMMANDS.entry("raw.end")
-def end_lot(state, command):
+@COMMANDS.entry(commands.END)
+def end_lot(state: State, wire: Wire) -> tuple[State, Answer]:
     """End a lot: what is listed stays, the rest is dropped with its bodies."""
-    lot = find_lot(state, command)
+    command = EndLot.from_wire(wire)
+    lot = find_lot(state, command.lot)
     if lot["ended"]:
         return state, {"ended": True, "repeated": True}
-    new_lot = {
+    new_lot: LotRecord = {
         **lot,
         "ended": True,
         "items": {},
         "failed": {},
         "tokens": 0,
-        "weight": lot["weight"] - weight_of(lot["items"].values()),
+        "weight": lot["weight"] - bytes_of_items(lot["items"].values()),
     }
-    return with_lot(state, command["lot"], new_lot), {"ended": True}
+    return with_lot(state, command.lot, new_lot), {"ended": True}
 
 
-@COMMANDS.entry("raw.drop")
-def drop_lot(state, command):
+@COMMANDS.entry(commands.DROP)
+def drop_lot(state: State, wire: Wire) -> tuple[State, Answer]:
     """Forget a lot of which nothing waits any more; its ticket takes no lot again."""
-    lot = lot_records(state).get(command["lot"])
+    command = DropLot.from_wire(wire)
+    lots = lot_records(state)
+    lot = lots.get(command.lot)
     if lot is None or lot["items"]:
         return state, {"dropped": False}
-    lots = {name: kept for name, kept in lot_records(state).items() if name != command["lot"]}
-    state = with_lots(state, lots, -lot["weight"])
+    kept_lots = {key: kept for key, kept in lots.items() if key != command.lot}
+    state = with_lots(state, kept_lots, -lot["weight"])
     if "ticket" in lot:
-        fences = state.get("raw_fences") or {}
-        ticket = max(lot["ticket"], fences.get(lot["ledger"], 0))
-        state = {**state, "raw_fences": {**fences, lot["ledger"]: ticket}}
+        state = with_fence(state, lot["ledger"], lot["ticket"])
     return state, {"dropped": True}
 
 
-@QUERIES.entry("raw.results")
-def query_results(state, query):
+@QUERIES.entry(commands.RESULTS)
+def query_results(state: State, wire: Wire) -> Answer:
     """Return the results from a position on, as many as the limit takes, one at least."""
-    lot = find_lot(state, query)
-    chosen_results, weight = [], 0
-    for result in lot["results"][query["from"] :]:
-        weight += len(result[2]) + 100
-        if chosen_results and weight > query["limit"]:
+    query = QueryResults.from_wire(wire)
+    lot = find_lot(state, query.lot)
+    chosen_results: list[list[Any]] = []
+    weight = 0
+    for result in lot["results"][query.start :]:
+        _item_id, _state, text = result
+        weight += len(text) + RESULT_OVERHEAD_BYTES
+        if chosen_results and weight > query.limit_bytes:
             break
         chosen_results.append(result)
     return {
         "items": lot["count"],
         "results": chosen_results,
-        "next": query["from"] + len(chosen_results),
+        "next": query.start + len(chosen_results),
         "is_over": not lot["items"],
     }
 
 
-@QUERIES.entry("raw.known")
-def query_known_lot(state, query):
-    """Return the answer to a lot that is handed in again; NotFound where it is not known here."""
-    return repeat_answer(find_lot(state, query), query)
+@QUERIES.entry(commands.KNOWN)
+def query_known_lot(state: State, wire: Wire) -> Answer:
+    """Return the answer to a lot that is submitted again; NotFound where it is not known here."""
+    query = QueryKnownLot.from_wire(wire)
+    return repeat_answer(find_lot(state, query.lot), query.digest)
 
 
-@QUERIES.entry("raw.body")
-def query_item_body(state, query):
+@QUERIES.entry(commands.ITEM_BODY)
+def query_item_body(state: State, wire: Wire) -> Answer:
     """Return the body of an item that is not listed yet."""
-    lot = find_lot(state, query)
-    for item in lot["items"].values():
-        if item[ITEM_ID] == query["item"]:
-            return {"body": item[ITEM_BODY]}
+    query = QueryItemBody.from_wire(wire)
+    lot = find_lot(state, query.lot)
+    for fields in lot["items"].values():
+        item = Item.from_stored(fields)
+        if item.item_id == query.item_id:
+            return {"body": item.body}
     raise NotFound(field="item")
--- a/quillring/lots/http_requests/token_reservations.py
+++ b/quillring/lots/http_requests/token_reservations.py
@@ -1,141 +1,221 @@
 """Commands of the quota: tokens of a forward are reserved in one part before a lot is accepted.
 
-The ledger of a host's forwards lives in the part that the host hashes to. An entry holds the tokens
-of one lot, under a ticket; tickets only grow. The lot's own part accepts a lot under its ticket,
-and can be told to refuse for ever all tickets of a ledger up to one, which is what makes it safe to
-take the reservation of a lot back that did not arrive. See docs/raw-lots.md.
+The reservations of a host's forwards live in the part that the host hashes to. One holds the tokens
+of a lot under a ticket, a fencing token: tickets only grow. The lot's own part accepts a lot under
+its ticket, and can be told to refuse for ever all tickets of a reserving part up to one, which is
+what makes it safe to take the reservation of a lot back that did not arrive. See docs/raw-lots.md.
 """
 
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping
+from typing import TypedDict
+
 from quillring.kernel.errors import Conflict
-from quillring.lots.http_requests.state_machine import (
+from quillring.lots.http_requests import commands
+from quillring.lots.http_requests.commands import (
+    FenceTickets,
+    PendingTokens,
+    ReleaseTokens,
+    ReserveTokens,
+    Wire,
+)
+from quillring.lots.http_requests.lot_table import (
     QUOTA,
-    keep_refusal,
+    State,
     lot_records,
-    repeat_answer,
+    refusals,
+    with_fence,
+    with_refusal,
 )
+from quillring.lots.http_requests.state_machine import Answer, repeat_answer
 from quillring.quorum.commands import COMMANDS
 
-NO_LOT = ""
 
+class Reservation(TypedDict):
+    """The tokens reserved for a lot, in the state; `left` is what may still wait of them."""
+
+    forward: str
+    part: str
+    left: int
+    digest: bytes
+    ticket: int
+
+
+class ForwardTokens(TypedDict):
+    """The sum reserved for a forward, in the state, and its quota as last told."""
+
+    tokens: int
+    most: int
+
+
+class ReservationTable(TypedDict):
+    """A part's reservations, under `raw_ledger` in the state; `next` is the next ticket."""
+
+    next: int
+    lots: dict[str, Reservation]
+    forwards: dict[str, ForwardTokens]
 
-def reserved_lots(state):
-    """Return {lot: its entry} of the ledger that a part keeps."""
-    return (state.get("raw_ledger") or {}).get("lots") or {}
 
+def reservation_table(state: State) -> ReservationTable | None:
+    """Return the reservations that a part keeps, None where it never had any."""
+    table: ReservationTable | None = state.get("raw_ledger")
+    return table
 
-def reserved_tokens(state, forward):
+
+def reserved_lots(state: State) -> dict[str, Reservation]:
+    """Return the reservations of a part by lot."""
+    table = reservation_table(state)
+    return table["lots"] if table else {}
+
+
+def reserved_tokens(state: State, forward: str) -> int:
     """Return the tokens that are reserved for a forward."""
-    return (state.get("raw_ledger") or {}).get("forwards", {}).get(forward, {}).get("tokens", 0)
+    table = reservation_table(state)
+    if not table or forward not in table["forwards"]:
+        return 0
+    return table["forwards"][forward]["tokens"]
 
 
-def first_ledger(state, part):
-    """Return the ledger of a part that had none, with the lots that a former version left there."""
-    lots, forwards = {}, {}
-    for name, lot in lot_records(state).items():
+def first_table(state: State, part: str) -> ReservationTable:
+    """Return the table of a part that had none, with the lots that a former version left there."""
+    lots: dict[str, Reservation] = {}
+    forwards: dict[str, ForwardTokens] = {}
+    for key, lot in lot_records(state).items():
         if not lot["tokens"] or "ticket" in lot:
             continue
-        lots[name] = {
+        lots[key] = {
             "forward": lot["forward"],
             "part": part,
             "ticket": 0,
             "left": lot["tokens"],
             "digest": lot["digest"],
         }
-        waiting = forwards.get(lot["forward"], {"tokens": 0, "most": 0})
-        forwards[lot["forward"]] = {**waiting, "tokens": waiting["tokens"] + lot["tokens"]}
+        known = forwards.get(lot["forward"], {"tokens": 0, "most": 0})
+        forwards[lot["forward"]] = {**known, "tokens": known["tokens"] + lot["tokens"]}
     return {"next": 1, "lots": lots, "forwards": forwards}
 
 
-def with_tokens(forwards, forward, change, most=None):
-    """Return the forwards of a ledger with one's tokens changed; one with none is left out."""
+def with_tokens(
+    forwards: Mapping[str, ForwardTokens], forward: str, change: int, most: int | None = None
+) -> dict[str, ForwardTokens]:
+    """Return the sums with one forward's changed; a forward without tokens is left out."""
     known = forwards.get(forward, {"tokens": 0, "most": 0})
     tokens = known["tokens"] + change
     if not tokens:
-        return {name: waiting for name, waiting in forwards.items() if name != forward}
+        return {name: total for name, total in forwards.items() if name != forward}
     return {
         **forwards,
         forward: {"tokens": tokens, "most": known["most"] if most is None else most},
     }
 
 
-@COMMANDS.entry("raw.reserve")
-def reserve_tokens(state, command):
+@COMMANDS.entry(commands.RESERVE)
+def reserve_tokens(state: State, wire: Wire) -> tuple[State, Answer]:
     """Reserve the tokens of a lot, or answer that its forward has no room for them.
 
     A lot that is reserved already keeps its ticket, unless the caller names it as refused for ever
-    by the lot's own part (`fenced`): then a new one takes its place.
+    by the lot's own part: then a new one takes its place.
     """
-    name, known = command["lot"], lot_records(state).get(command["lot"])
+    command = ReserveTokens.from_wire(wire)
+    known = lot_records(state).get(command.lot)
     if known is not None:
-        return state, repeat_answer(known, command)
-    ledger = state.get("raw_ledger") or first_ledger(state, command["home"])
-    entry = ledger["lots"].get(name)
-    if entry is not None and entry["digest"] != command["digest"]:
+        return state, repeat_answer(known, command.digest)
+    table = reservation_table(state) or first_table(state, command.host_part)
+    reservation = table["lots"].get(command.lot)
+    if reservation is None:
+        return _reserve_anew(state, table, command)
+    if reservation["digest"] != command.digest:
         raise Conflict(field="lot")
-    if entry is not None and entry["ticket"] != command["fenced"]:
-        return state, {"ticket": entry["ticket"]}
-    forwards, ticket = ledger["forwards"], ledger["next"]
-    if entry is None:
-        if command["try"] in (state.get("raw_refusals") or {}):
-            return state, {"refused": state["raw_refusals"][command["try"]]}
-        waiting = forwards.get(command["forward"], {"tokens": 0})["tokens"]
-        if waiting + command["tokens"] > command["most_tokens"]:
-            return keep_refusal({**state, "raw_ledger": ledger}, command["try"], QUOTA)
-        forwards = with_tokens(
-            forwards, command["forward"], command["tokens"], command["most_tokens"]
-        )
-        entry = {
-            "forward": command["forward"],
-            "part": command["part"],
-            "left": command["tokens"],
-            "digest": command["digest"],
-        }
-    lots = {**ledger["lots"], name: {**entry, "ticket": ticket}}
-    new_ledger = {"next": ticket + 1, "lots": lots, "forwards": forwards}
-    return {**state, "raw_ledger": new_ledger}, {"ticket": ticket}
+    if reservation["ticket"] != command.fenced_ticket:
+        return state, {"ticket": reservation["ticket"]}
+    return _with_next_ticket(state, table, table["forwards"], command.lot, reservation)
+
+
+def _reserve_anew(
+    state: State, table: ReservationTable, command: ReserveTokens
+) -> tuple[State, Answer]:
+    """Reserve the tokens of a lot that has no reservation."""
+    kept_refusals = refusals(state)
+    if command.attempt in kept_refusals:
+        return state, {"refused": kept_refusals[command.attempt]}
+    known = table["forwards"].get(command.forward)
+    reserved = 0 if known is None else known["tokens"]
+    if reserved + command.tokens > command.most_tokens:
+        state = with_refusal({**state, "raw_ledger": table}, command.attempt, QUOTA)
+        return state, {"refused": QUOTA}
+    forwards = with_tokens(table["forwards"], command.forward, command.tokens, command.most_tokens)
+    reservation: Reservation = {
+        "forward": command.forward,
+        "part": command.lot_part,
+        "left": command.tokens,
+        "digest": command.digest,
+        "ticket": table["next"],
+    }
+    return _with_next_ticket(state, table, forwards, command.lot, reservation)
+
+
+def _with_next_ticket(
+    state: State,
+    table: ReservationTable,
+    forwards: dict[str, ForwardTokens],
+    lot: str,
+    reservation: Reservation,
+) -> tuple[State, Answer]:
+    """Return the state in which the lot's reservation has the next ticket, and the answer."""
+    ticket = table["next"]
+    new_table: ReservationTable = {
+        "next": ticket + 1,
+        "lots": {**table["lots"], lot: {**reservation, "ticket": ticket}},
+        "forwards": forwards,
+    }
+    return {**state, "raw_ledger": new_table}, {"ticket": ticket}
 
 
-@COMMANDS.entry("raw.release")
-def release_tokens(state, command):
-    """Lower reservations to what still waits; rows are [lot, ticket, tokens left].
+@COMMANDS.entry(commands.RELEASE)
+def release_tokens(state: State, wire: Wire) -> tuple[State, Answer]:
+    """Lower reservations to what still waits.
 
-    An entry only ever falls under its ticket and goes when nothing is left, so a row may be
+    A reservation only ever falls under its ticket and goes when nothing is left, so a row may be
     repeated, late or out of order.
     """
-    ledger = state.get("raw_ledger")
-    if ledger is None:
+    table = reservation_table(state)
+    if table is None:
         return state, {"released": 0}
-    lots, forwards, released = dict(ledger["lots"]), ledger["forwards"], 0
-    for name, ticket, left in command["rows"]:
-        entry = lots.get(name)
-        if entry is None or entry["ticket"] != ticket or (left and left >= entry["left"]):
+    lots, forwards, released = dict(table["lots"]), table["forwards"], 0
+    for pending in ReleaseTokens.from_wire(wire).pending:
+        reservation = lots.get(pending.lot)
+        if reservation is None or not _lowers(reservation, pending):
             continue
-        released += entry["left"] - left
-        forwards = with_tokens(forwards, entry["forward"], left - entry["left"])
-        if left:
-            lots[name] = {**entry, "left": left}
+        change = pending.tokens - reservation["left"]
+        released -= change
+        forwards = with_tokens(forwards, reservation["forward"], change)
+        if pending.tokens:
+            lots[pending.lot] = {**reservation, "left": pending.tokens}
         else:
-            del lots[name]
-    return {
-        **state,
-        "raw_ledger": {**ledger, "lots": lots, "forwards": forwards},
-    }, {"released": released}
+            del lots[pending.lot]
+    new_table: ReservationTable = {**table, "lots": lots, "forwards": forwards}
+    return {**state, "raw_ledger": new_table}, {"released": released}
+
 
+def _lowers(reservation: Reservation, pending: PendingTokens) -> bool:
+    """Tell whether a row is of this reservation and leaves less of it, or nothing."""
+    is_less = not pending.tokens or pending.tokens < reservation["left"]
+    return reservation["ticket"] == pending.ticket and is_less
 
-@COMMANDS.entry("raw.fence")
-def fence_tickets(state, command):
-    """Refuse from now on every unknown lot with a ticket of this ledger up to the one named.
+
+@COMMANDS.entry(commands.FENCE)
+def fence_tickets(state: State, wire: Wire) -> tuple[State, Answer]:
+    """Refuse from now on every unknown lot with a ticket of this part up to the one named.
 
     Answers the tokens that wait of the lots that are known: {lot: tokens}.
     """
-    fences = state.get("raw_fences") or {}
-    ticket = max(command["ticket"], fences.get(command["ledger"], 0))
-    return {**state, "raw_fences": {**fences, command["ledger"]: ticket}}, {
-        "left": tokens_left(state, command["lots"])
-    }
+    command = FenceTickets.from_wire(wire)
+    fenced_state = with_fence(state, command.reserving_part, command.ticket)
+    return fenced_state, {"left": tokens_left(state, command.lots)}
 
 
-def tokens_left(state, names):
-    """Return {lot: tokens of its items without a result} of those named lots that are known."""
+def tokens_left(state: State, keys: Iterable[str]) -> dict[str, int]:
+    """Return the tokens of the items without a result, by lot, of those lots that are known."""
     lots = lot_records(state)
-    return {name: lots[name]["tokens"] for name in names if name in lots}
+    return {key: lots[key]["tokens"] for key in keys if key in lots}
--- a/tests/test_http_lot_failures.py
+++ b/tests/test_http_lot_failures.py
@@ -4,7 +4,7 @@
 
 from quillring.kernel.errors import Fenced, NotSent, OutcomeUnknown, Refused
 from quillring.lots.http_requests import api
-from quillring.lots.http_requests.state_machine import QuotaExceeded, lot_records
+from quillring.lots.http_requests.lot_table import QuotaExceeded, lot_records
 from tests.http_lot_stage import FORWARD, HOST, SERVICE, HttpLotStage, accepted, check_whole
 
 
--- a/tests/test_http_lot_large_results.py
+++ b/tests/test_http_lot_large_results.py
@@ -1,5 +1,5 @@
 from quillring.lots.http_requests.lot_placement import lot_key
-from quillring.lots.http_requests.state_machine import lot_records, with_lot
+from quillring.lots.http_requests.lot_table import lot_records, with_lot
 from tests.http_lot_stage import HOST, HttpLotStage, accepted
 
 LINK_BYTES = 15e6 / 8
--- a/tests/test_http_lot_placement.py
+++ b/tests/test_http_lot_placement.py
@@ -158,7 +158,7 @@
 
 
 def test_all_parts_together_hold_no_more_than_the_bound(monkeypatch):
-    monkeypatch.setattr(lot_placement, "HELD_WEIGHT", 20_000)
+    monkeypatch.setattr(lot_placement, "HELD_LIMIT_BYTES", 20_000)
     with HttpLotStage(109, slots=8) as stage:
         for replica in stage.replicas.values():
             replica.is_silent = True
--- a/tests/test_http_lot_restarts.py
+++ b/tests/test_http_lot_restarts.py
@@ -1,7 +1,7 @@
 from unittest import mock
 
 from quillring.lots.http_requests import api
-from quillring.lots.http_requests.state_machine import QuotaExceeded
+from quillring.lots.http_requests.lot_table import QuotaExceeded
 from tests.http_lot_stage import HttpLotStage, accepted, check_whole
 
 
@@ -28,13 +28,13 @@
     with HttpLotStage(90, most_tokens=50) as stage:
         accepted(stage, "a", 5)
         sent = []
-        real = api.submit_surely
+        real = api.submit_until_sure
 
         def keep(node, part, command, seconds):
             sent.append((part, command))
             return real(node, part, command, seconds)
 
-        with mock.patch.object(api, "submit_surely", keep):
+        with mock.patch.object(api, "submit_until_sure", keep):
             _, error = stage.hand_in("b", 5)
         assert isinstance(error, QuotaExceeded) and command
         stage.read_all("a")
--- a/tests/test_http_lot_state_machine.py
+++ b/tests/test_http_lot_state_machine.py
@@ -2,7 +2,7 @@
 
 from quillring.kernel.errors import Conflict, NotFound
 from quillring.lots.http_requests import state_machine
-from quillring.lots.http_requests.state_machine import HELD, QUOTA, waiting_tokens
+from quillring.lots.http_requests.lot_table import HELD, QUOTA, waiting_tokens
 from quillring.quorum.commands import apply_batch, first_state
 
 
@@ -104,7 +104,7 @@
 
 
 def test_what_a_part_holds_is_bounded(monkeypatch):
-    monkeypatch.setattr(state_machine, "HELD_WEIGHT", 3000)
+    monkeypatch.setattr(state_machine, "HELD_LIMIT_BYTES", 3000)
     state, answers = apply(
         accept("a", body=b"x" * 500), accept("b", attempt="b"), accept("c", attempt="c")
     )
@@ -140,7 +140,7 @@
     with pytest.raises(NotFound):
         state_machine.query_item_body(state, {"lot": "x", "item": "x-0"})
     lot = state["raw"]["x"]
-    assert lot["weight"] == len(b"text") + state_machine.ITEM_WEIGHT and lot["tokens"] == 0
+    assert lot["weight"] == len(b"text") + state_machine.ITEM_OVERHEAD_BYTES and lot["tokens"] == 0
 
 
 def test_an_expired_lot_has_a_result_for_every_item():
