--- a/proving/points/callers.py
+++ b/proving/points/callers.py
@@ -10,9 +10,9 @@
 from quillring.forward.route_table import ForwardRoute
 from quillring.kernel.bounds import Bounds
 from quillring.kernel.connections import Pool
-from quillring.kernel.effects import SendOn
+from quillring.kernel.effects import SendRequest
 from quillring.kernel.errors import BackendError, OutcomeUnknown, QuillringError, Refused
-from quillring.kernel.http_client import Answer, send_on
+from quillring.kernel.http_client import Answer, send_request
 from quillring.nifty import Member
 
 ADDRESS = ("10.0.0.1", 9000)
@@ -39,7 +39,7 @@
         body = b"answer to sending %d" % number
         request = f"POST / HTTP/1.1\r\nRequest-Id: {name}\r\nContent-Length: 0\r\n\r\n".encode()
         may_reuse = chance.random() < 0.9
-        handle = send_on(SendOn(ADDRESS, request, 1, may_reuse, (ID_HEADER, name)))
+        handle = send_request(SendRequest(ADDRESS, request, 1, may_reuse, (ID_HEADER, name)))
         sock = handle.connection.sock
         if not may_reuse and len(sock.written) > 1:
             violations.append(f"sending {number} went out on a kept connection")
@@ -80,8 +80,8 @@
     """Return the whole body of an answer, or None where it broke off."""
     parts = []
     try:
-        handle.next_head(1)
-        while (part := handle.next_part(1)) is not None:
+        handle.read_head(1)
+        while (part := handle.read_body_part(1)) is not None:
             parts.append(part)
     except BackendError:
         return None
--- a/proving/sim/raw_replicas.py
+++ b/proving/sim/raw_replicas.py
@@ -1,7 +1,7 @@
 """Simulated raw replicas: whole requests in, events out, and ways to go wrong."""
 
 from proving.sim.runtime import SimRuntime
-from quillring.kernel.effects import NextHead, NextPart, SendOn, Signal
+from quillring.kernel.effects import ReadBody, ReadHead, SendRequest, Signal
 from quillring.kernel.errors import BackendError, NotSent, QuillringError
 
 SERVICE = "engine"
@@ -20,9 +20,9 @@
 
     def perform(self, effect):
         """Bring about one effect."""
-        if isinstance(effect, SendOn):
-            return self.backends.raw.send_on(self, effect)
-        if isinstance(effect, (NextHead, NextPart)):
+        if isinstance(effect, SendRequest):
+            return self.backends.raw.send_request(self, effect)
+        if isinstance(effect, (ReadHead, ReadBody)):
             return effect.handle.wait(self, effect)
         return super().perform(effect)
 
@@ -45,9 +45,9 @@
         signal.set()
 
     def wait(self, runtime, effect):
-        """Process: the outcome of NextHead or NextPart."""
+        """Process: the outcome of ReadHead or ReadBody."""
         end_time = runtime.env.now + effect.seconds
-        is_head = isinstance(effect, NextHead)
+        is_head = isinstance(effect, ReadHead)
         while True:
             if self.is_closed:
                 raise BackendError(reason="closed")
@@ -158,7 +158,7 @@
     def __init__(self, stage):
         self.stage = stage
 
-    def send_on(self, runtime, effect):
+    def send_request(self, runtime, effect):
         """Process: send a request; returns the handle of its answer."""
         yield self.stage.env.timeout(0.001)
         replica = next(
--- a/proving/sim/runtime.py
+++ b/proving/sim/runtime.py
@@ -2,7 +2,7 @@
 
 import random
 
-from quillring.kernel.effects import Emit, Fetch, Next, Open, Sleep, Wait
+from quillring.kernel.effects import FetchJson, OpenStream, ReadLine, SendToClient, Sleep, Wait
 from quillring.kernel.errors import QuillringError
 
 
@@ -122,8 +122,8 @@
             except StopIteration as stop:
                 return stop.value
             value, error = None, None
-            if isinstance(effect, Emit):
-                if not sink(effect.line):
+            if isinstance(effect, SendToClient):
+                if not sink(effect.item):
                     coroutine.close()
                     return None
                 continue
@@ -144,11 +144,11 @@
                 yield self.env.timeout(effect.seconds)
             case Wait():
                 return (yield from self.wait(effect.signal, effect.seconds))
-            case Fetch():
+            case FetchJson():
                 return (yield from self.backends.fetch(self, effect))
-            case Open():
+            case OpenStream():
                 return (yield from self.backends.open(self, effect))
-            case Next():
+            case ReadLine():
                 return (yield from self.backends.next(self, effect))
         return None
 
--- a/proving/sim/scripted.py
+++ b/proving/sim/scripted.py
@@ -2,7 +2,7 @@
 
 import random
 
-from quillring.kernel.effects import Emit, NextHead, NextPart, SendOn, Sleep, Wait
+from quillring.kernel.effects import ReadBody, ReadHead, SendRequest, SendToClient, Sleep, Wait
 from quillring.kernel.errors import BackendError, NotSent, StaleConnection
 
 SILENT, BREAK, STALE, END = "silent", "break", "stale", None
@@ -85,20 +85,20 @@
     def perform(self, effect):
         """Bring about one effect."""
         match effect:
-            case Emit():
-                self.emitted.append(effect.line)
+            case SendToClient():
+                self.emitted.append(effect.item)
             case Sleep():
                 self.time += effect.seconds
             case Wait():
                 if not effect.signal.is_set:
                     self.time += max(0, effect.seconds)
                 return effect.signal.is_set
-            case SendOn():
+            case SendRequest():
                 return self._send(effect)
-            case NextHead():
+            case ReadHead():
                 effect.handle.status, headers = effect.handle.next(effect.seconds)
                 effect.handle.headers = headers
-            case NextPart():
+            case ReadBody():
                 return effect.handle.next(effect.seconds)
         return None
 
--- a/proving/tools/standin.py
+++ b/proving/tools/standin.py
@@ -11,7 +11,7 @@
 
 from proving.tools.standin_logic import StandIn, piece_count, piece_text, seat_word, tile_word
 from quillring.kernel import backend
-from quillring.kernel.effects import Fetch
+from quillring.kernel.effects import FetchJson
 from quillring.kernel.errors import QuillringError
 from quillring.kernel.http_server import start_server
 from quillring.kernel.settings import split_address
@@ -124,7 +124,7 @@
         for _ in range(len(nodes)):
             try:
                 backend.fetch(
-                    Fetch(
+                    FetchJson(
                         split_address(nodes[turn % len(nodes)]),
                         "POST",
                         "/v1/replicas/beats",
--- a/quillring/edge/short_requests.py
+++ b/quillring/edge/short_requests.py
@@ -4,7 +4,7 @@
 from quillring.edge.admission import check_admission
 from quillring.edge.stream_handlers import check_before_sending
 from quillring.kernel.checks import StrictValidator, read_count
-from quillring.kernel.effects import Fetch
+from quillring.kernel.effects import FetchJson
 from quillring.kernel.errors import (
     BackendError,
     Busy,
@@ -71,7 +71,7 @@
             try:
                 check_before_sending(node, lease.replica, end_time)
                 lease.may_run_on = True
-                status, answer = yield Fetch(
+                status, answer = yield FetchJson(
                     lease.replica.address,
                     method,
                     lease.replica.path(path, inquiry=name),
--- a/quillring/edge/stream_handlers.py
+++ b/quillring/edge/stream_handlers.py
@@ -5,7 +5,7 @@
 from quillring.edge.dispatch import prefix_key
 from quillring.edge.resume_token import make_token, read_token
 from quillring.kernel.checks import StrictValidator, read_count
-from quillring.kernel.effects import Emit, Next, Open
+from quillring.kernel.effects import OpenStream, ReadLine, SendToClient
 from quillring.kernel.errors import (
     BackendError,
     BadRequest,
@@ -124,7 +124,7 @@
         if not sending.has_head:
             raise
         node.count("broken_streams")
-        yield Emit({"end": False, **error.to_json(), "pieces": sending.count})
+        yield SendToClient({"end": False, **error.to_json(), "pieces": sending.count})
         return
     finally:
         stream.is_running = False
@@ -132,17 +132,17 @@
             node.find("meter").note(route["class"], sending.first_at, first_end)
         if not stream.pieces and not sending.has_head:
             node.find("journal").forget(stream)
-    yield Emit({"end": True, "pieces": len(stream.pieces)})
+    yield SendToClient({"end": True, "pieces": len(stream.pieces)})
 
 
 def emit_held(stream, sending):
     """Coroutine: emit the pieces that two nodes hold and the sender lacks."""
     if not sending.has_head and (stream.ended or sending.count < len(stream.pieces)):
         sending.has_head, sending.first_at = True, sending.clock()
-        yield Emit(sending.head_line)
+        yield SendToClient(sending.head_line)
     while sending.count < len(stream.pieces):
         sending.count += 1
-        yield Emit({"n": sending.count, "piece": stream.pieces[sending.count - 1]})
+        yield SendToClient({"n": sending.count, "piece": stream.pieces[sending.count - 1]})
 
 
 def one_attempt(node, stream, sending, end_time, avoided_names):
@@ -165,7 +165,7 @@
     try:
         check_before_sending(node, replica, end_time)
         lease.may_run_on = True
-        handle = yield Open(
+        handle = yield OpenStream(
             replica.address,
             replica.path("/v1/generate"),
             {
@@ -227,7 +227,7 @@
     """
     journal, stall_seconds = node.find("journal"), service.get("stall_ms", STALL_MS) / 1000
     while True:
-        line = yield Next(handle, max(0.001, min(end_time - node.now(), stall_seconds)))
+        line = yield ReadLine(handle, max(0.001, min(end_time - node.now(), stall_seconds)))
         check_line(line, stream.name, len(stream.pieces))
         if line.get("end"):
             lease.may_run_on = False
--- a/quillring/forward/attempt.py
+++ b/quillring/forward/attempt.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Any
 
 from quillring.forward.retry import STALL
-from quillring.kernel.effects import NextHead, SendOn
+from quillring.kernel.effects import ReadHead, SendRequest
 from quillring.kernel.errors import BackendError, NotSent, StaleConnection
 
 if TYPE_CHECKING:
@@ -108,7 +108,7 @@
         raise NotSent(replica=replica.name, reason="no time left")
     data = request.to_bytes(header_names, replica.name, seconds_left, urgency, last_event_id)
     answer_id = (header_names.request_id, request.id)
-    handle = yield SendOn(replica.address, data, seconds_left, may_reuse, answer_id)
+    handle = yield SendRequest(replica.address, data, seconds_left, may_reuse, answer_id)
     has_head = False
     try:
         yield from wait_for_head(node, replica, handle, end_time, first_byte_timeout)
@@ -124,19 +124,19 @@
 ) -> Coroutine:
     """Return once the head is there; BackendError when it is not in time."""
     if not first_byte_timeout:
-        yield NextHead(handle, end_time - node.now() + GRACE_SECONDS)
+        yield ReadHead(handle, end_time - node.now() + GRACE_SECONDS)
         return
     sent_at = node.now()
     try:
         seconds_left = end_time - node.now() + GRACE_SECONDS
-        yield NextHead(handle, min(seconds_left, first_byte_timeout))
+        yield ReadHead(handle, min(seconds_left, first_byte_timeout))
         return
     except BackendError as error:
         is_unresponsive = node.find("placement").is_unresponsive(replica, node.now() - sent_at)
         if error.detail["reason"] != STALL or is_unresponsive or node.now() >= end_time:
             raise
     seconds_left = end_time - node.now() + GRACE_SECONDS
-    yield NextHead(handle, min(seconds_left, first_byte_timeout * BUSY_TIMEOUT_FACTOR))
+    yield ReadHead(handle, min(seconds_left, first_byte_timeout * BUSY_TIMEOUT_FACTOR))
 
 
 def note_if_misdirected(node: Node, replica: Replica, handle: Any) -> None:
--- a/quillring/forward/response.py
+++ b/quillring/forward/response.py
@@ -8,7 +8,7 @@
 from quillring.forward.events import EventReader
 from quillring.forward.request import hop_by_hop_headers
 from quillring.forward.retry import SILENCE_TIMEOUT_FACTOR, STALL, may_retry
-from quillring.kernel.effects import Emit, NextPart
+from quillring.kernel.effects import ReadBody, SendToClient
 from quillring.kernel.errors import BackendError
 
 if TYPE_CHECKING:
@@ -42,7 +42,7 @@
     """Read the whole body; returns a Response."""
     parts: list[bytes] = []
     while True:
-        part = yield NextPart(handle, progress.end_time - node.now() + GRACE_SECONDS)
+        part = yield ReadBody(handle, progress.end_time - node.now() + GRACE_SECONDS)
         if part is None:
             return Response(handle.status, passed_headers(handle.headers), b"".join(parts))
         parts.append(part)
@@ -76,10 +76,10 @@
 def emit_stream(progress: RequestProgress, handle: Any, data: bytes) -> Coroutine:
     """Emit bytes of a stream, the first ones together with its head."""
     if progress.has_head:
-        yield Emit(data)
+        yield SendToClient(data)
         return
     progress.has_head = True
-    yield Emit(Response(handle.status, passed_headers(handle.headers), data))
+    yield SendToClient(Response(handle.status, passed_headers(handle.headers), data))
 
 
 def next_part(
@@ -94,9 +94,9 @@
     while True:
         seconds_left = progress.end_time - node.now() + GRACE_SECONDS
         if not may_retry(node, route, progress):
-            return (yield NextPart(handle, seconds_left))
+            return (yield ReadBody(handle, seconds_left))
         try:
-            return (yield NextPart(handle, min(timeout, seconds_left)))
+            return (yield ReadBody(handle, min(timeout, seconds_left)))
         except BackendError as error:
             is_over = node.now() >= progress.end_time
             is_long = timeout >= route.gap_goal_seconds * LONG_SILENCE_TIMEOUT_FACTOR
--- a/quillring/kernel/effects.py
+++ b/quillring/kernel/effects.py
@@ -52,7 +52,7 @@
         self.records = records
 
 
-class Fetch(Effect):
+class FetchJson(Effect):
     """Send one HTTP request with a JSON body to a back end; resume with (status, JSON body).
 
     One that may repeat goes over a kept connection, which may break without telling why.
@@ -77,7 +77,7 @@
         self.may_repeat = may_repeat
 
 
-class Open(Effect):
+class OpenStream(Effect):
     """Open a streamed HTTP answer of a back end; resume with its handle."""
 
     __slots__ = ("address", "path", "body", "seconds")
@@ -89,7 +89,7 @@
         self.seconds = seconds
 
 
-class Next(Effect):
+class ReadLine(Effect):
     """Resume with the next JSON line of an open stream, or None at its end."""
 
     __slots__ = ("handle", "seconds")
@@ -99,7 +99,7 @@
         self.seconds = seconds
 
 
-class SendOn(Effect):
+class SendRequest(Effect):
     """Send the bytes of one HTTP request; resume with the handle of its answer.
 
     `answer_id` is (lower-case header name, value): answers that bear another one are skipped.
@@ -123,7 +123,7 @@
         self.answer_id = answer_id
 
 
-class NextHead(Effect):
+class ReadHead(Effect):
     """Resume once the head of an answer is there; a stall leaves the handle as it is."""
 
     __slots__ = ("handle", "seconds")
@@ -133,7 +133,7 @@
         self.seconds = seconds
 
 
-class NextPart(Effect):
+class ReadBody(Effect):
     """Resume with the next bytes of an answer's body, or None at its proper end."""
 
     __slots__ = ("handle", "seconds")
@@ -143,13 +143,13 @@
         self.seconds = seconds
 
 
-class Emit(Effect):
-    """Hand one line to the sender of the request."""
+class SendToClient(Effect):
+    """Send one item of a streamed response to the client: a JSON line, or a head or body bytes."""
 
-    __slots__ = ("line",)
+    __slots__ = ("item",)
 
-    def __init__(self, line: Any) -> None:
-        self.line = line
+    def __init__(self, item: Any) -> None:
+        self.item = item
 
 
 class Signal:
--- a/quillring/kernel/gevent_runtime.py
+++ b/quillring/kernel/gevent_runtime.py
@@ -13,13 +13,13 @@
 from quillring.kernel.channel import FRAME_HEAD, Channel
 from quillring.kernel.datagrams import Datagrams
 from quillring.kernel.effects import (
-    Emit,
-    Fetch,
-    Next,
-    NextHead,
-    NextPart,
-    Open,
-    SendOn,
+    FetchJson,
+    OpenStream,
+    ReadBody,
+    ReadHead,
+    ReadLine,
+    SendRequest,
+    SendToClient,
     Sleep,
     Wait,
 )
@@ -157,8 +157,8 @@
                 except StopIteration as stop:
                     return stop.value
                 value, error = None, None
-                if isinstance(effect, Emit):
-                    yield effect.line
+                if isinstance(effect, SendToClient):
+                    yield effect.item
                     continue
                 try:
                     value = self.perform(effect)
@@ -175,18 +175,18 @@
                 return None
             case Wait():
                 return self._wait(effect.signal, effect.seconds)
-            case Fetch():
+            case FetchJson():
                 return backend.fetch(effect)
-            case Open():
+            case OpenStream():
                 return backend.open_stream(effect)
-            case Next():
+            case ReadLine():
                 return backend.next_line(effect)
-            case SendOn():
-                return http_client.send_on(effect)
-            case NextHead():
-                return effect.handle.next_head(effect.seconds)
-            case NextPart():
-                return effect.handle.next_part(effect.seconds)
+            case SendRequest():
+                return http_client.send_request(effect)
+            case ReadHead():
+                return effect.handle.read_head(effect.seconds)
+            case ReadBody():
+                return effect.handle.read_body_part(effect.seconds)
 
     def sleep(self, seconds):
         """Sleep until a step near to then: what wakes together costs one wake."""
--- a/quillring/kernel/http_client.py
+++ b/quillring/kernel/http_client.py
@@ -144,7 +144,7 @@
                 rest = rest[sock.send(rest) :]
         self.is_written = not rest
 
-    def next_head(self, seconds):
+    def read_head(self, seconds):
         """Return once the head is there; StaleConnection where a kept connection had died."""
         try:
             self._read_head(seconds)
@@ -159,7 +159,7 @@
                 while not self.has_head:
                     self.read()
 
-    def next_part(self, seconds):
+    def read_body_part(self, seconds):
         """Return the next bytes of the body, or None at its proper end."""
         if not self.parts and not self.is_whole:
             with gevent.Timeout(max(seconds, 0.001), BackendError(reason="stall")):
@@ -192,7 +192,7 @@
             self.connection.close()
 
 
-def send_on(effect):
+def send_request(effect):
     """Send a request on a kept or a new connection and return the handle of its answer.
 
     Without an id no answer could be told from a surplus one, so that such a request gets a new
--- a/quillring/lots/http_requests/item_executor.py
+++ b/quillring/lots/http_requests/item_executor.py
@@ -7,7 +7,7 @@
 from quillring.forward.attempt import is_not_run, is_sealed, open_response
 from quillring.forward.events import EventReader
 from quillring.forward.request import Request
-from quillring.kernel.effects import NextPart, Sleep
+from quillring.kernel.effects import ReadBody, Sleep
 from quillring.kernel.errors import BackendError, Fenced, NotSent, QuillringError, Refused
 from quillring.lots.http_requests.lot_table import ERRORED, FINISHED
 
@@ -183,14 +183,14 @@
         """Coroutine: wait for bytes; a replica that is silent to all is left at half time."""
         seconds = self.node.bounds.shutdown / 2
         try:
-            return (yield NextPart(handle, seconds))
+            return (yield ReadBody(handle, seconds))
         except BackendError as error:
             is_unresponsive = self.node.find("placement").is_unresponsive(
                 in_flight_request.replica, seconds
             )
             if error.detail["reason"] != "stall" or is_unresponsive:
                 raise
-        return (yield NextPart(handle, seconds))
+        return (yield ReadBody(handle, seconds))
 
     def _take(self, run, events):
         for event in events:
--- a/quillring/lots/prompts/scheduler.py
+++ b/quillring/lots/prompts/scheduler.py
@@ -7,7 +7,7 @@
 from quillring.classes.promises import may_repeat
 from quillring.edge.dispatch import prefix_key
 from quillring.edge.stream_handlers import STALL_MS, check_before_sending, check_line
-from quillring.kernel.effects import Fetch, Next, Open, Signal, Sleep, Wait
+from quillring.kernel.effects import FetchJson, OpenStream, ReadLine, Signal, Sleep, Wait
 from quillring.kernel.errors import BackendError, Busy, NotSent, QuillringError
 from quillring.lots.prompts.retention import Retention
 from quillring.lots.prompts.state_machine import OPEN
@@ -100,7 +100,7 @@
 
     def _tell_replica(self, replica, prefix):
         try:
-            yield Fetch(
+            yield FetchJson(
                 replica.address,
                 "POST",
                 replica.path("/v1/stop", inquiry=prefix),
@@ -174,7 +174,7 @@
             self.unsent.discard(key)
             lease.may_run_on = True
             path = lease.replica.path("/v1/generate")
-            handle = self.running[key].handle = yield Open(
+            handle = self.running[key].handle = yield OpenStream(
                 lease.replica.address,
                 path,
                 {
@@ -209,7 +209,7 @@
     def _read_result(self, handle, request_name, stall_seconds, key):
         pieces, weight = [], 0
         while not self.running[key].stop_signal.is_set:
-            line = yield Next(handle, stall_seconds)
+            line = yield ReadLine(handle, stall_seconds)
             check_line(line, request_name, len(pieces))
             if line.get("end"):
                 return {"text": "".join(pieces)}
--- a/quillring/verbs/client.py
+++ b/quillring/verbs/client.py
@@ -1,7 +1,7 @@
 """The verbs' side of the HTTP interface."""
 
 from quillring.kernel import backend
-from quillring.kernel.effects import Fetch
+from quillring.kernel.effects import FetchJson
 from quillring.kernel.errors import BadRequest, rebuild
 from quillring.kernel.settings import is_real_address, split_address
 
@@ -13,7 +13,7 @@
     if not is_real_address(node):
         raise BadRequest(field="--node", reason="not an IP:PORT")
     status, answer = backend.fetch(
-        Fetch(split_address(node), method, path, body, PATIENCE_SECONDS, False)
+        FetchJson(split_address(node), method, path, body, PATIENCE_SECONDS, False)
     )
     if status >= 400:
         detail = {n: v for n, v in (answer or {}).items() if n != "trouble"}
--- a/tests/scripted_peer.py
+++ b/tests/scripted_peer.py
@@ -6,8 +6,8 @@
 import gevent.socket
 from gevent.server import StreamServer
 
-from quillring.kernel.effects import SendOn
-from quillring.kernel.http_client import send_on
+from quillring.kernel.effects import SendRequest
+from quillring.kernel.http_client import send_request
 
 RESET = struct.pack("ii", 1, 0)
 ID_HEADER = "x-id"
@@ -83,15 +83,15 @@
 def open_request(peer, name, may_reuse=True, seconds=5, method=b"POST"):
     """Send a request; return the handle of its answer."""
     data = request(name and name.encode(), method)
-    return send_on(SendOn(peer.address, data, seconds, may_reuse, (ID_HEADER, name)))
+    return send_request(SendRequest(peer.address, data, seconds, may_reuse, (ID_HEADER, name)))
 
 
 def read_body(handle, seconds=5):
     """Return the whole body of an answer."""
     try:
-        handle.next_head(seconds)
+        handle.read_head(seconds)
         parts = []
-        while (part := handle.next_part(seconds)) is not None:
+        while (part := handle.read_body_part(seconds)) is not None:
             parts.append(part)
         return b"".join(parts)
     finally:
--- a/tests/test_backend.py
+++ b/tests/test_backend.py
@@ -7,7 +7,7 @@
 from gevent.server import StreamServer
 
 from quillring.kernel import backend
-from quillring.kernel.effects import Fetch, Open
+from quillring.kernel.effects import FetchJson, OpenStream
 from quillring.kernel.errors import BackendError, NotSent
 from quillring.kernel.http_server import start_server
 
@@ -34,7 +34,7 @@
 
 
 def fetch(server, may_repeat):
-    return backend.fetch(Fetch(server.address, "POST", "/x", {}, 5, may_repeat))
+    return backend.fetch(FetchJson(server.address, "POST", "/x", {}, 5, may_repeat))
 
 
 def test_what_may_repeat_survives_a_kept_connection_that_breaks_off():
@@ -53,7 +53,7 @@
 def test_no_answer_in_time_is_not_tried_again():
     silent = StreamServer(("127.0.0.1", 0), lambda conn, _: gevent.event.Event().wait())
     silent.start()
-    effect = Fetch(("127.0.0.1", silent.server_port), "GET", "/", None, 0.05, True)
+    effect = FetchJson(("127.0.0.1", silent.server_port), "GET", "/", None, 0.05, True)
     with pytest.raises(BackendError):
         backend.fetch(effect)
 
@@ -86,14 +86,14 @@
 def test_what_may_not_repeat_is_sent_once_also_by_the_library_below(method):
     server = Closing()
     with pytest.raises(BackendError):
-        backend.fetch(Fetch(server.address, method, "/x", None, 5, False))
+        backend.fetch(FetchJson(server.address, method, "/x", None, 5, False))
     assert len(server.requests) == 1
 
 
 def test_a_stream_is_opened_once():
     server = Closing()
     with pytest.raises(BackendError):
-        backend.open_stream(Open(server.address, "/x", {}, 5))
+        backend.open_stream(OpenStream(server.address, "/x", {}, 5))
     assert len(server.requests) == 1
 
 
@@ -135,7 +135,7 @@
 
 def test_a_connection_with_surplus_bytes_serves_no_further_request():
     server = Surplus()
-    effect = Fetch(server.address, "GET", "/x", None, 5, True)
+    effect = FetchJson(server.address, "GET", "/x", None, 5, True)
     with mock.patch.object(backend, "IDLE", backend.Idle()):
         assert backend.fetch(effect) == (200, "first")
         server.repeats.set()
--- a/tests/test_connection_machine.py
+++ b/tests/test_connection_machine.py
@@ -11,9 +11,9 @@
 from proving.tools.fake_wire import END, RESET, FakeWire
 from quillring.kernel import http_client
 from quillring.kernel.connections import Pool
-from quillring.kernel.effects import SendOn
+from quillring.kernel.effects import SendRequest
 from quillring.kernel.errors import BackendError
-from quillring.kernel.http_client import Answer, send_on
+from quillring.kernel.http_client import Answer, send_request
 from tests.profiles import profile
 from tests.scripted_peer import ID_HEADER, request
 
@@ -70,7 +70,7 @@
         before = [len(sock.written) for sock in self.wire.sockets]
         data = request(name)
         answer_id = (ID_HEADER, name and name.decode())
-        handle = send_on(SendOn(ADDRESS, data, 5, may_reuse, answer_id))
+        handle = send_request(SendRequest(ADDRESS, data, 5, may_reuse, answer_id))
         after = [len(sock.written) for sock in self.wire.sockets]
         assert sum(after) == sum(before) + 1, "a request is written once"
         sock = handle.connection.sock
@@ -120,8 +120,8 @@
     def read(self, number):
         if exchange := self.pick(number):
             try:
-                exchange.handle.next_head(1)
-                part = exchange.handle.next_part(1)
+                exchange.handle.read_head(1)
+                part = exchange.handle.read_body_part(1)
             except BackendError as error:
                 if error.detail["reason"] != "stall":
                     self.end(exchange)
--- a/tests/test_early_answers.py
+++ b/tests/test_early_answers.py
@@ -4,8 +4,8 @@
 import gevent.event
 import pytest
 
-from quillring.kernel.effects import SendOn
-from quillring.kernel.http_client import send_on
+from quillring.kernel.effects import SendRequest
+from quillring.kernel.http_client import send_request
 from tests.scripted_peer import ID_HEADER, ScriptedPeer, answer, answers, ask, read_body
 
 LENGTH = 16_000_000
@@ -40,8 +40,8 @@
 
 
 def send_long(peer, may_reuse):
-    effect = SendOn(peer.address, long_request(b"a"), 5, may_reuse, (ID_HEADER, "a"))
-    return send_on(effect)
+    effect = SendRequest(peer.address, long_request(b"a"), 5, may_reuse, (ID_HEADER, "a"))
+    return send_request(effect)
 
 
 @pytest.mark.parametrize("may_reuse", [True, False])
--- a/tests/test_forward_once.py
+++ b/tests/test_forward_once.py
@@ -49,7 +49,7 @@
     wait_for_head = runtime.perform
 
     def perform(effect):
-        if type(effect).__name__ == "NextHead" and len(runtime.sent) == 1:
+        if type(effect).__name__ == "ReadHead" and len(runtime.sent) == 1:
             beat(node, 0, 2, state="leaving")
         return wait_for_head(effect)
 
@@ -123,7 +123,7 @@
 
     def perform(effect):
         name = type(effect).__name__
-        if name == "NextPart" and runtime.emitted:
+        if name == "ReadBody" and runtime.emitted:
             beat(node, 0, 2, state="leaving")
         if name == "Wait" and runtime.now() + effect.seconds >= 1004.99 - 1e-6:
             beat(node, 1)
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -5,7 +5,7 @@
 
 from proving.sim.scripted import BREAK, END, SILENT, STALE
 from quillring.forward.request_handler import forward_request
-from quillring.kernel.effects import Emit
+from quillring.kernel.effects import SendToClient
 from quillring.kernel.errors import BackendError, QuillringError
 from tests.forward_stage import HEAD, PLAIN_HEAD, both, event, make, request
 from tests.test_raw_clients import Stream
@@ -88,7 +88,7 @@
 
 def test_what_came_before_no_request_is_still_answered(serve):  # noqa: F811
     def handle(node, raw):
-        yield Emit((200, [], b"one"))
+        yield SendToClient((200, [], b"one"))
 
     client = Client(serve(handle))
     client.send(b"GET / HTTP/1.1\r\nHost: h\r\n\r\nNONSENSE\r\n\r\n")
--- a/tests/test_pipelining_machine.py
+++ b/tests/test_pipelining_machine.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from quillring.kernel import raw_connection
-from quillring.kernel.effects import Emit
+from quillring.kernel.effects import SendToClient
 from quillring.kernel.errors import QuillringError
 from quillring.kernel.gevent_runtime import GeventRuntime
 from quillring.kernel.node import Node
@@ -52,10 +52,10 @@
         answer = answer_of(int(number))
         if way == WHOLE:
             return 200, [], answer
-        yield Emit((200, [], answer[:4]))
+        yield SendToClient((200, [], answer[:4]))
         if way == BREAK:
             raise QuillringError()
-        yield Emit(answer[4:])
+        yield SendToClient(answer[4:])
         return (502, [], b"unknown") if way == LATE_FAILURE else None
 
 
--- a/tests/test_raw_clients.py
+++ b/tests/test_raw_clients.py
@@ -8,7 +8,7 @@
 import pytest
 from gevent import select
 
-from quillring.kernel.effects import Emit, Signal, Wait
+from quillring.kernel.effects import SendToClient, Signal, Wait
 from quillring.kernel.errors import QuillringError
 from quillring.kernel.raw_connection import RawConnection
 from quillring.kernel.raw_server import RawServer
@@ -33,10 +33,10 @@
         if raw.target != "/stream":
             return 200, [], raw.target.encode() + raw.body
         try:
-            yield Emit((200, [], b"one"))
+            yield SendToClient((200, [], b"one"))
             self.has_begun.set()
             yield Wait(self.go_on, 30)
-            yield Emit(b"two")
+            yield SendToClient(b"two")
         finally:
             self.has_ended.set()
 
@@ -97,7 +97,7 @@
 
     def handle(node, raw):
         ran.append(raw.target)
-        yield Emit((200, [], b"one"))
+        yield SendToClient((200, [], b"one"))
         raise QuillringError()
 
     client = Client(serve(handle))
--- a/tests/test_raw_server.py
+++ b/tests/test_raw_server.py
@@ -3,10 +3,10 @@
 import pytest
 from gevent.server import StreamServer
 
-from quillring.kernel.effects import Emit, SendOn, Signal, Wait
+from quillring.kernel.effects import SendRequest, SendToClient, Signal, Wait
 from quillring.kernel.errors import BackendError, QuillringError
 from quillring.kernel.gevent_runtime import GeventRuntime
-from quillring.kernel.http_client import send_on
+from quillring.kernel.http_client import send_request
 from quillring.kernel.node import Node
 from quillring.kernel.raw_http import RawLimits
 from quillring.kernel.raw_server import RawServer
@@ -93,8 +93,8 @@
 
 def test_a_stream_that_breaks_does_not_look_complete(serve):
     def handle(node, raw):
-        yield Emit((200, [], b"one"))
-        yield Emit(b"two")
+        yield SendToClient((200, [], b"one"))
+        yield SendToClient(b"two")
         raise QuillringError()
 
     client = Client(serve(handle))
@@ -146,12 +146,12 @@
 
 
 def ask(replica, name, may_reuse=True):
-    effect = SendOn(replica.address, b"GET / HTTP/1.1\r\n\r\n", 2, may_reuse, ("x-id", name))
-    handle = send_on(effect)
+    effect = SendRequest(replica.address, b"GET / HTTP/1.1\r\n\r\n", 2, may_reuse, ("x-id", name))
+    handle = send_request(effect)
     try:
-        handle.next_head(2)
+        handle.read_head(2)
         parts = []
-        while (part := handle.next_part(2)) is not None:
+        while (part := handle.read_body_part(2)) is not None:
             parts.append(part)
         return b"".join(parts)
     finally:
@@ -184,7 +184,7 @@
 
 def test_a_failure_that_comes_after_the_head_does_not_look_complete(serve):
     def handle(node, raw):
-        yield Emit((200, [], b"one"))
+        yield SendToClient((200, [], b"one"))
         return 502, [], b"unknown"
 
     client = Client(serve(handle))
--- a/tests/test_unframed.py
+++ b/tests/test_unframed.py
@@ -3,9 +3,9 @@
 import pytest
 
 from proving.tools.fake_wire import RESET, FakeWire
-from quillring.kernel.effects import SendOn
+from quillring.kernel.effects import SendRequest
 from quillring.kernel.errors import BackendError
-from quillring.kernel.http_client import send_on
+from quillring.kernel.http_client import send_request
 from tests.scripted_peer import ID_HEADER, ScriptedPeer, answer, answers, ask, read_body, request
 
 UNFRAMED = b"HTTP/1.1 200 OK\r\nX-Id: a\r\n\r\nthe body"
@@ -22,7 +22,8 @@
     wire = FakeWire()
     wire.start()
     try:
-        handle = send_on(SendOn(("10.0.0.1", 1), request(b"a"), 5, False, (ID_HEADER, "a")))
+        effect = SendRequest(("10.0.0.1", 1), request(b"a"), 5, False, (ID_HEADER, "a"))
+        handle = send_request(effect)
         wire.sockets[0].put(UNFRAMED[:length])
         wire.sockets[0].arrived.append(RESET)
         with pytest.raises(BackendError):
--- a/tests/test_wrong_caller.py
+++ b/tests/test_wrong_caller.py
@@ -7,9 +7,9 @@
 
 from quillring.kernel import http_client
 from quillring.kernel.connections import Connection, Pool
-from quillring.kernel.effects import SendOn
+from quillring.kernel.effects import SendRequest
 from quillring.kernel.errors import BackendError, NotSent
-from quillring.kernel.http_client import send_on
+from quillring.kernel.http_client import send_request
 from tests.scripted_peer import (
     ID_HEADER,
     ScriptedPeer,
@@ -133,7 +133,7 @@
     peer = ScriptedPeer(answer_when_told, answers(answer(b"b", b"ours")))
     handle = open_request(peer, "a")
     with pytest.raises(BackendError):
-        handle.next_head(0.01)
+        handle.read_head(0.01)
     handle.close()
     peer.told.set()
     assert ask(peer, "b") == b"ours"
@@ -190,7 +190,7 @@
     peer = ScriptedPeer(reset_amid_the_body)
     data = request(b"a").replace(b"Length: 0", b"Length: 99999999") + b"x" * 99999999
     with pytest.raises(BackendError) as failure:
-        send_on(SendOn(peer.address, data, 5, False, (ID_HEADER, "a"))).next_head(5)
+        send_request(SendRequest(peer.address, data, 5, False, (ID_HEADER, "a"))).read_head(5)
     assert not isinstance(failure.value, NotSent)
 
 
--- a/tests/test_wsgi.py
+++ b/tests/test_wsgi.py
@@ -1,7 +1,7 @@
 import io
 import json
 
-from quillring.kernel.effects import Emit
+from quillring.kernel.effects import SendToClient
 from quillring.kernel.errors import Refused
 from quillring.kernel.wsgi import ROUTES, make_app, route
 from quillring.verbs import routes
@@ -35,8 +35,8 @@
 
 @route("GET", "/test/lines")
 def stream(node, request):
-    yield Emit({"n": 1})
-    yield Emit({"n": 2})
+    yield SendToClient({"n": 1})
+    yield SendToClient({"n": 2})
 
 
 def test_a_refusal_goes_out_at_once_and_spreads_those_who_come_back():
@@ -63,8 +63,8 @@
 
     def lines(coroutine):
         for effect in coroutine:
-            assert made.under_way == 1 or effect.line == {"n": 1}
-            yield effect.line
+            assert made.under_way == 1 or effect.item == {"n": 1}
+            yield effect.item
 
     runtime.lines = lines
     status, headers, body = call(made, "GET", "/test/lines")
