--- a/proving/points/callers.py
+++ b/proving/points/callers.py
@@ -156,7 +156,7 @@
     )
     node.find("gossip").publish("layout", [1], [1, 1, _configuration(kind, is_resumable), []])
     for number in range(REPLICAS):
-        node.find("replicas").on_beat(_beat(number))
+        node.find("replicas").on_heartbeat(_beat(number))
     pairs = [("Host", "h"), ("X-Inquiry", "q"), ("X-Deadline-Ms", str(DEADLINE_SECONDS * 1000))]
     request = Request(node.find("dialect"), "POST", "/a/x", pairs, b"")
     try:
--- a/proving/points/failures.py
+++ b/proving/points/failures.py
@@ -5,7 +5,7 @@
 from proving.points.lots import accept_at_once
 from proving.points.serving import rerun_attempt
 from proving.points.state import adopt, names_but
-from quillring.edge import Replicas, stream_handlers
+from quillring.edge import ReplicaTable, stream_handlers
 from quillring.nifty.graph import Graph
 from quillring.quorum.leader.membership_repair import MembershipRepair
 from quillring.rollout.freshness import Freshness
@@ -203,7 +203,7 @@
 FRESH = [
     (Freshness, "is_fresh", always_fresh),
     (stream_handlers, "check_before_sending", no_check),
-    (Replicas, "is_heard", lambda self, name: True),
+    (ReplicaTable, "is_alive", lambda self, name: True),
 ]
 POINTS = [
     ("a woken edge does nothing of old", woken("edge"), FRESH),
--- a/proving/points/serving.py
+++ b/proving/points/serving.py
@@ -168,7 +168,7 @@
     (
         "a leaving replica gets nothing after 2 s",
         replica_leaves,
-        [(replicas.Replicas, "is_usable", all_working), FRESH],
+        [(replicas.ReplicaTable, "is_usable", all_working), FRESH],
     ),
     (
         "a cold replica never gets more than it can bear",
--- a/proving/scale/fleet.py
+++ b/proving/scale/fleet.py
@@ -104,7 +104,7 @@
             sequence += 1
             node = self.nodes[self.chance.choice(names)]
             if not node.runtime.is_dead:
-                node.find("replicas").on_beat(
+                node.find("replicas").on_heartbeat(
                     {
                         "name": f"words-{number}",
                         "service": f"words-{number % 36}",
--- a/proving/sim/backends.py
+++ b/proving/sim/backends.py
@@ -73,7 +73,7 @@
         for node in nodes:
             if self.sim.net.passes(self.address, node.me.address):
                 try:
-                    node.find("replicas").on_beat(body)
+                    node.find("replicas").on_heartbeat(body)
                 except QuillringError:
                     continue
                 return
--- a/proving/sim/raw_replicas.py
+++ b/proving/sim/raw_replicas.py
@@ -103,7 +103,7 @@
         if not nodes:
             return
         try:
-            self.stage.sim.chance.choice(nodes).find("replicas").on_beat(body)
+            self.stage.sim.chance.choice(nodes).find("replicas").on_heartbeat(body)
         except QuillringError as error:
             raise AssertionError(error) from error
 
--- a/quillring/classes/granter.py
+++ b/quillring/classes/granter.py
@@ -64,7 +64,7 @@
 
     def _limits(self, service, taker, now):
         configuration = self.node.find("layout").configuration or {"classes": {}}
-        replicas = self.node.find("replicas").working(service)
+        replicas = self.node.find("replicas").available(service)
         room = sum(self.bearable(replica) for replica in replicas)
         takers = {
             name: asked.demands
@@ -88,12 +88,12 @@
             return replica.slots
         services = (self.node.find("layout").configuration or {}).get("services", {})
         warm_up = services.get(replica.service, {}).get("warm_up_ms", WARM_UP_MS) / 1000
-        return ramp(replica.slots, self.node.now() - replica.born_at, warm_up)
+        return ramp(replica.slots, self.node.now() - replica.first_seen_at, warm_up)
 
     def _cold_slots(self, service, taker, now, former, owned_for):
         """Return {replica: slots}; what others may still hold is never granted twice."""
         cold_replicas = [
-            r for r in self.node.find("replicas").working(service) if r.state == "cold"
+            r for r in self.node.find("replicas").available(service) if r.state == "cold"
         ]
         held = self.asked[(service, taker)].cold
         if owned_for < self.lease:
--- a/quillring/edge/__init__.py
+++ b/quillring/edge/__init__.py
@@ -2,6 +2,6 @@
 
 from quillring.edge.dispatch import Dispatch
 from quillring.edge.journal import Journal
-from quillring.edge.replicas import Replicas
+from quillring.edge.replicas import ReplicaTable
 
-__all__ = ["Dispatch", "Journal", "Replicas"]
+__all__ = ["Dispatch", "Journal", "ReplicaTable"]
--- a/quillring/edge/dispatch.py
+++ b/quillring/edge/dispatch.py
@@ -107,11 +107,12 @@
         """Return the refusal of an inquiry that can't get room in time any more, or None."""
         replicas = self.node.find("replicas")
         if not any(
-            r.name not in waiter.avoided for r in replicas.hopeful(waiter.service, waiter.end_time)
+            r.name not in waiter.avoided
+            for r in replicas.available_before(waiter.service, waiter.end_time)
         ):
             return Refused(reason="no replica", service=waiter.service)
         limit = self.node.find("taker").limit(waiter.service, waiter.class_name)
-        slots = sum(replica.slots for replica in replicas.working(waiter.service))
+        slots = sum(replica.slots for replica in replicas.available(waiter.service))
         seconds = self.pace.expected_wait(waiter, self.waiting, self.leases, limit, slots)
         if seconds is not None and self.node.now() + seconds > waiter.end_time:
             return Refused(
@@ -207,10 +208,10 @@
         now = self.node.now()
         candidates = [
             replica
-            for replica in self.node.find("replicas").working(waiter.service)
+            for replica in self.node.find("replicas").available(waiter.service)
             if replica.name not in waiter.avoided
             and replica.in_flight < self.room(replica)
-            and now >= replica.busy_until
+            and now >= replica.full_until
         ]
         if not candidates:
             return None
--- a/quillring/edge/heartbeat_relay.py
+++ b/quillring/edge/heartbeat_relay.py
@@ -1,62 +1,86 @@
-"""Signs of life of replicas: a beat that brings nothing new is told in a table of many, not spread.
+"""Replicas' heartbeats passed on in batches: one that brings nothing new is not gossiped.
 
-Whoever takes such a beat tells two cores, chosen by rendezvous; these gather what they are told
-and tell all nodes. Two, so that the loss of one makes no replica look silent.
+Whoever takes such a heartbeat tells two cores, chosen by rendezvous hashing; these gather what they
+are told and tell all nodes. Two, so that the loss of one makes no replica look silent.
 """
 
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any, NamedTuple
+
 from quillring.kernel.effects import Sleep
 from quillring.ownership.candidates import order_candidates
 
-TELLERS = 2
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from quillring.kernel.node import Node
+    from quillring.kernel.types import Coroutine
+
+AGGREGATOR_COUNT = 2
 
 
-class Liveness:
-    """The signs of life that wait here to be told, and who tells them."""
+class Heartbeat(NamedTuple):
+    """A sign of life of one start of a replica; on the wire a list of the same fields."""
 
-    __slots__ = ("node", "waiting", "graph", "roster", "teller_names")
+    name: str
+    incarnation: int
+    sequence: int
 
-    def __init__(self, node):
+
+class HeartbeatRelay:
+    """The heartbeats that wait here to be told to all nodes, and who tells them."""
+
+    __slots__ = ("node", "pending", "graph", "roster", "aggregator_names")
+
+    def __init__(self, node: Node) -> None:
         self.node = node
-        self.waiting = {}
+        self.pending: dict[str, Heartbeat] = {}
         self.graph = self.roster = None
-        self.teller_names = ()
-        node.handle("replica.signs", self.on_signs)
-        node.handle("replica.alive", self.on_alive)
+        self.aggregator_names: tuple[str, ...] = ()
+        node.handle("replica.signs", self.on_reports)
+        node.handle("replica.alive", self.on_batch)
 
-    def tellers(self):
-        """Return the cores in reach that tell all nodes."""
+    def aggregators(self) -> tuple[str, ...]:
+        """Return the reachable cores that gather heartbeats and tell all nodes."""
         nifty = self.node.find("nifty")
         if nifty.graph is not self.graph or nifty.roster is not self.roster:
             self.graph, self.roster = nifty.graph, nifty.roster
             cores = [m.name for m in nifty.roster.members.values() if m.role == "core"]
-            self.teller_names = tuple(order_candidates("replica", cores, nifty.graph)[:TELLERS])
-        return self.teller_names
-
-    def note(self, name, incarnation, sequence):
-        """Pass a sign of life on; False when there is no core to tell it."""
-        signs = [[name, incarnation, sequence]]
-        for teller in self.tellers():
-            if teller == self.node.me.name:
-                self.on_signs(signs, teller)
+            ordered = order_candidates("replica", cores, nifty.graph)
+            self.aggregator_names = tuple(ordered[:AGGREGATOR_COUNT])
+        return self.aggregator_names
+
+    def report(self, heartbeat: Heartbeat) -> bool:
+        """Tell the aggregators of a heartbeat; False when there is none."""
+        rows: list[Any] = [list(heartbeat)]
+        aggregators = self.aggregators()
+        for aggregator in aggregators:
+            if aggregator == self.node.me.name:
+                self.on_reports(rows, aggregator)
             else:
-                self.node.send_oneway(teller, "replica.signs", signs)
-        return bool(self.tellers())
+                self.node.send_oneway(aggregator, "replica.signs", rows)
+        return bool(aggregators)
 
-    def on_signs(self, signs, origin):
-        """Keep signs of life until they are told, which is soon."""
-        if signs and not self.waiting:
-            self.node.spawn(self._tell_soon())
-        for name, *version in signs:
-            self.waiting[name] = max(version, self.waiting.get(name, version))
+    def on_reports(self, rows: Sequence[tuple[str, int, int]], origin: str) -> None:
+        """Keep reported heartbeats until the next batch, which is soon."""
+        if rows and not self.pending:
+            self.node.spawn(self._send_batch_soon())
+        for row in rows:
+            heartbeat = Heartbeat(*row)
+            known = self.pending.get(heartbeat.name, heartbeat)
+            self.pending[heartbeat.name] = max(heartbeat, known)
 
-    def _tell_soon(self):
+    def _send_batch_soon(self) -> Coroutine:
         yield Sleep(self.node.bounds.report_delay)
-        signs, self.waiting = [[name, *version] for name, version in self.waiting.items()], {}
-        self.on_alive(signs, self.node.me.name)
+        rows: list[Any] = [list(heartbeat) for heartbeat in self.pending.values()]
+        self.pending = {}
+        self.on_batch(rows, self.node.me.name)
         for name in self.node.find("nifty").graph.routes:
-            self.node.send_oneway(name, "replica.alive", signs)
+            self.node.send_oneway(name, "replica.alive", rows)
 
-    def on_alive(self, signs, origin):
-        """Take signs of life that a core tells."""
-        for name, incarnation, sequence in signs:
-            self.node.find("replicas").renew(name, incarnation, sequence)
+    def on_batch(self, rows: Sequence[tuple[str, int, int]], origin: str) -> None:
+        """Take a batch of heartbeats that an aggregator tells."""
+        note_heartbeat = self.node.find("replicas").note_heartbeat
+        for name, incarnation, sequence in rows:
+            note_heartbeat(name, incarnation, sequence)
--- a/quillring/edge/replica_snapshot.py
+++ b/quillring/edge/replica_snapshot.py
@@ -1,65 +1,85 @@
-"""What a store remembers of the replicas, so that a fleet that lost all power knows them at once.
+"""The replicas as a store had them last, on disk: a fleet that lost all power knows them at once.
 
-It is no promise: a remembered replica counts as not heard until it beats, and every request names
-the start of the replica that it is meant for.
+The snapshot gives no guarantee: a restored replica counts as silent until its next heartbeat, and
+every request names the start of the replica that it is meant for.
 """
 
+from __future__ import annotations
+
 import zlib
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 import cbor2
 
 from quillring.kernel.effects import Sleep
 from quillring.kernel.errors import DiskError, QuillringError
 
-NAMES = ("replicas.0", "replicas.1")
+if TYPE_CHECKING:
+    from quillring.kernel.node import Node
+    from quillring.kernel.types import Coroutine
+
+FILE_NAMES = ("replicas.0", "replicas.1")
+CHECKSUM_BYTES = 4
+
+
+class SnapshotFile(NamedTuple):
+    """What one file holds: its generation, and the last announcement of each replica."""
 
+    generation: int
+    announcements: list[dict[str, Any]]
 
-class ReplicaMemory:
+
+class ReplicaSnapshot:
     """The table of replicas in two files written in turn, each with a checksum."""
 
-    __slots__ = ("node", "disk", "turn", "kept_version")
+    __slots__ = ("node", "disk", "generation", "written_version")
 
-    def __init__(self, node, disk):
+    def __init__(self, node: Node, disk: Any) -> None:
         self.node = node
         self.disk = disk
-        self.turn = 0
-        self.kept_version = node.find("replicas").table_version
+        self.generation = 0
+        self.written_version = node.find("replicas").table_version
 
-    def recall(self):
-        """Take the beats of the newest readable file as old news."""
-        kept = max(filter(None, map(self._read, NAMES)), default=None)
-        if kept is None:
+    def restore(self) -> None:
+        """Take the announcements of the newest readable file as old news."""
+        files = [file for file in map(self._read, FILE_NAMES) if file is not None]
+        if not files:
             return
-        self.turn, beats = kept[0], kept[1]
+        newest = max(files, key=lambda file: file.generation)
+        self.generation = newest.generation
         gossip = self.node.find("gossip")
-        for beat in beats:
+        for announcement in newest.announcements:
             try:
-                gossip.publish(
-                    f"replica/{beat['name']}", [beat["incarnation"], beat["sequence"]], beat
-                )
+                version = [announcement["incarnation"], announcement["sequence"]]
+                gossip.publish(f"replica/{announcement['name']}", version, announcement)
             except (QuillringError, KeyError, TypeError):
                 self.node.count("replicas_not_recalled")
-        self.kept_version = self.node.find("replicas").table_version
+        self.written_version = self.node.find("replicas").table_version
 
-    def _read(self, name):
+    def _read(self, name: str) -> SnapshotFile | None:
+        """Return what a file holds, or None when it is missing or damaged."""
         data = self.disk.read(name)
-        if data is None or len(data) < 4 or zlib.crc32(data[4:]) != int.from_bytes(data[:4], "big"):
+        if data is None or len(data) < CHECKSUM_BYTES:
+            return None
+        checksum, body = data[:CHECKSUM_BYTES], data[CHECKSUM_BYTES:]
+        if zlib.crc32(body) != int.from_bytes(checksum, "big"):
             return None
-        return cbor2.loads(data[4:])
+        return SnapshotFile._make(cbor2.loads(body))
 
-    def run(self):
-        """Coroutine: write the table when it has changed, at most twice a news bound."""
+    def run(self) -> Coroutine:
+        """Write the table when it has changed, at most twice a propagation bound."""
         while True:
             yield Sleep(self.node.bounds.propagation / 2)
-            if self.kept_version != self.node.find("replicas").table_version:
-                self._keep()
-
-    def _keep(self):
-        replicas = self.node.find("replicas")
-        self.turn, self.kept_version = self.turn + 1, replicas.table_version
-        beats = list(self.node.find("gossip").values_with_prefix("replica/").values())
-        body = cbor2.dumps([self.turn, beats])
+            if self.written_version != self.node.find("replicas").table_version:
+                self._write()
+
+    def _write(self) -> None:
+        self.generation += 1
+        self.written_version = self.node.find("replicas").table_version
+        announcements = list(self.node.find("gossip").values_with_prefix("replica/").values())
+        body = cbor2.dumps([self.generation, announcements])
+        checksum = zlib.crc32(body).to_bytes(CHECKSUM_BYTES, "big")
         try:
-            self.disk.write(NAMES[self.turn % 2], zlib.crc32(body).to_bytes(4, "big") + body)
+            self.disk.write(FILE_NAMES[self.generation % 2], checksum + body)
         except DiskError as error:
-            self.node.log("warning", "replicas: %s", error)
+            self.node.log("warning", "replica snapshot: %s", error)
--- a/quillring/edge/replicas.py
+++ b/quillring/edge/replicas.py
@@ -1,15 +1,39 @@
-"""Replicas as the nodes see them: their beats, their silence, their stalls."""
+"""The table of replicas as this node sees them: their heartbeats, their silence, their ejection."""
+
+from __future__ import annotations
 
 import math
+from typing import TYPE_CHECKING, Any
 from urllib.parse import urlencode
 
-from quillring.edge.heartbeat_relay import Liveness
+from quillring.edge.heartbeat_relay import Heartbeat, HeartbeatRelay
 from quillring.kernel.checks import StrictValidator
 from quillring.kernel.errors import Conflict
 from quillring.kernel.wsgi import check_body
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+    from typing import NotRequired, TypedDict
+
+    from quillring.kernel.node import Node
+
+    class Announcement(TypedDict):
+        """What a replica tells of itself, in the fields of HTTP and gossip."""
+
+        name: str
+        service: str
+        domain: str
+        address: str
+        slots: int
+        busy: NotRequired[int]
+        state: str
+        incarnation: int
+        sequence: int
+        cold_ms: NotRequired[float]
+
+
 NAME = {"type": "string", "pattern": "^[A-Za-z0-9][A-Za-z0-9._-]{0,80}$"}
-BEAT = StrictValidator(
+HEARTBEAT_SCHEMA = StrictValidator(
     {
         "type": "object",
         "additionalProperties": False,
@@ -37,15 +61,16 @@
         },
     }
 )
-AWAY = ("leaving", "gone")
-COLD_SLACK = 0.05
+ENDED_STATES = ("leaving", "gone")
+COLD_TOLERANCE_SECONDS = 0.05
+MAX_SHOWN_SILENCE_SECONDS = 1e6
 
 
 class Replica:
     """One replica as this node sees it.
 
-    The first news of a replica may be old (a node that just joined gets all news at once); it
-    counts as heard only from the second on.
+    The first announcement of a replica may be old (a node that just joined gets all news at once);
+    it counts as alive only from the second on.
     """
 
     __slots__ = (
@@ -57,59 +82,70 @@
         "state",
         "incarnation",
         "sequence",
-        "heard_at",
-        "born_at",
+        "last_heartbeat_at",
+        "first_seen_at",
         "in_flight",
-        "stalled_until",
-        "busy_until",
+        "ejected_until",
+        "full_until",
         "cold_until",
     )
 
-    def __init__(self, beat, now, former=None):
-        self.name = beat["name"]
-        self.service = beat["service"]
-        self.zone = beat["domain"]
-        host, port = beat["address"].rsplit(":", 1)
+    def __init__(
+        self, announcement: Announcement, now: float, former: Replica | None = None
+    ) -> None:
+        self.name = announcement["name"]
+        self.service = announcement["service"]
+        self.zone = announcement["domain"]
+        host, port = announcement["address"].rsplit(":", 1)
         self.address = (host, int(port))
-        self.slots = beat["slots"]
-        self.state = beat["state"]
-        self.incarnation = beat["incarnation"]
-        self.sequence = beat["sequence"]
-        self.cold_until = now + beat.get("cold_ms", 0) / 1000
-        is_same = former is not None and former.incarnation == self.incarnation
-        self.heard_at = now if former is not None else -math.inf
-        self.born_at = former.born_at if is_same else now
-        self.in_flight = former.in_flight if is_same else 0
-        self.busy_until = former.busy_until if is_same else 0
-        self.stalled_until = former.stalled_until if is_same else 0
-
-    def is_over(self, beat):
-        """Tell whether a beat would bring back a start of the replica that has left."""
+        self.slots = announcement["slots"]
+        self.state = announcement["state"]
+        self.incarnation = announcement["incarnation"]
+        self.sequence = announcement["sequence"]
+        self.cold_until = now + announcement.get("cold_ms", 0) / 1000
+        self.last_heartbeat_at = now if former is not None else -math.inf
+        self.first_seen_at = now
+        self.in_flight = 0
+        self.full_until = 0.0
+        self.ejected_until = 0.0
+        if former is not None and former.incarnation == self.incarnation:
+            self.first_seen_at = former.first_seen_at
+            self.in_flight = former.in_flight
+            self.full_until = former.full_until
+            self.ejected_until = former.ejected_until
+
+    def has_ended_before(self, announcement: Announcement) -> bool:
+        """Tell whether an announcement would bring back a start of the replica that has ended."""
         return (
-            self.state in AWAY
-            and beat["state"] not in AWAY
-            and self.incarnation == beat["incarnation"]
+            self.state in ENDED_STATES
+            and announcement["state"] not in ENDED_STATES
+            and self.incarnation == announcement["incarnation"]
         )
 
-    def brings_nothing(self, beat, now):
-        """Tell whether a beat is a mere sign of life: all else in it is known."""
+    def is_mere_heartbeat(self, announcement: Announcement, now: float) -> bool:
+        """Tell whether an announcement is only a sign of life: all else in it is known."""
         return (
-            [self.incarnation, self.service, self.zone, self.state, self.slots]
-            == [beat[name] for name in ("incarnation", "service", "domain", "state", "slots")]
-            and "{}:{}".format(*self.address) == beat["address"]
-            and now + beat.get("cold_ms", 0) / 1000 <= max(now, self.cold_until) + COLD_SLACK
+            self.incarnation == announcement["incarnation"]
+            and self.service == announcement["service"]
+            and self.zone == announcement["domain"]
+            and self.state == announcement["state"]
+            and self.slots == announcement["slots"]
+            and "{}:{}".format(*self.address) == announcement["address"]
+            and now + announcement.get("cold_ms", 0) / 1000
+            <= max(now, self.cold_until) + COLD_TOLERANCE_SECONDS
         )
 
-    def is_cold(self, now):
+    def is_cold(self, now: float) -> bool:
         """Tell whether the replica still warms up by its own last word."""
         return now < self.cold_until
 
-    def path(self, path, **words):
-        """Return the path of an inquiry meant for this very start of the replica."""
-        return f"{path}?{urlencode({**words, 'incarnation': self.incarnation})}"
+    def path(self, path: str, **parameters: Any) -> str:
+        """Return the path, with query, of a request meant for this very start of the replica."""
+        return f"{path}?{urlencode({**parameters, 'incarnation': self.incarnation})}"
 
-    def to_json(self, now):
+    def to_json(self, now: float) -> dict[str, Any]:
         """Return the replica as operators see it."""
+        silent_seconds = min(now - self.last_heartbeat_at, MAX_SHOWN_SILENCE_SECONDS)
         return {
             "name": self.name,
             "service": self.service,
@@ -119,128 +155,157 @@
             "slots": self.slots,
             "incarnation": self.incarnation,
             "in_flight_here": self.in_flight,
-            "silent_s": round(min(now - self.heard_at, 1e6), 3),
+            "silent_s": round(silent_seconds, 3),
         }
 
 
-class Replicas:
-    """The table of replicas, fed by beats that any node took and gossip passed on."""
+class ReplicaTable:
+    """All replicas by name, fed by heartbeats that any node took and gossip passed on."""
 
-    __slots__ = ("node", "table", "on_change", "table_version", "misdirected_names", "liveness")
+    __slots__ = (
+        "node",
+        "table",
+        "on_change",
+        "table_version",
+        "misdirected_names",
+        "heartbeat_relay",
+    )
 
-    def __init__(self, node):
+    def __init__(self, node: Node) -> None:
         self.node = node
-        self.table = {}
+        self.table: dict[str, Replica] = {}
         self.table_version = 0
-        self.misdirected_names = frozenset()
-        self.on_change = []
-        self.liveness = Liveness(node)
-        node.find("gossip").subscribe("replica/", self._on_news)
-
-    def on_beat(self, beat):
-        """Take a beat that reached this node; an older incarnation is refused."""
-        check_body(BEAT, beat)
-        known = self.table.get(beat["name"])
-        if known is not None and known.incarnation > beat["incarnation"]:
+        self.misdirected_names: frozenset[str] = frozenset()
+        self.on_change: list[Callable[[], None]] = []
+        self.heartbeat_relay = HeartbeatRelay(node)
+        node.find("gossip").subscribe("replica/", self._on_announcement)
+
+    def on_heartbeat(self, announcement: Announcement) -> dict[str, bool]:
+        """Take a heartbeat that reached this node.
+
+        Raises
+        ------
+        BadRequest
+            It is malformed.
+        Conflict
+            A later incarnation of the replica is known.
+        """
+        check_body(HEARTBEAT_SCHEMA, announcement)
+        name = announcement["name"]
+        heartbeat = Heartbeat(name, announcement["incarnation"], announcement["sequence"])
+        known = self.table.get(name)
+        if known is not None and known.incarnation > heartbeat.incarnation:
             raise Conflict(field="incarnation", winning_incarnation=known.incarnation)
-        version = [beat["incarnation"], beat["sequence"]]
-        is_newer = known is None or version > [known.incarnation, known.sequence]
-        if known is not None and known.brings_nothing(beat, self.node.now()):
-            is_news = is_newer and not self.liveness.note(beat["name"], *version)
-            self.renew(beat["name"], *version)
+        is_newer = known is None or (heartbeat.incarnation, heartbeat.sequence) > (
+            known.incarnation,
+            known.sequence,
+        )
+        if known is not None and known.is_mere_heartbeat(announcement, self.node.now()):
+            is_news = is_newer and not self.heartbeat_relay.report(heartbeat)
+            self.note_heartbeat(*heartbeat)
         else:
-            is_news = is_newer and (known is None or not known.is_over(beat))
-        key = f"replica/{beat['name']}"
-        if is_news and self.node.find("gossip").publish(key, version, beat):
-            for name in self.node.find("nifty").graph.routes:
-                self.node.send_oneway(name, "gossip.news", [[key, version, beat]])
+            is_news = is_newer and (known is None or not known.has_ended_before(announcement))
+        if is_news:
+            self._spread(announcement)
         return {"taken": True}
 
-    def renew(self, name, incarnation, sequence):
-        """Take a sign of life of a known start of a replica."""
+    def _spread(self, announcement: Announcement) -> None:
+        """Put an announcement into gossip, and tell all nodes at once where it is new."""
+        key = f"replica/{announcement['name']}"
+        version = [announcement["incarnation"], announcement["sequence"]]
+        if self.node.find("gossip").publish(key, version, announcement):
+            for name in self.node.find("nifty").graph.routes:
+                self.node.send_oneway(name, "gossip.news", [[key, version, announcement]])
+
+    def note_heartbeat(self, name: str, incarnation: int, sequence: int) -> None:
+        """Take a sign of life of a known start of a replica; an older one changes nothing."""
         known = self.table.get(name)
         if known is None or known.incarnation != incarnation or known.sequence >= sequence:
             return
-        was_heard = self.is_heard(name)
-        known.sequence, known.heard_at = sequence, self.node.now()
-        for listener in () if was_heard else self.on_change:
-            listener()
+        was_alive = self.is_alive(name)
+        known.sequence, known.last_heartbeat_at = sequence, self.node.now()
+        if not was_alive:
+            self._notify_listeners()
 
-    def _on_news(self, key, beat):
-        former = self.table.get(beat["name"])
-        if former is not None and former.is_over(beat):
+    def _on_announcement(self, key: str, announcement: Announcement) -> None:
+        former = self.table.get(announcement["name"])
+        if former is not None and former.has_ended_before(announcement):
             return
-        replica = self.table[beat["name"]] = Replica(beat, self.node.now(), former)
+        replica = Replica(announcement, self.node.now(), former)
+        self.table[replica.name] = replica
         if former is None or (former.state, former.address, former.slots) != (
             replica.state,
             replica.address,
             replica.slots,
         ):
             self.table_version += 1
+        self._notify_listeners()
+
+    def _notify_listeners(self) -> None:
         for listener in self.on_change:
             listener()
 
-    def find(self, name):
+    def find(self, name: str) -> Replica | None:
         """Return the replica of this name, or None."""
         return self.table.get(name)
 
-    def is_heard(self, name):
-        """Tell whether beats of the replica came in lately."""
+    def is_alive(self, name: str) -> bool:
+        """Tell whether a heartbeat of the replica came within its timeout."""
         replica = self.table.get(name)
-        return (
-            replica is not None
-            and self.node.now() - replica.heard_at < self.node.bounds.replica_timeout
-        )
+        if replica is None:
+            return False
+        silent_seconds: float = self.node.now() - replica.last_heartbeat_at
+        return silent_seconds < self.node.bounds.replica_timeout
 
-    def is_usable(self, replica):
-        """Tell whether a replica is here to stay and heard of, in a domain that is not emptied."""
+    def is_usable(self, replica: Replica) -> bool:
+        """Tell whether a replica is alive and here to stay, in a zone that is not drained."""
         return (
-            replica.state not in AWAY
-            and self.is_heard(replica.name)
+            replica.state not in ENDED_STATES
+            and self.is_alive(replica.name)
             and not self.node.find("layout").is_emptied(replica.zone)
         )
 
-    def may_be_sent(self, replica):
+    def may_receive_requests(self, replica: Replica) -> bool:
         """Tell whether a request may go out to this start of a replica, silent or not."""
         known = self.table.get(replica.name)
         return (
             known is not None
-            and known.state not in AWAY
+            and known.state not in ENDED_STATES
             and replica.name not in self.misdirected_names
             and not self.node.find("layout").is_emptied(replica.zone)
         )
 
-    def note_misdirected(self, replica):
+    def note_misdirected(self, replica: Replica) -> None:
         """Note that another one answered at a replica's address: this one is gone for good."""
         self.misdirected_names = self.misdirected_names | {replica.name}
         self.table_version += 1
 
-    def may_get_work(self, replica):
-        """Tell whether a replica may get something new by all that this node knows."""
-        return self.is_usable(replica) and self.node.now() >= replica.stalled_until
+    def is_available(self, replica: Replica) -> bool:
+        """Tell whether a replica may get new work: usable and not ejected."""
+        return self.is_usable(replica) and self.node.now() >= replica.ejected_until
 
-    def working(self, service):
-        """Return the replicas of a service that may get something new."""
-        return [r for r in self.hopeful(service, math.inf) if self.may_get_work(r)]
+    def available(self, service: str) -> list[Replica]:
+        """Return the replicas of a service that may get new work now."""
+        return [r for r in self.available_before(service, math.inf) if self.is_available(r)]
 
-    def hopeful(self, service, end_time):
-        """Return the replicas of a service that work, or may work again before a time."""
+    def available_before(self, service: str, end_time: float) -> list[Replica]:
+        """Return the replicas of a service that may get new work now or before a time."""
         return [
             replica
             for replica in self.table.values()
             if replica.service == service
             and self.is_usable(replica)
-            and replica.stalled_until < end_time
+            and replica.ejected_until < end_time
         ]
 
-    def busy(self, replica):
-        """Keep new work for a moment from a replica that had no room left."""
+    def note_full(self, replica: Replica) -> None:
+        """Keep new work for a moment from a replica that had no free slot left."""
         known = self.table.get(replica.name)
         if known is not None:
-            known.busy_until = self.node.now() + self.node.bounds.gossip_interval
+            known.full_until = self.node.now() + self.node.bounds.gossip_interval
 
-    def stalled(self, replica):
-        """Keep new work from a replica that stalled or broke off, for one news bound."""
+    def eject(self, replica: Replica) -> None:
+        """Keep new work from a replica that stalled or broke off, for one propagation bound."""
         known = self.table.get(replica.name)
         if known is not None and known.incarnation == replica.incarnation:
-            known.stalled_until = self.node.now() + self.node.bounds.propagation
+            known.ejected_until = self.node.now() + self.node.bounds.propagation
--- a/quillring/edge/short_requests.py
+++ b/quillring/edge/short_requests.py
@@ -87,12 +87,12 @@
                     return answer
                 raise BackendError(reason="strange answer", status=status)
             except Busy:
-                node.find("replicas").busy(lease.replica)
+                node.find("replicas").note_full(lease.replica)
             except BackendError as error:
                 node.count("replica_troubles")
                 avoided_names.add(lease.replica.name)
                 if not isinstance(error, NotSent):
-                    node.find("replicas").stalled(lease.replica)
+                    node.find("replicas").eject(lease.replica)
                     last_error = OutcomeUnknown(reason="the replica broke off")
                     if not may_repeat(promise):
                         raise last_error from error
--- a/quillring/edge/stream_handlers.py
+++ b/quillring/edge/stream_handlers.py
@@ -183,13 +183,13 @@
         yield from read_pieces(node, stream, sending, handle, lease, service, end_time)
     except Busy:
         node.count("busy_replicas")
-        node.find("replicas").busy(replica)
+        node.find("replicas").note_full(replica)
     except BackendError as error:
         node.count("replica_troubles")
         node.log("warning", "replica %s: %s", replica.name, error)
         avoided_names.add(replica.name)
         if not isinstance(error, NotSent):
-            node.find("replicas").stalled(replica)
+            node.find("replicas").eject(replica)
             if node.now() >= end_time:
                 raise TimedOut(stream=stream.name) from error
             if not may_run_on(promise, stream.pieces):
@@ -205,7 +205,7 @@
     node.find("freshness").check()
     if node.now() >= end_time:
         raise Refused(reason="no time left")
-    if not node.find("replicas").may_get_work(replica):
+    if not node.find("replicas").is_available(replica):
         raise NotSent(replica=replica.name, reason="left")
 
 
--- a/quillring/fleet.py
+++ b/quillring/fleet.py
@@ -1,8 +1,8 @@
 """Assembly: which services a node of each role is made of; the same in every runtime."""
 
 from quillring.classes import Granter, Meter, Taker
-from quillring.edge import Dispatch, Journal, Replicas
-from quillring.edge.replica_snapshot import ReplicaMemory
+from quillring.edge import Dispatch, Journal, ReplicaTable
+from quillring.edge.replica_snapshot import ReplicaSnapshot
 from quillring.edge.resume_token import LIFE_SECONDS
 from quillring.forward import ForwardRouteTable, HeaderNames, LoadBalancer
 from quillring.gossip import Gossip
@@ -39,7 +39,7 @@
     node.offer("elector", FoundingVoter(node))
     node.offer("layout", ConfigurationSnapshot(node))
     node.offer("freshness", Freshness(node))
-    node.offer("replicas", Replicas(node))
+    node.offer("replicas", ReplicaTable(node))
     node.offer("meter", Meter(node))
     node.offer("dialect", HeaderNames())
     node.offer("forwards", ForwardRouteTable(node))
@@ -110,9 +110,9 @@
     acceptors.attach(node)
     node.find("nifty").stamp_source = acceptors.stamp
     hints = node.offer("hints", HintStore(node, acceptors))
-    memory = node.offer("memory", ReplicaMemory(node, acceptors.slots.disk))
-    memory.recall()
-    node.spawn(memory.run())
+    snapshot = node.offer("memory", ReplicaSnapshot(node, acceptors.slots.disk))
+    snapshot.restore()
+    node.spawn(snapshot.run())
     node.spawn(acceptors.slots.run(node.bounds.heartbeat_interval))
     node.spawn(DiskHealth(node, acceptors.slots).run())
     node.offer("leaving", RetirementGate(node, acceptors))
--- a/quillring/forward/attempt.py
+++ b/quillring/forward/attempt.py
@@ -100,7 +100,7 @@
     first_byte_timeout: float | None,
 ) -> Coroutine:
     """Send the request on one connection and return the handle once the head is there."""
-    if not node.find("replicas").may_be_sent(replica):
+    if not node.find("replicas").may_receive_requests(replica):
         raise NotSent(replica=replica.name, reason="left")
     header_names = node.find("dialect")
     seconds_left = end_time - node.now()
--- a/quillring/forward/load_balancer.py
+++ b/quillring/forward/load_balancer.py
@@ -124,7 +124,7 @@
         ):
             names_by_service: dict[str, list[str]] = {}
             for replica in replicas.table.values():
-                if replicas.may_be_sent(replica):
+                if replicas.may_receive_requests(replica):
                     names_by_service.setdefault(replica.service, []).append(replica.name)
             self.names_by_service = names_by_service
             self.seen_table_version = replicas.table_version
--- a/quillring/forward/replica_health.py
+++ b/quillring/forward/replica_health.py
@@ -14,7 +14,7 @@
 
 def has_missed_heartbeats(replica: Replica, now: float, seconds: float) -> bool:
     """Tell whether no heartbeat came for so long; a replica only just learnt of has time yet."""
-    return now - max(replica.heard_at, replica.born_at) >= seconds
+    return now - max(replica.last_heartbeat_at, replica.first_seen_at) >= seconds
 
 
 class ReplicaHealth:
--- a/quillring/forward/types.py
+++ b/quillring/forward/types.py
@@ -15,8 +15,8 @@
     zone: str
     address: Address
     slots: int
-    heard_at: float
-    born_at: float
+    last_heartbeat_at: float
+    first_seen_at: float
 
     def is_cold(self, now: float) -> bool:
         """Tell whether the replica still warms up."""
--- a/quillring/lots/http_requests/concurrency_limits.py
+++ b/quillring/lots/http_requests/concurrency_limits.py
@@ -71,7 +71,7 @@
             < portion.room(slots_for(r, share), phase[r.name])
             and self.alone_until.get(r.name, 0) <= now
             and self.next_starts.get(r.name, 0) <= now
-            and replicas.may_be_sent(r)
+            and replicas.may_receive_requests(r)
             and placement.health(r).may_get_request(now)
         ]
         warm = [r for r in fit if not r.is_cold(now)]
--- a/quillring/lots/http_requests/item_executor.py
+++ b/quillring/lots/http_requests/item_executor.py
@@ -93,7 +93,7 @@
             raise Refused(reason="the layout names another service")
         replica = node.find("replicas").find(body["replica"])
         is_same = replica is not None and replica.service == body["service"]
-        if not is_same or not node.find("replicas").may_be_sent(replica):
+        if not is_same or not node.find("replicas").may_receive_requests(replica):
             raise NotSent(replica=body["replica"], reason="left")
         run = self.runs[body["run"]] = ItemRun(body)
         node.spawn(self._run(run, replica, body))
--- a/quillring/lots/prompts/scheduler.py
+++ b/quillring/lots/prompts/scheduler.py
@@ -92,7 +92,7 @@
 
     def _tell_replicas(self, lot_name, route_name):
         route, _, _ = self.node.find("layout").route(route_name)
-        replicas = self.node.find("replicas").hopeful(route["service"], math.inf)
+        replicas = self.node.find("replicas").available_before(route["service"], math.inf)
         for replica in replicas:
             self.node.spawn(self._tell_replica(replica, f"{lot_name}-"))
         return
@@ -195,11 +195,11 @@
         except (Busy, NotSent) as error:
             self.unsent.add(key)
             if isinstance(error, Busy):
-                node.find("replicas").busy(lease.replica)
+                node.find("replicas").note_full(lease.replica)
             raise
         except BackendError:
             if not self.running[key].stop_signal.is_set:
-                node.find("replicas").stalled(lease.replica)
+                node.find("replicas").eject(lease.replica)
             raise
         finally:
             lease.release()
--- a/quillring/plans/front.py
+++ b/quillring/plans/front.py
@@ -42,7 +42,7 @@
         [
             beat
             for beat in node.find("gossip").values_with_prefix("replica/").values()
-            if replicas.is_heard(beat["name"])
+            if replicas.is_alive(beat["name"])
         ],
         {m.name: (m.role, m.zone) for m in nifty.roster.members.values()},
     )
--- a/quillring/plans/runner.py
+++ b/quillring/plans/runner.py
@@ -20,7 +20,7 @@
         beat["domain"] == zone
         and beat.get("busy")
         and beat["state"] != "gone"
-        and node.find("replicas").is_heard(beat["name"])
+        and node.find("replicas").is_alive(beat["name"])
         for beat in beats
     ):
         return False
--- a/quillring/verbs/routes.py
+++ b/quillring/verbs/routes.py
@@ -45,7 +45,7 @@
 @route("POST", "/v1/replicas/beats")
 def take_beat(node, request):
     """Take a replica's beat at any node."""
-    return node.find("replicas").on_beat(request.body)
+    return node.find("replicas").on_heartbeat(request.body)
 
 
 @route("GET", "/v1/alive")
@@ -120,7 +120,7 @@
     replicas = node.find("replicas")
     return {
         "replicas": [
-            {**replica.to_json(node.now()), "may_get_work": replicas.may_get_work(replica)}
+            {**replica.to_json(node.now()), "may_get_work": replicas.is_available(replica)}
             for _, replica in sorted(replicas.table.items())
         ]
     }
--- a/tests/forward_stage.py
+++ b/tests/forward_stage.py
@@ -50,7 +50,7 @@
 
 
 def beat(node, number, sequence=1, **fields):
-    node.find("replicas").on_beat(
+    node.find("replicas").on_heartbeat(
         {
             "name": f"r{number}",
             "service": "s",
--- a/tests/test_landed_folders.py
+++ b/tests/test_landed_folders.py
@@ -7,7 +7,7 @@
 import cbor2
 import pytest
 
-from quillring.edge.replica_snapshot import ReplicaMemory
+from quillring.edge.replica_snapshot import ReplicaSnapshot
 from quillring.fleet import open_store
 from quillring.kernel.node import Node
 from quillring.nifty import Member
@@ -112,10 +112,10 @@
     beats, gossip = cbor2.loads(recorded("small"))["beats"], node.offer("gossip", Gossip())
     node.offer("replicas", ReplicaTable())
     disk = folder_disk("small")
-    memory = ReplicaMemory(node, disk)
-    memory.recall()
+    snapshot = ReplicaSnapshot(node, disk)
+    snapshot.restore()
     assert gossip.news == {"replica/words-1": ([7, 3], beats[0])}
-    writer, memory.kept_version = memory.run(), 0
+    writer, snapshot.written_version = snapshot.run(), 0
     next(writer)
     next(writer)
     assert cbor2.loads(disk.read("replicas.1")[4:]) == [3, beats]
--- a/tests/test_late_beats.py
+++ b/tests/test_late_beats.py
@@ -66,7 +66,7 @@
         assert beat(stage, f"core-{number + 1}", calls) == 200
         stage.run(0.5)
         replicas = [node.find("replicas") for node in stage.sim.nodes.values()]
-        assert not [r for r in replicas if r.find(ID) and r.may_be_sent(r.find(ID))]
+        assert not [r for r in replicas if r.find(ID) and r.may_receive_requests(r.find(ID))]
 
 
 def test_a_replica_that_gives_notice_first_is_gone_though_it_beats_on():
--- a/tests/test_load_balancer.py
+++ b/tests/test_load_balancer.py
@@ -4,7 +4,7 @@
 
 from proving.sim.disk import SimDisk
 from proving.sim.scripted import ScriptedRuntime
-from quillring.edge.replica_snapshot import ReplicaMemory
+from quillring.edge.replica_snapshot import ReplicaSnapshot
 from quillring.fleet import make_node
 from quillring.forward.request_handler import check_ready
 from quillring.kernel.bounds import Bounds
@@ -68,15 +68,15 @@
 def test_a_store_knows_the_replicas_again_after_power_was_lost():
     disk = SimDisk(random.Random(1))
     runtime, node = make({}, replicas=3)
-    memory = ReplicaMemory(node, disk)
+    snapshot = ReplicaSnapshot(node, disk)
     beat(node, 1, 2, state="leaving")
-    memory._keep()
+    snapshot._write()
     beat(node, 3)
-    memory._keep()
+    snapshot._write()
     disk.lose_power()
     disk.durable["replicas.0"] = disk.durable["replicas.0"][:-1]
     runtime, node = make({}, replicas=0)
-    ReplicaMemory(node, disk).recall()
+    ReplicaSnapshot(node, disk).restore()
     known = node.find("replicas").table
     assert {name: replica.state for name, replica in known.items()} == {
         "r0": "ready",
--- a/tests/test_plain_schema.py
+++ b/tests/test_plain_schema.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from quillring.edge.replicas import BEAT
+from quillring.edge.replicas import HEARTBEAT_SCHEMA
 from quillring.kernel.checks import StrictValidator
 from quillring.kernel.plain_schema import is_surely_sound
 from quillring.kernel.settings import SCHEMA
@@ -40,7 +40,7 @@
 LIMITS_ROW = {"head_bytes": 16384, "idle_ms": 15000.0, "origin": {"any": [1]}}
 CASES = [
     (SCHEMA, SETTINGS),
-    (BEAT.schema, BEAT_ROW),
+    (HEARTBEAT_SCHEMA.schema, BEAT_ROW),
     (FORWARD.schema, FORWARD_ROW),
     (RAW_SERVICE.schema, SERVICE_ROW),
     (LIMITS.schema, LIMITS_ROW),
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -1,5 +1,5 @@
 from quillring.classes import Meter
-from quillring.edge import Replicas
+from quillring.edge import ReplicaTable
 from quillring.gossip import Gossip
 from tests.fleet_stage import SelfFounded
 from tests.test_nifty import node
@@ -27,35 +27,35 @@
     made, _, runtime = node("a")
     made.offer("gossip", Gossip(made))
     made.offer("layout", NoConfiguration())
-    return made.offer("replicas", Replicas(made)), runtime
+    return made.offer("replicas", ReplicaTable(made)), runtime
 
 
 def test_old_news_of_a_replica_does_not_make_it_look_alive():
     table, runtime = replicas()
-    table.on_beat(beat(7))
-    assert table.working("words") == []
-    table.on_beat(beat(8))
-    assert [r.name for r in table.working("words")] == ["words-1"]
+    table.on_heartbeat(beat(7))
+    assert table.available("words") == []
+    table.on_heartbeat(beat(8))
+    assert [r.name for r in table.available("words")] == ["words-1"]
     runtime.time += 1.6
-    assert table.working("words") == []
+    assert table.available("words") == []
 
 
 def test_a_leaving_replica_does_not_come_back_under_the_same_start():
     table, runtime = replicas()
     for sequence, state in ((1, "ready"), (2, "leaving"), (3, "ready")):
-        table.on_beat(beat(sequence, state))
-    assert table.working("words") == []
-    table.on_beat(beat(1, "cold", 6))
-    assert [r.state for r in table.working("words")] == ["cold"]
+        table.on_heartbeat(beat(sequence, state))
+    assert table.available("words") == []
+    table.on_heartbeat(beat(1, "cold", 6))
+    assert [r.state for r in table.available("words")] == ["cold"]
 
 
 def test_a_beat_out_of_order_changes_nothing():
     table, runtime = replicas()
     for sequence in (1, 9):
-        table.on_beat(beat(sequence))
+        table.on_heartbeat(beat(sequence))
     runtime.time = 2.0
-    table.on_beat(beat(5))
-    assert table.working("words") == []
+    table.on_heartbeat(beat(5))
+    assert table.available("words") == []
 
 
 def test_the_meter_counts_by_class_and_forgets_after_a_quarter_hour():
@@ -87,7 +87,7 @@
 
     def take_beats(sequence, taker_name, names):
         for name in names:
-            nodes[taker_name].find("replicas").on_beat({**beat(sequence), "name": name})
+            nodes[taker_name].find("replicas").on_heartbeat({**beat(sequence), "name": name})
 
     names = [f"r{place}" for place in range(20)]
     for sequence in (1, 2):
@@ -97,22 +97,22 @@
     for sequence in range(3, 13):
         take_beats(sequence, f"core-{sequence % 4 + 1}", names)
         stage.run(0.5)
-    assert all(edge.find("replicas").is_heard(name) for name in names)
+    assert all(edge.find("replicas").is_alive(name) for name in names)
     assert took.count("gossip.news") == 0 and 10 <= took.count("replica.alive") <= 20
-    lost_teller = edge.find("replicas").liveness.tellers()[0]
-    stage.sim.kill(lost_teller)
+    lost_aggregator = edge.find("replicas").heartbeat_relay.aggregators()[0]
+    stage.sim.kill(lost_aggregator)
     stage.run(0.9)
     taker = next(node.me.name for node in stage.sim.up_nodes("core"))
     take_beats(13, taker, names[:1])
     stage.run(0.7)
-    assert [name for name in names if edge.find("replicas").is_heard(name)] == names[:1]
+    assert [name for name in names if edge.find("replicas").is_alive(name)] == names[:1]
 
 
 def test_a_cold_replica_is_spread_again_only_if_it_stays_cold_for_longer():
     table, runtime = replicas()
     for sequence, cold_ms in ((1, 3000), (2, 2000), (3, 2500)):
-        table.on_beat({**beat(sequence, "cold"), "cold_ms": cold_ms})
+        table.on_heartbeat({**beat(sequence, "cold"), "cold_ms": cold_ms})
         runtime.time += 1
     assert table.find("words-1").cold_until == 4.5
-    table.on_beat(beat(4, "ready"))
+    table.on_heartbeat(beat(4, "ready"))
     assert table.find("words-1").state == "ready"
