--- a/proving/model/bugs.py
+++ b/proving/model/bugs.py
@@ -15,8 +15,9 @@
 from quillring.quorum import commands
 from quillring.quorum.acceptor.state import AcceptorState
 from quillring.quorum.commands import COMMANDS
-from quillring.quorum.leader import follower_read, part_leader, quorum_call
+from quillring.quorum.leader import follower_read, quorum_call, state_machine
 from quillring.quorum.leader.part_leader import PartLeader
+from quillring.quorum.leader.state_fetch import StateFetcher
 
 
 class Bug(NamedTuple):
@@ -117,7 +118,7 @@
 
 def change_group_twice():
     """An entry of the log may replace more than one member of the group."""
-    real = part_leader.apply_batch
+    real = state_machine.apply_batch
 
     def apply_batch(state, batch):
         answers = []
@@ -126,19 +127,19 @@
             answers.extend(answer)
         return state, answers
 
-    modules = (part_leader, record_module)
+    modules = (state_machine, record_module)
     return all_of([mock.patch.object(module, "apply_batch", apply_batch) for module in modules])
 
 
 def adopt_oldest():
     """A new owner starts from the oldest state among the promises."""
-    real = part_leader.adopt_state
+    real = StateFetcher.adopt_newest
 
-    def adopt_state(owner, promises):
+    def adopt_newest(self, promises):
         oldest = min(promises, key=lambda store: promises[store].applied)
-        return real(owner, {oldest: promises[oldest]})
+        return real(self, {oldest: promises[oldest]})
 
-    return all_of([mock.patch.object(part_leader, "adopt_state", adopt_state)])
+    return all_of([mock.patch.object(StateFetcher, "adopt_newest", adopt_newest)])
 
 
 def ignore_base_version():
--- a/proving/model/core_machine.py
+++ b/proving/model/core_machine.py
@@ -9,7 +9,6 @@
 from quillring.quorum.founding.founding import found_fleet
 from quillring.quorum.founding.founding_vote import FoundingVoter, agree
 from quillring.quorum.leader.follower_read import peek
-from quillring.quorum.leader.membership_change import submit_first
 from quillring.quorum.values import GroupMember
 
 CONFIGURATION = {"ask": "layout"}
@@ -105,7 +104,7 @@
                 event = Acknowledged(tuple(owner.ballot), owner.index, operator, None, None)
                 self.events.append(event)
 
-        self.runtime.spawn(submit_first(owner, list(commands)), f"submit {operator}", on_end)
+        self.runtime.spawn(owner.submit_first(list(commands)), f"submit {operator}", on_end)
 
     def on_read(self, step_input):
         """Read the state under the owner's fence."""
--- a/proving/model/phase_bugs.py
+++ b/proving/model/phase_bugs.py
@@ -3,31 +3,30 @@
 from unittest import mock
 
 from proving.model.patches import all_of
-from quillring.quorum.leader import part_leader
+from quillring.quorum.leader.part_leader import PartLeader
 from quillring.quorum.leader.uncommitted import best_entries, fetch_batch
 
 
 def stay_in_phase_two():
-    """A new owner that finds a change of the group proposes there without asking it first."""
-
-    def finish_tail(owner, promises):
-        best = best_entries(promises, owner.index)
-        while owner.index + 1 in best:
-            batch = yield from fetch_batch(owner, owner.index + 1, best[owner.index + 1])
-            yield from owner.replicate(batch)
-            owner.adopt_group(owner.state["group"])
-        yield from owner.replicate([])
+    """A new leader that finds a change of the group proposes there without asking it first."""
+
+    def commit_uncommitted(self, promises):
+        best = best_entries(promises, self.index)
+        while (index := self.index + 1) in best:
+            batch = yield from fetch_batch(self.node, self.part, index, best[index])
+            yield from self.replicate(batch)
+            self.caller.adopt_group(self.machine.group())
+        yield from self.replicate([])
         return True
 
-    return all_of([mock.patch.object(part_leader, "finish_tail", finish_tail)])
+    return all_of([mock.patch.object(PartLeader, "_commit_uncommitted", commit_uncommitted)])
 
 
 def skip_promise_again():
-    """An owner whose own entry changed the group doesn't have the new one promise its ballot."""
+    """A leader whose own entry changed the group doesn't have the new one promise its ballot."""
 
-    def promise_again(owner, prepare):
-        prepare.close()
+    def prepare_changed_group(self):
         return
         yield
 
-    return all_of([mock.patch.object(part_leader, "promise_again", promise_again)])
+    return all_of([mock.patch.object(PartLeader, "_prepare_changed_group", prepare_changed_group)])
--- a/proving/model/watched_owner.py
+++ b/proving/model/watched_owner.py
@@ -14,9 +14,9 @@
         self.asked_ballot, self.asked_groups = None, frozenset()
         self.unasked = []
 
-    def _round(self, service, **body):
+    def _call_majority(self, service, **body):
         ballot, group = tuple(self.ballot), members_of(self.group)
-        replies = yield from super()._round(service, **body)
+        replies = yield from super()._call_majority(service, **body)
         if service == "prepare":
             known = self.asked_groups if ballot == self.asked_ballot else frozenset()
             self.asked_ballot, self.asked_groups = ballot, known | {group}
@@ -32,4 +32,4 @@
 
 def members_of(group):
     """Return the identities of a group's stores."""
-    return tuple(sorted(store[1] for store in group))
+    return tuple(sorted(member.identity for member in group))
--- a/proving/points/changes.py
+++ b/proving/points/changes.py
@@ -3,7 +3,7 @@
 import cbor2
 
 from proving.sim.many_changes import ManyChanges, frozen_store, new_owner, restarted_store
-from quillring.quorum.leader.part_leader import PartLeader
+from quillring.quorum.leader.anti_entropy import AntiEntropy
 from quillring.quorum.parts import CONFIG
 
 CHANGES = 120
@@ -42,6 +42,6 @@
     (
         "a member is in step again after hundreds of changes",
         many_changes,
-        [(PartLeader, "applied_index_by_store", nobody_is_late)],
+        [(AntiEntropy, "applied_index_by_store", nobody_is_late)],
     ),
 ]
--- a/proving/points/membership.py
+++ b/proving/points/membership.py
@@ -6,7 +6,8 @@
 from quillring.kernel.errors import TimedOut
 from quillring.quorum.leader.membership_change import GroupChange
 from quillring.quorum.leader.membership_repair import MembershipRepair
-from quillring.quorum.leader.retirement_check import PartAnswer
+from quillring.quorum.leader.retirement_check import GroupStatus
+from quillring.quorum.values import group_to_wire
 from quillring.rollout.operator_orders import is_retired
 
 SYNC_SECONDS = 5.0
@@ -60,7 +61,7 @@
 def add_only(self, former_group):
     """Stand-in for the guard: the successor joins first, the lost member leaves later."""
     group = [*former_group, self.joining] if self.joining is not None else self.group
-    return [{"do": "group.change", "group": group}]
+    return [{"do": "group.change", "group": group_to_wire(group)}]
 
 
 def leaving_member(seed):
@@ -114,7 +115,7 @@
         node.handle(service, take)
 
 
-def without_catching_up(self, owner, store):
+def without_catching_up(self, leader, store):
     """Stand-in for the guard: a store joins with nothing."""
     return True
     yield
@@ -136,7 +137,7 @@
         leaving_member,
         [
             (MembershipRepair, "_invite", without_catching_up),
-            (PartAnswer, "is_whole_without", is_only_apart),
+            (GroupStatus, "is_whole_without", is_only_apart),
         ],
     ),
 ]
--- a/proving/sim/repair_time.py
+++ b/proving/sim/repair_time.py
@@ -64,8 +64,8 @@
             for part, record in node.find("acceptors").parts.items()
             if part != CONFIG
         ]
-        owners = [owner for part, owner in self.owners().items() if part != CONFIG]
-        for holder in [*records, *owners]:
+        machines = [owner.machine for part, owner in self.owners().items() if part != CONFIG]
+        for holder in [*records, *machines]:
             holder.state = {**holder.state, "ballast": ballast}
 
     def short_parts(self):
--- a/quillring/lots/prompts/retention.py
+++ b/quillring/lots/prompts/retention.py
@@ -53,6 +53,7 @@
             if key[0] != owner.part or key[1] in lots
         }
         for _, name in places:
-            if now - self.ended_at[owner.part, name] > KEPT_SECONDS and not owner.queue:
+            is_due = now - self.ended_at[owner.part, name] > KEPT_SECONDS
+            if is_due and not owner.has_queued_commands():
                 self.node.spawn(owner.submit({"do": "lot.drop", "lot": name}))
                 return
--- a/quillring/ownership/elections.py
+++ b/quillring/ownership/elections.py
@@ -73,7 +73,7 @@
         leader = self.ownership.leaders.get(part)
         candidacy = self._observe_candidacy(part)
         if leader is not None and leader.is_leader:
-            if not candidacy.is_first and candidacy.is_stable and not leader.queue:
+            if not candidacy.is_first and candidacy.is_stable and not leader.has_queued_commands():
                 self._transfer(part, leader)
         elif candidacy.is_first and part not in self.parts_in_election:
             is_due = candidacy.is_stable or not self._is_led_elsewhere(part)
--- a/quillring/ownership/leadership_transfer.py
+++ b/quillring/ownership/leadership_transfer.py
@@ -91,7 +91,7 @@
         is_unchanged = leaders.get(part) is former
         if is_unchanged and part not in self.ownership.elections.parts_in_election:
             successor = PartLeader(self.node, part, self.ownership.group(part), former)
-            successor.index, successor.state = index, state
+            successor.machine.install(index, state)
             leaders[part] = successor
         return True
 
--- a/quillring/ownership/ownership.py
+++ b/quillring/ownership/ownership.py
@@ -25,7 +25,7 @@
 from quillring.ownership.part_client import PartClient
 from quillring.quorum.commands import QUERIES
 from quillring.quorum.leader.part_leader import PartLeader
-from quillring.quorum.leader.retirement_check import tell_whole
+from quillring.quorum.leader.retirement_check import group_status
 from quillring.quorum.parts import GROUP_SIZE
 from quillring.quorum.values import group_from_wire
 
@@ -190,7 +190,9 @@
 
     def on_whole(self, body: WireMap, origin: str) -> Coroutine:
         """Tell whether the stores of a part led here hold everything."""
-        return tell_whole(self._leader(WholeRequest.from_wire(body).part))
+        leader = self._leader(WholeRequest.from_wire(body).part)
+        status = yield from group_status(leader)
+        return status.to_wire()
 
     def on_status(self, body: Any, origin: str) -> WireMap:
         """Tell how far this core is with each part that it led or tried to lead."""
--- a/quillring/quorum/leader/anti_entropy.py
+++ b/quillring/quorum/leader/anti_entropy.py
@@ -1,4 +1,4 @@
-"""Bringing late members of a part's group in step, one at a time, with a growing pause."""
+"""Anti-entropy: late followers are brought up to date one at a time, with a growing pause."""
 
 from __future__ import annotations
 
@@ -6,69 +6,90 @@
 
 from quillring.kernel.effects import Sleep
 from quillring.kernel.errors import QuillringError
-from quillring.quorum.leader.catch_up import mend_store
 
 if TYPE_CHECKING:
+    from collections.abc import Callable
+
     from quillring.kernel.types import Coroutine
-    from quillring.quorum.leader.part_leader import PartLeader
+    from quillring.quorum.leader.catch_up import FollowerCatchUp
+    from quillring.quorum.leader.quorum_call import QuorumCaller
+    from quillring.quorum.leader.state_machine import StateMachine
+    from quillring.quorum.values import GroupMember
 
 
-class Rest(NamedTuple):
-    """A member is left alone until a time, for so many seconds, after it could not be mended."""
+class Backoff(NamedTuple):
+    """A follower is left alone until a time, for so many seconds, after its catch-up failed."""
 
     until: float
     seconds: float
 
 
 class AntiEntropy:
-    """What one term's owner does for the members that miss something."""
-
-    __slots__ = ("owner", "target", "is_busy", "rests")
-
-    def __init__(self, owner: PartLeader) -> None:
-        self.owner = owner
-        self.target = None
+    """Finds the followers that miss something, and has them catch up, while one term lasts."""
+
+    __slots__ = ("caller", "machine", "catch_up", "is_leader", "target", "is_busy", "backoffs")
+
+    def __init__(
+        self,
+        caller: QuorumCaller,
+        machine: StateMachine,
+        catch_up: FollowerCatchUp,
+        is_leader: Callable[[], bool],
+    ) -> None:
+        self.caller = caller
+        self.machine = machine
+        self.catch_up = catch_up
+        self.is_leader = is_leader
+        self.target: str | None = None
         self.is_busy = False
-        self.rests = {}
+        self.backoffs: dict[str, Backoff] = {}
 
     def run(self) -> Coroutine:
-        """Coroutine: mend while the term lasts."""
-        while self.owner.is_leader:
-            yield Sleep(self.owner.node.bounds.heartbeat_interval / 2)
+        """Look for late followers while the term lasts."""
+        while self.is_leader():
+            yield Sleep(self.caller.node.bounds.heartbeat_interval / 2)
             yield from self.repair_followers()
 
     def repair_followers(self) -> Coroutine:
-        """Coroutine: give the members in reach what they miss; nothing while that is under way."""
+        """Send the followers in reach what they miss; nothing while that is under way."""
         if self.is_busy:
             return
         self.is_busy = True
         try:
-            yield from self._mend_late()
+            yield from self._repair_late()
         finally:
             self.is_busy, self.target = False, None
 
-    def _mend_late(self) -> Coroutine:
-        owner, index = self.owner, self.owner.index
-        applied = yield from owner.applied_index_by_store()
-        for call in owner.calls("install"):
-            name = call[0]
-            is_late = applied.get(name, index) < index
-            if not (is_late and owner.is_leader) or self._rests(name):
+    def applied_index_by_store(self) -> Coroutine:
+        """Tell followers in reach what is committed; return {store: the index it has applied}."""
+        node = self.caller.node
+        reaches = node.find("nifty").reaches
+        commits = self.caller.calls("commit", committed=self.machine.last_applied)
+        calls = [call for call in commits if reaches(call[0])]
+        replies = yield from node.gather(calls, len(calls))
+        return {t: r for t, r in replies.items() if not isinstance(r, QuillringError)}
+
+    def _repair_late(self) -> Coroutine:
+        index = self.machine.last_applied
+        applied = yield from self.applied_index_by_store()
+        for member in self.caller.group:
+            is_late = applied.get(member.name, index) < index
+            if not (is_late and self.is_leader()) or self._is_backing_off(member):
                 continue
-            self.target = name
+            self.target = member.name
             try:
-                yield from mend_store(owner, applied[name], call)
-                self.rests.pop(name, None)
+                yield from self.catch_up.send_missing(member, applied[member.name])
+                self.backoffs.pop(member.name, None)
             except QuillringError as error:
-                self._rest(name, error)
+                self._back_off(member, error)
 
-    def _rests(self, name: str):
-        rest = self.rests.get(name)
-        return rest is not None and self.owner.node.now() < rest.until
+    def _is_backing_off(self, member: GroupMember) -> bool:
+        backoff = self.backoffs.get(member.name)
+        return backoff is not None and self.caller.node.now() < backoff.until
 
-    def _rest(self, name: str, error: QuillringError):
-        node, former = self.owner.node, self.rests.get(name)
+    def _back_off(self, member: GroupMember, error: QuillringError) -> None:
+        node, former = self.caller.node, self.backoffs.get(member.name)
         seconds = node.bounds.heartbeat_interval / 2 if former is None else former.seconds * 2
         seconds = min(seconds, node.bounds.propagation * 2)
-        self.rests[name] = Rest(node.now() + seconds, seconds)
-        node.log("warning", "%s: mending %s: %s", self.owner.part, name, error)
+        self.backoffs[member.name] = Backoff(node.now() + seconds, seconds)
+        node.log("warning", "catch-up of %s in %s: %s", member.name, self.caller.part, error)
--- a/quillring/quorum/leader/election_progress.py
+++ b/quillring/quorum/leader/election_progress.py
@@ -1,11 +1,14 @@
-"""How far a core is with taking a part: for operators, and for the log."""
+"""How far a core is with winning a part: for operators, and for the log."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
+from quillring.quorum.values import NO_BALLOT
+
 if TYPE_CHECKING:
     from collections.abc import Iterable
+    from typing import Any
 
     from quillring.kernel.errors import QuillringError
     from quillring.kernel.node import Node
@@ -15,21 +18,30 @@
 
 
 class ElectionProgress:
-    """One term's way to ownership: its phase, what it waits for and fetched, how long it took.
+    """One term's way to leadership: its phase, what it waits for and fetched, how long it took.
 
-    The phases: `promises` of a majority, the `state` from a store, `entries` that others began,
-    then `owned`; `ended` once it failed or the term is over.
+    The phases: `promises` of a majority, the `state` from a store, uncommitted `entries` of former
+    terms, then `owned`; `ended` once the election failed or the term is over.
     """
 
-    __slots__ = ("node", "part", "ballot", "phase", "waits_for", "fetched", "began_at", "seconds")
+    __slots__ = (
+        "node",
+        "part",
+        "ballot",
+        "phase",
+        "waits_for",
+        "fetched_bytes",
+        "began_at",
+        "seconds",
+    )
 
     def __init__(self, node: Node, part: str) -> None:
         self.node = node
         self.part = part
-        self.ballot = (0, "")
+        self.ballot: Ballot = NO_BALLOT
         self.phase = ENDED
-        self.waits_for = []
-        self.fetched = 0
+        self.waits_for: list[str] = []
+        self.fetched_bytes = 0
         self.began_at = node.now()
         self.seconds = 0.0
 
@@ -40,21 +52,22 @@
         if ballot is not None:
             self.ballot = ballot
         self.phase, self.waits_for = phase, list(waits_for)
-        self.node.log(
-            "debug", "takeover of %s, ballot %s: %s %s", self.part, self.ballot[0], phase, waits_for
-        )
+        fields = (self.part, self.ballot.number, phase, waits_for)
+        self.node.log("debug", "election for %s, ballot %s: %s %s", *fields)
 
     def begin(self) -> None:
-        """Note that the core begins to take the part."""
-        self.began_at, self.fetched = self.node.now(), 0
+        """Note that the core begins an election."""
+        self.began_at, self.fetched_bytes = self.node.now(), 0
         self.node.count("takeovers_begun")
 
     def succeed(self, index: int) -> None:
-        """Note that the part is owned, with everything applied up to an index."""
+        """Note that the core leads the part, with everything applied up to an index."""
         self.phase, self.waits_for = OWNED, []
         self.seconds = self.node.now() - self.began_at
-        fields = (self.part, self.ballot[0], index, self.fetched, self.seconds)
-        self.node.log("warning", "took %s: ballot %s, index %s, %s bytes, %.2f s", *fields)
+        fields = (self.part, self.ballot.number, index, self.fetched_bytes, self.seconds)
+        self.node.log(
+            "warning", "won election for %s: ballot %s, index %s, %s bytes, %.2f s", *fields
+        )
 
     def end(self, error: QuillringError) -> None:
         """Note that the term is over, or never began."""
@@ -62,19 +75,19 @@
             return
         if self.phase != OWNED:
             self.seconds = self.node.now() - self.began_at
-        fields = (self.part, self.ballot[0], self.phase, error)
-        self.node.log("warning", "end of %s, ballot %s, while %s: %s", *fields)
+        fields = (self.part, self.ballot.number, self.phase, error)
+        self.node.log("warning", "end of term for %s, ballot %s, while %s: %s", *fields)
         self.phase, self.waits_for = ENDED, []
 
-    def to_json(self) -> dict:
+    def to_json(self) -> dict[str, Any]:
         """Return what operators see."""
         is_under_way = self.phase not in (OWNED, ENDED)
         seconds = self.node.now() - self.began_at if is_under_way else self.seconds
         return {
             "core": self.node.me.name,
-            "ballot": list(self.ballot),
+            "ballot": self.ballot.to_wire(),
             "phase": self.phase,
             "waits_for": self.waits_for,
-            "bytes_fetched": self.fetched,
+            "bytes_fetched": self.fetched_bytes,
             "seconds": round(seconds, 2),
         }
--- a/quillring/quorum/leader/in_flight.py
+++ b/quillring/quorum/leader/in_flight.py
@@ -1,8 +1,8 @@
-"""The entry that an owner has proposed and does not know to be chosen yet.
+"""The uncommitted entry: proposed by the leader, and not known to be chosen yet.
 
-Its stores may have accepted it already: a read at a majority of them then counts it as chosen
-(`peek`), while the owner still waits for their answers. A read at the owner that begins meanwhile
-waits for the entry, so that it shows no less than the read before it.
+Its acceptors may hold it already: a read at a majority of them then counts it as chosen
+(`follower_read`), while the leader still waits for their replies. A read at the leader that begins
+meanwhile waits for the entry, so that it shows no less than the read before it.
 """
 
 from __future__ import annotations
@@ -13,40 +13,44 @@
 from quillring.kernel.errors import NoMajority
 
 if TYPE_CHECKING:
+    from collections.abc import Sequence
+    from typing import Any
+
     from quillring.kernel.node import Node
     from quillring.kernel.types import Coroutine
 
 
 class InFlight:
-    """What is in flight in one term of a part's ownership: one entry at most."""
+    """What is in flight in one term of a part's leadership: one entry at most."""
 
-    __slots__ = ("node", "part", "batch", "decided")
+    __slots__ = ("node", "part", "batch", "committed_signal")
 
     def __init__(self, node: Node, part: str) -> None:
         self.node = node
         self.part = part
-        self.batch = ()
-        self.decided = None
+        self.batch: Sequence[dict[str, Any]] = ()
+        self.committed_signal: Signal | None = None
 
-    def begin(self, batch: list[dict]) -> None:
+    def begin(self, batch: list[dict[str, Any]]) -> None:
         """Note that an entry with these commands goes out now."""
-        self.batch, self.decided = batch, Signal()
+        self.batch, self.committed_signal = batch, Signal()
 
     def end(self) -> None:
-        """Note that the entry was applied, or that the owner gives it up and steps down."""
-        decided, self.batch, self.decided = self.decided, (), None
-        decided.set()
+        """Note that the entry was applied, or that the leader gives it up and steps down."""
+        committed_signal, self.batch, self.committed_signal = self.committed_signal, (), None
+        if committed_signal is not None:
+            committed_signal.set()
 
     def wait(self, lot: str | None = None) -> Coroutine:
-        """Coroutine: return when what is in flight now has ended; at once when nothing is.
+        """Return when what is in flight now has ended; at once when nothing is.
 
         With a lot's key, only an entry with a command about that lot is waited for. Raises
-        NoMajority when it takes longer than two rounds.
+        NoMajority when it takes longer than two calls may.
         """
         is_of_others = lot is not None and all(c.get("lot") != lot for c in self.batch)
-        if self.decided is None or is_of_others:
+        if self.committed_signal is None or is_of_others:
             return
-        decided = self.decided
-        yield Wait(decided, self.node.bounds.call_timeout * 2)
-        if not decided.is_set:
+        committed_signal = self.committed_signal
+        yield Wait(committed_signal, self.node.bounds.call_timeout * 2)
+        if not committed_signal.is_set:
             raise NoMajority(part=self.part, reason="an entry is in flight")
--- a/quillring/quorum/leader/part_leader.py
+++ b/quillring/quorum/leader/part_leader.py
@@ -1,101 +1,124 @@
-"""A core node's ownership of one part: won by ballot, fenced by ballot, one entry at a time."""
+"""The leader of one part: elected by ballot, fenced by ballot, one log entry at a time.
+
+Multi-Paxos with a window of one (Lamport, "Paxos made simple", section 3): a ballot is won once at
+a majority of the acceptors, then each entry of the log needs one round of accepts.
+"""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+import math
+from typing import TYPE_CHECKING
 
-from quillring.kernel.effects import Signal, Wait
 from quillring.kernel.errors import Fenced, NoMajority, NotFounded, NotOwner, QuillringError
-from quillring.quorum.commands import apply_batch
 from quillring.quorum.leader.anti_entropy import AntiEntropy
-from quillring.quorum.leader.batching import split_batch
-from quillring.quorum.leader.catch_up import adopt_state
+from quillring.quorum.leader.catch_up import FollowerCatchUp
+from quillring.quorum.leader.command_queue import CommandQueue
 from quillring.quorum.leader.election_progress import ENTRIES, PROMISES, ElectionProgress
 from quillring.quorum.leader.hinted_handoff import send_hints
 from quillring.quorum.leader.in_flight import InFlight
-from quillring.quorum.leader.membership_change import promise_again
-from quillring.quorum.leader.quorum_call import ask_majority
-from quillring.quorum.leader.uncommitted import finish_tail
-from quillring.quorum.log_cache import LogCache
+from quillring.quorum.leader.quorum_call import QuorumCaller
+from quillring.quorum.leader.state_fetch import StateFetcher
+from quillring.quorum.leader.state_machine import StateMachine
+from quillring.quorum.leader.uncommitted import best_entries, fetch_batch, highest_ballot_beyond
 from quillring.quorum.messages import BRIEF_WITHOUT_BATCHES, Promise
 from quillring.quorum.parts import CONFIG
-from quillring.quorum.waits import answer_of
 
 if TYPE_CHECKING:
     from collections.abc import Callable
+    from typing import Any
 
     from quillring.kernel.node import Node
     from quillring.kernel.types import Coroutine
-    from quillring.quorum.parts import Call
-    from quillring.quorum.values import Group
+    from quillring.quorum.leader.state_machine import Batch, State
+    from quillring.quorum.values import Ballot, GroupMember, WireGroup
+
+    Listener = Callable[["PartLeader", Batch], object]
 
 
 class PartLeader:
-    """One term of a part's ownership: its ballot is won once and, when lost, never again.
+    """One term of a part's leadership: its ballot is won once and, when lost, never again.
 
-    A core that takes the part again makes a new term, under which the former one can't write.
+    A core that leads the part again makes a new term, under which the former one can't write.
+    `confirmed_at` is when a round began in which a majority last confirmed the ballot.
     """
 
     __slots__ = (
         "node",
         "part",
-        "group",
-        "ballot",
-        "index",
-        "state",
+        "caller",
+        "machine",
         "queue",
-        "queue_signal",
+        "in_flight",
+        "election_progress",
+        "state_fetcher",
+        "catch_up",
+        "anti_entropy",
         "is_leader",
-        "listeners",
         "confirmed_at",
-        "highest_seen_ballot_number",
-        "log_cache",
-        "anti_entropy",
-        "election_progress",
-        "in_flight",
+        "listeners",
     )
 
     def __init__(
-        self, node: Node, part: str, group: Group, former: PartLeader | None = None
+        self, node: Node, part: str, group: WireGroup, former: PartLeader | None = None
     ) -> None:
         self.node = node
         self.part = part
-        self.group = group
-        self.ballot = (0, "") if former is None else former.ballot
-        self.index = 0 if former is None else former.index
-        self.state = None if former is None else former.state
-        self.log_cache = LogCache() if former is None else former.log_cache.copy()
-        self.anti_entropy = AntiEntropy(self)
-        self.election_progress = ElectionProgress(node, part)
+        if former is None:
+            self.caller = QuorumCaller(node, part, group)
+            self.machine = StateMachine()
+        else:
+            highest_number = former.caller.highest_seen_ballot_number
+            self.caller = QuorumCaller(node, part, group, former.ballot, highest_number)
+            self.machine = former.machine.copy()
+        self.queue = CommandQueue(part)
         self.in_flight = InFlight(node, part)
-        self.queue = []
-        self.queue_signal = Signal()
+        self.election_progress = ElectionProgress(node, part)
+        self.state_fetcher = StateFetcher(node, part, self.machine, self.election_progress)
+        self.catch_up = FollowerCatchUp(self.caller, self.machine, self.holds_term)
+        self.anti_entropy = AntiEntropy(self.caller, self.machine, self.catch_up, self.holds_term)
         self.is_leader = False
-        self.listeners = []
-        self.confirmed_at = None
-        self.highest_seen_ballot_number = 0 if former is None else former.highest_seen_ballot_number
-
-    def calls(self, service: str, **body: Any) -> list[Call]:
-        """Return the calls of a service to each store of the group, under the ballot."""
-        return [
-            (
-                store[0],
-                f"quorum.{service}",
-                {"part": self.part, "ballot": list(self.ballot), "identity": store[1], **body},
-            )
-            for store in self.group
-        ]
-
-    def _round(self, service: str, **body: Any):
-        return ask_majority(self, service, body)
+        self.confirmed_at = -math.inf
+        self.listeners: list[Listener] = []
 
-    def _prepare(self) -> Coroutine:
-        """Coroutine: ask the group to promise the ballot; return {store: Promise} of a majority."""
-        replies = yield from self._round("prepare", brief=BRIEF_WITHOUT_BATCHES)
-        return {store: Promise.from_list(fields) for store, fields in replies.items()}
+    @property
+    def group(self) -> tuple[GroupMember, ...]:
+        """The members that are called; after a change of the group, the new ones."""
+        return self.caller.group
+
+    @property
+    def ballot(self) -> Ballot:
+        """The ballot of the term."""
+        return self.caller.ballot
+
+    @property
+    def index(self) -> int:
+        """The index of the last entry that was applied here."""
+        return self.machine.last_applied
+
+    @property
+    def state(self) -> State | None:
+        """The state after the entry `index`; None before the first election."""
+        return self.machine.state
+
+    def holds_term(self) -> bool:
+        """Tell whether the term goes on, as far as this core knows."""
+        return self.is_leader
+
+    def has_lease(self) -> bool:
+        """Tell whether the ballot was confirmed lately enough to start work on its behalf."""
+        lease_seconds = self.node.bounds.heartbeat_interval * 2
+        return self.is_leader and self.node.now() - self.confirmed_at < lease_seconds
+
+    def has_queued_commands(self) -> bool:
+        """Tell whether commands wait to be replicated."""
+        return bool(self.queue.pending)
 
-    def run_election_with_retry(self, declines_leadership: Callable[[list], bool]) -> Coroutine:
-        """Coroutine: take the part; a ballot that only was too low is tried once more at once.
+    # Election: phase one, the newest state, and the uncommitted entries of former terms.
+
+    def run_election_with_retry(
+        self, declines_leadership: Callable[[list[Any]], bool]
+    ) -> Coroutine:
+        """Run an election; one whose ballot only was too low is run once more at once.
 
         Not so where `declines_leadership(ballot)` says that the higher ballot is to be left to win.
         """
@@ -107,71 +130,74 @@
             yield from self.run_election()
 
     def run_election(self) -> Coroutine:
-        """Coroutine: win a ballot at a majority, finish what others began; then own the part."""
+        """Win a ballot at a majority and commit what others began; then lead the part.
+
+        Raises Fenced, NoMajority, or NotFounded when no member holds the part.
+        """
         self.is_leader = False
         self.election_progress.begin()
         me = self.node.me
-        self.ballot = (
-            max(self.highest_seen_ballot_number, self.ballot[0]) + 1,
-            f"{me.name}#{me.incarnation}",
-        )
+        self.caller.raise_ballot(f"{me.name}#{me.incarnation}")
         while True:
-            self.election_progress.enter(PROMISES, [store[0] for store in self.group], self.ballot)
+            names = [member.name for member in self.group]
+            self.election_progress.enter(PROMISES, names, self.ballot)
             promises = yield from self._prepare()
             if all(promise.state is None for promise in promises.values()):
                 raise NotFounded(part=self.part)
-            yield from adopt_state(self, promises)
-            if not self.adopt_group(self.state["group"]):
+            yield from self.state_fetcher.adopt_newest(promises)
+            if not self.caller.adopt_group(self.machine.group()):
                 self.election_progress.enter(ENTRIES)
-                if (yield from finish_tail(self, promises)):
+                if (yield from self._commit_uncommitted(promises)):
                     break
-            self.ballot = (self.ballot[0] + 1, self.ballot[1])
+            self.caller.ballot = self.ballot._replace(number=self.ballot.number + 1)
         self.is_leader = True
         self.node.count("takeovers")
         self.election_progress.succeed(self.index)
-        self._tell([])
+        self._notify_listeners([])
+
+    def _prepare(self) -> Coroutine:
+        """Ask the group to promise the ballot; return {member name: Promise} of a majority."""
+        replies = yield from self._call_majority("prepare", brief=BRIEF_WITHOUT_BATCHES)
+        return {name: Promise.from_list(fields) for name, fields in replies.items()}
 
-    def adopt_group(self, known_group: Group) -> bool:
-        """Ask these stores from now on; tell whether that is a change."""
-        if [list(s) for s in known_group] == [list(s) for s in self.group]:
-            return False
-        self.group = [list(store) for store in known_group]
+    def _commit_uncommitted(self, promises: dict[str, Promise]) -> Coroutine:
+        """Propose again every entry that may have been chosen; False after a group change."""
+        best = best_entries(promises, self.index)
+        while (index := self.index + 1) in best:
+            batch = yield from fetch_batch(self.node, self.part, index, best[index])
+            yield from self.replicate(batch)
+            if self.caller.adopt_group(self.machine.group()):
+                return False
+        yield from self.replicate([])
         return True
 
-    def replicate(self, batch: list[dict]) -> Coroutine:
-        """Coroutine: have a majority accept the next entry; apply it; return the answers."""
-        asked_at = self.node.now()
-        entry = {"index": self.index + 1, "batch": batch, "committed": self.index}
-        send_hints(self, self.calls("accept", **entry))
-        self.in_flight.begin(batch)
-        try:
-            yield from self._round("accept", **entry)
-            self.index += 1
-            self.log_cache.add(self.index, batch)
-            self.state, answers = apply_batch(self.state, batch)
-        finally:
-            self.in_flight.end()
-        self.confirmed_at = asked_at
-        if self.part == CONFIG:
-            yield from self._round("commit", committed=self.index)
-        else:
-            self._cast_commit()
-        return answers
+    # Replication: phase two, one entry at a time.
 
-    def _cast_commit(self):
-        for target, service, body in self.calls("commit", committed=self.index):
-            self.node.send_oneway(target, service, body)
+    def submit(self, command: dict[str, Any]) -> Coroutine:
+        """Commit one command and return its answer.
+
+        Raises NotOwner where the term is over, NoMajority when no answer came in time.
+        """
+        if not self.is_leader:
+            raise NotOwner(part=self.part)
+        pending = [self.queue.append(command)]
+        (answer,) = yield from self.queue.answers_of(pending, self.node.bounds.propagation)
+        return answer
+
+    def submit_first(self, commands: list[dict[str, Any]]) -> Coroutine:
+        """Commit some commands in one entry, before all that waits; return their answers."""
+        pending = self.queue.put_first(commands)
+        return (yield from self.queue.answers_of(pending, self.node.bounds.propagation))
 
     def run(self) -> Coroutine:
-        """Write what is queued while the ballot holds; return the error that ended it."""
+        """Replicate what is queued while the ballot holds; return the error that ended the term."""
         self.node.spawn(self.anti_entropy.run())
         try:
             while self.is_leader:
-                if not self.queue:
-                    self.queue_signal = Signal()
-                    yield Wait(self.queue_signal, self.node.bounds.heartbeat_interval)
-                if self.queue:
-                    yield from self._write_queue()
+                if not self.queue.pending:
+                    yield self.queue.next_arrival(self.node.bounds.heartbeat_interval)
+                if self.queue.pending:
+                    yield from self._replicate_queued()
                 else:
                     yield from self._confirm()
         except QuillringError as error:
@@ -179,61 +205,73 @@
             return error
         return None
 
-    def _write_queue(self) -> Coroutine:
-        batch, self.queue = split_batch(self.queue)
+    def replicate(self, batch: Batch) -> Coroutine:
+        """Have a majority accept the next entry; apply it; return the answers of its commands."""
+        asked_at, index = self.node.now(), self.index + 1
+        entry = {"index": index, "batch": batch, "committed": index - 1}
+        send_hints(self.node, self.part, self.caller.calls("accept", **entry))
+        self.in_flight.begin(batch)
         try:
-            answers = yield from self.replicate([command for command, _ in batch])
+            yield from self._call_majority("accept", **entry)
+            answers = self.machine.apply(index, batch)
+        finally:
+            self.in_flight.end()
+        self.confirmed_at = asked_at
+        if self.part == CONFIG:
+            yield from self._call_majority("commit", committed=index)
+        else:
+            self._send_commit()
+        return answers
+
+    def _replicate_queued(self) -> Coroutine:
+        batch = self.queue.take_batch()
+        commands = [pending.command for pending in batch]
+        try:
+            answers = yield from self.replicate(commands)
         except QuillringError as error:
-            for _, answer_signal in batch:
-                answer_signal.set(NoMajority(part=self.part, reason=error.kind))
+            for pending in batch:
+                pending.answer_signal.set(NoMajority(part=self.part, reason=error.kind))
             raise
         try:
-            if self.adopt_group(self.state["group"]):
-                yield from promise_again(self, self._prepare())
+            if self.caller.adopt_group(self.machine.group()):
+                yield from self._prepare_changed_group()
         finally:
-            self._tell([command for command, _ in batch])
-            for (_, answer_signal), answer in zip(batch, answers, strict=True):
-                answer_signal.set(answer)
+            self._notify_listeners(commands)
+            for pending, answer in zip(batch, answers, strict=True):
+                pending.answer_signal.set(answer)
 
-    def repair_followers(self) -> Coroutine:
-        """Coroutine: give the members of the group in reach what they miss."""
-        yield from self.anti_entropy.repair_followers()
+    def _prepare_changed_group(self) -> Coroutine:
+        """Have a majority of the group just adopted promise the ballot that won the former.
 
-    def applied_index_by_store(self) -> Coroutine:
-        """Coroutine: tell members in reach what is committed; return {store: index it applied}."""
-        reaches = self.node.find("nifty").reaches
-        calls = [c for c in self.calls("commit", committed=self.index) if reaches(c[0])]
-        replies = yield from self.node.gather(calls, len(calls))
-        return {t: r for t, r in replies.items() if not isinstance(r, QuillringError)}
+        Raises Fenced when another ballot left an entry beyond: only a new term can commit it.
+        """
+        promises = yield from self._prepare()
+        higher_ballot = highest_ballot_beyond(promises, self.index)
+        if higher_ballot is not None:
+            raise Fenced(part=self.part, ballot=list(higher_ballot))
+
+    def _send_commit(self) -> None:
+        for target, service, body in self.caller.calls("commit", committed=self.index):
+            self.node.send_oneway(target, service, body)
+
+    def _call_majority(self, service: str, **body: Any) -> Coroutine:
+        return self.caller.call_majority(service, body)
 
     def step_down(self, error: QuillringError) -> None:
-        """Write nothing more; everything queued ends with its error."""
+        """End the term: nothing more is replicated; all that is queued ends with NotOwner."""
         self.is_leader = False
         self.election_progress.end(error)
-        queued, self.queue = self.queue, []
-        for _, answer_signal in queued:
-            answer_signal.set(NotOwner(part=self.part, reason=error.kind))
-        self.queue_signal.set()
-        self._tell([])
-
-    def submit(self, command: dict) -> Coroutine:
-        """Coroutine: commit one command and return its answer."""
-        if not self.is_leader:
-            raise NotOwner(part=self.part)
-        answer_signal = Signal()
-        self.queue.append((command, answer_signal))
-        self.queue_signal.set()
-        yield Wait(answer_signal, self.node.bounds.propagation)
-        return answer_of(answer_signal, self.part)
+        self.queue.reject_all(error.kind)
+        self._notify_listeners([])
 
-    def _confirm(self) -> Coroutine:
-        """Coroutine: have a majority confirm the ballot; it holds as of the moment of asking."""
-        asked_at = self.node.now()
-        yield from self._round("confirm")
-        self.confirmed_at = max(asked_at, self.confirmed_at)
+    def _notify_listeners(self, batch: Batch) -> None:
+        for listener in self.listeners:
+            listener(self, batch)
+
+    # Lease and linearizable reads.
 
     def linearizable_state(self) -> Coroutine:
-        """Coroutine: return the state after a majority confirmed that the ballot still holds.
+        """Return the state after a majority confirmed that the ballot still holds.
 
         Raises NotOwner, Fenced, or NoMajority, also for a confirmation that is no longer recent.
         """
@@ -247,13 +285,18 @@
             raise NoMajority(part=self.part, reason="the confirmation is old")
         return read_state
 
-    def has_lease(self) -> bool:
-        """Tell whether the ballot was confirmed lately enough to start work on its behalf."""
-        return (
-            self.is_leader
-            and self.node.now() - self.confirmed_at < self.node.bounds.heartbeat_interval * 2
-        )
+    def _confirm(self) -> Coroutine:
+        """Have a majority confirm the ballot; that extends the lease from the moment of asking."""
+        asked_at = self.node.now()
+        yield from self._call_majority("confirm")
+        self.confirmed_at = max(asked_at, self.confirmed_at)
 
-    def _tell(self, batch: list[dict]):
-        for listener in self.listeners:
-            listener(self, batch)
+    # Followers.
+
+    def repair_followers(self) -> Coroutine:
+        """Send the followers in reach what they miss."""
+        return self.anti_entropy.repair_followers()
+
+    def applied_index_by_store(self) -> Coroutine:
+        """Tell followers in reach what is committed; return {store: the index it has applied}."""
+        return self.anti_entropy.applied_index_by_store()
--- a/quillring/quorum/leader/quorum_call.py
+++ b/quillring/quorum/leader/quorum_call.py
@@ -1,4 +1,4 @@
-"""One round of an owner: the same call to each store of the group, under the ballot."""
+"""Calls of a part's leader to the acceptors of its group, and the replies of a majority."""
 
 from __future__ import annotations
 
@@ -6,30 +6,86 @@
 
 from quillring.kernel.errors import Fenced, NoMajority, QuillringError
 from quillring.quorum.parts import majority
+from quillring.quorum.values import NO_BALLOT, Ballot, GroupMember, group_from_wire
 
 if TYPE_CHECKING:
+    from typing import Any
+
+    from quillring.kernel.node import Node
     from quillring.kernel.types import Coroutine
-    from quillring.quorum.leader.part_leader import PartLeader
+    from quillring.quorum.parts import Call
+    from quillring.quorum.values import WireGroup
 
 
-def ask_majority(owner: PartLeader, service: str, body: dict) -> Coroutine:
-    """Coroutine: ask the group; return {store: good answer} of a majority.
+class QuorumCaller:
+    """Calls each acceptor of one part's group under one ballot.
 
-    Raises Fenced when a store knows of a higher ballot, NoMajority when too few answer in time.
+    `highest_seen_ballot_number` is the highest number that an acceptor named when it refused: the
+    next election begins above it.
     """
-    replies = yield from owner.node.gather(
-        owner.calls(service, **body), majority(owner.group), owner.node.bounds.call_timeout, True
-    )
-    fences = [r.detail["ballot"] for r in replies.values() if isinstance(r, Fenced)]
-    if fences:
-        owner.highest_seen_ballot_number = max(
-            owner.highest_seen_ballot_number, *(int(ballot[0]) for ballot in fences)
-        )
-        raise Fenced(part=owner.part, ballot=max(fences))
-    good_replies = {t: r for t, r in replies.items() if not isinstance(r, QuillringError)}
-    if len(good_replies) < majority(owner.group):
-        errors = [r for r in replies.values() if isinstance(r, QuillringError)]
-        raise NoMajority(part=owner.part, heard=sorted(good_replies)) from ExceptionGroup(
-            f"stores of {owner.part}", errors
+
+    __slots__ = ("node", "part", "group", "ballot", "highest_seen_ballot_number")
+
+    def __init__(
+        self,
+        node: Node,
+        part: str,
+        group: WireGroup,
+        ballot: Ballot = NO_BALLOT,
+        highest_seen_ballot_number: int = 0,
+    ) -> None:
+        self.node = node
+        self.part = part
+        self.group: tuple[GroupMember, ...] = group_from_wire(group)
+        self.ballot = ballot
+        self.highest_seen_ballot_number = highest_seen_ballot_number
+
+    def raise_ballot(self, leader: str) -> None:
+        """Take a ballot above all that this core used or heard of."""
+        number = max(self.highest_seen_ballot_number, self.ballot.number) + 1
+        self.ballot = Ballot(number, leader)
+
+    def adopt_group(self, wire_group: WireGroup) -> bool:
+        """Call these members from now on; tell whether that is a change."""
+        group = group_from_wire(wire_group)
+        if group == self.group:
+            return False
+        self.group = group
+        return True
+
+    def request(self, member: GroupMember, **body: Any) -> dict[str, Any]:
+        """Return the body of a call to one member, who need not be in the group yet."""
+        return {
+            "part": self.part,
+            "ballot": self.ballot.to_wire(),
+            "identity": member.identity,
+            **body,
+        }
+
+    def calls(self, service: str, **body: Any) -> list[Call]:
+        """Return the calls of `quorum.<service>` to each member of the group."""
+        name = f"quorum.{service}"
+        return [(member.name, name, self.request(member, **body)) for member in self.group]
+
+    def call_majority(self, service: str, body: dict[str, Any]) -> Coroutine:
+        """Call the group; return {member name: good reply} of a majority at least.
+
+        Raises Fenced when a member knows of a higher ballot, NoMajority when too few answer in
+        `bounds.call_timeout` seconds.
+        """
+        needed = majority(self.group)
+        replies = yield from self.node.gather(
+            self.calls(service, **body), needed, self.node.bounds.call_timeout, True
         )
-    return good_replies
+        higher_ballots = [r.detail["ballot"] for r in replies.values() if isinstance(r, Fenced)]
+        if higher_ballots:
+            highest_number = max(int(ballot[0]) for ballot in higher_ballots)
+            self.highest_seen_ballot_number = max(self.highest_seen_ballot_number, highest_number)
+            raise Fenced(part=self.part, ballot=max(higher_ballots))
+        good_replies = {n: r for n, r in replies.items() if not isinstance(r, QuillringError)}
+        if len(good_replies) < needed:
+            errors = [r for r in replies.values() if isinstance(r, QuillringError)]
+            raise NoMajority(part=self.part, heard=sorted(good_replies)) from ExceptionGroup(
+                f"stores of {self.part}", errors
+            )
+        return good_replies
--- a/quillring/quorum/leader/retirement_check.py
+++ b/quillring/quorum/leader/retirement_check.py
@@ -1,14 +1,14 @@
-"""Retirement of a store: when no part needs it any more, and why that stays so.
+"""Check of a store's retirement: when no part needs it any more, and why that stays so.
 
 A store is free when these are seen in this order:
 
 1. The store itself, if it is in reach, knows that it is retired and keeps no hints for a member in
    reach. From then on it refuses to join a part (`quorum.join`), whoever asks.
-2. The owner of each part finds every member of a full group without the store up to date under its
-   ballot, and no change under way that lets the store join. An owner that asked the store before
+2. The leader of each part finds every member of a full group without the store up to date under its
+   ballot, and no change under way that lets the store join. A leader that asked the store before
    step 1 either answers here, and tells of it, or is fenced by the members that answered.
 
-So no later owner can bring the store back, and each part bears as many losses as it was made for.
+So no later leader can bring the store back, and each part bears as many losses as it was made for.
 """
 
 from __future__ import annotations
@@ -19,17 +19,28 @@
 from quillring.kernel.errors import QuillringError, UnknownService
 
 if TYPE_CHECKING:
+    from typing import Any
+
     from quillring.kernel.node import Node
     from quillring.kernel.types import Coroutine
     from quillring.quorum.leader.part_leader import PartLeader
 
 
-class PartAnswer(NamedTuple):
-    """What a part's owner tells of its group: store names, and those not up to date or joining."""
+class GroupStatus(NamedTuple):
+    """What a part's leader tells of its group: store names, and those not up to date or joining."""
+
+    group: tuple[str, ...]
+    late: tuple[str, ...]
+    joining: tuple[str, ...]
 
-    group: tuple
-    late: tuple
-    joining: tuple
+    @classmethod
+    def from_wire(cls, fields: dict[str, list[str]]) -> GroupStatus:
+        """Read the answer to `part.whole`; a former version tells nothing of who joins."""
+        return cls(tuple(fields["group"]), tuple(fields["late"]), tuple(fields.get("joining", ())))
+
+    def to_wire(self) -> dict[str, list[str]]:
+        """Return the answer to `part.whole`."""
+        return {"group": list(self.group), "late": list(self.late), "joining": list(self.joining)}
 
     def is_whole_without(self, store: str, size: int) -> bool:
         """Tell whether the part is at full strength and neither has nor awaits the store."""
@@ -37,6 +48,17 @@
         return is_apart and not self.late and len(self.group) >= size
 
 
+def group_status(leader: PartLeader) -> Coroutine:
+    """Return the GroupStatus of a part led here; what is committed as it begins counts."""
+    index = leader.index
+    applied = yield from leader.applied_index_by_store()
+    repair = leader.node.find("repair")
+    joining = repair.joining.get(leader.part) if repair is not None else None
+    names = tuple(member.name for member in leader.group)
+    late = tuple(name for name in names if applied.get(name, -1) < index)
+    return GroupStatus(names, late, () if joining is None else (joining,))
+
+
 def may_join(node: Node, store: str) -> Coroutine:
     """Ask a store whether it may become a member; one of a former version is not asked."""
     try:
@@ -48,29 +70,16 @@
     return True
 
 
-def tell_whole(owner: PartLeader) -> Coroutine:
-    """Coroutine, at the owner: answer `part.whole`; what was committed when it was asked counts."""
-    index = owner.index
-    applied = yield from owner.applied_index_by_store()
-    repair = owner.node.find("repair")
-    joining = repair.joining.get(owner.part) if repair is not None else None
-    return {
-        "group": [store[0] for store in owner.group],
-        "late": [store[0] for store in owner.group if applied.get(store[0], -1) < index],
-        "joining": [joining] if joining is not None else [],
-    }
-
-
 def is_free(node: Node, store: str, seconds: float) -> Coroutine:
-    """Coroutine: tell whether a store that is marked as retired is needed no more.
+    """Tell whether a store that is marked as retired is needed no more.
 
-    Raises an owner's error when a part can't be asked in time.
+    Raises a leader's error when a part can't be asked within `seconds`.
     """
     if not (yield from _is_ready(node, store)):
         return False
-    answers = yield from ask_all_parts(node, seconds)
+    statuses = yield from ask_all_parts(node, seconds)
     size = node.find("ownership").size()
-    return all(answer.is_whole_without(store, size) for answer in answers)
+    return all(status.is_whole_without(store, size) for status in statuses)
 
 
 def _is_ready(node: Node, store: str) -> Coroutine:
@@ -87,9 +96,10 @@
 
 
 def ask_all_parts(node: Node, seconds: float) -> Coroutine:
-    """Ask the owners of all parts at once; return their PartAnswers or raise an error."""
-    ownership, outcomes, done_signal = node.find("ownership"), {}, Signal()
+    """Ask the leaders of all parts at once; return each GroupStatus, or raise an error."""
+    ownership, done_signal = node.find("ownership"), Signal()
     parts = ownership.parts()
+    outcomes: dict[str, Any] = {}
 
     def ask_part(part: str) -> Coroutine:
         try:
@@ -105,7 +115,4 @@
     for outcome in outcomes.values():
         if isinstance(outcome, QuillringError):
             raise outcome
-    return [
-        PartAnswer(tuple(o["group"]), tuple(o["late"]), tuple(o.get("joining", ())))
-        for o in outcomes.values()
-    ]
+    return [GroupStatus.from_wire(fields) for fields in outcomes.values()]
--- /dev/null
+++ b/quillring/quorum/leader/state_fetch.py
@@ -0,0 +1,125 @@
+"""How a new leader comes by the newest applied state: its own, some entries, or a snapshot.
+
+No state is fetched that is there already. A snapshot comes in chunks of bounded size, one at a
+time, so that no message grows with a part's state.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from quillring.kernel.errors import Conflict, NoMajority, QuillringError, UnknownService
+from quillring.quorum.leader.election_progress import STATE
+from quillring.quorum.snapshot_chunks import SNAPSHOT_START, ChunkOffset, StateBuilder
+
+if TYPE_CHECKING:
+    from typing import Any
+
+    from quillring.kernel.node import Node
+    from quillring.kernel.types import Coroutine
+    from quillring.quorum.leader.election_progress import ElectionProgress
+    from quillring.quorum.leader.state_machine import StateMachine
+    from quillring.quorum.messages import Promise
+
+
+class StateFetcher:
+    """Brings the state machine of a new leader to what a majority's promises tell of."""
+
+    __slots__ = ("node", "part", "machine", "progress")
+
+    def __init__(
+        self, node: Node, part: str, machine: StateMachine, progress: ElectionProgress
+    ) -> None:
+        self.node = node
+        self.part = part
+        self.machine = machine
+        self.progress = progress
+
+    def adopt_newest(self, promises: dict[str, Promise]) -> Coroutine:
+        """Take the newest applied state among the promises of a majority.
+
+        What this core held in a former term counts: what was applied at an index is the same
+        everywhere, so it only lacks the entries since. Else one of the newest stores sends the
+        state, one of the own zone if there is any. Raises NoMajority when none of them does.
+        """
+        known = {store: p for store, p in promises.items() if p.state is not None}
+        newest = max(promise.applied for promise in known.values())
+        machine = self.machine
+        if machine.state is not None and machine.last_applied >= newest:
+            return
+        holders = [store for store, promise in known.items() if promise.applied == newest]
+        whole = [known[store].state for store in holders if known[store].state is not True]
+        if whole:
+            machine.install(newest, whole[0])
+            return
+        for store in nearest_first(self.node, holders):
+            self.progress.enter(STATE, [store])
+            try:
+                if machine.state is not None and (yield from self._adopt_entries(store, newest)):
+                    return
+                machine.install(newest, (yield from self._fetch_snapshot(store, newest)))
+                machine.log_cache.clear()
+                return
+            except QuillringError as error:
+                self.node.log("warning", "snapshot of %s from %s: %s", self.part, store, error)
+        raise NoMajority(part=self.part, reason="no store gave the state")
+
+    def _adopt_entries(self, store: str, last: int) -> Coroutine:
+        """Apply the entries up to an index that a store still has; False if some are gone."""
+        machine = self.machine
+        entries = yield from fetch_entries(self.node, self.part, store, machine.last_applied, last)
+        for index, batch in entries or ():
+            machine.apply(index, batch)
+        return machine.last_applied >= last
+
+    def _fetch_snapshot(self, store: str, index: int) -> Coroutine:
+        """Return the state that a store applied at an index, fetched chunk by chunk."""
+        builder, seconds = StateBuilder(), self.node.bounds.propagation / 2
+        offset: ChunkOffset | None = SNAPSHOT_START
+        while offset is not None:
+            body = {"part": self.part, "index": index, "place": list(offset)}
+            try:
+                reply = yield from self.node.call(store, "quorum.piece", body, seconds)
+            except UnknownService:
+                return (yield from self._fetch_whole(store, index, seconds))
+            data, following = reply
+            self.node.count("pieces_fetched")
+            self.progress.fetched_bytes += len(data)
+            builder.add(data, following)
+            offset = None if following is None else ChunkOffset(*following)
+        return builder.whole()
+
+    def _fetch_whole(self, store: str, index: int, seconds: float) -> Coroutine:
+        """Return the state of a store of a former version, which sends it in one message."""
+        body = {"part": self.part}
+        applied, state = (yield from self.node.call(store, "quorum.image", body, seconds))[:2]
+        if applied != index:
+            raise Conflict(part=self.part, applied=applied)
+        return state
+
+
+def nearest_first(node: Node, stores: list[str]) -> list[str]:
+    """Return store names, those of the node's own zone first, else by name."""
+    members, own_zone = node.find("nifty").roster.members, node.me.zone
+
+    def distance(store: str) -> tuple[bool, str]:
+        is_elsewhere = store not in members or members[store].zone != own_zone
+        return is_elsewhere, store
+
+    return sorted(stores, key=distance)
+
+
+def fetch_entries(node: Node, part: str, store: str, after: int, last: int) -> Coroutine:
+    """Return [[index, batch], ...] after one index up to another, or None if some are gone."""
+    entries: list[list[Any]] = []
+    while after < last:
+        body = {"part": part, "after": after}
+        try:
+            rows = yield from node.call(store, "quorum.entries", body, node.bounds.read_timeout)
+        except UnknownService:
+            return None
+        if not rows:
+            return None
+        entries.extend(row for row in rows if row[0] <= last)
+        after = rows[-1][0]
+    return entries
--- /dev/null
+++ b/quillring/quorum/leader/state_machine.py
@@ -0,0 +1,60 @@
+"""The leader's copy of a part's replicated state machine: what it applied, and the last entries."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from quillring.quorum.commands import apply_batch
+from quillring.quorum.log_cache import LogCache
+
+if TYPE_CHECKING:
+    from typing import Any
+
+    from quillring.quorum.values import WireGroup
+
+    State = dict[str, Any]
+    Batch = list[dict[str, Any]]
+
+
+class StateMachine:
+    """A part's state after the entry `last_applied`, and a cache of the entries before it.
+
+    What is applied at an index is the same at every node, so a later term may go on from here.
+    """
+
+    __slots__ = ("last_applied", "state", "log_cache")
+
+    def __init__(
+        self,
+        last_applied: int = 0,
+        state: State | None = None,
+        log_cache: LogCache | None = None,
+    ) -> None:
+        self.last_applied = last_applied
+        self.state = state
+        self.log_cache = LogCache() if log_cache is None else log_cache
+
+    def copy(self) -> StateMachine:
+        """Return the same state, which is immutable, with a log cache of its own."""
+        return StateMachine(self.last_applied, self.state, self.log_cache.copy())
+
+    def group(self) -> WireGroup:
+        """Return the group that the state names, in its wire form."""
+        group: WireGroup = self.known_state()["group"]
+        return group
+
+    def known_state(self) -> State:
+        """Return the state of a part that is known to have one."""
+        assert self.state is not None
+        return self.state
+
+    def apply(self, index: int, batch: Batch) -> list[Any]:
+        """Apply the entry at an index, the one after `last_applied`; return its answers."""
+        self.last_applied = index
+        self.log_cache.add(index, batch)
+        self.state, answers = apply_batch(self.known_state(), batch)
+        return answers
+
+    def install(self, index: int, state: State) -> None:
+        """Take the state after an index in place of the present one; the log cache stays."""
+        self.last_applied, self.state = index, state
--- a/quillring/quorum/leader/uncommitted.py
+++ b/quillring/quorum/leader/uncommitted.py
@@ -1,6 +1,7 @@
-"""The entries that a new owner must propose again: accepted, and applied at no store it heard.
+"""The uncommitted suffix of the log: entries accepted, and applied at no store that was heard.
 
-Promises name them by index and ballot only; the few that matter are fetched one by one.
+A new leader has to propose them again, as each may have been chosen. Promises name them by index
+and ballot only; the few that matter are fetched one by one.
 """
 
 from __future__ import annotations
@@ -10,58 +11,55 @@
 from quillring.kernel.errors import NoMajority, QuillringError
 
 if TYPE_CHECKING:
+    from typing import Any
+
+    from quillring.kernel.node import Node
     from quillring.kernel.types import Coroutine
-    from quillring.quorum.leader.part_leader import PartLeader
     from quillring.quorum.messages import Promise
 
 
-class TailEntry(NamedTuple):
+class UncommittedEntry(NamedTuple):
     """An accepted entry as promises name it; `batch` is None where only its holders have it."""
 
-    ballot: tuple
-    batch: list | None
-    holders: list
+    ballot: tuple[int, str]
+    batch: list[dict[str, Any]] | None
+    holders: list[str]
 
 
-def best_entries(promises: dict[str, Promise], after: int) -> dict[int, TailEntry]:
+def best_entries(promises: dict[str, Promise], after: int) -> dict[int, UncommittedEntry]:
     """Return {index: the entry of the highest ballot} of the accepted ones after an index."""
-    best = {}
+    best: dict[int, UncommittedEntry] = {}
     for store, promise in promises.items():
         for index, ballot, batch in promise.tail:
-            entry, known = TailEntry(ballot, batch, [store]), best.get(index)
+            entry, known = UncommittedEntry(ballot, batch, [store]), best.get(index)
             if index <= after or (known is not None and known.ballot > entry.ballot):
                 continue
             if known is not None and known.ballot == entry.ballot:
-                entry = TailEntry(entry.ballot, batch or known.batch, [*known.holders, store])
+                entry = UncommittedEntry(ballot, batch or known.batch, [*known.holders, store])
             best[index] = entry
     return best
 
 
-def fetch_batch(owner: PartLeader, index: int, entry: TailEntry) -> Coroutine:
-    """Coroutine: return the batch of an accepted entry; NoMajority when no holder gives it now."""
+def highest_ballot_beyond(promises: dict[str, Promise], index: int) -> tuple[int, str] | None:
+    """Return the highest ballot of the entries accepted beyond an index, or None."""
+    rows = [row for promise in promises.values() for row in promise.tail]
+    ballots: list[tuple[int, str]] = [row.ballot for row in rows if row.index > index]
+    return max(ballots, default=None)
+
+
+def fetch_batch(node: Node, part: str, index: int, entry: UncommittedEntry) -> Coroutine:
+    """Return the batch of an accepted entry; raises NoMajority when no holder gives it now."""
     if entry.batch is not None:
         return entry.batch
-    body = {"part": owner.part, "index": index}
+    body = {"part": part, "index": index}
     for store in entry.holders:
         try:
-            ballot, batch = yield from owner.node.call(
-                store, "quorum.accepted", body, owner.node.bounds.read_timeout
+            ballot, batch = yield from node.call(
+                store, "quorum.accepted", body, node.bounds.read_timeout
             )
         except QuillringError as error:
-            owner.node.log("warning", "entry %s of %s from %s: %s", index, owner.part, store, error)
+            node.log("warning", "entry %s of %s from %s: %s", index, part, store, error)
             continue
         if tuple(ballot) == entry.ballot:
             return batch
-    raise NoMajority(part=owner.part, reason="no store gave an accepted entry", index=index)
-
-
-def finish_tail(owner: PartLeader, promises: dict[str, Promise]) -> Coroutine:
-    """Propose again every entry that may have been chosen; False after a group change."""
-    best = best_entries(promises, owner.index)
-    while owner.index + 1 in best:
-        batch = yield from fetch_batch(owner, owner.index + 1, best[owner.index + 1])
-        yield from owner.replicate(batch)
-        if owner.adopt_group(owner.state["group"]):
-            return False
-    yield from owner.replicate([])
-    return True
+    raise NoMajority(part=part, reason="no store gave an accepted entry", index=index)
--- a/tests/test_http_lot_large_results.py
+++ b/tests/test_http_lot_large_results.py
@@ -26,13 +26,13 @@
         stage.read_all("a")
         node = stage.sim.up_nodes("edge")[0]
         part, key = stage.part(), lot_key(HOST, "a")
-        owner = stage.owner().find("ownership").leaders[part]
+        leader = stage.owner().find("ownership").leaders[part]
         holders = [
             store.find("acceptors").parts[part]
             for store in stage.sim.up_nodes("store")
             if part in store.find("acceptors").parts
         ]
-        for holder in (owner, *holders):
+        for holder in (leader.machine, *holders):
             lot = lot_records(holder.state)[key]
             results = [[name, state, b"x" * 20_000] for name, state, _ in lot["results"]]
             holder.state = with_lot(holder.state, key, {**lot, "results": results})
--- a/tests/test_peek.py
+++ b/tests/test_peek.py
@@ -124,7 +124,7 @@
     node = stage.node(name)
     owner = node.find("ownership").leaders["part-1"]
     stores = [stage.node(store[0]).find("acceptors").parts["part-1"] for store in owner.group]
-    with mock.patch.object(PartLeader, "_cast_commit", lambda self: None):
+    with mock.patch.object(PartLeader, "_send_commit", lambda self: None):
         stage.start(stage.sim.run_script(node, owner.submit(accept("part-1.new")[0])))
         while not all(record.entries for record in stores):
             stage.env.step()
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -11,7 +11,7 @@
 
 FREEZES = (2, 20, 60)
 SLOW_STEPS = (0.002, 0.008, 0.03)
-REAL_ATTEMPT = PartLeader._round
+REAL_ATTEMPT = PartLeader._call_majority
 
 
 def zone_order(zone, emptied=True):
@@ -35,7 +35,7 @@
         yield fleet.env.timeout(0.0001)
         fleet.sim.freeze(name, seconds)
 
-    with mock.patch.object(PartLeader, "_round", freezing_round):
+    with mock.patch.object(PartLeader, "_call_majority", freezing_round):
         fleet.wait_for(lambda: frozen_at, 2, 0.01)
         fleet.run(frozen_at[0] + seconds - 0.001 - fleet.env.now)
     return name, owner
@@ -80,7 +80,7 @@
         coroutine = node.find("ownership").read(CONFIG, {"ask": "edition"}, 0.8)
         return (yield from fleet.sim.run_script(node, coroutine))
 
-    with mock.patch.object(PartLeader, "_round", ask_during):
+    with mock.patch.object(PartLeader, "_call_majority", ask_during):
         task = fleet.env.process(read())
         fleet.run(seconds - 0.3)
         other = next(n for n in fleet.sim.names("core") if n != name)
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -2,7 +2,7 @@
 
 from quillring.kernel.errors import Refused
 from quillring.lots.http_requests import api
-from quillring.quorum.leader.batching import BATCH_BYTES, split_batch
+from quillring.quorum.leader.command_queue import ENTRY_BYTES, PendingCommand, split_batch
 from tests.http_lot_stage import FORWARD, HttpLotStage
 
 LINK = 8 << 20
@@ -86,13 +86,13 @@
 
 
 def test_commands_that_wait_go_into_entries_of_bounded_size():
-    queue = [({"do": "raw.accept", "body": bytes(100_000)}, None) for _ in range(9)]
+    queue = [PendingCommand({"do": "raw.accept", "body": bytes(100_000)}, None) for _ in range(9)]
     sizes = []
     while queue:
         batch, queue = split_batch(queue)
         sizes.append(len(batch))
     assert sizes == [2, 2, 2, 2, 1]
-    huge = ({"do": "raw.accept", "body": bytes(BATCH_BYTES * 2)}, None)
+    huge = PendingCommand({"do": "raw.accept", "body": bytes(ENTRY_BYTES * 2)}, None)
     assert [len(part) for part in split_batch([huge, huge])] == [1, 1]
 
 
--- a/tests/test_takeover_view.py
+++ b/tests/test_takeover_view.py
@@ -46,6 +46,6 @@
         part = next(name for name, owner in ownership.leaders.items() if owner.is_leader)
         ownership.leaders[part].step_down(NotOwner(part=part))
         assert ownership.leaders[part].election_progress.phase == ENDED
-        assert any(line.startswith(f"end of {part}, ballot") for line in lines)
+        assert any(line.startswith(f"end of term for {part}, ballot") for line in lines)
         stage.run(3)
-        assert any(line.startswith(f"took {part}: ballot") for line in lines)
+        assert any(line.startswith(f"won election for {part}: ballot") for line in lines)
--- a/tests/test_transfer.py
+++ b/tests/test_transfer.py
@@ -8,8 +8,9 @@
 from hypothesis import strategies as st
 
 from quillring.kernel.errors import Conflict, TimedOut
-from quillring.quorum.leader.catch_up import mend_store
-from quillring.quorum.log_cache import LogCache
+from quillring.quorum.leader.catch_up import FollowerCatchUp
+from quillring.quorum.leader.quorum_call import QuorumCaller
+from quillring.quorum.leader.state_machine import StateMachine
 from quillring.quorum.snapshot_chunks import (
     CHUNK_BYTES,
     SNAPSHOT_START,
@@ -18,6 +19,7 @@
     StateBuilder,
     cut_chunk,
 )
+from quillring.quorum.values import GroupMember
 from tests.fleet_stage import SelfFounded
 from tests.test_repair import is_whole, members, owners, zone_order
 
@@ -82,9 +84,10 @@
     for each in (whole, store):
         node = SimpleNamespace(me=ME, call=each.call, find=PEERS.get, bounds=NEWS)
         node.count = lambda *words: None
-        fields = {"node": node, "log_cache": LogCache(), "group": [], "index": 9, "state": state}
-        owner = SimpleNamespace(part="part-0", is_leader=True, **fields)
-        finish(mend_store(owner, 0, ("store-1", "quorum.install", {})))
+        catch_up = FollowerCatchUp(
+            QuorumCaller(node, "part-0", []), StateMachine(9, state), lambda: True
+        )
+        finish(catch_up.send_missing(GroupMember("store-1", "a", "north"), 0))
         assert each.builder.whole() == state
     lost = whole.places[loses_after - 1]
     assert len(whole.places) > 7 and store.places.count(lost) == 2
