--- a/proving/sim/repair_time.py
+++ b/proving/sim/repair_time.py
@@ -124,7 +124,7 @@
 def main(stores, parts, size, mebibytes, megabits, back, seed):
     """Measure the repair after the loss of one store."""
     for megabit in megabits:
-        with mock.patch.object(catch_up, "cut_piece", cut_small_piece):
+        with mock.patch.object(catch_up, "cut_chunk", cut_small_piece):
             run = RepairRun(seed, stores, parts, size, mebibytes)
             run.sim.net.link_bytes_per_second = megabit * 1e6 / 8 / SCALE
             figures = run.lose(back)
