--- a/proving/histories/bugs.py
+++ b/proving/histories/bugs.py
@@ -180,9 +180,9 @@
     Bug("results move", "state_machine.list_items", state_machine, "list_items", list_in_front),
     Bug(
         "snapshot goes back",
-        "ConfigurationSnapshot.on_news",
+        "ConfigurationSnapshot.on_announcement",
         ConfigurationSnapshot,
-        "on_news",
+        "on_announcement",
         take_any_news,
     ),
     Bug(
--- a/proving/histories/calls.py
+++ b/proving/histories/calls.py
@@ -32,6 +32,7 @@
 from quillring.lots.http_requests.lot_table import HeldTooMuch, QuotaExceeded
 from quillring.quorum.parts import CONFIG
 from quillring.rollout.commands import BadConfiguration
+from quillring.rollout.messages import OrderStore, OrderZone
 from quillring.rollout.operator_orders import retire_store
 from quillring.rollout.orders import StaleOrder, submit_order
 
@@ -93,18 +94,12 @@
         case FetchConfiguration():
             return ownership.read(CONFIG, {"ask": "edition"}, seconds)
         case MarkZone():
-            command = {
-                "do": "domain.mark",
-                "domain": name,
-                "emptied": order.is_emptied,
-                "nodes": False,
-            }
-            return submit_order(node, command, seconds)
+            zone_order = OrderZone(name, order.is_emptied, includes_nodes=False)
+            return submit_order(node, zone_order, seconds)
         case RetireStore():
             return retire_store(node, order.store, seconds)
         case RestoreStore():
-            command = {"do": "store.mark", "store": order.store, "retired": False}
-            return submit_order(node, command, seconds)
+            return submit_order(node, OrderStore(order.store, is_retired=False), seconds)
         case AcceptLot():
             items = stage.items(name, order.digest, order.count)
             return api.submit_lot(node, FORWARD, name, items)
--- a/proving/points/departed.py
+++ b/proving/points/departed.py
@@ -61,8 +61,11 @@
         group = self.node.find("ownership").group(CONFIG)
     except NotFounded:
         return False
-    words = [word for _, word in self._store_words(group)]
-    good = [index for at, index in words if at is not None and at > edge_time]
+    good = [
+        report.committed_index
+        for report in self._reports(group)
+        if report.confirmed_at is not None and report.confirmed_at > edge_time
+    ]
     return sum(index <= snapshot.index for index in good) >= majority(group)
 
 
--- a/proving/points/orders.py
+++ b/proving/points/orders.py
@@ -9,6 +9,7 @@
 from quillring.ownership.part_client import PartClient
 from quillring.quorum.leader.part_leader import PartLeader
 from quillring.rollout import operator_orders, orders
+from quillring.rollout.messages import OrderZone
 from quillring.rollout.operator_orders import retire_store
 from quillring.rollout.orders import submit_order
 
@@ -18,9 +19,8 @@
 
 def order_zone(stage, node_name, zone, is_emptied):
     """An operator orders a zone emptied or filled at a node; return (answer, error)."""
-    command = {"do": "domain.mark", "domain": zone, "emptied": is_emptied, "nodes": False}
-    node = stage.node(node_name)
-    coroutine = submit_order(node, command, TRY_SECONDS)
+    node, order = stage.node(node_name), OrderZone(zone, is_emptied, includes_nodes=False)
+    coroutine = submit_order(node, order, TRY_SECONDS)
     return stage.finish(stage.start(stage.sim.run_script(node, coroutine)))
 
 
--- a/proving/points/reading.py
+++ b/proving/points/reading.py
@@ -177,7 +177,7 @@
         "a layout that grows is everywhere within 2 s",
         growing_configuration,
         [
-            (ConfigurationSnapshot, "_cast_all", no_news),
+            (ConfigurationSnapshot, "_announce_to_all", no_news),
             (Gossip, "push_updates", no_news),
             (Gossip, "on_digest", no_news),
             (Freshness, "_fetch_newer", no_news),
--- a/proving/scale/fleet.py
+++ b/proving/scale/fleet.py
@@ -93,7 +93,7 @@
             node.find("gossip").remaining_sends = {}
         node = self.nodes[self.members[0].name]
         node.find("gossip").publish("founding", [1], {"groups": self.groups})
-        node.find("layout").take(self.index, self.config_state())
+        node.find("layout").update(self.index, self.config_state())
         for number in range(self.replicas):
             self.env.process(self._replica(number))
 
@@ -129,7 +129,7 @@
     def change_configuration(self):
         """Commit a further layout at the stores; a core makes it news."""
         self.index += 1
-        self.live()[0].find("layout").take(self.index, self.config_state())
+        self.live()[0].find("layout").update(self.index, self.config_state())
 
     def live(self):
         """Return the nodes that run."""
--- a/quillring/quorum/acceptor/acceptor.py
+++ b/quillring/quorum/acceptor/acceptor.py
@@ -69,7 +69,7 @@
             return
         gossip = self.node.find("gossip")
         if part == CONFIG:
-            self.node.find("layout").take(record.applied, record.state)
+            self.node.find("layout").update(record.applied, record.state)
         elif gossip.get(f"group/{part}") != record.state["group"]:
             gossip.publish(f"group/{part}", [record.applied], record.state["group"])
 
--- a/quillring/rollout/commands.py
+++ b/quillring/rollout/commands.py
@@ -1,17 +1,25 @@
-"""Commands and queries of the config part that change and show the layout."""
+"""Commands and queries of the config part that change and show the configuration."""
 
-import hashlib
-import json
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
 
 from quillring.kernel.errors import Conflict, QuillringError
 from quillring.quorum.commands import COMMANDS, QUERIES
+from quillring.rollout.messages import ADOPT_CONFIGURATION, AdoptConfiguration, CurrentConfiguration
 from quillring.rollout.schema import EMPTY, find_faults, merge
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+    from quillring.kernel.types import WireMap
+    from quillring.rollout.schema import Fault
+
 KEPT_CHANGES = 64
 
 
 class BadConfiguration(QuillringError):
-    """The layout was refused, with every reason; no node changes.
+    """The configuration was refused, with every reason; no node changes.
 
     Final: on the version it builds on it is always refused, and on any other it is a conflict.
     """
@@ -20,50 +28,49 @@
     status = 422
     is_final = True
 
+    @classmethod
+    def because_of(cls, faults: Iterable[Fault]) -> BadConfiguration:
+        """Return the error that tells of these faults."""
+        return cls(faults=[fault.to_wire() for fault in faults])
 
-@COMMANDS.entry("layout.adopt")
-def adopt_configuration(state, command):
-    """Adopt a whole or partial layout that was made against the current version."""
+
+@COMMANDS.entry(ADOPT_CONFIGURATION)
+def adopt_configuration(state: WireMap, command: WireMap) -> tuple[WireMap, WireMap]:
+    """Adopt a whole or partial configuration that was made against the current version."""
+    adoption = AdoptConfiguration.from_wire(command)
+    change_id, digest = adoption.id, adoption.digest()
     changes, digests = state.get("changes", {}), state.get("change_digests", {})
-    digest = digest_of_change(command)
-    if command["id"] in changes:
-        if digests.get(command["id"], digest) != digest:
-            raise Conflict(field="id", id=command["id"], reason="another change bears this id")
-        return state, {"version": changes[command["id"]], "repeated": True}
-    if command["base_version"] != state["version"]:
+    if change_id in changes:
+        if digests.get(change_id, digest) != digest:
+            raise Conflict(field="id", id=change_id, reason="another change bears this id")
+        return state, {"version": changes[change_id], "repeated": True}
+    if adoption.base_version != state["version"]:
         raise Conflict(
             winning_version=state["version"],
-            base_version=command["base_version"],
+            base_version=adoption.base_version,
             winning_change=state.get("last_change"),
         )
-    current_configuration = state["layout"] or EMPTY
-    configuration = (
-        command["change"] if command["whole"] else merge(current_configuration, command["change"])
-    )
+    configuration = adoption.change
+    if not adoption.is_whole:
+        configuration = merge(state["layout"] or EMPTY, adoption.change)
     faults = find_faults(configuration)
     if faults:
-        raise BadConfiguration(faults=faults)
+        raise BadConfiguration.because_of(faults)
     version = state["version"] + 1
-    kept_changes = dict([*changes.items(), (command["id"], version)][-KEPT_CHANGES:])
+    kept_changes = dict([*changes.items(), (change_id, version)][-KEPT_CHANGES:])
     kept_digests = {name: digests[name] for name in kept_changes if name in digests}
     new_state = {
         **state,
         "layout": configuration,
         "version": version,
         "changes": kept_changes,
-        "change_digests": {**kept_digests, command["id"]: digest},
-        "last_change": command["id"],
+        "change_digests": {**kept_digests, change_id: digest},
+        "last_change": change_id,
     }
     return new_state, {"version": version}
 
 
-def digest_of_change(command):
-    """Return the digest of what a change says; the version it builds on doesn't count."""
-    sent = [command["whole"], command["change"]]
-    return hashlib.sha256(json.dumps(sent, sort_keys=True).encode()).hexdigest()[:24]
-
-
 @QUERIES.entry("layout")
-def show_configuration(state, query):
-    """Return the layout and its version."""
-    return {"version": state["version"], "layout": state["layout"]}
+def show_configuration(state: WireMap, query: WireMap) -> WireMap:
+    """Return the configuration and the version of the state."""
+    return CurrentConfiguration(state["version"], state["layout"]).to_wire()
--- a/quillring/rollout/configuration_versions.py
+++ b/quillring/rollout/configuration_versions.py
@@ -1,70 +1,92 @@
-"""Editions: the operators' own numbered forwards, services and limits, whole or amended."""
+"""The operators' own numbered versions of forwards, services and limits, whole or amended."""
 
-import hashlib
-import json
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
 
 import cbor2
 
 from quillring.kernel.errors import Conflict
 from quillring.quorum.commands import COMMANDS, QUERIES
 from quillring.rollout.commands import BadConfiguration
-from quillring.rollout.schema import EMPTY, EXTRAS, FORWARD, LIMITS, RAW_SERVICE, item_faults
+from quillring.rollout.messages import (
+    ADOPT_VERSION,
+    AdoptVersion,
+    CurrentVersion,
+    digest_of_json,
+)
+from quillring.rollout.schema import (
+    EMPTY,
+    EXTRAS,
+    FORWARD,
+    LIMITS,
+    RAW_SERVICE,
+    Fault,
+    item_faults,
+)
+
+if TYPE_CHECKING:
+    from typing import Any
+
+    from quillring.kernel.types import WireMap
 
 KEPT_VERSIONS = 256
 SECTIONS = (("forwards", FORWARD), ("services", RAW_SERVICE))
 
 
-@COMMANDS.entry("edition.adopt")
-def adopt_version(state, command):
-    """Adopt an edition made on top of the current one; one taken before is told as taken."""
-    digest, configuration_versions = digest_of(command), state.get("editions", {})
-    number = command["edition"]
-    if configuration_versions.get(str(number)) == digest:
+@COMMANDS.entry(ADOPT_VERSION)
+def adopt_version(state: WireMap, command: WireMap) -> tuple[WireMap, WireMap]:
+    """Adopt a version made on top of the current one; one taken before is told as taken."""
+    adoption = AdoptVersion.from_wire(command)
+    digest, digests = digest_of(command), state.get("editions", {})
+    number = adoption.number
+    if digests.get(str(number)) == digest:
         return state, {"edition": number, "repeated": True}
     configuration = state["layout"] or EMPTY
     current_number = configuration.get("edition", 0)
-    if command["base_edition"] != current_number:
-        raise Conflict(winning_edition=current_number, base_edition=command["base_edition"])
-    faults = [*number_faults(number, current_number), *command_faults(command, configuration)]
+    if adoption.base_number != current_number:
+        raise Conflict(winning_edition=current_number, base_edition=adoption.base_number)
+    faults = [*number_faults(number, current_number), *command_faults(adoption, configuration)]
     if faults:
-        raise BadConfiguration(faults=faults)
-    new_configuration = lay_over(configuration, command)
+        raise BadConfiguration.because_of(faults)
+    new_configuration = lay_over(configuration, adoption)
     faults = cross_faults(new_configuration)
     if faults:
-        raise BadConfiguration(faults=faults)
-    kept_versions = dict([*configuration_versions.items(), (str(number), digest)][-KEPT_VERSIONS:])
+        raise BadConfiguration.because_of(faults)
+    kept_digests = dict([*digests.items(), (str(number), digest)][-KEPT_VERSIONS:])
     new_state = {
         **state,
         "layout": new_configuration,
         "version": state["version"] + 1,
-        "editions": kept_versions,
+        "editions": kept_digests,
     }
     return new_state, {"edition": number}
 
 
 @QUERIES.entry("edition")
-def show_configuration_version(state, query):
-    """Return the number of the current edition (0: none yet) and its layout."""
+def show_configuration_version(state: WireMap, query: WireMap) -> WireMap:
+    """Return the number of the current version (0: none yet) and its configuration."""
     configuration = state["layout"] or EMPTY
-    return {"edition": configuration.get("edition", 0), "layout": configuration}
+    return CurrentVersion(configuration.get("edition", 0), configuration).to_wire()
 
 
-def digest_of(command):
-    """Return the digest of what an edition was sent as; its id and its way don't count."""
-    sent = {name: value for name, value in command.items() if name not in ("id", "do")}
-    return hashlib.sha256(json.dumps(sent, sort_keys=True).encode()).hexdigest()[:24]
+def digest_of(command: WireMap) -> str:
+    """Return the digest of what a version was sent as; its id and its way don't count."""
+    return digest_of_json(
+        {name: value for name, value in command.items() if name not in ("id", "do")}
+    )
 
 
-def number_faults(number, current_number):
-    """Return what speaks against the number of an edition."""
+def number_faults(number: Any, current_number: int) -> list[Fault]:
+    """Return what speaks against the number of a version."""
     if isinstance(number, bool) or not isinstance(number, int):
-        return [{"field": "edition", "fault": "not a whole number"}]
+        return [Fault("edition", "not a whole number")]
     if number <= current_number:
-        return [{"field": "edition", "fault": f"not above the current one, {current_number}"}]
+        return [Fault("edition", f"not above the current one, {current_number}")]
     return []
 
 
-def command_faults(command, configuration):
+def command_faults(adoption: AdoptVersion, configuration: WireMap) -> list[Fault]:
     """Return what speaks against the items that a command brings, each by itself.
 
     An item that is in force, byte for byte, was found valid before and is not checked again.
@@ -74,53 +96,52 @@
         former = configuration.get(section) or {}
         new_items = {
             name: item
-            for name, item in command[section].items()
+            for name, item in adoption.items(section).items()
             if name not in former or cbor2.dumps(item) != cbor2.dumps(former[name])
         }
         faults.extend(item_faults(section, validator, new_items))
-    if command["limits"] is not None:
-        faults.extend(item_faults("limits", LIMITS, {"": command["limits"]}))
-    faults.extend(item_faults("extras", EXTRAS, {"": command.get("extras") or {}}))
+    if adoption.limits is not None:
+        faults.extend(item_faults("limits", LIMITS, {"": adoption.limits}))
+    faults.extend(item_faults("extras", EXTRAS, {"": adoption.extras}))
     return faults
 
 
-def lay_over(configuration, command):
-    """Return the layout with an edition in the place of the former one, or amending it."""
-    removed = command["removed"] or {}
+def lay_over(configuration: WireMap, adoption: AdoptVersion) -> WireMap:
+    """Return the configuration with a version in place of the former one, or amending it."""
     sections = {}
     for section, _ in SECTIONS:
-        former = {} if command["whole"] else configuration.get(section, {})
-        gone_names = set(removed.get(section, ()))
+        former = {} if adoption.is_whole else configuration.get(section, {})
+        gone_names = set(adoption.removed.get(section, ()))
         kept = {name: item for name, item in former.items() if name not in gone_names}
-        sections[section] = {**kept, **command[section]}
-    former = {} if command["whole"] else configuration
-    limits = former.get("limits") if command["limits"] is None else command["limits"]
+        sections[section] = {**kept, **adoption.items(section)}
+    former = {} if adoption.is_whole else configuration
+    limits = former.get("limits") if adoption.limits is None else adoption.limits
     return {
         **configuration,
         **sections,
-        "edition": command["edition"],
+        "edition": adoption.number,
         "limits": limits,
-        "extras": {**former.get("extras", {}), **(command.get("extras") or {})},
+        "extras": {**former.get("extras", {}), **adoption.extras},
     }
 
 
-def cross_faults(configuration):
-    """Return what speaks against an edition across its items."""
-    faults, places = [], {}
+def cross_faults(configuration: WireMap) -> list[Fault]:
+    """Return what speaks against a version across its items."""
+    faults: list[Fault] = []
+    forwards_by_address: dict[tuple[str, str], str] = {}
     for name, forward in configuration["forwards"].items():
         field = f"forwards.{name}"
         unknown_names = sorted({s for s, _ in forward["split"]} - set(configuration["services"]))
         if unknown_names:
-            faults.append({"field": f"{field}.split", "fault": f"unknown {unknown_names[0]}"})
+            faults.append(Fault(f"{field}.split", f"unknown {unknown_names[0]}"))
         if sum(weight for _, weight in forward["split"]) <= 0:
-            faults.append({"field": f"{field}.split", "fault": "weights add up to 0"})
-        place = (forward["host"].lower(), forward["prefix"])
-        if place in places:
-            fault = f"same host and prefix as {places[place]}"
-            faults.append({"field": f"{field}.prefix", "fault": fault})
-        places[place] = name
+            faults.append(Fault(f"{field}.split", "weights add up to 0"))
+        address = (forward["host"].lower(), forward["prefix"])
+        if address in forwards_by_address:
+            reason = f"same host and prefix as {forwards_by_address[address]}"
+            faults.append(Fault(f"{field}.prefix", reason))
+        forwards_by_address[address] = name
     for name, route in configuration["entries"].items():
         if route["service"] not in configuration["services"]:
-            field = f"entries.{name}.service"
-            faults.append({"field": field, "fault": f"unknown {route['service']}"})
+            faults.append(Fault(f"entries.{name}.service", f"unknown {route['service']}"))
     return faults
--- a/quillring/rollout/freshness.py
+++ b/quillring/rollout/freshness.py
@@ -7,77 +7,116 @@
 stores that joined it may not know what came before.
 """
 
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any, NamedTuple
+
 from quillring.kernel.effects import Sleep
 from quillring.kernel.errors import NotFounded, QuillringError, Refused
 from quillring.quorum.parts import CONFIG, majority
+from quillring.rollout.messages import STAMP, STATE_IMAGE, StateImage, StoreStamp
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+    from quillring.kernel.node import Node
+    from quillring.kernel.types import Coroutine
+    from quillring.quorum.values import GroupMember
+
+SILENT_HEARTBEATS = 1.5
+
+
+class PolledStamp(NamedTuple):
+    """A stamp that a store answered with, and when it was asked for, in seconds."""
+
+    stamp: StoreStamp
+    asked_at: float
+
+
+class StoreReport(NamedTuple):
+    """The newest word of a config store: when it is from, and what the store knew committed.
+
+    `confirmed_at` is None where nothing was heard of the store's present disk.
+    """
+
+    name: str
+    confirmed_at: float | None
+    committed_index: int
 
 
 class Freshness:
     """Judges how old the word of the config stores is, by this node's own clock."""
 
-    __slots__ = ("node", "words")
+    __slots__ = ("node", "polled_stamps")
 
-    def __init__(self, node):
+    def __init__(self, node: Node) -> None:
         self.node = node
-        self.words = {}
-        node.handle("quorum.stamp", self.on_stamp)
+        self.polled_stamps: dict[str, PolledStamp] = {}
+        node.handle(STAMP, self.on_stamp)
 
-    def on_stamp(self, body, origin):
+    def on_stamp(self, body: Any, origin: str) -> list[Any] | None:
         """Give the stamp to a node that hears no heartbeats from this store."""
-        return self.node.find("nifty").stamp_source()
+        stamp: list[Any] | None = self.node.find("nifty").stamp_source()
+        return stamp
 
-    def _known_stores(self):
-        """Return the stores of the newest group heard of, and of the one in the layout's state."""
+    def _known_stores(self) -> list[GroupMember]:
+        """Return the stores of the newest group heard of, and of the one in the snapshot's state.
+
+        Raises NotFounded where no founding is known.
+        """
         heard_group = self.node.find("ownership").group(CONFIG)
-        own_group = self.node.find("layout").group or []
-        return [*own_group, *(s for s in heard_group if list(s) not in map(list, own_group))]
+        own_group = self.node.find("layout").group or ()
+        return [*own_group, *(store for store in heard_group if store not in own_group)]
 
-    def _store_words(self, stores):
-        """Yield (name, (time the word is from, index)) of each of the config stores."""
-        nifty = self.node.find("nifty")
+    def _reports(self, stores: Iterable[GroupMember]) -> list[StoreReport]:
+        """Return the newest report of each of the config stores."""
+        heard_stores = self.node.find("nifty").heard
+        reports = []
         for name, identity, _ in stores:
-            words = [self.words[name]] if name in self.words else []
-            heard = nifty.heard.get(name)
+            confirmed_at, committed_index = None, 0
+            polled = self.polled_stamps.get(name)
+            if polled is not None and polled.stamp.identity == identity:
+                confirmed_at, committed_index = polled.asked_at, polled.stamp.committed_index
+            heard = heard_stores.get(name)
             if heard is not None and heard.stamp is not None and heard.echo_at is not None:
-                words.append((heard.stamp, heard.echo_at))
-            yield (
-                name,
-                max(
-                    ((at, stamp[1]) for stamp, at in words if stamp[2] == identity),
-                    default=(None, 0),
-                ),
-            )
-
-    def is_fresh(self):
-        """Tell whether a majority lately confirmed that no newer layout is committed."""
+                stamp = StoreStamp.from_wire(heard.stamp)
+                newest = (heard.echo_at, stamp.committed_index)
+                is_newer = confirmed_at is None or newest > (confirmed_at, committed_index)
+                if stamp.identity == identity and is_newer:
+                    confirmed_at, committed_index = newest
+            reports.append(StoreReport(name, confirmed_at, committed_index))
+        return reports
+
+    def is_fresh(self) -> bool:
+        """Tell whether a majority lately confirmed that no newer configuration is committed."""
         snapshot = self.node.find("layout")
         if snapshot.configuration is None or not snapshot.group:
             return False
-        store_words = list(self._store_words(snapshot.group))
-        edge_time = self.node.now() - self.node.bounds.configuration_freshness
-        good_count = sum(
-            at is not None and at > edge_time and index <= snapshot.index
-            for _, (at, index) in store_words
-        )
-        return good_count >= majority(store_words)
+        oldest_time = self.node.now() - self.node.bounds.configuration_freshness
+        good_count = 0
+        for _, confirmed_at, committed_index in self._reports(snapshot.group):
+            is_recent = confirmed_at is not None and confirmed_at > oldest_time
+            if is_recent and committed_index <= snapshot.index:
+                good_count += 1
+        return good_count >= majority(snapshot.group)
 
-    def check(self):
-        """Refuse new work honestly while the layout may be old."""
+    def check(self) -> None:
+        """Refuse new work honestly while the configuration may be old."""
         if not self.is_fresh():
             raise Refused(reason="no fresh word of the layout")
 
-    def run(self):
-        """Ask silent stores over relays, and beside that fetch a layout that is newer."""
+    def run(self) -> Coroutine:
+        """Ask silent stores over relays, and beside that fetch a configuration that is newer."""
         self.node.spawn(self._keep_fetching())
         while True:
             yield Sleep(self.node.bounds.heartbeat_interval / 2)
             try:
-                store_words = list(self._store_words(self._known_stores()))
+                reports = self._reports(self._known_stores())
             except NotFounded:
                 continue
-            yield from self._probe(store_words)
+            yield from self._poll_silent(reports)
 
-    def _keep_fetching(self):
+    def _keep_fetching(self) -> Coroutine:
         while True:
             yield Sleep(self.node.bounds.gossip_interval * 2)
             try:
@@ -85,43 +124,45 @@
             except NotFounded:
                 continue
 
-    def _probe(self, store_words):
-        ask_time = self.node.now()
+    def _poll_silent(self, reports: list[StoreReport]) -> Coroutine:
+        """Ask the stores for their stamps that were not heard for more than a heartbeat."""
+        asked_at, interval = self.node.now(), self.node.bounds.heartbeat_interval
+        oldest_time = asked_at - interval * SILENT_HEARTBEATS
         silent_names = [
-            name
-            for name, (at, _) in store_words
-            if at is None or at < ask_time - self.node.bounds.heartbeat_interval * 1.5
+            report.name
+            for report in reports
+            if report.confirmed_at is None or report.confirmed_at < oldest_time
         ]
         if not silent_names:
             return
-        calls = [(name, "quorum.stamp", None) for name in silent_names]
-        replies = yield from self.node.gather(
-            calls, len(calls), self.node.bounds.heartbeat_interval
-        )
-        good_words = {
-            name: (stamp, ask_time)
-            for name, stamp in replies.items()
-            if stamp is not None and not isinstance(stamp, QuillringError)
+        calls: list[tuple[str, str, Any]] = [(name, STAMP, None) for name in silent_names]
+        replies = yield from self.node.gather(calls, len(calls), interval)
+        new_stamps = {
+            name: PolledStamp(StoreStamp.from_wire(fields), asked_at)
+            for name, fields in replies.items()
+            if fields is not None and not isinstance(fields, QuillringError)
         }
-        self.words = {**self.words, **good_words}
+        self.polled_stamps = {**self.polled_stamps, **new_stamps}
 
-    def _fetch_newer(self):
+    def _fetch_newer(self) -> Coroutine:
+        """Fetch the config state from a store that knows of a newer one, the newest first."""
         snapshot = self.node.find("layout")
-        newer_words = sorted(
+        newer_states = sorted(
             (
-                (index, name)
-                for name, (at, index) in self._store_words(self._known_stores())
-                if index > snapshot.index or (snapshot.configuration is None and index)
+                (report.committed_index, report.name)
+                for report in self._reports(self._known_stores())
+                if report.committed_index > snapshot.index
+                or (snapshot.configuration is None and report.committed_index)
             ),
             reverse=True,
         )
-        for wanted_index, name in newer_words:
+        seconds = self.node.bounds.heartbeat_interval / 2
+        for wanted_index, name in newer_states:
             if snapshot.index >= wanted_index and snapshot.configuration is not None:
                 return
             try:
-                index, state = yield from self.node.call(
-                    name, "quorum.image", {"part": CONFIG}, self.node.bounds.heartbeat_interval / 2
-                )
-                snapshot.take(index, state)
+                reply = yield from self.node.call(name, STATE_IMAGE, {"part": CONFIG}, seconds)
+                image = StateImage.from_wire(reply)
+                snapshot.update(image.log_index, image.state)
             except QuillringError:
                 continue
--- /dev/null
+++ b/quillring/rollout/messages.py
@@ -0,0 +1,323 @@
+"""Commands of the config part, and what nodes tell each other of the configuration.
+
+Each has its form on the wire and in the log here and nowhere else. The interface calls the whole
+configuration `layout`, the operators' own numbered version of it `edition`, and a zone `domain`.
+"""
+
+from __future__ import annotations
+
+import hashlib
+import json
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+from quillring.quorum.values import group_from_wire, group_to_wire
+
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
+    from quillring.kernel.types import WireMap
+    from quillring.quorum.values import Group
+
+ADOPT_CONFIGURATION = "layout.adopt"
+ADOPT_VERSION = "edition.adopt"
+ORDER_ZONE = "domain.mark"
+ORDER_STORE = "store.mark"
+
+READ_CONFIGURATION: WireMap = {"ask": "layout"}
+READ_CURRENT_VERSION: WireMap = {"ask": "edition"}
+READ_STATE_VERSION: WireMap = {"ask": "version"}
+
+STAMP = "quorum.stamp"
+STATE_IMAGE = "quorum.image"
+ANNOUNCEMENT = "layout.news"
+
+DIGEST_DIGITS = 24
+
+
+class AdoptConfiguration(NamedTuple):
+    """`layout.adopt`: take a configuration made against a version of the config part's state.
+
+    The change is the whole configuration, or is laid over the current one.
+    """
+
+    id: str
+    base_version: int
+    change: Any
+    is_whole: bool
+
+    @classmethod
+    def from_wire(cls, command: WireMap) -> AdoptConfiguration:
+        """Read the command from its form in the log."""
+        return cls(command["id"], command["base_version"], command["change"], command["whole"])
+
+    def to_wire(self) -> WireMap:
+        """Return the command in its form in the log."""
+        return {
+            "do": ADOPT_CONFIGURATION,
+            "id": self.id,
+            "base_version": self.base_version,
+            "change": self.change,
+            "whole": self.is_whole,
+        }
+
+    def digest(self) -> str:
+        """Return the digest of what the change says; the version it builds on doesn't count."""
+        return digest_of_json([self.is_whole, self.change])
+
+
+class ChangeZone(NamedTuple):
+    """`layout.adopt` that empties or refills one zone, made against a version."""
+
+    id: str
+    base_version: int
+    zone: str
+    is_emptied: bool
+
+    def to_wire(self) -> WireMap:
+        """Return the command in its form in the log."""
+        return {
+            "do": ADOPT_CONFIGURATION,
+            "id": self.id,
+            "base_version": self.base_version,
+            "whole": False,
+            "change": {"domains": {self.zone: {"emptied": self.is_emptied}}},
+        }
+
+
+class AdoptVersion(NamedTuple):
+    """`edition.adopt`: take the operators' version of this number, made on top of another one.
+
+    It is whole or amends that one: `forwards` and `services` are {name: item}, `removed` is
+    {section: names that go}; limits of None stay as they are.
+    """
+
+    base_number: int
+    number: int
+    is_whole: bool
+    forwards: Mapping[str, WireMap]
+    services: Mapping[str, WireMap]
+    limits: WireMap | None
+    removed: Mapping[str, list[str]]
+    extras: WireMap
+    id: str | None = None
+
+    @classmethod
+    def from_wire(cls, command: WireMap) -> AdoptVersion:
+        """Read the command from its form in the log."""
+        return cls(
+            command["base_edition"],
+            command["edition"],
+            command["whole"],
+            command["forwards"],
+            command["services"],
+            command["limits"],
+            command["removed"] or {},
+            command.get("extras") or {},
+            command.get("id"),
+        )
+
+    def to_wire(self) -> WireMap:
+        """Return the command in its form in the log."""
+        command = {
+            "do": ADOPT_VERSION,
+            "base_edition": self.base_number,
+            "edition": self.number,
+            "whole": self.is_whole,
+            "forwards": self.forwards,
+            "services": self.services,
+            "limits": self.limits,
+            "removed": self.removed,
+            "extras": self.extras,
+        }
+        return command if self.id is None else {**command, "id": self.id}
+
+    def items(self, section: str) -> Mapping[str, WireMap]:
+        """Return {name: item} of the section `forwards` or `services`."""
+        return self.forwards if section == "forwards" else self.services
+
+
+class OrderZone(NamedTuple):
+    """`domain.mark`: empty a zone of new work, or take that back.
+
+    `includes_nodes` tells whether its nodes are to take nothing more, or its replicas only.
+    `seen_version` is what the sender had seen when the order came in; None: no fence.
+    """
+
+    zone: str
+    is_emptied: bool
+    includes_nodes: bool = True
+    seen_version: int | None = None
+
+    @classmethod
+    def from_wire(cls, command: WireMap) -> OrderZone:
+        """Read the command from its form in the log."""
+        return cls(
+            command["domain"],
+            bool(command["emptied"]),
+            bool(command.get("nodes", True)),
+            command.get("seen_version"),
+        )
+
+    def to_wire(self) -> WireMap:
+        """Return the command in its form in the log."""
+        command = {
+            "do": ORDER_ZONE,
+            "domain": self.zone,
+            "emptied": self.is_emptied,
+            "nodes": self.includes_nodes,
+        }
+        return with_fence(command, self.seen_version)
+
+    def to_state(self) -> WireMap:
+        """Return the order as it stands in the configuration."""
+        return {"emptied": self.is_emptied, "nodes": self.includes_nodes}
+
+
+class OrderStore(NamedTuple):
+    """`store.mark`: retire a store, or take that back.
+
+    `counted` is {store: zone} of the stores that the sender counts on, `group_size` how many stores
+    hold each part; None: they are not checked. `seen_version` is as with OrderZone.
+    """
+
+    store: str
+    is_retired: bool
+    counted: Mapping[str, str] | None = None
+    group_size: int | None = None
+    seen_version: int | None = None
+
+    @classmethod
+    def from_wire(cls, command: WireMap) -> OrderStore:
+        """Read the command from its form in the log."""
+        return cls(
+            command["store"],
+            bool(command["retired"]),
+            command.get("counted"),
+            command.get("size"),
+            command.get("seen_version"),
+        )
+
+    def to_wire(self) -> WireMap:
+        """Return the command in its form in the log."""
+        command = {"do": ORDER_STORE, "store": self.store, "retired": self.is_retired}
+        if self.counted is not None:
+            command["counted"] = self.counted
+            command["size"] = self.group_size
+        return with_fence(command, self.seen_version)
+
+
+def with_fence(command: WireMap, seen_version: int | None) -> WireMap:
+    """Return an order's wire form with the version that its sender had seen, if it tells one."""
+    return command if seen_version is None else {**command, "seen_version": seen_version}
+
+
+def digest_of_json(value: Any) -> str:
+    """Return a short digest of a JSON value; the order of keys doesn't count."""
+    text = json.dumps(value, sort_keys=True)
+    return hashlib.sha256(text.encode()).hexdigest()[:DIGEST_DIGITS]
+
+
+class CurrentConfiguration(NamedTuple):
+    """The answer to the query `layout`: the configuration, and the version of the state."""
+
+    version: int
+    configuration: WireMap | None
+
+    @classmethod
+    def from_wire(cls, answer: WireMap) -> CurrentConfiguration:
+        """Read the answer from its wire form."""
+        return cls(answer["version"], answer["layout"])
+
+    def to_wire(self) -> WireMap:
+        """Return the answer in its wire form."""
+        return {"version": self.version, "layout": self.configuration}
+
+
+class CurrentVersion(NamedTuple):
+    """The answer to the query `edition`: the operators' number (0: none yet), and all of it."""
+
+    number: int
+    configuration: WireMap
+
+    @classmethod
+    def from_wire(cls, answer: WireMap) -> CurrentVersion:
+        """Read the answer from its wire form."""
+        return cls(answer["edition"], answer["layout"])
+
+    def to_wire(self) -> WireMap:
+        """Return the answer in its wire form."""
+        return {"edition": self.number, "layout": self.configuration}
+
+    def store_order(self, store: str) -> WireMap | None:
+        """Return the order in force about a store, or None."""
+        orders: dict[str, WireMap] = self.configuration.get("stores") or {}
+        return orders.get(store)
+
+
+class ConfigurationRecord(NamedTuple):
+    """The gossip record `layout`: the config part's state at an index, as every node knows it.
+
+    `group` are the stores of the config part in that very state.
+    """
+
+    log_index: int
+    version: int
+    configuration: WireMap | None
+    group: Group
+
+    @classmethod
+    def from_wire(cls, fields: list[Any]) -> ConfigurationRecord:
+        """Read the record from its wire form."""
+        log_index, version, configuration, group = fields
+        return cls(log_index, version, configuration, group_from_wire(group))
+
+    def to_wire(self) -> list[Any]:
+        """Return the record in its wire form."""
+        return [self.log_index, self.version, self.configuration, group_to_wire(self.group)]
+
+
+class Announcement(NamedTuple):
+    """`layout.news`, sent one way: a gossip version and the record under it."""
+
+    gossip_version: list[Any]
+    record: ConfigurationRecord
+
+    @classmethod
+    def from_wire(cls, body: list[Any]) -> Announcement:
+        """Read the message from its wire form."""
+        gossip_version, record = body
+        return cls(gossip_version, ConfigurationRecord.from_wire(record))
+
+    def to_wire(self) -> list[Any]:
+        """Return the message in its wire form."""
+        return [self.gossip_version, self.record.to_wire()]
+
+
+class StoreStamp(NamedTuple):
+    """What a store says of the config part: the ballot it promised and what it knows committed.
+
+    `identity` tells which life of its disk the store speaks for.
+    """
+
+    ballot: list[Any]
+    committed_index: int
+    identity: str
+
+    @classmethod
+    def from_wire(cls, fields: list[Any]) -> StoreStamp:
+        """Read the stamp from its wire form, as in heartbeats and replies to `quorum.stamp`."""
+        ballot, committed_index, identity = fields
+        return cls(ballot, committed_index, identity)
+
+
+class StateImage(NamedTuple):
+    """The reply to `quorum.image`: the state of a part that a store applied, and its index."""
+
+    log_index: int
+    state: WireMap
+
+    @classmethod
+    def from_wire(cls, fields: list[Any]) -> StateImage:
+        """Read the reply from its wire form."""
+        log_index, state = fields
+        return cls(log_index, state)
--- a/quillring/rollout/operator_orders.py
+++ b/quillring/rollout/operator_orders.py
@@ -1,40 +1,60 @@
 """Orders of operators: zones to be emptied, stores to be retired; the last one counts."""
 
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
 from quillring.kernel.errors import Conflict, NotFound
 from quillring.quorum.commands import COMMANDS
 from quillring.quorum.leader.retirement_check import is_free
 from quillring.quorum.parts import CONFIG, is_enough
+from quillring.rollout.messages import (
+    ORDER_STORE,
+    ORDER_ZONE,
+    READ_CURRENT_VERSION,
+    CurrentVersion,
+    OrderStore,
+    OrderZone,
+)
 from quillring.rollout.orders import place_order, submit_order
 from quillring.rollout.schema import EMPTY
 
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
+    from quillring.kernel.node import Node
+    from quillring.kernel.types import Coroutine, WireMap
 
-@COMMANDS.entry("domain.mark")
-def order_zone(state, command):
-    """Empty a domain or take that back; `nodes` tells whether its nodes leave, or replicas only."""
-    order = {"emptied": bool(command["emptied"]), "nodes": bool(command.get("nodes", True))}
-    seen_version = command.get("seen_version")
-    return place_order(state, "domains", command["domain"], order, seen_version), order
 
+@COMMANDS.entry(ORDER_ZONE)
+def order_zone(state: WireMap, command: WireMap) -> tuple[WireMap, WireMap]:
+    """Empty a zone or take that back."""
+    order = OrderZone.from_wire(command)
+    fields = order.to_state()
+    return place_order(state, "domains", order.zone, fields, order.seen_version), fields
 
-@COMMANDS.entry("store.mark")
-def order_store(state, command):
+
+@COMMANDS.entry(ORDER_STORE)
+def order_store(state: WireMap, command: WireMap) -> tuple[WireMap, WireMap]:
     """Retire a store or take that back; a retirement names the stores its node counts on.
 
     Whether enough of these remain is decided here, in the command's turn: of two retirements at
     once the second finds the first one done. Raises Conflict when too few would remain.
     """
-    store, is_retired_now = command["store"], bool(command["retired"])
-    former = ((state["layout"] or EMPTY).get("stores") or {}).get(store, {})
-    order = {**former, "retired": is_retired_now}
-    if is_retired_now and former != order and command.get("counted") is not None:
-        check_remaining(state, store, command["counted"], command["size"])
-    return place_order(state, "stores", store, order, command.get("seen_version")), order
+    order = OrderStore.from_wire(command)
+    former = ((state["layout"] or EMPTY).get("stores") or {}).get(order.store, {})
+    fields = {**former, "retired": order.is_retired}
+    if order.is_retired and former != fields and order.counted is not None:
+        if order.group_size is None:
+            raise KeyError("size")
+        check_remaining(state, order.store, order.counted, order.group_size)
+    return place_order(state, "stores", order.store, fields, order.seen_version), fields
 
 
-def check_remaining(state, store, counted, size):
+def check_remaining(state: WireMap, store: str, counted: Mapping[str, str], size: int) -> None:
     """Raise Conflict unless enough of the counted stores remain without one more.
 
-    `counted` is {store: domain}, `size` how many stores hold each part.
+    `counted` is {store: zone}, `size` how many stores hold each part.
     """
     retired_names = {store, *leaving_stores(state)}
     remaining = [zone for name, zone in counted.items() if name not in retired_names]
@@ -42,7 +62,7 @@
         raise Conflict(field="store", reason="too few stores would remain", store=store)
 
 
-def leaving_stores(state):
+def leaving_stores(state: WireMap) -> set[str]:
     """Return the stores that are retired, or that a plan under way is about to retire."""
     orders = (state["layout"] or EMPTY).get("stores") or {}
     retired_names = {name for name, order in orders.items() if order.get("retired")}
@@ -54,30 +74,25 @@
     return retired_names | planned_names
 
 
-def retire_store(node, store, seconds):
-    """Coroutine: mark a store as retired, if it is known and enough others remain.
+def retire_store(node: Node, store: str, seconds: float) -> Coroutine:
+    """Mark a store as retired, if it is known and enough others remain.
 
     Raises NotFound for an unknown store and Conflict when too few would remain.
     """
     end_time, ownership = node.now() + seconds, node.find("ownership")
-    current = yield from ownership.read(CONFIG, {"ask": "edition"}, seconds)
-    orders = current["layout"].get("stores") or {}
-    if orders.get(store, {}).get("retired"):
+    answer = yield from ownership.read(CONFIG, READ_CURRENT_VERSION, seconds)
+    order_in_force = CurrentVersion.from_wire(answer).store_order(store)
+    if order_in_force is not None and order_in_force.get("retired"):
         return
     stores = known_stores(node)
     if store not in stores:
         raise NotFound(field="store", store=store)
-    command = {
-        "do": "store.mark",
-        "store": store,
-        "retired": True,
-        "counted": {name: zone for name, zone in stores.items() if not is_gone(node, name)},
-        "size": ownership.size(),
-    }
-    yield from submit_order(node, command, end_time - node.now())
+    counted = {name: zone for name, zone in stores.items() if not is_gone(node, name)}
+    order = OrderStore(store, True, counted, ownership.size())
+    yield from submit_order(node, order, end_time - node.now())
 
 
-def is_gone(node, store):
+def is_gone(node: Node, store: str) -> bool:
     """Tell whether a store has been out of reach for longer than a restart takes.
 
     One that is just away still counts among those that remain: a retirement waits for it, and
@@ -87,31 +102,33 @@
     if nifty.reaches(store):
         return False
     heard = nifty.heard.get(store)
-    heard_at = nifty.started_at if heard is None else max(heard.at, nifty.started_at)
+    heard_at: float = nifty.started_at if heard is None else max(heard.at, nifty.started_at)
     return node.now() - heard_at > node.bounds.recovery
 
 
-def known_stores(node):
-    """Return {store: domain} of the stores of the roster and of the parts' groups."""
+def known_stores(node: Node) -> dict[str, str]:
+    """Return {store: zone} of the stores of the roster and of the parts' groups."""
     members = node.find("nifty").roster.members.values()
     ownership = node.find("ownership")
-    group_stores = {
-        name: zone for part in ownership.parts() for name, _, zone in ownership.group(part)
+    zones = {
+        store.name: store.zone for part in ownership.parts() for store in ownership.group(part)
     }
-    return {**group_stores, **{m.name: m.zone for m in members if m.role == "store"}}
+    zones.update({member.name: member.zone for member in members if member.role == "store"})
+    return zones
 
 
-def is_retired(node, store, seconds):
-    """Coroutine: tell whether a store is marked as retired and no part needs it any more.
+def is_retired(node: Node, store: str, seconds: float) -> Coroutine:
+    """Tell whether a store is marked as retired and no part needs it any more.
 
-    The groups are those that the parts' owners committed; each must be full and caught up.
-    Raises NotFound for an unknown store, and the owner's error when one does not answer.
+    The groups are those that the parts' leaders committed; each must be full and caught up.
+    Raises NotFound for an unknown store, and the leader's error when one does not answer.
     """
     end_time, ownership = node.now() + seconds, node.find("ownership")
-    current = yield from ownership.read(CONFIG, {"ask": "edition"}, seconds)
-    order = (current["layout"].get("stores") or {}).get(store)
+    answer = yield from ownership.read(CONFIG, READ_CURRENT_VERSION, seconds)
+    order = CurrentVersion.from_wire(answer).store_order(store)
     if order is None and store not in known_stores(node):
         raise NotFound(field="store", store=store)
     if order is None or not order.get("retired"):
         return False
-    return (yield from is_free(node, store, end_time - node.now()))
+    is_unneeded = yield from is_free(node, store, end_time - node.now())
+    return is_unneeded
--- a/quillring/rollout/schema.py
+++ b/quillring/rollout/schema.py
@@ -1,14 +1,25 @@
-"""The schema of layouts and the checks that go across its sections."""
+"""The schema of configurations and the checks that go across its sections."""
+
+from __future__ import annotations
 
 import re
+from typing import TYPE_CHECKING, NamedTuple
 
 from quillring.kernel.checks import StrictValidator
 
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+    from typing import Any
+
+    from quillring.kernel.types import WireMap
+
+    JsonSchema = dict[str, Any]
+
 NAME = "^[a-z][a-z0-9_-]{0,40}$"
 MILLISECONDS = {"type": "integer", "minimum": 1, "maximum": 86_400_000}
 
 
-def section(properties, required):
+def section(properties: JsonSchema, required: list[str]) -> JsonSchema:
     """Return the schema of a section: named things of one shape; null takes one away."""
     return {
         "type": "object",
@@ -148,77 +159,110 @@
     },
 }
 VALIDATOR = StrictValidator(SCHEMA)
-EMPTY = {"classes": {}, "services": {}, "entries": {}, "domains": {}}
+EMPTY: WireMap = {"classes": {}, "services": {}, "entries": {}, "domains": {}}
+
+
+MAX_FAULT_CHARACTERS = 200
+MAX_SHARE_SUM = 1.0001
 
 
-def find_faults(configuration):
-    """Return every reason that speaks against a whole layout."""
+class Fault(NamedTuple):
+    """One reason against a configuration: the field, as a dotted path, and what is wrong."""
+
+    field: str
+    reason: str
+
+    def to_wire(self) -> WireMap:
+        """Return the fault as it stands in the error."""
+        return {"field": self.field, "fault": self.reason}
+
+
+def find_faults(configuration: Any) -> list[Fault]:
+    """Return every reason that speaks against a whole configuration."""
     faults = [
-        {"field": ".".join(str(s) for s in e.absolute_path) or "layout", "fault": e.message[:200]}
-        for e in VALIDATOR.iter_errors(configuration)
+        Fault(
+            ".".join(str(step) for step in error.absolute_path) or "layout",
+            error.message[:MAX_FAULT_CHARACTERS],
+        )
+        for error in VALIDATOR.iter_errors(configuration)
     ]
     if faults:
-        return sorted(faults, key=lambda fault: fault["field"])
-    faults.extend(
-        {"field": f"services.{name}", "fault": f"{name!r} does not match {NAME!r}"}
-        for name, service in sorted(configuration["services"].items())
+        return sorted(faults, key=lambda fault: fault.field)
+    return [
+        *service_name_faults(configuration["services"]),
+        *route_faults(configuration),
+        *class_faults(configuration["classes"]),
+        *zone_faults(configuration["domains"]),
+    ]
+
+
+def service_name_faults(services: WireMap) -> list[Fault]:
+    """Return what speaks against the names of services."""
+    return [
+        Fault(f"services.{name}", f"{name!r} does not match {NAME!r}")
+        for name, service in sorted(services.items())
         if service["kind"] != "raw" and not re.search(NAME, name)
-    )
+    ]
+
+
+def route_faults(configuration: WireMap) -> list[Fault]:
+    """Return the services and classes that routes name and nobody knows."""
+    faults = []
     for name, route in sorted(configuration["entries"].items()):
         for field, section_name in (("service", "services"), ("class", "classes")):
             if route[field] not in configuration[section_name]:
-                faults.append(
-                    {
-                        "field": f"entries.{name}.{field}",
-                        "fault": f"unknown {route[field]}",
-                    }
-                )
-    shares = sum(c["share"] for c in configuration["classes"].values())
-    if shares > 1.0001:
-        faults.append({"field": "classes", "fault": f"shares add up to {shares:.3f}, over 1"})
-    for name, promise in sorted(configuration["classes"].items()):
-        if promise["first_piece_ms"] > promise["time_left_ms"]:
-            faults.append(
-                {
-                    "field": f"classes.{name}.first_piece_ms",
-                    "fault": "longer than time_left_ms",
-                }
-            )
-    if configuration["domains"] and all(
-        d.get("emptied") and d.get("nodes", True) for d in configuration["domains"].values()
-    ):
-        faults.append({"field": "domains", "fault": "every domain would be emptied"})
+                faults.append(Fault(f"entries.{name}.{field}", f"unknown {route[field]}"))
     return faults
 
 
-def item_faults(section, validator, items):
+def class_faults(classes: WireMap) -> list[Fault]:
+    """Return what speaks against the classes of service, each by itself and together."""
+    faults = []
+    shares = sum(terms["share"] for terms in classes.values())
+    if shares > MAX_SHARE_SUM:
+        faults.append(Fault("classes", f"shares add up to {shares:.3f}, over 1"))
+    for name, terms in sorted(classes.items()):
+        if terms["first_piece_ms"] > terms["time_left_ms"]:
+            faults.append(Fault(f"classes.{name}.first_piece_ms", "longer than time_left_ms"))
+    return faults
+
+
+def zone_faults(zones: WireMap) -> list[Fault]:
+    """Return a fault where no zone would take work any more."""
+    if zones and all(zone.get("emptied") and zone.get("nodes", True) for zone in zones.values()):
+        return [Fault("domains", "every domain would be emptied")]
+    return []
+
+
+def item_faults(section: str, validator: StrictValidator, items: Mapping[str, Any]) -> list[Fault]:
     """Return what speaks against named items, each by itself."""
     return [
-        {
-            "field": ".".join([section, name, *map(str, error.absolute_path)]),
-            "fault": error.message[:200],
-        }
+        Fault(
+            ".".join([section, name, *map(str, error.absolute_path)]),
+            error.message[:MAX_FAULT_CHARACTERS],
+        )
         for name, item in items.items()
         for error in validator.iter_errors(item)
     ]
 
 
-def merge(configuration, change):
-    """Return the layout with a partial one laid over it; null takes a name away."""
+def merge(configuration: Any, change: Any) -> Any:
+    """Return the configuration with a partial one laid over it; null takes a name away."""
     if not isinstance(change, dict) or not isinstance(configuration, dict):
         return change
-    merged = {
-        name: merge(configuration.get(name), value)
-        if name in configuration
-        else without_nulls(value)
-        for name, value in change.items()
-        if value is not None
-    }
-    return {**{n: v for n, v in configuration.items() if n not in change}, **merged}
+    merged = {name: value for name, value in configuration.items() if name not in change}
+    for name, value in change.items():
+        if value is None:
+            continue
+        if name in configuration:
+            merged[name] = merge(configuration[name], value)
+        else:
+            merged[name] = without_nulls(value)
+    return merged
 
 
-def without_nulls(value):
+def without_nulls(value: Any) -> Any:
     """Return the value with nulls taken out of its objects."""
     if not isinstance(value, dict):
         return value
-    return {n: without_nulls(v) for n, v in value.items() if v is not None}
+    return {name: without_nulls(item) for name, item in value.items() if item is not None}
--- a/quillring/rollout/snapshot.py
+++ b/quillring/rollout/snapshot.py
@@ -1,84 +1,107 @@
-"""The layout on a node: an immutable image, swapped whole, that never goes back."""
+"""The configuration on a node: an immutable snapshot, swapped whole, that never goes back."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from quillring.kernel.errors import NotFound
 from quillring.quorum.parts import CONFIG
+from quillring.rollout.messages import ANNOUNCEMENT, Announcement, ConfigurationRecord
+
+if TYPE_CHECKING:
+    from quillring.kernel.node import Node
+    from quillring.kernel.types import WireMap
+    from quillring.quorum.leader.part_leader import PartLeader
+    from quillring.quorum.values import Group
+
+GOSSIP_KEY = "layout"
+GROUP_KEY = f"group/{CONFIG}"
+
+
+class RouteTarget(NamedTuple):
+    """A route with the service and the class of service that it names."""
+
+    route: WireMap
+    service: WireMap
+    service_class: WireMap
 
 
 class ConfigurationSnapshot:
-    """The newest layout that this node heard of."""
+    """The newest configuration that this node heard of, and the config part's state it stands in.
+
+    `index` is the last entry of the log applied to that state, `group` the stores that hold it.
+    """
 
-    __slots__ = ("node", "index", "version", "configuration", "group", "taken_at")
+    __slots__ = ("node", "index", "version", "configuration", "group")
 
-    def __init__(self, node):
+    def __init__(self, node: Node) -> None:
         self.node = node
         self.index = 0
         self.version = 0
-        self.configuration = None
-        self.group = None
-        self.taken_at = None
-        gossip = node.find("gossip")
-        gossip.subscribe("layout", lambda key, news: self._swap(news))
-        node.handle("layout.news", self.on_news)
+        self.configuration: WireMap | None = None
+        self.group: Group | None = None
+        node.find("gossip").subscribe(GOSSIP_KEY, self._on_record)
+        node.handle(ANNOUNCEMENT, self.on_announcement)
         if node.me.role == "core":
-            node.find("ownership").leader_listeners.append(self._publish)
+            node.find("ownership").leader_listeners.append(self._on_leader_change)
 
-    def _publish(self, owner, batch):
-        if owner.part == CONFIG and owner.is_leader:
-            self.take(owner.index, owner.state)
+    def _on_leader_change(self, leader: PartLeader, batch: list[WireMap]) -> None:
+        if leader.part == CONFIG and leader.is_leader and leader.state is not None:
+            self.update(leader.index, leader.state)
             if batch:
-                self._cast_all()
+                self._announce_to_all()
 
-    def _cast_all(self):
+    def _announce_to_all(self) -> None:
         """Tell every member in reach at once, before the change is acknowledged."""
-        version, news = self.node.find("gossip").table["layout"]
+        entry = self.node.find("gossip").table[GOSSIP_KEY]
+        record = ConfigurationRecord.from_wire(entry.value)
+        body = Announcement(list(entry.version), record).to_wire()
         for name in sorted(self.node.find("nifty").graph.routes):
-            self.node.send_oneway(name, "layout.news", [list(version), news])
+            self.node.send_oneway(name, ANNOUNCEMENT, body)
 
-    def on_news(self, body, origin):
-        """Take what the owner told everyone; it needs no passing on."""
-        version, news = body
+    def on_announcement(self, body: list[Any], origin: str) -> None:
+        """Take what the leader told everyone; it needs no passing on."""
+        announcement = Announcement.from_wire(body)
+        version, fields = announcement.gossip_version, announcement.record.to_wire()
         gossip = self.node.find("gossip")
-        gossip.publish("group/config", version, news[3])
-        if gossip.publish("layout", version, news):
-            gossip.remaining_sends.pop("layout", None)
+        gossip.publish(GROUP_KEY, version, fields[-1])
+        if gossip.publish(GOSSIP_KEY, version, fields):
+            gossip.remaining_sends.pop(GOSSIP_KEY, None)
 
-    def take(self, index, state):
-        """Take a config state read from its owner or a store, and pass it on once as news."""
+    def update(self, index: int, state: WireMap) -> None:
+        """Take a config state read from its leader or a store, and gossip it on once."""
         gossip = self.node.find("gossip")
-        gossip.publish("group/config", [index], state["group"])
+        gossip.publish(GROUP_KEY, [index], state["group"])
         if index > self.index:
-            news = [index, state["version"], state["layout"], state["group"]]
-            gossip.publish("layout", [index], news)
-            gossip.remaining_sends["layout"] = 1
+            fields = [index, state["version"], state["layout"], state["group"]]
+            gossip.publish(GOSSIP_KEY, [index], fields)
+            gossip.remaining_sends[GOSSIP_KEY] = 1
 
-    def _swap(self, news):
-        index, version, configuration, group = news
-        if index > self.index:
-            if version != self.version:
-                self.taken_at = self.node.now()
-            self.index, self.version, self.configuration = index, version, configuration
-            self.group = group
-
-    def route(self, name):
-        """Return (entry, service, class) by the entry's name, or raise NotFound."""
-        entries = (self.configuration or {}).get("entries", {})
-        if name not in entries:
+    def _on_record(self, key: str, fields: list[Any]) -> None:
+        record = ConfigurationRecord.from_wire(fields)
+        if record.log_index > self.index:
+            self.index, self.version = record.log_index, record.version
+            self.configuration, self.group = record.configuration, record.group
+
+    def route(self, name: str) -> RouteTarget:
+        """Return the route of this name with its service and class, or raise NotFound."""
+        configuration = self.configuration or {}
+        routes = configuration.get("entries", {})
+        if name not in routes:
             raise NotFound(field="entry", entry=name)
-        route = entries[name]
-        return (
-            route,
-            self.configuration["services"][route["service"]],
-            self.configuration["classes"][route["class"]],
-        )
-
-    def is_emptied(self, zone):
-        """Tell whether operators want the domain's replicas to get nothing more."""
+        route = routes[name]
+        service = configuration["services"][route["service"]]
+        return RouteTarget(route, service, configuration["classes"][route["class"]])
+
+    def is_emptied(self, zone: str) -> bool:
+        """Tell whether operators want the zone's replicas to get nothing more."""
         return bool(self._order(zone).get("emptied"))
 
-    def is_zone_draining(self, zone):
-        """Tell whether operators want the domain's nodes, too, to take nothing more."""
+    def is_zone_draining(self, zone: str) -> bool:
+        """Tell whether operators want the zone's nodes, too, to take nothing more."""
         order = self._order(zone)
         return bool(order.get("emptied") and order.get("nodes", True))
 
-    def _order(self, zone):
-        return (self.configuration or {}).get("domains", {}).get(zone, {})
+    def _order(self, zone: str) -> WireMap:
+        order: WireMap = (self.configuration or {}).get("domains", {}).get(zone, {})
+        return order
--- a/quillring/verbs/checks.py
+++ b/quillring/verbs/checks.py
@@ -64,5 +64,5 @@
     if not faults and "forwards" in configuration:
         faults = cross_faults(configuration)
     if faults:
-        return "", [f"{fault['field']}: {fault['fault']}" for fault in faults]
+        return "", [f"{fault.field}: {fault.reason}" for fault in faults]
     return ", ".join(f"{len(configuration.get(name, {}))} {name}" for name in COUNTED), []
--- a/quillring/verbs/routes.py
+++ b/quillring/verbs/routes.py
@@ -9,6 +9,12 @@
 from quillring.plans import front as plans_front
 from quillring.quorum.founding.founding import found_fleet
 from quillring.quorum.parts import CONFIG
+from quillring.rollout.messages import (
+    READ_CONFIGURATION,
+    AdoptConfiguration,
+    ChangeZone,
+    CurrentConfiguration,
+)
 from quillring.verbs import part_routes, status_routes
 
 PLUGINS = (
@@ -146,13 +152,12 @@
     return (
         yield from node.find("ownership").submit(
             CONFIG,
-            {
-                "do": "layout.adopt",
-                "id": request.body.get("id", own_id),
-                "base_version": request.body["base_version"],
-                "change": request.body["layout"],
-                "whole": request.body.get("whole", False),
-            },
+            AdoptConfiguration(
+                request.body.get("id", own_id),
+                request.body["base_version"],
+                request.body["layout"],
+                request.body.get("whole", False),
+            ).to_wire(),
         )
     )
 
@@ -170,19 +175,11 @@
 
 
 def _order_zone(node, request, is_emptied):
-    query = {"ask": "layout"}
-    current = yield from node.find("ownership").read(CONFIG, query)
-    if request.words["domain"] not in (current["layout"] or {}).get("domains", {}):
-        raise NotFound(field="domain", domain=request.words["domain"])
-    return (
-        yield from node.find("ownership").submit(
-            CONFIG,
-            {
-                "do": "layout.adopt",
-                "id": f"{node.runtime.random.getrandbits(96):024x}",
-                "base_version": current["version"],
-                "whole": False,
-                "change": {"domains": {request.words["domain"]: {"emptied": is_emptied}}},
-            },
-        )
-    )
+    ownership, zone = node.find("ownership"), request.words["domain"]
+    answer = yield from ownership.read(CONFIG, READ_CONFIGURATION)
+    current = CurrentConfiguration.from_wire(answer)
+    if zone not in (current.configuration or {}).get("domains", {}):
+        raise NotFound(field="domain", domain=zone)
+    change_id = f"{node.runtime.random.getrandbits(96):024x}"
+    command = ChangeZone(change_id, current.version, zone, is_emptied).to_wire()
+    return (yield from ownership.submit(CONFIG, command))
--- a/tests/system_calls.py
+++ b/tests/system_calls.py
@@ -5,7 +5,7 @@
 from tests import platform_path  # noqa: F401  (puts the platform's folder on the path)
 
 from system_ctl import handle_ctl  # isort: skip
-from system_configuration import to_command, to_configuration  # isort: skip
+from system_configuration import to_adoption, to_configuration  # isort: skip
 
 __all__ = [
     "BEAT",
@@ -19,7 +19,7 @@
     "call",
     "handle_ctl",
     "replace",
-    "to_command",
+    "to_adoption",
     "to_configuration",
 ]
 
--- a/tests/test_configuration_versions.py
+++ b/tests/test_configuration_versions.py
@@ -5,6 +5,8 @@
 from quillring.kernel.errors import Conflict, QuillringError
 from quillring.quorum.commands import COMMANDS, QUERIES, apply_batch, first_state
 from quillring.rollout.configuration_versions import KEPT_VERSIONS, BadConfiguration
+from quillring.rollout.freshness import PolledStamp
+from quillring.rollout.messages import StoreStamp
 from quillring.rollout.schema import EMPTY, find_faults
 from tests.fleet_stage import SelfFounded
 
@@ -218,7 +220,8 @@
     assert stage.submit(asker, order(5))[1] is None
     dead_store = max(stage.sim.nodes[asker].find("ownership").group("config"))[0]
     edge, stamp = stage.sim.nodes["edge-1"], stage.stores()[dead_store].stamp()
-    edge.find("freshness").words = {dead_store: (stamp, edge.now())}
+    polled_stamp = PolledStamp(StoreStamp.from_wire(stamp), edge.now())
+    edge.find("freshness").polled_stamps = {dead_store: polled_stamp}
     stage.sim.kill(owner)
     stage.sim.kill(dead_store)
     snapshot = edge.find("layout")
--- a/tests/test_system_configuration.py
+++ b/tests/test_system_configuration.py
@@ -13,7 +13,7 @@
     WHOLE,
     call,
     replace,
-    to_command,
+    to_adoption,
     to_configuration,
 )
 
@@ -52,7 +52,7 @@
 
 
 def test_a_configuration_becomes_forwards_services_and_limits_of_the_product():
-    command = to_command(WHOLE, 0, True)
+    command = to_adoption(WHOLE, 0, True).to_wire()
     forwards, services = command["forwards"], command["services"]
     assert forwards["r-1"] == {
         "host": "one.example",
