--- a/proving/points/__main__.py
+++ b/proving/points/__main__.py
@@ -7,8 +7,8 @@
 
 import click
 
-from proving.points.base import without
 from proving.points.catalog import POINTS
+from proving.points.scenario_fleet import without
 
 
 def run_point(job):
--- a/proving/points/rooms.py
+++ b/proving/points/borrowed_capacity.py
@@ -1,8 +1,8 @@
-"""Scenarios about borrowed room that is wanted back."""
+"""Scenarios about replica capacity that one class borrows and another wants back."""
 
 from unittest import mock
 
-from proving.points.base import Stage, no_check
+from proving.points.scenario_fleet import Stage, no_check
 from proving.sim import backends
 from quillring.edge.dispatch import Dispatch
 
--- a/proving/points/state.py
+++ b/proving/points/configuration.py
@@ -1,8 +1,8 @@
-"""Scenarios about layouts and restarts; each returns its violations and figures."""
+"""Scenarios about configurations and restarts; each returns its violations and figures."""
 
 import sys
 
-from proving.points.base import Stage
+from proving.points.scenario_fleet import Stage
 from quillring.quorum import commands
 from quillring.quorum.parts import CONFIG
 from quillring.rollout import schema
--- a/proving/points/waits.py
+++ b/proving/points/early_refusals.py
@@ -1,7 +1,7 @@
-"""Scenarios about waits that became hopeless: refused as soon as that can be known."""
+"""Scenarios about requests whose deadline can't be met: refused as soon as that is known."""
 
-from proving.points.base import Stage, always_hopeful
-from proving.points.state import names_but
+from proving.points.configuration import names_but
+from proving.points.scenario_fleet import Stage, always_hopeful
 from quillring.edge.dispatch import Dispatch
 from quillring.edge.stream_handlers import serve_model
 from quillring.kernel.node import Node
--- a/proving/points/failures.py
+++ b/proving/points/failures.py
@@ -1,10 +1,10 @@
 """Scenarios about machines that freeze and wake, stores that go in turn, cores that are cut."""
 
-from proving.points.base import Stage, no_check
-from proving.points.cuts import traffic
+from proving.points.configuration import adopt, names_but
 from proving.points.lots import accept_at_once
+from proving.points.partitions import traffic
+from proving.points.scenario_fleet import Stage, no_check
 from proving.points.serving import rerun_attempt
-from proving.points.state import adopt, names_but
 from quillring.edge import ReplicaTable, stream_handlers
 from quillring.nifty.graph import Graph
 from quillring.quorum.leader.membership_repair import MembershipRepair
--- a/proving/points/fleet.py
+++ b/proving/points/fleet.py
@@ -1,7 +1,7 @@
 """Scenarios about machines that are swapped, seeds that change, founding, floods of lots."""
 
-from proving.points.base import Stage
-from proving.points.cuts import traffic
+from proving.points.partitions import traffic
+from proving.points.scenario_fleet import Stage
 from proving.sim.fleet import SimFleet
 from quillring.classes import Taker
 from quillring.edge.slot_lease import Waiter
--- a/proving/points/stalls.py
+++ b/proving/points/isolated_cores_and_slow_disks.py
@@ -1,7 +1,7 @@
-"""Scenarios about control machines that are cut off and about disks that stall."""
+"""Scenarios about cores cut off by a partition, and about disks that stall."""
 
-from proving.points.base import Stage
-from proving.points.state import adopt
+from proving.points.configuration import adopt
+from proving.points.scenario_fleet import Stage
 from quillring.kernel.errors import Refused
 from quillring.ownership import Ownership
 from quillring.ownership.part_client import PartClient
--- a/proving/points/lots.py
+++ b/proving/points/lots.py
@@ -2,9 +2,9 @@
 
 from unittest import mock
 
-from proving.points.base import Stage, no_check
+from proving.points.configuration import CommandsWith
 from proving.points.orders import unfenced_state
-from proving.points.state import CommandsWith
+from proving.points.scenario_fleet import Stage, no_check
 from proving.sim import backends
 from quillring.lots.prompts.scheduler import PromptLotScheduler
 from quillring.ownership.election_timing import ElectionTiming
--- a/proving/points/changes.py
+++ b/proving/points/many_configurations.py
@@ -1,4 +1,4 @@
-"""Scenarios about hundreds of changes; each returns its violations and figures."""
+"""Scenarios about hundreds of configurations; each returns its violations and figures."""
 
 import cbor2
 
--- a/proving/points/membership.py
+++ b/proving/points/membership.py
@@ -1,8 +1,8 @@
 """Scenarios about members that are lost and replaced, and members that leave."""
 
-from proving.points.base import Stage
-from proving.points.cuts import traffic
-from proving.points.state import adopt
+from proving.points.configuration import adopt
+from proving.points.partitions import traffic
+from proving.points.scenario_fleet import Stage
 from quillring.kernel.errors import TimedOut
 from quillring.quorum.leader.membership_change import GroupChange
 from quillring.quorum.leader.membership_repair import MembershipRepair
--- a/proving/points/orders.py
+++ b/proving/points/orders.py
@@ -2,8 +2,8 @@
 
 from unittest import mock
 
-from proving.points.base import Stage, no_check
-from proving.points.state import adopt
+from proving.points.configuration import adopt
+from proving.points.scenario_fleet import Stage, no_check
 from quillring.kernel.errors import Conflict, NotOwner
 from quillring.ownership import Ownership
 from quillring.ownership.part_client import PartClient
--- a/proving/points/cuts.py
+++ b/proving/points/partitions.py
@@ -1,7 +1,7 @@
-"""Scenarios about cuts, repair and full disks."""
+"""Scenarios about network partitions, replica repair and full disks."""
 
-from proving.points.base import Stage
-from proving.points.state import FRESH, adopt, names_but
+from proving.points.configuration import FRESH, adopt, names_but
+from proving.points.scenario_fleet import Stage
 from quillring.nifty.graph import Graph
 from quillring.ownership.elections import Elections
 from quillring.quorum.acceptor.hint_store import HintStore
--- a/proving/points/reading.py
+++ b/proving/points/reads.py
@@ -1,7 +1,7 @@
-"""Scenarios about reading what stands: results within 1 s, plans while their core dies."""
+"""Scenarios about reads of committed state: results within 1 s, plans while their core dies."""
 
-from proving.points.base import Stage
-from proving.points.state import adopt
+from proving.points.configuration import adopt
+from proving.points.scenario_fleet import Stage
 from quillring.gossip import Gossip
 from quillring.kernel.errors import TimedOut
 from quillring.lots.prompts.api import show_results
--- a/proving/points/departed.py
+++ b/proving/points/removed_members.py
@@ -1,9 +1,9 @@
-"""Scenarios about members that have left and do not know it, and about seeds that start apart."""
+"""Scenarios about removed members that do not know it, and about seeds that start apart."""
 
 from unittest import mock
 
+from proving.points.configuration import adopt, names_but
 from proving.points.membership import members, owner_of, quick_stage, wait_for
-from proving.points.state import adopt, names_but
 from proving.sim.fleet import SimFleet
 from quillring.gossip import Gossip
 from quillring.kernel.errors import NotFounded
--- a/proving/points/keeping.py
+++ b/proving/points/retention.py
@@ -1,8 +1,8 @@
-"""Scenarios about what is kept: unread results, keys of several senders, journals, long streams."""
+"""Scenarios about retention: unread results, keys of several senders, journals, long streams."""
 
 from unittest import mock
 
-from proving.points.base import Stage, no_check
+from proving.points.scenario_fleet import Stage, no_check
 from quillring.edge import journal, stream_takeover
 from quillring.lots.prompts import api, retention
 from quillring.lots.prompts.api import release_lot, show_results, submit_lot
--- a/proving/points/base.py
+++ b/proving/points/scenario_fleet.py
@@ -1,4 +1,4 @@
-"""Small fleets and helpers for the scenarios that provoke one point each."""
+"""A small simulated fleet with callers and a monitor, and replacements for guards taken out."""
 
 from contextlib import ExitStack
 from unittest import mock
--- a/proving/points/serving.py
+++ b/proving/points/serving.py
@@ -1,6 +1,6 @@
 """Scenarios about replicas and inquiries; each returns its violations and figures."""
 
-from proving.points.base import Stage, always_hopeful, no_check
+from proving.points.scenario_fleet import Stage, always_hopeful, no_check
 from quillring.classes.taker import Taker
 from quillring.edge import dispatch, replicas, stream_handlers
 from quillring.rollout.freshness import Freshness
--- a/proving/points/starts.py
+++ b/proving/points/starts.py
@@ -1,8 +1,8 @@
 """Scenarios about starts: clocks set back, versions mixed, settings changed, rolling upgrades."""
 
-from proving.points.base import Stage
-from proving.points.cuts import traffic
-from proving.points.state import drain
+from proving.points.configuration import drain
+from proving.points.partitions import traffic
+from proving.points.scenario_fleet import Stage
 from quillring.nifty import Nifty, nifty
 from quillring.nifty.wire import SPOKEN
 
--- a/proving/points/resume.py
+++ b/proving/points/stream_resumption.py
@@ -1,10 +1,10 @@
-"""Scenarios about resuming: forbidden classes, strange tokens, other senders."""
+"""Scenarios about resuming streams: forbidden classes, foreign tokens, other senders."""
 
 import base64
 
 import cbor2
 
-from proving.points.base import Stage, no_check
+from proving.points.scenario_fleet import Stage, no_check
 from proving.sim.callers import Connection
 from quillring.edge import stream_handlers
 from quillring.edge.resume_token import LIFE_SECONDS, make_token
--- a/proving/points/streams.py
+++ b/proving/points/streams.py
@@ -3,7 +3,7 @@
 from itertools import count, pairwise
 from unittest import mock
 
-from proving.points.base import Stage, no_check
+from proving.points.scenario_fleet import Stage, no_check
 from proving.sim import callers
 from proving.tools.callers import Answer
 from quillring.edge import journal, stream_handlers
--- a/proving/points/zones.py
+++ b/proving/points/zone_loss.py
@@ -1,10 +1,10 @@
-"""Scenarios about whole domains: emptied with all their nodes, lost with all their roles."""
+"""Scenarios about whole zones: emptied with all their nodes, lost with all their roles."""
 
 from contextlib import contextmanager
 from unittest import mock
 
-from proving.points.base import Stage, no_check
-from proving.points.state import adopt
+from proving.points.configuration import adopt
+from proving.points.scenario_fleet import Stage, no_check
 from proving.sim import backends
 from quillring.edge import Journal, short_requests, stream_handlers
 from quillring.edge.admission import check_admission
--- a/proving/sim/measure.py
+++ b/proving/sim/measure.py
@@ -5,8 +5,8 @@
 
 import click
 
-from proving.points.base import Stage
-from proving.points.state import adopt
+from proving.points.configuration import adopt
+from proving.points.scenario_fleet import Stage
 
 WIDE = {"replicas": [("words", 6, 8), ("map", 4, 8)]}
 
--- a/proving/sim/traces.py
+++ b/proving/sim/traces.py
@@ -6,8 +6,8 @@
 import cbor2
 import click
 
-from proving.points.base import Stage
-from proving.points.state import names_but
+from proving.points.configuration import names_but
+from proving.points.scenario_fleet import Stage
 from proving.sim.quorum_fuzz import Fuzz
 from quillring.kernel.errors import QuillringError
 from quillring.kernel.node import Node
--- a/tests/http_lot_stage.py
+++ b/tests/http_lot_stage.py
@@ -2,7 +2,7 @@
 
 from unittest import mock
 
-from proving.points.base import SMALL
+from proving.points.scenario_fleet import SMALL
 from proving.sim import fleet as sim_fleet
 from proving.sim.fleet import SimFleet
 from quillring.lots.http_requests import api
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-from proving.points.base import Stage
+from proving.points.scenario_fleet import Stage
 from proving.tools import fuzz
 from proving.tools.deployments import DEPLOYMENTS, configuration_of, settings_of
 from quillring.kernel.checks import parse_json
--- a/tests/test_peek.py
+++ b/tests/test_peek.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from proving.points.base import Stage
+from proving.points.scenario_fleet import Stage
 from quillring.kernel.effects import Signal, Wait
 from quillring.kernel.errors import NotFound
 from quillring.quorum.acceptor import Acceptors
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -1,6 +1,6 @@
 import pytest
 
-from proving.points.base import Stage
+from proving.points.scenario_fleet import Stage
 from proving.tools.deployments import DEPLOYMENTS, configuration_of
 from quillring.kernel.errors import Conflict, NotFound
 from quillring.plans.commands import Contradiction, Impossible, StalePlan
--- a/tests/test_points.py
+++ b/tests/test_points.py
@@ -1,7 +1,7 @@
 import pytest
 
-from proving.points.base import without
 from proving.points.catalog import POINTS
+from proving.points.scenario_fleet import without
 
 GUARDED = [(text, scenario, guards) for text, scenario, guards in POINTS if guards]
 
--- a/tests/test_quorum.py
+++ b/tests/test_quorum.py
@@ -1,6 +1,6 @@
 import pytest
 
-from proving.points.base import Stage
+from proving.points.scenario_fleet import Stage
 from proving.sim.quorum_fuzz import Fuzz
 from quillring.kernel.errors import NotOwner
 
--- a/tests/test_retries_page.py
+++ b/tests/test_retries_page.py
@@ -1,6 +1,6 @@
 import pathlib
 
-from proving.points.base import Stage
+from proving.points.scenario_fleet import Stage
 
 
 def test_every_message_between_nodes_stands_in_the_page_on_retries():
