--- a/quillring/ownership/elections.py
+++ b/quillring/ownership/elections.py
@@ -7,7 +7,7 @@
 from quillring.kernel.effects import Signal, Wait
 from quillring.kernel.errors import Fenced, NoMajority, QuillringError
 from quillring.ownership.election_timing import ElectionTiming
-from quillring.quorum.waits import wait_for_owner
+from quillring.ownership.jitter import sleep_with_jitter
 
 if TYPE_CHECKING:
     from quillring.kernel.node import Node
@@ -124,7 +124,7 @@
             leader.election_progress.end(error)
             if isinstance(error, NoMajority):
                 backoff.note_lost_term()
-            yield from wait_for_owner(self.node, self._pause_after(error))
+            yield from sleep_with_jitter(self.node, self._pause_after(error))
             return
         finally:
             self.parts_in_election.discard(part)
--- a/quillring/ownership/part_client.py
+++ b/quillring/ownership/part_client.py
@@ -14,10 +14,10 @@
     TimedOut,
     Unreachable,
 )
+from quillring.ownership.jitter import LONGEST_SHARE, sleep_with_jitter
 from quillring.ownership.messages import READ, SUBMIT, LeaderRecord, ReadRequest, SubmitRequest
 from quillring.quorum.leader.follower_read import peek
 from quillring.quorum.parts import majority
-from quillring.quorum.waits import wait_for_owner
 
 if TYPE_CHECKING:
     from typing import Any, Protocol
@@ -39,8 +39,6 @@
             """Return the reachable cores in the order of their claim to the part."""
 
 
-# The longest pause between two attempts is 1.5 times the seconds given to `wait_for_owner`.
-MAX_PAUSE_FACTOR = 1.5
 TRY_ANOTHER_CORE = (Fenced, NoMajority, NotOwner, TimedOut, Unreachable)
 MAY_HAVE_RUN = (NoMajority, TimedOut)
 
@@ -154,9 +152,9 @@
     def _pause_before_retry(self, end_time: float) -> Coroutine:
         """Pause between two attempts, no longer than until the end of the call."""
         longest_seconds = end_time - self.node.now()
-        seconds = min(self.node.bounds.heartbeat_interval / 4, longest_seconds / MAX_PAUSE_FACTOR)
+        seconds = min(self.node.bounds.heartbeat_interval / 4, longest_seconds / LONGEST_SHARE)
         if seconds > 0:
-            yield from wait_for_owner(self.node, seconds)
+            yield from sleep_with_jitter(self.node, seconds)
 
     def _call_targets(self, part: str) -> list[str]:
         """Return the core known to lead the part, if it is in reach, and the first candidates."""
--- a/quillring/quorum/leader/follower_read.py
+++ b/quillring/quorum/leader/follower_read.py
@@ -18,7 +18,7 @@
 
 
 def peek(
-    node: Node, part: str, group: Group, query: dict, seconds: float | None = None
+    node: Node, part: str, group: Group, query: dict[str, Any], seconds: float | None = None
 ) -> Coroutine:
     """Coroutine: return a function that gives the answer or raises it, or None when it is not sure.
 
@@ -38,7 +38,7 @@
     return None
 
 
-def find_answer(replies: list[list], group: Group, query: dict) -> list | None:
+def find_answer(replies: list[list[Any]], group: Group, query: dict[str, Any]) -> list[Any] | None:
     """Return [error's kind or None, answer] that a majority's words make sure, or None.
 
     Whatever was chosen lies at one of the majority: applied there, or accepted beyond. An entry
