--- a/proving/points/borrowed_capacity.py
+++ b/proving/points/borrowed_capacity.py
@@ -4,7 +4,7 @@
 
 from proving.points.scenario_fleet import Stage, no_check
 from proving.sim import backends
-from quillring.edge.dispatch import Dispatch
+from quillring.edge.dispatcher import Dispatcher
 
 
 def undecided_room(seed):
@@ -49,11 +49,11 @@
     (
         "borrowed room is given back by pausing",
         borrowed_room,
-        [(Dispatch, "_pause_borrowers", no_check)],
+        [(Dispatcher, "_preempt_over_limit", no_check)],
     ),
     (
         "borrowed room is given back when the deciding core is lost",
         undecided_room,
-        [(Dispatch, "_pause_by_urgency", no_check)],
+        [(Dispatcher, "_preempt_by_urgency", no_check)],
     ),
 ]
--- a/proving/points/early_refusals.py
+++ b/proving/points/early_refusals.py
@@ -2,7 +2,7 @@
 
 from proving.points.configuration import names_but
 from proving.points.scenario_fleet import Stage, always_hopeful
-from quillring.edge.dispatch import Dispatch
+from quillring.edge.dispatcher import Dispatcher
 from quillring.edge.stream_handlers import serve_model
 from quillring.kernel.node import Node
 from quillring.kernel.wsgi import Request
@@ -69,7 +69,7 @@
         if replica.row["service"] == "words":
             replica.leave()
     stage.run(3)
-    held = len(stage.node("edge-1").find("dispatch").waiting)
+    held = len(stage.node("edge-1").find("dispatch").queue)
     if held:
         stage.sim.history.violate(f"{held} still wait though no replica is left")
     stage.run(30)
@@ -144,12 +144,12 @@
     (
         "a queue that can't be kept is refused at once",
         hopeless_queue,
-        [(Dispatch, "why_hopeless", always_hopeful)],
+        [(Dispatcher, "refusal_if_hopeless", always_hopeful)],
     ),
     (
         "a wait ends when the last replica leaves",
         last_replica_leaves,
-        [(Dispatch, "why_hopeless", always_hopeful)],
+        [(Dispatcher, "refusal_if_hopeless", always_hopeful)],
     ),
     (
         "a lost majority is refused at once",
--- a/proving/points/fleet.py
+++ b/proving/points/fleet.py
@@ -4,7 +4,7 @@
 from proving.points.scenario_fleet import Stage
 from proving.sim.fleet import SimFleet
 from quillring.classes import Taker
-from quillring.edge.slot_lease import Waiter
+from quillring.edge.slot_lease import QueuedRequest
 from quillring.lots.prompts import scheduler
 from quillring.nifty import Nifty
 from quillring.quorum.acceptor import Acceptors
@@ -116,7 +116,7 @@
     return None
 
 
-REAL_WAITER = Waiter.__init__
+REAL_WAITER = QueuedRequest.__init__
 REAL_LEARN = Nifty.learn
 POINTS = [
     (
@@ -129,7 +129,7 @@
         "a flood of lots leaves urgent classes their promise",
         flood_of_lots,
         [
-            (Waiter, "__init__", equal_waiter),
+            (QueuedRequest, "__init__", equal_waiter),
             (Taker, "limit", no_limit),
             (scheduler, "ITEMS_AT_ONCE", 400),
         ],
--- a/proving/points/serving.py
+++ b/proving/points/serving.py
@@ -2,7 +2,7 @@
 
 from proving.points.scenario_fleet import Stage, always_hopeful, no_check
 from quillring.classes.taker import Taker
-from quillring.edge import dispatch, replicas, stream_handlers
+from quillring.edge import dispatcher, replicas, stream_handlers
 from quillring.rollout.freshness import Freshness
 
 
@@ -93,7 +93,7 @@
         stage.start(stage.callers.stream("wayfinding", "urgent", 8))
     for _ in range(200):
         stage.run(0.1)
-        waiting.append(len(stage.node("edge-1").find("dispatch").waiting))
+        waiting.append(len(stage.node("edge-1").find("dispatch").queue))
     stage.run(30)
     if max(waiting) > 64 + 128:
         stage.sim.history.violate(f"{max(waiting)} wait in queues of 64 and 128")
@@ -124,7 +124,7 @@
     return (yield from REAL_ACQUIRE(self, words[0], words[1], promise, *words[3:], **options))
 
 
-REAL_ACQUIRE = dispatch.Dispatch.acquire
+REAL_ACQUIRE = dispatcher.Dispatcher.acquire
 
 
 def rerun_attempt(node, stream, sending, end_time, avoided_names):
@@ -179,8 +179,8 @@
         "crowds meet bounded queues",
         crowd,
         [
-            (dispatch.Dispatch, "acquire", endless),
-            (dispatch.Dispatch, "why_hopeless", always_hopeful),
+            (dispatcher.Dispatcher, "acquire", endless),
+            (dispatcher.Dispatcher, "refusal_if_hopeless", always_hopeful),
         ],
     ),
 ]
--- a/proving/sim/monitor.py
+++ b/proving/sim/monitor.py
@@ -61,5 +61,5 @@
 
     def _check_room(self, name, node):
         dispatch = node.find("dispatch")
-        if dispatch is not None and len(dispatch.waiting) > 2000:
-            self.sim.history.violate(f"{name}: {len(dispatch.waiting)} wait")
+        if dispatch is not None and len(dispatch.queue) > 2000:
+            self.sim.history.violate(f"{name}: {len(dispatch.queue)} wait")
--- a/quillring/edge/__init__.py
+++ b/quillring/edge/__init__.py
@@ -1,7 +1,7 @@
-"""Serving inquiries: replicas, dispatch, the stream journal, resume tokens."""
+"""Serving requests of the own interface: replicas, dispatcher, stream journal, resume tokens."""
 
-from quillring.edge.dispatch import Dispatch
+from quillring.edge.dispatcher import Dispatcher
 from quillring.edge.journal import Journal
 from quillring.edge.replicas import ReplicaTable
 
-__all__ = ["Dispatch", "Journal", "ReplicaTable"]
+__all__ = ["Dispatcher", "Journal", "ReplicaTable"]
--- a/quillring/edge/queue_wait.py
+++ b/quillring/edge/queue_wait.py
@@ -1,42 +1,68 @@
-"""How fast room comes free: what an inquiry that waits may hope for."""
+"""An estimate of how long a queued request waits for a slot."""
 
-WEIGHT = 1 / 8
-SAMPLES = 8
-HOPE = 1.2
+from __future__ import annotations
 
+from typing import TYPE_CHECKING
 
-class Pace:
-    """The mean time for which a service's leases were held on this node."""
+if TYPE_CHECKING:
+    from collections.abc import Collection
 
-    __slots__ = ("means", "samples")
+    from quillring.edge.slot_lease import QueuedRequest, SlotLease
 
-    def __init__(self):
-        self.means = {}
-        self.samples = {}
+SMOOTHING = 1 / 8
+"""Weight of the newest sample in the moving average."""
+MIN_SAMPLES = 8
+OPTIMISM = 1.2
+"""The estimate is divided by this: a request is refused only when it is hopeless."""
 
-    def note(self, service, seconds):
-        """Take in how long a lease was held."""
-        known = self.means.get(service, seconds)
-        self.means = {**self.means, service: known + (seconds - known) * WEIGHT}
-        self.samples[service] = self.samples.get(service, 0) + 1
 
-    def expected_wait(self, waiter, waiting, leases, limit, slots):
-        """Return the least seconds until the waiter's turn, or None when that is not known.
+class QueueWaitEstimator:
+    """The mean time for which a service's slots were held on this node.
 
-        Counted are those before it, less the borrowers that pause for it, over the room that its
-        class has here; a guess that errs on the side of hope. Slots that are free count as room,
-        unless a grant of a core says how much of it is this class's.
+    An exponentially weighted moving average, in seconds, by service.
+    """
+
+    __slots__ = ("mean_seconds", "sample_counts")
+
+    def __init__(self) -> None:
+        self.mean_seconds: dict[str, float] = {}
+        self.sample_counts: dict[str, int] = {}
+
+    def record_hold_time(self, service: str, seconds: float) -> None:
+        """Take in how long a slot was held."""
+        mean = self.mean_seconds.get(service, seconds)
+        self.mean_seconds = {
+            **self.mean_seconds,
+            service: mean + (seconds - mean) * SMOOTHING,
+        }
+        self.sample_counts[service] = self.sample_counts.get(service, 0) + 1
+
+    def expected_wait(
+        self,
+        request: QueuedRequest,
+        queue: Collection[QueuedRequest],
+        leases: Collection[SlotLease],
+        limit: int | None,
+        slots: int,
+    ) -> float | None:
+        """Return the least seconds until the request's turn, or None when that is not known.
+
+        Counted are those before it, less the running ones that are preempted for it, over the
+        slots that its class has here; the estimate errs on the side of hope. Free slots count,
+        unless a grant of a core (`limit`) says how many are this class's.
         """
-        if self.samples.get(waiter.service, 0) < SAMPLES:
+        if self.sample_counts.get(request.service, 0) < MIN_SAMPLES:
             return None
-        running = [x for x in leases if x.replica.service == waiter.service]
-        pausing = sum(x.may_pause and x.urgency < waiter.urgency for x in running)
+        running = [lease for lease in leases if lease.replica.service == request.service]
+        preemptible = sum(x.is_preemptible and x.urgency < request.urgency for x in running)
+        priority = request.priority
         before = sum(
-            w.service == waiter.service
-            and w is not waiter
-            and (-w.urgency, w.order) < (-waiter.urgency, waiter.order)
-            for w in waiting
+            queued.service == request.service
+            and queued is not request
+            and queued.priority < priority
+            for queued in queue
         )
-        room = max(len(running), slots if limit is None else limit, 1)
+        capacity = max(len(running), slots if limit is None else limit, 1)
         free = max(0, slots - len(running)) if limit is None else 0
-        return max(0, before + 1 - pausing - free) / room * self.means[waiter.service] / HOPE
+        turns = max(0, before + 1 - preemptible - free)
+        return turns / capacity * self.mean_seconds[request.service] / OPTIMISM
--- a/quillring/edge/short_requests.py
+++ b/quillring/edge/short_requests.py
@@ -70,7 +70,7 @@
                 raise last_error or refusal from refusal
             try:
                 check_before_sending(node, lease.replica, end_time)
-                lease.may_run_on = True
+                lease.may_still_run = True
                 status, answer = yield FetchJson(
                     lease.replica.address,
                     method,
@@ -79,7 +79,7 @@
                     end_time - node.now(),
                     may_repeat(promise),
                 )
-                lease.may_run_on = False
+                lease.may_still_run = False
                 if status == 503:
                     raise Busy(replica=lease.replica.name)
                 if status == 200 and isinstance(answer, dict) and answer.get("inquiry") == name:
--- a/quillring/edge/slot_lease.py
+++ b/quillring/edge/slot_lease.py
@@ -1,67 +1,94 @@
-"""Leases of room at replicas, and the inquiries that wait for one."""
+"""Leases of slots at replicas, and the requests that queue for one."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
 
 from quillring.classes.promises import may_run_on
 from quillring.kernel.effects import Signal
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+    from quillring.edge.dispatcher import Dispatcher
+    from quillring.edge.replicas import Replica
 
-class Lease:
-    """The right to run one inquiry on a replica; its room may be wanted back."""
+
+class SlotLease:
+    """The right to run one request on a replica; its slot may be wanted back (preemption).
+
+    `may_still_run` tells that the replica may be busy with the request after the lease ends.
+    """
 
     __slots__ = (
-        "dispatch",
+        "dispatcher",
         "replica",
         "class_name",
         "urgency",
-        "may_pause",
+        "is_preemptible",
         "is_held",
-        "is_wanted_back",
-        "may_run_on",
-        "since",
+        "is_preempted",
+        "may_still_run",
+        "acquired_at",
     )
 
-    def __init__(self, dispatch, replica, waiter):
-        self.dispatch = dispatch
+    def __init__(self, dispatcher: Dispatcher, replica: Replica, request: QueuedRequest) -> None:
+        self.dispatcher = dispatcher
         self.replica = replica
-        self.class_name = waiter.class_name
-        self.urgency = waiter.urgency
-        self.may_pause = waiter.may_pause
+        self.class_name = request.class_name
+        self.urgency = request.urgency
+        self.is_preemptible = request.is_preemptible
         self.is_held = True
-        self.is_wanted_back = False
-        self.may_run_on = False
-        self.since = dispatch.node.now()
+        self.is_preempted = False
+        self.may_still_run = False
+        self.acquired_at: float = dispatcher.node.now()
+
+    def release(self) -> None:
+        """Give the slot back, once; a cold replica first gets time to notice a break."""
+        if not self.is_held:
+            return
+        self.is_held = False
+        if self.may_still_run and self.replica.state == "cold":
+            self.dispatcher.node.spawn(self.dispatcher.release_later(self))
+        else:
+            self.dispatcher.release(self)
 
-    def release(self):
-        """Give the room back, once; a cold replica first gets time to notice a break."""
-        if self.is_held:
-            self.is_held = False
-            if self.may_run_on and self.replica.state == "cold":
-                self.dispatch.node.spawn(self.dispatch.give_back_later(self))
-            else:
-                self.dispatch.give_back(self)
 
+class QueuedRequest:
+    """One request that queues for a slot; `signal` is set with its lease or its refusal.
 
-class Waiter:
-    """One inquiry that waits for room."""
+    `priority` sorts the queue: the urgent first, then in order of arrival.
+    """
 
     __slots__ = (
         "urgency",
-        "order",
+        "priority",
         "service",
         "prefix",
-        "avoided",
+        "avoided_names",
         "signal",
         "class_name",
-        "may_pause",
+        "is_preemptible",
         "end_time",
     )
 
-    def __init__(self, promise, order, service, prefix, avoided, class_name, may_pause, end_time):
-        self.urgency = promise["urgency"]
-        self.order = order
+    def __init__(
+        self,
+        promise: dict[str, Any],
+        order: int,
+        service: str,
+        prefix: str,
+        avoided_names: Iterable[str],
+        class_name: str,
+        is_preemptible: bool,
+        end_time: float,
+    ) -> None:
+        self.urgency: int = promise["urgency"]
+        self.priority = (-self.urgency, order)
         self.service = service
         self.prefix = prefix
-        self.avoided = frozenset(avoided)
+        self.avoided_names = frozenset(avoided_names)
         self.class_name = class_name
-        self.may_pause = may_pause and may_run_on(promise, True)
+        self.is_preemptible = is_preemptible and may_run_on(promise, True)
         self.end_time = end_time
         self.signal = Signal()
--- a/quillring/edge/stream_handlers.py
+++ b/quillring/edge/stream_handlers.py
@@ -2,7 +2,7 @@
 
 from quillring.classes.promises import may_resume, may_run_on
 from quillring.edge.admission import check_admission, check_open
-from quillring.edge.dispatch import prefix_key
+from quillring.edge.dispatcher import prefix_key
 from quillring.edge.resume_token import make_token, read_token
 from quillring.kernel.checks import StrictValidator, read_count
 from quillring.kernel.effects import OpenStream, ReadLine, SendToClient
@@ -94,14 +94,22 @@
 class Sending:
     """How far one answer has gone out to its sender."""
 
-    __slots__ = ("count", "head_line", "has_head", "is_paused", "first_end", "first_at", "clock")
+    __slots__ = (
+        "count",
+        "head_line",
+        "has_head",
+        "was_preempted",
+        "first_end",
+        "first_at",
+        "clock",
+    )
 
     def __init__(self, count, head_line, first_end, clock):
         self.count = count
         self.first_end = first_end
         self.head_line = head_line
         self.has_head = False
-        self.is_paused = False
+        self.was_preempted = False
         self.first_at = None
         self.clock = clock
 
@@ -157,14 +165,14 @@
         prefix_key(prefix),
         wait_end,
         avoided_names,
-        sending.is_paused,
+        sending.was_preempted,
         True,
     )
-    sending.is_paused = False
+    sending.was_preempted = False
     replica, handle = lease.replica, None
     try:
         check_before_sending(node, replica, end_time)
-        lease.may_run_on = True
+        lease.may_still_run = True
         handle = yield OpenStream(
             replica.address,
             replica.path("/v1/generate"),
@@ -178,7 +186,7 @@
             min(end_time - node.now(), service.get("stall_ms", STALL_MS) / 1000),
         )
         if handle.status == 503:
-            lease.may_run_on = False
+            lease.may_still_run = False
             raise Busy(replica=replica.name)
         yield from read_pieces(node, stream, sending, handle, lease, service, end_time)
     except Busy:
@@ -230,12 +238,12 @@
         line = yield ReadLine(handle, max(0.001, min(end_time - node.now(), stall_seconds)))
         check_line(line, stream.name, len(stream.pieces))
         if line.get("end"):
-            lease.may_run_on = False
+            lease.may_still_run = False
             yield from journal.keep(stream, (), ended=True)
             yield from emit_held(stream, sending)
             return
         yield from journal.keep(stream, (line["piece"],))
         yield from emit_held(stream, sending)
-        if lease.is_wanted_back:
-            sending.is_paused = True
+        if lease.is_preempted:
+            sending.was_preempted = True
             return
--- a/quillring/fleet.py
+++ b/quillring/fleet.py
@@ -1,7 +1,7 @@
 """Assembly: which services a node of each role is made of; the same in every runtime."""
 
 from quillring.classes import Granter, Meter, Taker
-from quillring.edge import Dispatch, Journal, ReplicaTable
+from quillring.edge import Dispatcher, Journal, ReplicaTable
 from quillring.edge.replica_snapshot import ReplicaSnapshot
 from quillring.edge.resume_token import LIFE_SECONDS
 from quillring.forward import ForwardRouteTable, HeaderNames, LoadBalancer
@@ -96,7 +96,7 @@
 
 def _start_serving(node):
     taker = node.offer("taker", Taker(node))
-    dispatch = node.offer("dispatch", Dispatch(node))
+    dispatch = node.offer("dispatch", Dispatcher(node))
     journal = node.offer("journal", Journal(node))
     node.spawn(dispatch.run())
     node.spawn(taker.run())
--- a/quillring/lots/prompts/scheduler.py
+++ b/quillring/lots/prompts/scheduler.py
@@ -5,7 +5,7 @@
 from itertools import islice
 
 from quillring.classes.promises import may_repeat
-from quillring.edge.dispatch import prefix_key
+from quillring.edge.dispatcher import prefix_key
 from quillring.edge.stream_handlers import STALL_MS, check_before_sending, check_line
 from quillring.kernel.effects import FetchJson, OpenStream, ReadLine, Signal, Sleep, Wait
 from quillring.kernel.errors import BackendError, Busy, NotSent, QuillringError
@@ -172,7 +172,7 @@
             stall_seconds = service.get("stall_ms", STALL_MS) / 1000
             request_name = f"{lot_name}-{number}"
             self.unsent.discard(key)
-            lease.may_run_on = True
+            lease.may_still_run = True
             path = lease.replica.path("/v1/generate")
             handle = self.running[key].handle = yield OpenStream(
                 lease.replica.address,
@@ -187,10 +187,10 @@
                 stall_seconds,
             )
             if handle.status == 503:
-                lease.may_run_on = False
+                lease.may_still_run = False
                 raise Busy(replica=lease.replica.name)
             result = yield from self._read_result(handle, request_name, stall_seconds, key)
-            lease.may_run_on = result is None
+            lease.may_still_run = result is None
             return result
         except (Busy, NotSent) as error:
             self.unsent.add(key)
--- a/quillring/plans/runner.py
+++ b/quillring/plans/runner.py
@@ -39,7 +39,7 @@
 def count_busy(node):
     """Return how much is under way at a node: inquiries run or waiting, parts owned."""
     dispatch, owners = node.find("dispatch"), node.find("ownership").leaders.values()
-    requests = len(dispatch.leases) + len(dispatch.waiting) if dispatch is not None else 0
+    requests = len(dispatch.leases) + len(dispatch.queue) if dispatch is not None else 0
     return requests + sum(owner.is_leader for owner in owners)
 
 
