--- a/proving/histories/run.py
+++ b/proving/histories/run.py
@@ -20,7 +20,7 @@
 )
 from proving.histories.snapshots import check_snapshots
 from proving.histories.stage import HistoryStage
-from proving.sim.loud_cuts import LoudCuts
+from proving.sim.connection_resets import DrawnConnectionResets
 from proving.sim.runtime import ScriptFailure
 
 PROGRAM = "program"
@@ -97,7 +97,7 @@
         sim.net.late_copy_share, sim.net.late_share = LATE_COPY_SHARE, LATE_SHARE
         faults = HistoryFaults(sim)
         env.process(faults.run(FAULTS_FROM, HEAL_AT, self.fault_count))
-        loud_cuts = LoudCuts(sim, LOUD_CUT_SECONDS)
+        loud_cuts = DrawnConnectionResets(sim, LOUD_CUT_SECONDS)
         env.process(loud_cuts.run(FAULTS_FROM, HEAL_AT, self.loud_cuts))
         env.process(Moments(self, faults, self.moments).play(MOMENTS_A_RUN))
         workers = [
--- a/proving/model/__main__.py
+++ b/proving/model/__main__.py
@@ -11,8 +11,8 @@
 from proving.model.bugs import BUGS, find_bug
 from proving.model.errors import ModelError
 from proving.model.explore import Budget, Explorer, walk
+from proving.model.scopes import WORLDS, Bounds, find_world, with_bounds
 from proving.model.trace import load, replay, save, shorten
-from proving.model.worlds import WORLDS, Bounds, find_world, with_bounds
 
 BUDGET = re.compile(r"([0-9]{1,12})(s?)")
 WALK_DEPTH = 120
--- a/proving/model/system.py
+++ b/proving/model/system.py
@@ -5,10 +5,10 @@
 
 from proving.model import invariants
 from proving.model.choices import Choice, Menu, bound_of
-from proving.model.locals import LocalStates
 from proving.model.machines import Input
 from proving.model.network import ANSWER, Messages
-from proving.model.worlds import Bounds
+from proving.model.process_states import LocalStates
+from proving.model.scopes import Bounds
 
 
 class State(NamedTuple):
--- a/proving/model/trace.py
+++ b/proving/model/trace.py
@@ -7,8 +7,8 @@
 from proving.model.bugs import find_bug
 from proving.model.errors import BadTrace, BrokenInvariant
 from proving.model.explore import Finding
+from proving.model.scopes import Bounds, find_world, with_bounds
 from proving.model.system import System
-from proving.model.worlds import Bounds, find_world, with_bounds
 
 FIELDS = {"world": str, "bug": (str, type(None)), "bounds": dict, "choices": list}
 BOUNDLESS = Bounds(*[1 << 20] * len(Bounds._fields))._asdict()
--- a/proving/points/callers.py
+++ b/proving/points/callers.py
@@ -2,8 +2,8 @@
 
 import random
 
-from proving.sim.scripted import BREAK, SILENT, STALE, ScriptedAnswer, ScriptedRuntime
-from proving.tools.fake_wire import END, RESET, FakeWire
+from proving.sim.scripted_runtime import BREAK, SILENT, STALE, ScriptedAnswer, ScriptedRuntime
+from proving.tools.scripted_connection import END, RESET, FakeWire
 from quillring.fleet import make_node
 from quillring.forward import Request
 from quillring.forward.request_handler import forward_request
--- a/proving/points/scenario_fleet.py
+++ b/proving/points/scenario_fleet.py
@@ -6,7 +6,7 @@
 from proving.sim.callers import SimCallers
 from proving.sim.fleet import SimFleet
 from proving.sim.monitor import Monitor
-from proving.sim.run import ONCE_CLASS
+from proving.sim.seeded_run import ONCE_CLASS
 from quillring.kernel.wsgi import Request
 
 SMALL = {
--- a/proving/scale/fleet.py
+++ b/proving/scale/fleet.py
@@ -8,7 +8,7 @@
 import simpy
 
 from proving.scale.members import ZONES, carry_seconds, hollow_configuration, hollow_members
-from proving.sim.net import SimNet
+from proving.sim.network import SimNet
 from proving.sim.runtime import SimRuntime
 from quillring.fleet import make_node
 from quillring.kernel.bounds import Bounds
--- a/proving/scale/loopback.py
+++ b/proving/scale/loopback.py
@@ -12,7 +12,7 @@
 from proving.scale.fleet import FIRST_START
 from proving.scale.runs import process_bytes
 from proving.tools.callers import ask
-from proving.tools.localfleet import LocalFleet
+from proving.tools.local_fleet import LocalFleet
 from proving.tools.overhead import cpu_seconds
 from quillring.fleet import make_node
 from quillring.kernel.bounds import Bounds
--- a/proving/scale/members.py
+++ b/proving/scale/members.py
@@ -5,7 +5,7 @@
 
 import simpy
 
-from proving.sim.net import SimNet
+from proving.sim.network import SimNet
 from quillring.nifty import Member
 
 ZONES = 20
--- a/proving/sim/backends.py
+++ b/proving/sim/backends.py
@@ -2,7 +2,7 @@
 
 from urllib.parse import parse_qsl
 
-from proving.tools.standin_logic import StandIn, piece_count, piece_text, seat_word, tile_word
+from proving.tools.fake_replica_logic import StandIn, piece_count, piece_text, seat_word, tile_word
 from quillring.kernel.effects import Signal
 from quillring.kernel.errors import BackendError, NotSent, QuillringError
 
--- a/proving/sim/callers.py
+++ b/proving/sim/callers.py
@@ -1,7 +1,7 @@
 """Simulated callers: they check every piece, resume cut streams, follow their lots."""
 
 from proving.tools.callers import Answer, Record
-from proving.tools.standin_logic import piece_count, piece_text, seat_word, tile_word
+from proving.tools.fake_replica_logic import piece_count, piece_text, seat_word, tile_word
 from quillring.edge.short_requests import serve_seat, serve_tile
 from quillring.edge.stream_handlers import resume_stream, serve_model
 from quillring.kernel.effects import Signal
--- a/proving/sim/loud_cuts.py
+++ b/proving/sim/connection_resets.py
@@ -2,7 +2,7 @@
 
 import random
 
-from proving.sim.net import CutKind
+from proving.sim.network import CutKind
 
 LOUD_KINDS = (CutKind.REFUSING, CutKind.RESETTING)
 CUT_SECONDS = (1.0, 9.0)
@@ -10,7 +10,7 @@
 FLAP_SECONDS = (0.02, 0.8)
 
 
-class LoudCuts:
+class DrawnConnectionResets:
     """Brings loud cuts about at random times; other faults are drawn as without them."""
 
     def __init__(self, sim, cut_seconds=CUT_SECONDS):
--- a/proving/sim/fleet.py
+++ b/proving/sim/fleet.py
@@ -7,7 +7,7 @@
 from proving.sim.backends import Backends, SimReplica
 from proving.sim.disk import SimDisk
 from proving.sim.history import History
-from proving.sim.net import CutKind, SimNet
+from proving.sim.network import CutKind, SimNet
 from proving.sim.runtime import SimRuntime
 from proving.tools.deployments import DEPLOYMENTS, configuration_of, replicas_of, settings_of
 from quillring.fleet import make_node, open_store, start_node
--- a/proving/sim/run.py
+++ b/proving/sim/seeded_run.py
@@ -2,8 +2,8 @@
 
 from proving.sim.callers import SimCallers
 from proving.sim.chaos import Chaos
+from proving.sim.connection_resets import DrawnConnectionResets
 from proving.sim.fleet import SimFleet
-from proving.sim.loud_cuts import LoudCuts
 from proving.sim.monitor import Monitor
 
 HEAL_AT, BACK_WITHIN, LAST_LOOK = 40.0, 12.0, 45.0
@@ -91,7 +91,7 @@
     callers = start_traffic(sim, deployment)
     chaos = Chaos(sim, monitor)
     sim.env.process(chaos.run(8, HEAL_AT, fault_count))
-    sim.env.process(LoudCuts(sim).run(8, HEAL_AT, loud_cuts))
+    sim.env.process(DrawnConnectionResets(sim).run(8, HEAL_AT, loud_cuts))
     callers.stop_at = HEAL_AT
     sim.env.run(until=HEAL_AT + 0.001)
     sim.env.process(probe_service(sim, callers, HEAL_AT + BACK_WITHIN))
--- a/proving/sim/sweep.py
+++ b/proving/sim/sweep.py
@@ -9,7 +9,7 @@
 
 import click
 
-from proving.sim.run import SMALL, run_seed
+from proving.sim.seeded_run import SMALL, run_seed
 
 
 def run_one(job):
--- a/proving/tools/callers.py
+++ b/proving/tools/callers.py
@@ -5,7 +5,7 @@
 import gevent
 from geventhttpclient import HTTPClient, HTTPParseError
 
-from proving.tools.standin_logic import piece_count, piece_text, seat_word, tile_word
+from proving.tools.fake_replica_logic import piece_count, piece_text, seat_word, tile_word
 from quillring.kernel.settings import split_address
 
 PATIENCE = 20
--- a/proving/tools/day.py
+++ b/proving/tools/day.py
@@ -8,7 +8,7 @@
 import gevent
 
 from proving.tools import callers
-from proving.tools.localfleet import LocalFleet
+from proving.tools.local_fleet import LocalFleet
 
 MIXES = {
     "ferrowa": [
--- a/proving/tools/example_day.py
+++ b/proving/tools/example_day.py
@@ -8,9 +8,9 @@
 import gevent
 
 from proving.tools import callers
-from proving.tools.closing import closing_fault
+from proving.tools.closing_fault import closing_fault
 from proving.tools.day import MIXES, run_traffic
-from proving.tools.localfleet import LocalFleet
+from proving.tools.local_fleet import LocalFleet
 
 
 class Day:
--- a/proving/tools/localfleet.py
+++ b/proving/tools/local_fleet.py
@@ -10,7 +10,7 @@
 import time
 
 from proving.tools.callers import ask
-from proving.tools.held_ports import HeldPorts
+from proving.tools.reserved_ports import ReservedPorts
 
 LAST_WORDS = 2000
 LONGEST_ANSWER = 2000
@@ -38,7 +38,7 @@
         self.full_file = self.run_folder / "full.json"
         self.full_file.write_text("[]")
         self.processes = {}
-        self.ports = HeldPorts()
+        self.ports = ReservedPorts()
         self.answers = {}
         rows = [json.loads(p.read_text()) for p in sorted(self.example.glob("settings/*.json"))]
         self.settings = {row["name"]: row for row in rows if only is None or row["name"] in only}
@@ -78,7 +78,7 @@
             row = self.settings[name]
             path = self.run_folder / f"{name}.json"
             path.write_text(json.dumps(row))
-            words = ["-m", "proving.tools.faulty", row["role"], "--settings", str(path)]
+            words = ["-m", "proving.tools.fault_injection", row["role"], "--settings", str(path)]
         else:
             row = self.replicas[name]
             nodes = [self.http(n) for n in self.settings if not n.startswith("store")]
--- a/proving/tools/overhead.py
+++ b/proving/tools/overhead.py
@@ -11,7 +11,7 @@
 from geventhttpclient import HTTPClient
 
 from proving.tools import callers
-from proving.tools.localfleet import LocalFleet
+from proving.tools.local_fleet import LocalFleet
 from quillring.kernel.settings import split_address
 
 
--- a/proving/tools/held_ports.py
+++ b/proving/tools/reserved_ports.py
@@ -3,7 +3,7 @@
 import socket
 
 
-class HeldPorts:
+class ReservedPorts:
     """The ports of one fleet, each held by a socket that is bound and never listens.
 
     The system gives a held port to nobody else. A process of the fleet can still listen at it, as
--- a/proving/tools/standin.py
+++ b/proving/tools/standin.py
@@ -9,7 +9,7 @@
 import gevent
 import gevent.event
 
-from proving.tools.standin_logic import StandIn, piece_count, piece_text, seat_word, tile_word
+from proving.tools.fake_replica_logic import StandIn, piece_count, piece_text, seat_word, tile_word
 from quillring.kernel import backend
 from quillring.kernel.effects import FetchJson
 from quillring.kernel.errors import QuillringError
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,6 @@
 import pytest
 
-from proving.tools.localfleet import LocalFleet
+from proving.tools.local_fleet import LocalFleet
 
 NAMES = [
     "core-1",
--- a/tests/forward_stage.py
+++ b/tests/forward_stage.py
@@ -1,6 +1,6 @@
 """What the tests of forwarding share: a node in a scripted runtime, its replicas and answers."""
 
-from proving.sim.scripted import ScriptedRuntime
+from proving.sim.scripted_runtime import ScriptedRuntime
 from quillring.fleet import make_node
 from quillring.forward import HeaderNames, Request
 from quillring.forward.request_handler import forward_request
--- a/tests/mixed_fleet.py
+++ b/tests/mixed_fleet.py
@@ -11,7 +11,7 @@
 from proving.sim.callers import Connection, SimCallers
 from proving.sim.disk import SimDisk
 from proving.sim.fleet import SimFleet
-from proving.sim.run import SMALL
+from proving.sim.seeded_run import SMALL
 from quillring.kernel.errors import rebuild
 from quillring.kernel.settings import split_address
 from quillring.kernel.wsgi import Request
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from proving.sim.scripted import BREAK, END, SILENT, STALE
+from proving.sim.scripted_runtime import BREAK, END, SILENT, STALE
 from quillring.forward import HeaderNames, Request
 from quillring.forward.request_handler import forward_request
 from quillring.kernel.errors import QuillringError
--- a/tests/test_connection_machine.py
+++ b/tests/test_connection_machine.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
-from proving.tools.fake_wire import END, RESET, FakeWire
+from proving.tools.scripted_connection import END, RESET, FakeWire
 from quillring.kernel import http_client
 from quillring.kernel.connections import Pool
 from quillring.kernel.effects import SendRequest
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from proving.sim.net import CutKind
+from proving.sim.network import CutKind
 from tests.fleet_stage import SelfFounded
 from tests.system_calls import BEAT, WHOLE, call, replace
 
--- a/tests/test_event_bytes.py
+++ b/tests/test_event_bytes.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from proving.sim.scripted import BREAK, END
+from proving.sim.scripted_runtime import BREAK, END
 from quillring.forward import EventReader
 from tests.forward_stage import HEAD, STREAM, address, both, make, run, text
 from tests.http_lot_stage import HttpLotStage, accepted
--- a/tests/test_forward.py
+++ b/tests/test_forward.py
@@ -1,6 +1,6 @@
 import pytest
 
-from proving.sim.scripted import BREAK, END, SILENT
+from proving.sim.scripted_runtime import BREAK, END, SILENT
 from quillring.forward import EventReader
 from quillring.kernel.errors import BackendError, OutcomeUnknown, Refused
 from tests.forward_stage import (
--- a/tests/test_forward_once.py
+++ b/tests/test_forward_once.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from proving.sim.scripted import BREAK, END, SILENT, STALE
+from proving.sim.scripted_runtime import BREAK, END, SILENT, STALE
 from quillring.kernel.errors import OutcomeUnknown, Refused
 from quillring.kernel.node import Node
 from tests.forward_stage import (
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -3,7 +3,7 @@
 import gevent
 import pytest
 
-from proving.sim.scripted import BREAK, END, SILENT, STALE
+from proving.sim.scripted_runtime import BREAK, END, SILENT, STALE
 from quillring.forward.request_handler import forward_request
 from quillring.kernel.effects import SendToClient
 from quillring.kernel.errors import BackendError, QuillringError
--- a/tests/test_histories_moments.py
+++ b/tests/test_histories_moments.py
@@ -6,7 +6,7 @@
 from proving.histories.bugs import BUGS
 from proving.histories.moments import MOMENTS
 from proving.histories.run import run_seed
-from proving.sim.net import SimNet
+from proving.sim.network import SimNet
 
 SHOWN_BY = {
     "answer before sync": "power_after_answer",
--- a/tests/test_load_balancer.py
+++ b/tests/test_load_balancer.py
@@ -3,7 +3,7 @@
 import pytest
 
 from proving.sim.disk import SimDisk
-from proving.sim.scripted import ScriptedRuntime
+from proving.sim.scripted_runtime import ScriptedRuntime
 from quillring.edge.replica_snapshot import ReplicaSnapshot
 from quillring.fleet import make_node
 from quillring.forward.request_handler import check_ready
--- a/tests/test_local_fleet.py
+++ b/tests/test_local_fleet.py
@@ -5,7 +5,7 @@
 import pytest
 
 from proving.tools.callers import ask
-from proving.tools.localfleet import LocalFleet, ProcessEnded
+from proving.tools.local_fleet import LocalFleet, ProcessEnded
 from quillring.kernel.settings import split_address
 
 
--- a/tests/test_loud_cut_runs.py
+++ b/tests/test_loud_cut_runs.py
@@ -3,9 +3,9 @@
 import pytest
 
 from proving.histories.run import run_seed as record_seed
+from proving.sim.connection_resets import DrawnConnectionResets
 from proving.sim.fleet import SimFleet
-from proving.sim.loud_cuts import LoudCuts
-from proving.sim.run import SMALL, run_seed
+from proving.sim.seeded_run import SMALL, run_seed
 from tests.fleet_stage import SIZES
 
 END_TIME = 6.0
@@ -33,7 +33,7 @@
     former_states = sim.chance.getstate(), sim.net.chance.getstate()
     for node in sim.nodes.values():
         node.runtime.kill()
-    sim.env.process(LoudCuts(sim).run(0, END_TIME, 20))
+    sim.env.process(DrawnConnectionResets(sim).run(0, END_TIME, 20))
     sim.env.run(until=END_TIME - 0.1)
     assert sim.net.cuts and {*sim.net.cuts} <= {*sim.net.loud_cuts}
     sim.env.run(until=END_TIME + 0.1)
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -9,9 +9,9 @@
 from proving.model.bugs import BUGS, find_bug
 from proving.model.explore import Budget, Explorer, walk
 from proving.model.machines import Input
+from proving.model.scopes import WORLDS, find_world, with_bounds
 from proving.model.system import System
 from proving.model.trace import load, play, replay, shorten
-from proving.model.worlds import WORLDS, find_world, with_bounds
 
 TRACES = sorted(Path("tests/traces").glob("model-*.json"))
 SMALL = Budget(states=1500)
--- a/tests/test_newer_calls.py
+++ b/tests/test_newer_calls.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from proving.sim.scripted import ScriptedRuntime
+from proving.sim.scripted_runtime import ScriptedRuntime
 from quillring.fleet import make_node
 from quillring.forward import HeaderNames
 from quillring.kernel.bounds import Bounds
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -8,7 +8,7 @@
 
 from proving.tools import fuzz
 from proving.tools.callers import Record, ask, follow_lot, lot_call, stream_call
-from proving.tools.localfleet import LocalFleet
+from proving.tools.local_fleet import LocalFleet
 
 pytestmark = pytest.mark.xdist_group("one fleet")
 
--- a/tests/test_seeds.py
+++ b/tests/test_seeds.py
@@ -1,6 +1,6 @@
 import pytest
 
-from proving.sim.run import SMALL, run_seed
+from proving.sim.seeded_run import SMALL, run_seed
 
 SEEDS = [("ferrowa", 1), ("ferrowa", 2), ("kilele", 1), ("kilele", 2)]
 ONCE_FAILED = [
--- a/tests/test_sim_net.py
+++ b/tests/test_sim_net.py
@@ -8,7 +8,7 @@
 import pytest
 import simpy
 
-from proving.sim.net import CutKind, SimNet
+from proving.sim.network import CutKind, SimNet
 
 HOME, TARGET = ("10.0.0.1", 1), ("10.0.0.2", 1)
 
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from proving.sim.scripted import END
+from proving.sim.scripted_runtime import END
 from quillring.forward import HeaderNames
 from quillring.kernel.bounds import Bounds
 from quillring.kernel.raw_http import RawRequest
--- a/tests/test_unframed.py
+++ b/tests/test_unframed.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from proving.tools.fake_wire import RESET, FakeWire
+from proving.tools.scripted_connection import RESET, FakeWire
 from quillring.kernel.effects import SendRequest
 from quillring.kernel.errors import BackendError
 from quillring.kernel.http_client import send_request
--- a/tests/wire_record.py
+++ b/tests/wire_record.py
@@ -14,9 +14,9 @@
 import cbor2
 import click
 
-from proving.sim import quorum_fuzz, run
+from proving.sim import quorum_fuzz, seeded_run
 from proving.sim.fleet import SimFleet
-from proving.sim.net import SimNet
+from proving.sim.network import SimNet
 from tests.fleet_stage import SelfFounded
 from tests.http_lot_random_days import HttpLotDay
 
@@ -140,7 +140,7 @@
 
 RUNS = {
     "founded": founded_and_asked,
-    "kilele": lambda: run.run_seed("kilele", 6, 8, run.SMALL),
+    "kilele": lambda: seeded_run.run_seed("kilele", 6, 8, seeded_run.SMALL),
     "quorum": lambda: quorum_fuzz.Fuzz(19).run(),
     "raw-lots": day_of_raw_lots,
 }
