--- a/quillring/lots/http_requests/__init__.py
+++ b/quillring/lots/http_requests/__init__.py
@@ -28,10 +28,10 @@
     The node's forward routes, load balancer and header names are there already.
     """
     node.offer("raw_worker", ItemExecutor(node))
-    reader = node.offer("raw_reads", ResultReader(node))
-    scheduler = node.offer("raw", LotScheduler(node))
+    reader: ResultReader = node.offer("raw_reads", ResultReader(node))
+    scheduler: LotScheduler = node.offer("raw", LotScheduler(node))
     node.find("ownership").leader_listeners.extend([scheduler.on_batch, reader.on_batch])
-    reconciler = node.offer("raw_quota", QuotaReconciler(node))
+    reconciler: QuotaReconciler = node.offer("raw_quota", QuotaReconciler(node))
     node.spawn(reconciler.run())
-    node.spawn(scheduler.demand.run())
+    node.spawn(scheduler.backlog.run())
     return scheduler.run()
--- a/quillring/lots/http_requests/backlog.py
+++ b/quillring/lots/http_requests/backlog.py
@@ -1,18 +1,32 @@
-"""How the parts' owners share the slots that lots may take: what is due soonest comes first.
+"""How the parts' leaders share the slots that lots may take: what is due soonest comes first.
 
-Each owner runs its own lots in the order in which they are due. Portions by the number of items
-alone would have the lots of all parts end together, at the very end of a burst, so a portion counts
+Each leader runs its own lots in the order in which they are due. Shares by the number of items
+alone would have the lots of all parts end together, at the very end of a burst, so a share counts
 only items among the next ones over all parts.
 """
 
-from typing import NamedTuple
+from __future__ import annotations
+
+from collections.abc import Mapping, Sequence
+from typing import TYPE_CHECKING, NamedTuple
 
 from quillring.kernel.effects import Sleep
-from quillring.lots.http_requests.item_table import CAN_STILL
+from quillring.lots.http_requests import messages
+from quillring.lots.http_requests.item_table import LEAST_SECONDS_TO_DUE
+from quillring.lots.http_requests.messages import BacklogReport, BacklogRow
+
+if TYPE_CHECKING:
+    from quillring.kernel.node import Node
+    from quillring.kernel.types import Coroutine
+    from quillring.lots.http_requests.item_table import ItemTable
+
+# Shares of the reading bound.
+REPORT_PERIOD, REMOTE_LIFETIME = 0.4, 1.5
 
-TELL_PERIOD, HEARD_FOR = 0.4, 1.5
 LEAST_SHARE = 1 / 16
-TOLD_ANEW = 0.8
+"""The share of the slots that a part with items has whatever the others have."""
+FALLEN_RATIO = 0.8
+"""A backlog that fell below this ratio of what was told is told anew."""
 
 
 class DueItems(NamedTuple):
@@ -22,57 +36,64 @@
     items: float
 
 
+ItemsByService = Mapping[str, Sequence[DueItems]]
+
+
 class RemoteBacklog(NamedTuple):
-    """What a part's owner told: {service: its DueItems}, and until when that counts."""
+    """What a part's leader told, and until when that counts."""
 
     origin: str
     until: float
-    by_service: dict
+    by_service: ItemsByService
 
 
-class SlotShare:
-    """One part's portion of what all parts may have running of a service."""
+class SlotShare(NamedTuple):
+    """One part's share of what all parts may have running of a service.
 
-    __slots__ = ("start", "end", "total")
+    It is the stretch from `start` to `end` of `total` items, with the parts in their order.
+    """
 
-    def __init__(self, start, end, total):
-        self.start, self.end, self.total = start, end, total
+    start: float
+    end: float
+    total: float
 
     @property
-    def ratio(self):
-        """The portion as a ratio, above 0 and at most 1."""
+    def ratio(self) -> float:
+        """The share as a ratio, above 0 and at most 1."""
         return (self.end - self.start) / self.total if self.end > self.start else 1.0
 
-    def room(self, slots, phase):
+    def room(self, slots: int, offset: float) -> int:
         """Return how many of a replica's slots are this part's.
 
-        The portions of all parts add up to the slots; `phase` (0 to 1, spread evenly over the
+        The shares of all parts add up to the slots; `offset` (0 to 1, spread evenly over the
         replicas) lets another part have the odd slot at another replica, so that over all of them
-        a part has as many as its portion says.
+        a part has as many as its share says.
         """
         if self.end <= self.start:
             return slots
         first, last = slots * self.start / self.total, slots * self.end / self.total
-        return int(last + phase) - int(first + phase)
+        return int(last + offset) - int(first + offset)
 
 
-def first_items_by_part(rows_by_part, now, count):
-    """Return {part: its items among the `count` that come first over all parts}.
+def first_items_by_part(
+    rows_by_part: Mapping[str, Sequence[DueItems]], now: float, count: float
+) -> dict[str, float]:
+    """Return how many of the `count` items that come first over all parts are each part's.
 
-    The order is that of each part's owner: due soonest first, past hope last. A few items of each
+    The order is that of each part's leader: due soonest first, past hope last. A few items of each
     part come before, so that it goes on whatever the others are held up by.
     """
     least = max(1, count * LEAST_SHARE)
-    taken = {
+    taken: dict[str, float] = {
         part: min(least, sum(row.items for row in rows)) for part, rows in rows_by_part.items()
     }
     left, before = max(0, count - sum(taken.values())), dict(taken)
-    rows = [
-        (row.due_at - now < CAN_STILL, row.due_at, part, row.items)
+    ordered_rows = sorted(
+        (row.due_at - now < LEAST_SECONDS_TO_DUE, row.due_at, part, row.items)
         for part, part_rows in rows_by_part.items()
         for row in part_rows
-    ]
-    for _, _, part, items in sorted(rows):
+    )
+    for _is_past_hope, _due_at, part, items in ordered_rows:
         counted = min(items, before[part])
         before[part] -= counted
         more = min(items - counted, left)
@@ -81,105 +102,128 @@
     return taken
 
 
-def count_items(by_service):
+def count_items(by_service: ItemsByService) -> float:
     """Return how many items there are over all services."""
     return sum(row.items for rows in by_service.values() for row in rows)
 
 
 class Backlog:
-    """What the owners of all parts have to run, told between cores.
+    """What the leaders of all parts have to run, told between cores.
 
-    Each core tells what it owns when that begins or ends or has fallen by a fifth, and every 0.4 of
-    the reading bound in between; what was not told again for 1.5 of it counts no more, nor does
-    what a core told that is lost. Owners that differ in what they heard start too much or too
+    Each core tells what it leads when that begins or ends or has fallen by a fifth, and every 0.4
+    of the reading bound in between; what was not told again for 1.5 of it counts no more, nor does
+    what a core told that is lost. Leaders that differ in what they heard start too much or too
     little for a moment: a full replica says so, and nothing is lost.
+
+    Attributes
+    ----------
+    local
+        What the parts led here have to run, by part.
+    remote
+        What the other cores told of theirs, by part.
+    reported_items
+        How many items of each part were told last.
     """
 
-    __slots__ = ("node", "own", "heard", "told_items")
+    __slots__ = ("node", "local", "remote", "reported_items")
 
-    def __init__(self, node):
+    def __init__(self, node: Node) -> None:
         self.node = node
-        self.own = {}
-        self.heard = {}
-        self.told_items = {}
-        node.handle("raw.demand", self.on_demand)
+        self.local: dict[str, ItemsByService] = {}
+        self.remote: dict[str, RemoteBacklog] = {}
+        self.reported_items: dict[str, float] = {}
+        node.handle(messages.BACKLOG, self.on_report)
 
-    def on_demand(self, body, origin):
+    def on_report(self, body: messages.Wire, origin: str) -> None:
         """Take what another core has to run.
 
         One of a former version tells no due times: what it has counts as due soon.
         """
-        now = self.node.now()
-        until = now + self.node.bounds.read_timeout * HEARD_FOR
-        self.heard = {part: row for part, row in self.heard.items() if row.origin != origin}
-        due = body.get("due") or {}
-        for part, items_by_service in body["parts"].items():
+        report, now = BacklogReport.from_wire(body), self.node.now()
+        until = now + self.node.bounds.read_timeout * REMOTE_LIFETIME
+        soon = until + LEAST_SECONDS_TO_DUE
+        self.remote = {part: row for part, row in self.remote.items() if row.origin != origin}
+        for part, items_by_service in report.items.items():
             by_service = {
-                service: [DueItems(now + seconds, count) for seconds, count in rows]
-                for service, rows in due.get(part, {}).items()
-            } or {s: [DueItems(until + CAN_STILL, n)] for s, n in items_by_service.items()}
-            self.heard[part] = RemoteBacklog(origin, until, by_service)
-
-    def note(self, part, ledger):
-        """Note what a ledger of an owned part has left; tell the others when that matters."""
-        by_service = self._due_items(ledger) if ledger is not None else {}
-        self.own = {name: rows for name, rows in self.own.items() if name != part}
+                service: [DueItems(now + row.due_in_seconds, row.items) for row in rows]
+                for service, rows in report.rows.get(part, {}).items()
+            }
+            if not by_service:
+                by_service = {s: [DueItems(soon, items)] for s, items in items_by_service.items()}
+            self.remote[part] = RemoteBacklog(origin, until, by_service)
+
+    def update(self, part: str, item_table: ItemTable | None) -> None:
+        """Note what a part led here has left; tell the others when that matters.
+
+        `item_table` is None for a part that is not led here any more.
+        """
+        by_service = self._due_items(item_table) if item_table is not None else {}
+        self.local = {name: rows for name, rows in self.local.items() if name != part}
         if by_service:
-            self.own[part] = by_service
+            self.local[part] = by_service
         has_fallen = any(
-            count_items(rows) < self.told_items[name] * TOLD_ANEW
-            for name, rows in self.own.items()
-            if name in self.told_items
+            count_items(rows) < self.reported_items[name] * FALLEN_RATIO
+            for name, rows in self.local.items()
+            if name in self.reported_items
         )
-        if has_fallen or set(self.told_items) != set(self.own):
-            self.tell()
+        if has_fallen or set(self.reported_items) != set(self.local):
+            self.report()
 
-    def _due_items(self, ledger):
-        by_service, forwards = {}, self.node.find("forwards")
-        for lot in ledger.lots.values():
+    def _due_items(self, item_table: ItemTable) -> ItemsByService:
+        by_service: dict[str, list[DueItems]] = {}
+        forwards = self.node.find("forwards")
+        for lot in item_table.lots.values():
             forward = forwards.find_by_name(lot.forward)
             split = forward.split if forward is not None else []
-            total = sum(weight for _, weight in split)
+            total = sum(weight for _service, weight in split)
             for service, weight in split:
                 row = DueItems(lot.due_at, len(lot.items) * weight / total)
                 by_service.setdefault(service, []).append(row)
         return by_service
 
-    def tell(self):
-        """Tell the other cores what waits here; `parts` is what the former version reads."""
-        now = self.node.now()
-        self.told_items = {part: count_items(by_service) for part, by_service in self.own.items()}
-        parts, due = {}, {}
-        for part, by_service in self.own.items():
-            parts[part] = {s: sum(row.items for row in rows) for s, rows in by_service.items()}
-            due[part] = {
-                service: [[row.due_at - now, row.items] for row in rows]
-                for service, rows in by_service.items()
-            }
+    def report(self) -> None:
+        """Tell the other cores what waits here."""
+        self.reported_items = {part: count_items(rows) for part, rows in self.local.items()}
+        body = self._local_report().to_wire()
         ownership, nifty = self.node.find("ownership"), self.node.find("nifty")
         for name in ownership.cores():
             if name != self.node.me.name and nifty.reaches(name):
-                self.node.send_oneway(name, "raw.demand", {"parts": parts, "due": due})
+                self.node.send_oneway(name, messages.BACKLOG, body)
+
+    def _local_report(self) -> BacklogReport:
+        now = self.node.now()
+        items = {
+            part: {service: sum(row.items for row in rows) for service, rows in by_service.items()}
+            for part, by_service in self.local.items()
+        }
+        rows = {
+            part: {
+                service: [BacklogRow(row.due_at - now, row.items) for row in due_items]
+                for service, due_items in by_service.items()
+            }
+            for part, by_service in self.local.items()
+        }
+        return BacklogReport(items, rows)
 
-    def run(self):
-        """Coroutine: tell again while anything waits."""
+    def run(self) -> Coroutine:
+        """Tell again while anything waits."""
         while True:
-            yield Sleep(self.node.bounds.read_timeout * TELL_PERIOD)
-            if self.own:
-                self.tell()
+            yield Sleep(self.node.bounds.read_timeout * REPORT_PERIOD)
+            if self.local:
+                self.report()
 
-    def portion(self, part, service, slots):
-        """Return a part's portion of the slots that lots may take of a service.
+    def slot_share(self, part: str, service: str, slots: int) -> SlotShare:
+        """Return a part's share of the slots that lots may take of a service.
 
         All of it where no other part has items for it.
         """
         now, nifty = self.node.now(), self.node.find("nifty")
         rows = {
             name: told.by_service.get(service, [])
-            for name, told in self.heard.items()
-            if told.until > now and name not in self.own and nifty.reaches(told.origin)
+            for name, told in self.remote.items()
+            if told.until > now and name not in self.local and nifty.reaches(told.origin)
         }
-        rows |= {name: by_service.get(service, []) for name, by_service in self.own.items()}
+        rows |= {name: by_service.get(service, []) for name, by_service in self.local.items()}
         items = first_items_by_part(rows, now, slots)
         start = sum(items[name] for name in sorted(items) if name < part)
         return SlotShare(start, start + items.get(part, 0), sum(items.values()))
--- a/quillring/lots/http_requests/concurrency_limits.py
+++ b/quillring/lots/http_requests/concurrency_limits.py
@@ -1,99 +1,156 @@
 """How many items may run at once: a share of the slots, less while replicas are full."""
 
+from __future__ import annotations
+
 import math
+from collections.abc import Container, Iterable, Mapping
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from quillring.forward.replica_health import has_missed_heartbeats
 from quillring.lots.http_requests.item_executor import BROKEN, NOT_RUN, UNSENT
 
+if TYPE_CHECKING:
+    from quillring.forward.types import Replica
+    from quillring.kernel.node import Node
+    from quillring.lots.http_requests.backlog import SlotShare
+    from quillring.lots.http_requests.item_table import DispatchedRun, ItemTable
+
 CALM_SHARE, NEAR_SHARE, LEAST_SHARE = 0.75, 0.85, 0.08
-GAIN = 0.05
-START_SECONDS = 0.02
-LEAST_PORTION = 0.1
+"""The share of a service's slots for lots: usually, for items due soon, and at the least."""
+CUT_FACTOR = 0.9
+"""A full replica cuts the share to this."""
+RECOVERY_PER_SECOND = 0.05
+START_INTERVAL_SECONDS = 0.02
+LEAST_START_RATIO = 0.1
 MOST_DOUBLINGS = 3
-LEFT_ALONE = {NOT_RUN: 0.3, BROKEN: 0.6, UNSENT: 1.0}
+BACKOFF_SECONDS = {NOT_RUN: 0.3, BROKEN: 0.6, UNSENT: 1.0}
+
+
+class Cut(NamedTuple):
+    """How far a service's share was cut, and when."""
+
+    factor: float
+    at: float
+
+    def factor_at(self, now: float) -> float:
+        """Return the factor by now; it recovers with time, up to 1."""
+        return min(1.0, self.factor + RECOVERY_PER_SECOND * (now - self.at))
 
 
 class ConcurrencyLimits:
-    """The share of each service's slots that lots take, and replicas left alone for a moment."""
+    """The share of each service's slots that lots take, and replicas that are backed off from.
+
+    Attributes
+    ----------
+    cuts
+        By service.
+    consecutive_failures, backoff_until, next_starts
+        By replica.
+    """
 
-    __slots__ = ("node", "shares", "strikes", "alone_until", "next_starts")
+    __slots__ = ("node", "cuts", "consecutive_failures", "backoff_until", "next_starts")
 
-    def __init__(self, node):
+    def __init__(self, node: Node) -> None:
         self.node = node
-        self.shares = {}
-        self.strikes = {}
-        self.alone_until = {}
-        self.next_starts = {}
+        self.cuts: dict[str, Cut] = {}
+        self.consecutive_failures: dict[str, int] = {}
+        self.backoff_until: dict[str, float] = {}
+        self.next_starts: dict[str, float] = {}
 
-    def share(self, service, is_near, now):
+    def share(self, service: str, is_near: bool, now: float) -> float:
         """Return the share of a service's slots for lots; it recovers with time."""
-        cut, cut_at = self.shares.get(service, (1.0, now))
-        factor = min(1.0, cut + GAIN * (now - cut_at))
+        factor = self.cuts.get(service, Cut(1.0, now)).factor_at(now)
         return max(LEAST_SHARE, (NEAR_SHARE if is_near else CALM_SHARE) * factor)
 
-    def slots(self, service, now):
+    def slots(self, service: str, now: float) -> int:
         """Return how many slots of a service all lots together may take."""
-        share, known = self.share(service, False, now), self.node.find("placement")
-        return sum(slots_for(replica, share) for replica in known.replicas(service))
+        share, load_balancer = self.share(service, False, now), self.node.find("placement")
+        return sum(slots_for(replica, share) for replica in load_balancer.replicas(service))
 
-    def note(self, run, outcome, now):
-        """Take in how a run ended: a full replica lowers the share, errors in a row give rest."""
+    def record_failure(self, run: DispatchedRun, outcome: str, now: float) -> None:
+        """Take in how a run ended: a full replica lowers the share, failures in a row back off."""
         known = self.node.find("replicas").table
-        self.strikes = {name: count for name, count in self.strikes.items() if name in known}
-        strikes = self.strikes[run.replica] = self.strikes.get(run.replica, 0) + 1
-        self.alone_until = {name: until for name, until in self.alone_until.items() if until > now}
-        seconds = LEFT_ALONE[outcome] * 2 ** min(strikes - 1, MOST_DOUBLINGS)
-        self.alone_until[run.replica] = now + seconds
+        self.consecutive_failures = {
+            name: count for name, count in self.consecutive_failures.items() if name in known
+        }
+        failures = self.consecutive_failures.get(run.replica, 0) + 1
+        self.consecutive_failures[run.replica] = failures
+        self.backoff_until = {
+            name: until for name, until in self.backoff_until.items() if until > now
+        }
+        seconds = BACKOFF_SECONDS[outcome] * 2 ** min(failures - 1, MOST_DOUBLINGS)
+        self.backoff_until[run.replica] = now + seconds
         if outcome == NOT_RUN:
-            cut, cut_at = self.shares.get(run.service, (1.0, now))
-            factor = min(1.0, cut + GAIN * (now - cut_at))
-            self.shares[run.service] = (max(LEAST_SHARE, factor * 0.9), now)
+            factor = self.cuts.get(run.service, Cut(1.0, now)).factor_at(now)
+            self.cuts[run.service] = Cut(max(LEAST_SHARE, factor * CUT_FACTOR), now)
 
-    def worked(self, run):
+    def record_success(self, run: DispatchedRun) -> None:
         """Take in that a run came to its end."""
-        self.strikes.pop(run.replica, None)
-
-    def choose(self, service, ledger, is_near, avoided_names, portion, now):
+        self.consecutive_failures.pop(run.replica, None)
+
+    def choose_replica(
+        self,
+        service: str,
+        item_table: ItemTable,
+        is_near: bool,
+        avoided_names: Container[str],
+        slot_share: SlotShare,
+        now: float,
+    ) -> Replica | None:
         """Return the replica with most room for an item, or None when there is none now.
 
-        `portion` is what the ledger's part may take of the slots that lots take.
+        `slot_share` is what the item table's part may take of the slots that lots take.
         """
-        placement, replicas = self.node.find("placement"), self.node.find("replicas")
-        share = self.share(service, is_near, now)
+        load_balancer = self.node.find("placement")
         patience = self.node.bounds.propagation * 1.5
-        known = placement.replicas(service)
-        phase = rounding_offsets(known)
+        known = load_balancer.replicas(service)
         heard = [r for r in known if not has_missed_heartbeats(r, now, patience)] or known
+        wanted = [r for r in heard if r.name not in avoided_names] or heard
+        share = self.share(service, is_near, now)
+        offsets = rounding_offsets(known)
+        running = item_table.runs_by_replica
         fit = [
-            r
-            for r in [r for r in heard if r.name not in avoided_names] or heard
-            if ledger.runs_by_replica.get(r.name, 0)
-            < portion.room(slots_for(r, share), phase[r.name])
-            and self.alone_until.get(r.name, 0) <= now
-            and self.next_starts.get(r.name, 0) <= now
-            and replicas.may_receive_requests(r)
-            and placement.health(r).may_get_request(now)
+            replica
+            for replica in wanted
+            if running.get(replica.name, 0)
+            < slot_share.room(slots_for(replica, share), offsets[replica.name])
+            and self._may_start(replica, load_balancer, now)
         ]
-        warm = [r for r in fit if not r.is_cold(now)]
-        if not warm:
-            warm = [r for r in fit[:1] if placement.slow_start.try_acquire(r, now)]
-        return min(
-            warm,
-            default=None,
-            key=lambda r: (ledger.runs_by_replica.get(r.name, 0) / r.slots, r.name),
+        candidates = [r for r in fit if not r.is_cold(now)]
+        if not candidates:
+            candidates = [r for r in fit[:1] if load_balancer.slow_start.try_acquire(r, now)]
+        return least_loaded(candidates, running)
+
+    def _may_start(self, replica: Replica, load_balancer: Any, now: float) -> bool:
+        """Tell whether an item may be sent to a replica now, as far as the replica goes."""
+        return bool(
+            self.backoff_until.get(replica.name, 0) <= now
+            and self.next_starts.get(replica.name, 0) <= now
+            and self.node.find("replicas").may_receive_requests(replica)
+            and load_balancer.health(replica).may_get_request(now)
         )
 
-    def started(self, replica, portion, now):
+    def record_start(self, replica: Replica, slot_share: SlotShare, now: float) -> None:
         """Note a start: a replica reads one item's prompt after the other, not all at once."""
-        self.next_starts[replica.name] = now + START_SECONDS / max(portion.ratio, LEAST_PORTION)
+        ratio = max(slot_share.ratio, LEAST_START_RATIO)
+        self.next_starts[replica.name] = now + START_INTERVAL_SECONDS / ratio
+
+
+def least_loaded(replicas: Iterable[Replica], running: Mapping[str, int]) -> Replica | None:
+    """Return the replica with the fewest runs for its slots, None for no replicas."""
+
+    def load(replica: Replica) -> tuple[float, str]:
+        return running.get(replica.name, 0) / replica.slots, replica.name
+
+    return min(replicas, default=None, key=load)
 
 
-def slots_for(replica, share):
+def slots_for(replica: Replica, share: float) -> int:
     """Return how many of a replica's slots all lots together may take."""
     return math.ceil(max(1, replica.slots * share))
 
 
-def rounding_offsets(replicas):
-    """Return {name: a number from 0 to 1}, spread evenly over a service's replicas."""
+def rounding_offsets(replicas: Iterable[Replica]) -> dict[str, float]:
+    """Return a number from 0 to 1 by replica, spread evenly over a service's replicas."""
     names = sorted(replica.name for replica in replicas)
     return {name: place / len(names) for place, name in enumerate(names)}
--- a/quillring/lots/http_requests/item_executor.py
+++ b/quillring/lots/http_requests/item_executor.py
@@ -1,25 +1,54 @@
 """Executing items on any core, one sending at a time, as the part's leader asks.
 
-A worker decides nothing: the owner names replica and place to go on from. What it has whole it
-commits itself at whichever core owns the part by then, so a finished run outlives its owner.
+A worker decides nothing: the leader names the replica and the event to go on from. What it has
+whole it commits itself at whichever core leads the part by then, so a finished run outlives the
+leader that ordered it.
 """
 
+from __future__ import annotations
+
+from collections.abc import Iterable
+from typing import TYPE_CHECKING, Any
+
 from quillring.forward.attempt import is_not_run, is_sealed, open_response
 from quillring.forward.events import EventReader
 from quillring.forward.request import Request
 from quillring.kernel.effects import ReadBody, Sleep
 from quillring.kernel.errors import BackendError, Fenced, NotSent, QuillringError, Refused
+from quillring.lots.http_requests import messages
+from quillring.lots.http_requests.commands import CountFailure, ListResult
 from quillring.lots.http_requests.lot_table import ERRORED, FINISHED
-
-WHOLE, DEAD, FAILED, NOT_RUN, BROKEN, UNSENT = (
-    "whole",
-    "dead",
-    "failed",
-    "not_run",
-    "broken",
-    "unsent",
+from quillring.lots.http_requests.messages import (
+    ActiveRun,
+    RenewRuns,
+    RunItem,
+    RunReport,
+    StartedRun,
+    StopRuns,
 )
-TEXT_LIMIT = 4 << 20
+
+if TYPE_CHECKING:
+    from quillring.forward.events import Event
+    from quillring.forward.load_balancer import InFlightRequest
+    from quillring.forward.types import Replica
+    from quillring.kernel.node import Node
+    from quillring.kernel.types import Coroutine
+    from quillring.quorum.values import Ballot
+
+WHOLE = "whole"
+"""The stream came to its proper end."""
+DEAD = "dead"
+"""The replica answered 422: the item can't succeed anywhere."""
+FAILED = "failed"
+"""The replica answered 500."""
+NOT_RUN = "not_run"
+"""The replica says that it did not run the item."""
+BROKEN = "broken"
+"""The stream broke off; the item may have run."""
+UNSENT = "unsent"
+"""Nothing reached the replica."""
+
+TEXT_LIMIT_BYTES = 4 << 20
 
 
 class ItemRun:
@@ -32,89 +61,119 @@
         "id",
         "service",
         "replica",
-        "last",
+        "last_event_id",
         "text",
         "handle",
         "is_stopped",
         "is_committing",
     )
 
-    def __init__(self, body):
-        self.part, self.lot, self.number = body["part"], body["lot"], body["n"]
-        self.id = body["run"]
-        self.service, self.replica = body["service"], body["replica"]
-        self.last, self.text = body["last"], [body["text"]] if body["last"] is not None else []
-        self.handle = None
-        self.is_stopped = self.is_committing = False
+    def __init__(self, order: RunItem) -> None:
+        self.part = order.part
+        self.lot = order.lot
+        self.number = order.number
+        self.id = order.run_id
+        self.service = order.service
+        self.replica = order.replica
+        self.last_event_id = order.last_event_id
+        self.text = [] if order.last_event_id is None else [order.text]
+        self.handle: Any = None
+        self.is_stopped = False
+        self.is_committing = False
 
-    def stop(self):
+    def stop(self) -> None:
         """Stop it now; the replica sees its connection close."""
         self.is_stopped = True
         if self.handle is not None:
             self.handle.close()
 
-    def to_list(self):
-        """Return what an owner needs to know of it."""
-        return [self.lot, self.number, self.id, self.service, self.replica]
+    def describe(self) -> ActiveRun:
+        """Return what a leader needs to know of it."""
+        return ActiveRun(self.lot, self.number, self.id, self.service, self.replica)
 
 
 class ItemExecutor:
-    """The runs under way on this core."""
+    """The runs under way on this core.
+
+    Attributes
+    ----------
+    runs
+        By run id.
+    ballots
+        The highest ballot heard of, by part: orders under a lower one are fenced.
+    """
 
     __slots__ = ("node", "runs", "ballots")
 
-    def __init__(self, node):
+    def __init__(self, node: Node) -> None:
         self.node = node
-        self.runs = {}
-        self.ballots = {}
-        node.handle("raw.run", self.on_run)
-        node.handle("raw.renew", self.on_renew)
-        node.handle("raw.stop", self.on_stop)
-
-    def _check_ballot(self, body):
-        ballot = tuple(body["ballot"])
-        newest = max(ballot, self.ballots.get(body["part"], ballot))
-        self.ballots = {**self.ballots, body["part"]: newest}
-        if ballot < newest:
-            raise Fenced(part=body["part"], ballot=list(newest))
-
-    def on_run(self, body, origin):
+        self.runs: dict[str, ItemRun] = {}
+        self.ballots: dict[str, Ballot] = {}
+        node.handle(messages.RUN_ITEM, self.on_run)
+        node.handle(messages.RENEW_RUNS, self.on_renew)
+        node.handle(messages.STOP_RUNS, self.on_stop)
+
+    def _check_ballot(self, part: str, ballot: Ballot) -> None:
+        highest = max(ballot, self.ballots.get(part, ballot))
+        self.ballots = {**self.ballots, part: highest}
+        if ballot < highest:
+            raise Fenced(part=part, ballot=highest.to_wire())
+
+    def on_run(self, body: messages.Wire, origin: str) -> dict[str, Any]:
         """Begin a run; Refused, NotSent or Fenced when it is not begun here."""
-        self._check_ballot(body)
-        node, place = self.node, (body["part"], body["lot"], body["n"])
+        order = RunItem.from_wire(body)
+        self._check_ballot(order.part, order.ballot)
+        active = self._find_active(order)
+        if active is not None:
+            return StartedRun(active.id).to_wire()
+        replica = self._replica_for(order)
+        run = self.runs[order.run_id] = ItemRun(order)
+        self.node.spawn(self._run(run, replica, order))
+        return StartedRun(run.id).to_wire()
+
+    def _find_active(self, order: RunItem) -> ItemRun | None:
+        """Return the run of the same item that is under way here, or None."""
+        place = (order.part, order.lot, order.number)
         for run in self.runs.values():
             if (run.part, run.lot, run.number) == place and not run.is_stopped:
-                return {"run": run.id}
+                return run
+        return None
+
+    def _replica_for(self, order: RunItem) -> Replica:
+        """Return the replica of the order; Refused or NotSent where it may not be sent to."""
+        node = self.node
         if node.is_draining:
             raise Refused(reason="draining")
         node.find("freshness").check()
-        forward = node.find("forwards").find_by_name(body["forward"])
-        if forward is None or body["service"] not in dict(forward.split):
+        forward = node.find("forwards").find_by_name(order.forward)
+        if forward is None or order.service not in dict(forward.split):
             raise Refused(reason="the layout names another service")
-        replica = node.find("replicas").find(body["replica"])
-        is_same = replica is not None and replica.service == body["service"]
-        if not is_same or not node.find("replicas").may_receive_requests(replica):
-            raise NotSent(replica=body["replica"], reason="left")
-        run = self.runs[body["run"]] = ItemRun(body)
-        node.spawn(self._run(run, replica, body))
-        return {"run": run.id}
-
-    def on_renew(self, body, origin):
-        """Tell a part's owner which of its items run here."""
-        self._check_ballot(body)
-        return [run.to_list() for run in self.runs.values() if run.part == body["part"]]
-
-    def on_stop(self, body, origin):
+        replica: Replica | None = node.find("replicas").find(order.replica)
+        if replica is None or replica.service != order.service:
+            raise NotSent(replica=order.replica, reason="left")
+        if not node.find("replicas").may_receive_requests(replica):
+            raise NotSent(replica=order.replica, reason="left")
+        return replica
+
+    def on_renew(self, body: messages.Wire, origin: str) -> list[list[Any]]:
+        """Tell a part's leader which of its items run here."""
+        question = RenewRuns.from_wire(body)
+        self._check_ballot(question.part, question.ballot)
+        runs = [run for run in self.runs.values() if run.part == question.part]
+        return [run.describe().to_wire() for run in runs]
+
+    def on_stop(self, body: messages.Wire, origin: str) -> None:
         """Stop the runs of a lot, or those of the numbers named."""
+        order = StopRuns.from_wire(body)
         for run in list(self.runs.values()):
-            is_named = body["numbers"] is None or run.number in body["numbers"]
-            if run.lot == body["lot"] and is_named:
+            is_named = order.numbers is None or run.number in order.numbers
+            if run.lot == order.lot and is_named:
                 run.stop()
 
-    def _run(self, run, replica, body):
+    def _run(self, run: ItemRun, replica: Replica, order: RunItem) -> Coroutine:
         self.node.under_way += 1
         try:
-            outcome = yield from self._attempt(run, replica, body)
+            outcome = yield from self._send_item(run, replica, order)
             if not run.is_stopped:
                 run.is_committing = True
                 yield from self._deliver(run, outcome)
@@ -122,50 +181,52 @@
             self.node.under_way -= 1
             self.runs.pop(run.id, None)
 
-    def _attempt(self, run, replica, body):
-        """Send the item once; return how it went. The run holds what came of its text."""
-        node, header_names = self.node, self.node.find("dialect")
-        item_id, target, pairs, content = body["item"]
-        own_names = {"host", header_names.request_id}
-        headers = [
-            ("Host", body["host"]),
-            (header_names.request_id, item_id),
-            *((name, value) for name, value in pairs if name.lower() not in own_names),
-        ]
-        request = Request(header_names, "POST", target, headers, content)
-        in_flight_request = node.find("placement").start_request(replica, request)
-        stall_seconds = node.bounds.shutdown
+    def _send_item(self, run: ItemRun, replica: Replica, order: RunItem) -> Coroutine:
+        """Send the item once; return its outcome. The run holds what came of its text."""
+        node, stall_seconds = self.node, self.node.bounds.shutdown
+        request = self._request_of(order)
+        in_flight = node.find("placement").start_request(replica, request)
         try:
             run.handle = yield from open_response(
                 node,
                 replica,
                 request,
-                run.last,
-                body["urgency"],
-                node.now() + stall_seconds * 3,
-                True,
-                stall_seconds / 2,
+                run.last_event_id,
+                order.urgency,
+                end_time=node.now() + stall_seconds * 3,
+                may_reuse=True,
+                first_byte_timeout=stall_seconds / 2,
             )
-            in_flight_request.note_response_bytes()
-            return BROKEN if run.is_stopped else (yield from self._read(run, in_flight_request))
+            in_flight.note_response_bytes()
+            return BROKEN if run.is_stopped else (yield from self._read_response(run, in_flight))
         except NotSent as error:
-            self._note(run, replica, error)
+            self._record_failure(run, replica, error)
             return UNSENT
         except BackendError as error:
-            self._note(run, replica, error)
+            self._record_failure(run, replica, error)
             return BROKEN
         finally:
-            in_flight_request.finish()
+            in_flight.finish()
             if run.handle is not None:
                 run.handle.close()
 
-    def _note(self, run, replica, error):
+    def _request_of(self, order: RunItem) -> Request:
+        """Return the item's request with its own id and the forward's host."""
+        header_names, item = self.node.find("dialect"), order.request
+        own_names = {"host", header_names.request_id}
+        headers = [("Host", order.host), (header_names.request_id, item.item_id)]
+        headers.extend(
+            (name, value) for name, value in item.headers if name.lower() not in own_names
+        )
+        return Request(header_names, "POST", item.target, headers, item.body)
+
+    def _record_failure(self, run: ItemRun, replica: Replica, error: QuillringError) -> None:
         self.node.count(f"raw_{error.kind}")
         if not run.is_stopped and error.detail.get("reason") not in ("left", "no time left"):
             self.node.find("placement").record_failure(replica, isinstance(error, NotSent))
 
-    def _read(self, run, in_flight_request):
-        """Coroutine: take the answer's head, then the events in order until the proper end."""
+    def _read_response(self, run: ItemRun, in_flight: InFlightRequest) -> Coroutine:
+        """Read the response's head, then the events in order until the proper end."""
         header_names, handle = self.node.find("dialect"), run.handle
         if is_not_run(header_names, handle):
             return NOT_RUN
@@ -173,55 +234,61 @@
             return FAILED if handle.status == 500 else DEAD
         if handle.status != 200 or not is_sealed(header_names, handle):
             return BROKEN
-        reader = EventReader(run.last)
-        while (data := (yield from self._next_part(handle, in_flight_request))) is not None:
-            in_flight_request.note_response_bytes()
-            self._take(run, reader.feed(data))
-        return WHOLE if reader.is_at_event_boundary and run.last is not None else BROKEN
-
-    def _next_part(self, handle, in_flight_request):
-        """Coroutine: wait for bytes; a replica that is silent to all is left at half time."""
+        reader = EventReader(run.last_event_id)
+        while (data := (yield from self._next_part(handle, in_flight))) is not None:
+            in_flight.note_response_bytes()
+            self._append_events(run, reader.feed(data))
+        is_whole = reader.is_at_event_boundary and run.last_event_id is not None
+        return WHOLE if is_whole else BROKEN
+
+    def _next_part(self, handle: Any, in_flight: InFlightRequest) -> Coroutine:
+        """Wait for bytes; a replica that is silent to all is left at half time."""
         seconds = self.node.bounds.shutdown / 2
         try:
             return (yield ReadBody(handle, seconds))
         except BackendError as error:
-            is_unresponsive = self.node.find("placement").is_unresponsive(
-                in_flight_request.replica, seconds
-            )
+            load_balancer = self.node.find("placement")
+            is_unresponsive = load_balancer.is_unresponsive(in_flight.replica, seconds)
             if error.detail["reason"] != "stall" or is_unresponsive:
                 raise
         return (yield ReadBody(handle, seconds))
 
-    def _take(self, run, events):
+    def _append_events(self, run: ItemRun, events: Iterable[Event]) -> None:
         for event in events:
             if event.id is None and not event.data:
                 continue
-            if event.id is None or (run.last is None and event.id > 1):
+            if event.id is None or (run.last_event_id is None and event.id > 1):
                 raise BackendError(reason="events out of order")
             run.text.append(b"\n".join(event.data))
-            run.last = event.id
-        if sum(map(len, run.text)) > TEXT_LIMIT:
+            run.last_event_id = event.id
+        if sum(map(len, run.text)) > TEXT_LIMIT_BYTES:
             raise BackendError(reason="too large")
 
-    def _deliver(self, run, outcome):
-        """Coroutine: commit or report what became of the run, until it is taken or far too late."""
+    def _deliver(self, run: ItemRun, outcome: str) -> Coroutine:
+        """Commit or report what became of the run, until it is taken or far too late."""
         end_time = self.node.now() + self.node.bounds.recovery * 3
         text = b"\n".join(run.text)
-        fields = {"lot": run.lot, "n": run.number, "run": run.id}
-        commands = {
-            WHOLE: {"do": "raw.result", "state": FINISHED, "text": text, **fields},
-            DEAD: {"do": "raw.result", "state": ERRORED, "text": b"", **fields},
-            FAILED: {"do": "raw.failed", **fields},
-        }
-        report = {**fields, "outcome": outcome, "last": run.last, "text": text}
+        command = command_of(run, outcome, text)
+        report = RunReport(run.lot, run.number, run.id, outcome, run.last_event_id, text).to_wire()
         ownership = self.node.find("ownership")
         while self.node.now() < end_time and not run.is_stopped:
             try:
-                if outcome in commands:
-                    return (yield from ownership.submit(run.part, commands[outcome]))
-                return (yield from ownership.call_leader(run.part, "raw.report", report, None))
+                if command is not None:
+                    return (yield from ownership.submit(run.part, command))
+                return (yield from ownership.call_leader(run.part, messages.REPORT, report, None))
             except QuillringError as error:
                 self.node.count("raw_deliveries_repeated")
                 self.node.log("debug", "lot result delivery %s: %s", run.id, error)
             yield Sleep(self.node.bounds.heartbeat_interval / 2)
         return None
+
+
+def command_of(run: ItemRun, outcome: str, text: bytes) -> dict[str, Any] | None:
+    """Return the command that commits an outcome; None where the leader decides what follows."""
+    if outcome == WHOLE:
+        return ListResult(run.lot, run.number, FINISHED, text, run.id).to_wire()
+    if outcome == DEAD:
+        return ListResult(run.lot, run.number, ERRORED, b"", run.id).to_wire()
+    if outcome == FAILED:
+        return CountFailure(run.lot, run.number, run.id).to_wire()
+    return None
--- a/quillring/lots/http_requests/item_table.py
+++ b/quillring/lots/http_requests/item_table.py
@@ -1,152 +1,210 @@
 """What the leader of a part knows of its lots' items: which wait, which run and where."""
 
+from __future__ import annotations
+
 import math
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+from quillring.lots.http_requests.lot_table import LotRecord, lot_records
 
-from quillring.lots.http_requests.lot_table import lot_records
+if TYPE_CHECKING:
+    from quillring.kernel.node import Node
 
-CAN_STILL = 1.0
+LEAST_SECONDS_TO_DUE = 1.0
+"""A lot that is due sooner is past hope and comes after those that can still be in time."""
 AVOIDED_SECONDS = 1.0
+"""An item that waited so long in vain may go to any replica again."""
+
+
+class DispatchedRun:
+    """A run as its leader sees it; `id` is the worker's."""
+
+    __slots__ = ("id", "worker", "service", "replica", "started_at", "heard_at")
+
+    def __init__(self, run_id: str, worker: str, service: str, replica: str, now: float) -> None:
+        self.id = run_id
+        self.worker = worker
+        self.service = service
+        self.replica = replica
+        self.started_at = now
+        self.heard_at = now
 
 
 class PendingItem:
     """One item without a result: how far its text is, and the run that is under way."""
 
-    __slots__ = ("lot", "number", "last", "text", "avoided", "errors", "ready_at", "run")
-
-    def __init__(self, lot, number):
-        self.lot, self.number = lot, number
-        self.last, self.text = None, b""
-        self.avoided = frozenset()
-        self.errors = 0
-        self.ready_at = 0
-        self.run = None
+    __slots__ = (
+        "lot",
+        "number",
+        "last_event_id",
+        "text",
+        "avoided_replicas",
+        "failures",
+        "ready_at",
+        "run",
+    )
 
-    def avoided_at(self, now):
+    def __init__(self, lot: str, number: int) -> None:
+        self.lot = lot
+        self.number = number
+        self.last_event_id: int | None = None
+        self.text = b""
+        self.avoided_replicas: frozenset[str] = frozenset()
+        self.failures = 0
+        self.ready_at = 0.0
+        self.run: DispatchedRun | None = None
+
+    def avoided_at(self, now: float) -> frozenset[str]:
         """Return the replicas to leave out; none once the item waited in vain for a second."""
-        return self.avoided if now - self.ready_at < AVOIDED_SECONDS else frozenset()
-
+        if now - self.ready_at < AVOIDED_SECONDS:
+            return self.avoided_replicas
+        return frozenset()
 
-class DispatchedRun:
-    """A run as its owner sees it; `id` is the worker's."""
 
-    __slots__ = ("id", "worker", "service", "replica", "started_at", "heard_at")
+class LeftRun(NamedTuple):
+    """A run whose item needs none any more."""
 
-    def __init__(self, run_id, worker, service, replica, now):
-        self.id, self.worker = run_id, worker
-        self.service, self.replica = service, replica
-        self.started_at = self.heard_at = now
+    number: int
+    run: DispatchedRun
 
 
 class OpenLot:
-    """A lot with items left: when it is due, and since when this owner surely knows it."""
+    """A lot with items left: when it is due, and since when this leader surely knows it."""
 
     __slots__ = ("name", "forward", "due_at", "known_at", "retain_seconds", "items")
 
-    def __init__(self, name, lot, now, age):
-        self.name, self.forward = name, lot["forward"]
-        self.due_at = now - age + lot["due_ms"] / 1000
+    def __init__(self, name: str, lot: LotRecord, now: float, age_seconds: float) -> None:
+        self.name = name
+        self.forward = lot["forward"]
+        self.due_at = now - age_seconds + lot["due_ms"] / 1000
         self.known_at = now
         self.retain_seconds = lot["retain_ms"] / 1000
         self.items = {number: PendingItem(name, number) for number in lot["items"]}
 
-    def waiting(self, now):
-        """Return the items that may start now, in the order they were handed in."""
-        return [i for i in self.items.values() if i.run is None and i.ready_at <= now]
+    def waiting(self, now: float) -> list[PendingItem]:
+        """Return the items that may start now, in the order they were submitted."""
+        return [item for item in self.items.values() if item.run is None and item.ready_at <= now]
 
 
-def age_by_wall(lot, wall):
+def age_by_wall(lot: LotRecord, wall_seconds: float) -> float:
     """Return how old a lot was when its part changed hands, in seconds, as wall clocks tell it.
 
     They may differ between machines, so it is only used for the order in which lots run.
     """
-    return min(max(0.0, wall - lot["at"] / 1000), lot["due_ms"] / 1000)
+    age_seconds = max(0.0, wall_seconds - lot["at"] / 1000)
+    return min(age_seconds, lot["due_ms"] / 1000)
 
 
 class ItemTable:
-    """The items of one term of a part's ownership, kept in step by the batches it commits."""
+    """The items of one term of a part's leadership, kept in step by the batches it commits.
+
+    Attributes
+    ----------
+    has_heard_workers
+        The workers have told which runs are under way since the term began.
+    renewed_at
+        When the workers were last asked; -inf asks at once.
+    done_since
+        Since when nothing of a lot waits, by lot.
+    worker_backoff_until
+        Until when a worker gets nothing, by name.
+    """
 
     __slots__ = (
         "node",
-        "owner",
+        "leader",
         "lots",
-        "is_reported",
+        "has_heard_workers",
         "renewed_at",
         "runs_by_replica",
         "runs_by_worker",
-        "over_since",
-        "rest_until",
+        "done_since",
+        "worker_backoff_until",
     )
 
-    def __init__(self, node, owner):
-        self.node, self.owner = node, owner
-        self.is_reported, self.renewed_at = False, -math.inf
-        self.runs_by_replica, self.runs_by_worker = {}, {}
-        self.lots, self.over_since, self.rest_until = {}, {}, {}
-        for name, lot in lot_records(owner.state).items():
+    def __init__(self, node: Node, leader: Any) -> None:
+        self.node = node
+        self.leader = leader
+        self.has_heard_workers = False
+        self.renewed_at = -math.inf
+        self.runs_by_replica: dict[str, int] = {}
+        self.runs_by_worker: dict[str, int] = {}
+        self.lots: dict[str, OpenLot] = {}
+        self.done_since: dict[str, float] = {}
+        self.worker_backoff_until: dict[str, float] = {}
+        for name, lot in lot_records(leader.state).items():
             self.sync(name, age_by_wall(lot, node.runtime.wall_time()))
 
-    def sync(self, name, age=0.0):
-        """Bring one lot in step with the state; returns the runs of items that need none more.
+    def sync(self, name: str, age_seconds: float = 0.0) -> list[LeftRun]:
+        """Bring one lot in step with the state; return the runs of items that need none more.
 
-        `age` is that of a lot which this term did not commit itself, in seconds.
+        `age_seconds` is that of a lot which this term did not commit itself.
         """
-        lot, known = lot_records(self.owner.state).get(name), self.lots.get(name)
+        lot, known = lot_records(self.leader.state).get(name), self.lots.get(name)
         if lot is None or not lot["items"]:
             self.lots.pop(name, None)
-            self.over_since.setdefault(name, self.node.now())
+            self.done_since.setdefault(name, self.node.now())
             gone_items = [] if known is None else list(known.items.values())
         elif known is None:
-            self.lots[name] = OpenLot(name, lot, self.node.now(), age)
+            self.lots[name] = OpenLot(name, lot, self.node.now(), age_seconds)
             return []
         else:
-            gone_items = [item for n, item in known.items.items() if n not in lot["items"]]
+            pending = lot["items"]
+            gone_items = [item for number, item in known.items.items() if number not in pending]
             for item in gone_items:
                 del known.items[item.number]
-        left_runs = [(item, item.run) for item in gone_items if item.run is not None]
-        for item, _ in left_runs:
+        left_runs = [LeftRun(item.number, item.run) for item in gone_items if item.run is not None]
+        for item in gone_items:
             self.end_run(item)
         return left_runs
 
-    def long_over(self, seconds):
+    def lots_done_for(self, seconds: float) -> list[str]:
         """Return the names of lots of which nothing has waited for so many seconds."""
-        now, held = self.node.now(), lot_records(self.owner.state)
-        self.over_since = {name: at for name, at in self.over_since.items() if name in held}
-        return [name for name, at in self.over_since.items() if now - at > seconds]
+        now, held = self.node.now(), lot_records(self.leader.state)
+        self.done_since = {name: at for name, at in self.done_since.items() if name in held}
+        return [name for name, at in self.done_since.items() if now - at > seconds]
 
-    def find(self, name, number):
+    def find(self, name: str, number: int | None) -> PendingItem | None:
         """Return the item without a result of this lot and number, or None."""
         lot = self.lots.get(name)
-        return None if lot is None else lot.items.get(number)
+        if lot is None or number is None:
+            return None
+        return lot.items.get(number)
 
-    def begin_run(self, item, run):
+    def begin_run(self, item: PendingItem, run: DispatchedRun) -> None:
         """Note that an item runs."""
         item.run = run
         self.runs_by_replica[run.replica] = self.runs_by_replica.get(run.replica, 0) + 1
         self.runs_by_worker[run.worker] = self.runs_by_worker.get(run.worker, 0) + 1
 
-    def end_run(self, item):
+    def end_run(self, item: PendingItem) -> None:
         """Note that an item's run is over, whatever came of it."""
         run, item.run = item.run, None
         if run is not None:
             self.runs_by_replica[run.replica] -= 1
             self.runs_by_worker[run.worker] -= 1
 
-    def rest_worker(self, name):
+    def back_off_worker(self, name: str) -> None:
         """Give a worker nothing for a moment: it refused, or did not answer."""
-        self.rest_until[name] = self.node.now() + self.node.bounds.read_timeout
+        self.worker_backoff_until[name] = self.node.now() + self.node.bounds.read_timeout
 
-    def rests(self, name):
+    def is_backing_off(self, name: str) -> bool:
         """Tell whether a worker gets nothing now."""
-        return self.rest_until.get(name, 0) > self.node.now()
+        return self.worker_backoff_until.get(name, 0) > self.node.now()
 
-    def running(self):
+    def running(self) -> list[PendingItem]:
         """Return the items that run."""
-        return [i for lot in self.lots.values() for i in lot.items.values() if i.run is not None]
-
-    def order(self, now):
+        return [
+            item
+            for lot in self.lots.values()
+            for item in lot.items.values()
+            if item.run is not None
+        ]
+
+    def lots_in_order(self, now: float) -> list[OpenLot]:
         """Return the lots, those due soonest first; those past hope come after the rest."""
 
-        def rank(lot):
-            return lot.due_at - now < CAN_STILL, lot.due_at, lot.name
+        def order(lot: OpenLot) -> tuple[bool, float, str]:
+            return lot.due_at - now < LEAST_SECONDS_TO_DUE, lot.due_at, lot.name
 
-        return sorted(self.lots.values(), key=rank)
+        return sorted(self.lots.values(), key=order)
--- /dev/null
+++ b/quillring/lots/http_requests/lot_expiry.py
@@ -0,0 +1,52 @@
+"""Which lots are over whatever their items do: ended, past their time, or without a forward."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from quillring.lots.http_requests.lot_table import lot_records
+
+if TYPE_CHECKING:
+    from quillring.kernel.node import Node
+    from quillring.lots.http_requests.item_table import ItemTable
+
+
+def is_lot_ended(node: Node, key: str) -> bool:
+    """Tell whether a lot of a part led here was ended."""
+    for leader in node.find("ownership").leaders.values():
+        lot = lot_records(leader.state).get(key) if leader.state else None
+        if lot is not None and lot["ended"]:
+            return True
+    return False
+
+
+class LotExpiry:
+    """Tells lots past the time they are kept, and those whose forward is gone."""
+
+    __slots__ = ("node", "forward_seen_at")
+
+    def __init__(self, node: Node) -> None:
+        self.node = node
+        self.forward_seen_at: dict[str, float] = {}
+
+    def expired_lots(self, item_table: ItemTable) -> list[str]:
+        """Return the names of lots past the time they are kept, or whose forward surely is gone.
+
+        A forward is gone once a fresh configuration has lacked it for the propagation bound.
+        """
+        now, bounds = self.node.now(), self.node.bounds
+        self._note_forwards({lot.forward for lot in item_table.lots.values()}, now)
+        expired = []
+        for lot in item_table.lots.values():
+            is_late = now - lot.known_at > lot.retain_seconds + bounds.read_timeout
+            is_orphan = now - self.forward_seen_at[lot.forward] > bounds.propagation
+            if is_late or is_orphan:
+                expired.append(lot.name)
+        return expired
+
+    def _note_forwards(self, names: set[str], now: float) -> None:
+        forwards, is_fresh = self.node.find("forwards"), self.node.find("freshness").is_fresh()
+        for name in names:
+            is_first = name not in self.forward_seen_at
+            if not is_fresh or is_first or forwards.find_by_name(name) is not None:
+                self.forward_seen_at[name] = now
--- a/quillring/lots/http_requests/messages.py
+++ b/quillring/lots/http_requests/messages.py
@@ -300,3 +300,18 @@
             for part, by_service in self.rows.items()
         }
         return {"parts": self.items, "due": due}
+
+
+class StartedRun(NamedTuple):
+    """The answer of a worker that has the item running, under this id."""
+
+    run_id: str
+
+    @classmethod
+    def from_wire(cls, wire: Wire) -> StartedRun:
+        """Read the answer to `raw.run`."""
+        return cls(wire["run"])
+
+    def to_wire(self) -> dict[str, Any]:
+        """Return the answer to `raw.run`."""
+        return {"run": self.run_id}
--- a/quillring/lots/http_requests/quota_reconciler.py
+++ b/quillring/lots/http_requests/quota_reconciler.py
@@ -1,114 +1,156 @@
-"""Keeping the ledger of reserved tokens in step with the lots, at the owner of its part."""
+"""Keeping the reserved tokens in step with the lots, at the leader of the reservations' part."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import TYPE_CHECKING, Any
 
 from quillring.kernel.effects import Sleep
 from quillring.kernel.errors import NotOwner, QuillringError
-from quillring.lots.http_requests.commands import NO_LOT
-from quillring.lots.http_requests.token_reservations import reserved_lots, tokens_left
+from quillring.lots.http_requests import messages
+from quillring.lots.http_requests.commands import FenceTickets, PendingTokens, ReleaseTokens
+from quillring.lots.http_requests.token_reservations import (
+    Reservation,
+    reservation_table,
+    reserved_lots,
+    tokens_left,
+)
+
+if TYPE_CHECKING:
+    from quillring.kernel.node import Node
+    from quillring.kernel.types import Coroutine
+
+CROWDED_SHARE = 0.5
+"""A forward is crowded while more than this share of its quota is reserved."""
 
-CROWDED = 0.5
+# Shares of the reading bound.
 CROWDED_PERIOD, CALM_PERIOD, UNKNOWN_PATIENCE = 0.4, 0.8, 0.5
 
 
 class QuotaReconciler:
-    """Asks the lots' parts what still waits, and releases in the ledger what does not.
+    """Asks the lots' parts what still waits, and releases the reservations of what does not.
 
-    The owner of the ledger asks, so nothing of it has to outlive an owner: a new one asks again.
-    What a part's owner tells is committed, and tokens of a lot only ever fall, so a late answer
-    frees too little and never too much. That a lot is not there counts only after its ticket was
-    fenced in its part. Periods are ratios to the reading bound.
+    The leader of the reservations asks, so nothing of it has to outlive a leader: a new one asks
+    again. What a part's leader tells is committed, and tokens of a lot only ever fall, so a late
+    answer frees too little and never too much. That a lot is not there counts only after its ticket
+    was fenced in its part.
+
+    Attributes
+    ----------
+    asked_at
+        When the lots' parts were last asked, by reserving part.
+    parts_being_asked
+        Pairs (reserving part, lots' part) with a question under way.
+    unknown_since
+        Since when a ticket's lot is not known in its part, by (reserving part, ticket).
     """
 
-    __slots__ = ("node", "asked_at", "busy", "unknown_since")
+    __slots__ = ("node", "asked_at", "parts_being_asked", "unknown_since")
 
-    def __init__(self, node):
+    def __init__(self, node: Node) -> None:
         self.node = node
-        self.asked_at = {}
-        self.busy = set()
-        self.unknown_since = {}
-        node.handle("raw.left", self.on_left)
-
-    def on_left(self, body, origin):
-        """Tell the tokens that wait of lots of a part owned here, as far as they are known."""
-        owner = self.node.find("ownership").leaders.get(body["part"])
-        if owner is None or not owner.is_leader:
-            raise NotOwner(part=body["part"])
-        return {"left": tokens_left(owner.state, body["lots"])}
-
-    def run(self):
-        """Coroutine: look after the ledgers of owned parts."""
+        self.asked_at: dict[str, float] = {}
+        self.parts_being_asked: set[tuple[str, str]] = set()
+        self.unknown_since: dict[tuple[str, int], float] = {}
+        node.handle(messages.TOKENS_LEFT, self.on_tokens_left)
+
+    def on_tokens_left(self, body: messages.Wire, origin: str) -> dict[str, Any]:
+        """Tell the tokens that wait of lots of a part led here, as far as they are known."""
+        question = messages.TokensLeft.from_wire(body)
+        leader = self.node.find("ownership").leaders.get(question.part)
+        if leader is None or not leader.is_leader:
+            raise NotOwner(part=question.part)
+        return {"left": tokens_left(leader.state, question.lots)}
+
+    def run(self) -> Coroutine:
+        """Look after the reservations of the parts led here."""
         while True:
             yield Sleep(self.node.bounds.read_timeout * CROWDED_PERIOD / 4)
-            for owner in list(self.node.find("ownership").leaders.values()):
-                if owner.has_lease() and self._is_due(owner):
-                    self.asked_at[owner.part] = self.node.now()
-                    self._look_after(owner)
-
-    def _is_due(self, owner):
-        ledger = owner.state.get("raw_ledger")
-        if not ledger or not ledger["lots"]:
+            for leader in list(self.node.find("ownership").leaders.values()):
+                if leader.has_lease() and self._is_due(leader):
+                    self.asked_at[leader.part] = self.node.now()
+                    self._reconcile(leader)
+
+    def _is_due(self, leader: Any) -> bool:
+        table = reservation_table(leader.state)
+        if not table or not table["lots"]:
             return False
         is_crowded = any(
-            waiting["tokens"] > waiting["most"] * CROWDED for waiting in ledger["forwards"].values()
+            reserved["tokens"] > reserved["most"] * CROWDED_SHARE
+            for reserved in table["forwards"].values()
         )
         period = self.node.bounds.read_timeout * (CROWDED_PERIOD if is_crowded else CALM_PERIOD)
-        return self.node.now() - self.asked_at.get(owner.part, -period) >= period
+        return self.node.now() - self.asked_at.get(leader.part, -period) >= period
 
-    def _look_after(self, owner):
+    def _reconcile(self, leader: Any) -> None:
         """Ask every part that has lots with a reservation, unless it is being asked."""
-        entries_by_part = {}
-        for name, entry in reserved_lots(owner.state).items():
-            entries_by_part.setdefault(entry["part"], {})[name] = entry
-        tickets = {entry["ticket"] for e in entries_by_part.values() for entry in e.values()}
+        reserved = reserved_lots(leader.state)
+        by_part: dict[str, dict[str, Reservation]] = {}
+        for key, reservation in reserved.items():
+            by_part.setdefault(reservation["part"], {})[key] = reservation
+        self._forget_other_tickets(leader.part, {row["ticket"] for row in reserved.values()})
+        for part, reservations in by_part.items():
+            if (leader.part, part) not in self.parts_being_asked:
+                self.parts_being_asked.add((leader.part, part))
+                self.node.spawn(self._release_done(leader, part, reservations))
+
+    def _forget_other_tickets(self, reserving_part: str, tickets: set[int]) -> None:
         self.unknown_since = {
             (part, ticket): since
             for (part, ticket), since in self.unknown_since.items()
-            if part != owner.part or ticket in tickets
+            if part != reserving_part or ticket in tickets
         }
-        for part, entries in entries_by_part.items():
-            if (owner.part, part) not in self.busy:
-                self.busy.add((owner.part, part))
-                self.node.spawn(self._settle(owner, part, entries))
 
-    def _settle(self, owner, part, entries):
-        """Coroutine: release what one part's lots no longer wait for."""
+    def _release_done(
+        self, leader: Any, part: str, reservations: Mapping[str, Reservation]
+    ) -> Coroutine:
+        """Release what one part's lots no longer wait for."""
         try:
-            left = yield from self._ask(owner, part, entries)
-            rows = [
-                [name, entry["ticket"], left[name]]
-                for name, entry in entries.items()
-                if name in left and (left[name] < entry["left"] or not left[name])
+            left = yield from self._find_tokens_left(leader, part, reservations)
+            pending = [
+                PendingTokens(key, reservation["ticket"], left[key])
+                for key, reservation in reservations.items()
+                if key in left and (left[key] < reservation["left"] or not left[key])
             ]
-            if rows:
-                yield from owner.submit({"do": "raw.release", "lot": NO_LOT, "rows": rows})
-                self.node.count("raw_reservations_lowered", len(rows))
+            if pending:
+                yield from leader.submit(ReleaseTokens(pending).to_wire())
+                self.node.count("raw_reservations_lowered", len(pending))
         except QuillringError as error:
-            self.node.log("debug", "reservations of %s in %s: %s", owner.part, part, error)
+            self.node.log("debug", "reservations of %s in %s: %s", leader.part, part, error)
         finally:
-            self.busy.discard((owner.part, part))
+            self.parts_being_asked.discard((leader.part, part))
 
-    def _ask(self, owner, part, entries):
-        """Coroutine: return {lot: tokens left}; a lot that can never be taken any more has none."""
+    def _find_tokens_left(
+        self, leader: Any, part: str, reservations: Mapping[str, Reservation]
+    ) -> Coroutine:
+        """Return {lot: tokens left}; a lot that can never be accepted any more has none."""
         ownership, seconds = self.node.find("ownership"), self.node.bounds.read_timeout
-        answer = yield from ownership.call_leader(
-            part, "raw.left", {"lots": list(entries)}, seconds
-        )
-        left, now = answer["left"], self.node.now()
-        late = {}
-        for name, entry in entries.items():
-            if name in left:
-                continue
-            since = self.unknown_since.setdefault((owner.part, entry["ticket"]), now)
-            if now - since >= seconds * UNKNOWN_PATIENCE:
-                late[name] = entry["ticket"]
-        if not late:
+        question = messages.TokensLeft(list(reservations)).to_wire()
+        answer = yield from ownership.call_leader(part, messages.TOKENS_LEFT, question, seconds)
+        left = answer["left"]
+        late_tickets = self._late_tickets(leader.part, reservations, left)
+        if not late_tickets:
             return left
-        command = {
-            "do": "raw.fence",
-            "lot": NO_LOT,
-            "ledger": owner.part,
-            "ticket": max(late.values()),
-            "lots": list(late),
-        }
-        fenced = yield from ownership.submit(part, command, seconds)
-        self.node.count("raw_reservations_taken_back", len(late) - len(fenced["left"]))
-        return {**left, **dict.fromkeys(late, 0), **fenced["left"]}
+        command = FenceTickets(leader.part, max(late_tickets.values()), list(late_tickets))
+        fenced = yield from ownership.submit(part, command.to_wire(), seconds)
+        taken_back = len(late_tickets) - len(fenced["left"])
+        self.node.count("raw_reservations_taken_back", taken_back)
+        return {**left, **dict.fromkeys(late_tickets, 0), **fenced["left"]}
+
+    def _late_tickets(
+        self,
+        reserving_part: str,
+        reservations: Mapping[str, Reservation],
+        left: Mapping[str, int],
+    ) -> dict[str, int]:
+        """Return the tickets of lots that have not been known in their part for too long."""
+        now, patience = self.node.now(), self.node.bounds.read_timeout * UNKNOWN_PATIENCE
+        late_tickets = {}
+        for key, reservation in reservations.items():
+            if key in left:
+                continue
+            ticket = reservation["ticket"]
+            since = self.unknown_since.setdefault((reserving_part, ticket), now)
+            if now - since >= patience:
+                late_tickets[key] = ticket
+        return late_tickets
--- a/quillring/lots/http_requests/result_reads.py
+++ b/quillring/lots/http_requests/result_reads.py
@@ -1,10 +1,22 @@
-"""Reads of lots of HTTP requests at the owner of their part, held until a result exists."""
+"""Reads of lots at the leader of their part, held until a result exists."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from typing import TYPE_CHECKING, Any
 
 from quillring.kernel.effects import Signal, Wait
 from quillring.kernel.errors import NotFound, NotOwner
+from quillring.lots.http_requests import messages
+from quillring.lots.http_requests.commands import Wire, lot_in
 from quillring.quorum.commands import QUERIES
 
-CERTAIN = 0.15
+if TYPE_CHECKING:
+    from quillring.kernel.node import Node
+    from quillring.kernel.types import Coroutine
+
+FRESH_SHARE = 0.15
+"""A state that a majority confirmed within this share of the reading bound is fresh."""
 
 
 class ResultReader:
@@ -17,44 +29,50 @@
 
     __slots__ = ("node", "signals")
 
-    def __init__(self, node):
+    def __init__(self, node: Node) -> None:
         self.node = node
-        self.signals = {}
-        node.handle("raw.read", self.on_read)
+        self.signals: dict[str, Signal] = {}
+        node.handle(messages.READ, self.on_read)
 
-    def on_batch(self, owner, batch):
-        """Wake the readers of the lots that a batch concerns; of all when the owner changes."""
-        names = {command.get("lot") for command in batch} if batch else set(self.signals)
-        for name in names & set(self.signals):
-            self.signals.pop(name).set()
+    def on_batch(self, leader: Any, batch: Sequence[Wire]) -> None:
+        """Wake the readers of the lots that a batch concerns; of all when the leader changes."""
+        names: set[str | None] = set(self.signals)
+        if batch:
+            names &= {lot_in(command) for command in batch}
+        for name in names:
+            if name is not None:
+                self.signals.pop(name).set()
 
-    def on_read(self, body, origin):
+    def on_read(self, body: messages.Wire, origin: str) -> Coroutine:
         """Answer a query, after some seconds at most while the lot has no further result."""
-        owner, query = self.node.find("ownership").leaders.get(body["part"]), body["query"]
-        end_time = self.node.now() + body["seconds"]
-        if owner is not None:
-            yield from owner.in_flight.wait(query["lot"])
+        read = messages.HeldRead.from_wire(body)
+        lot: str = read.query["lot"]
+        leader = self.node.find("ownership").leaders.get(read.part)
+        end_time = self.node.now() + read.hold_seconds
+        if leader is not None:
+            yield from leader.in_flight.wait(lot)
         while True:
-            if owner is None or not owner.is_leader:
-                raise NotOwner(part=body["part"])
-            answer = self._look(owner.state, query)
+            if leader is None or not leader.is_leader:
+                raise NotOwner(part=read.part)
+            answer = self._find_answer(leader.state, read.query)
             seconds_left = end_time - self.node.now()
             if answer is not None and (answer["results"] or answer["is_over"]):
                 return answer
             if answer is None or seconds_left <= 0:
                 break
-            signal = self.signals.setdefault(query["lot"], Signal())
-            yield Wait(signal, seconds_left)
-        if answer is not None and self._is_certain(owner):
+            yield Wait(self.signals.setdefault(lot, Signal()), seconds_left)
+        if answer is not None and self._is_fresh(leader):
             return answer
-        read_state = yield from owner.linearizable_state()
-        return QUERIES.find(query["ask"])(read_state, query)
+        state = yield from leader.linearizable_state()
+        return QUERIES.find(read.query["ask"])(state, read.query)
 
-    def _look(self, state, query):
+    def _find_answer(self, state: dict[str, Any], query: dict[str, Any]) -> dict[str, Any] | None:
         try:
-            return QUERIES.find(query["ask"])(state, query)
+            answer: dict[str, Any] = QUERIES.find(query["ask"])(state, query)
         except NotFound:
             return None
+        return answer
 
-    def _is_certain(self, owner):
-        return self.node.now() - owner.confirmed_at < self.node.bounds.read_timeout * CERTAIN
+    def _is_fresh(self, leader: Any) -> bool:
+        fresh_seconds: float = self.node.bounds.read_timeout * FRESH_SHARE
+        return bool(self.node.now() - leader.confirmed_at < fresh_seconds)
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -30,10 +30,10 @@
             node.runtime.wall_offset = chance.uniform(-MINUTE, MINUTE)
 
 
-def ledger_lot(stage, name):
+def open_lot(stage, name):
     """Return what the owner of the lots' part keeps of a lot."""
-    ledger = stage.owner(name).find("raw").ledgers[stage.part(name)]
-    return ledger.lots[lot_key(HOST, name)]
+    item_table = stage.owner(name).find("raw").item_tables[stage.part(name)]
+    return item_table.lots[lot_key(HOST, name)]
 
 
 def test_the_wall_clock_is_read_only_where_these_tests_look():
@@ -55,7 +55,7 @@
             node.runtime.wall_offset = edge_offset if is_edge else core_offset
         accepted(stage, "a", 4)
         stage.run(0.5)
-        left = ledger_lot(stage, "a").due_at - stage.owner().now()
+        left = open_lot(stage, "a").due_at - stage.owner().now()
         assert 7.0 < left <= 8.0
 
 
--- a/tests/test_late_starts.py
+++ b/tests/test_late_starts.py
@@ -9,15 +9,15 @@
 from quillring.lots.http_requests.scheduler import LotScheduler
 from tests.http_lot_stage import HOST, HttpLotStage, accepted
 
-REAL_BEGIN = LotScheduler._begin
+REAL_DISPATCH = LotScheduler._dispatch
 
 
-def other_worker(ledger, cores, replica):
+def other_worker(item_table, workers, replica):
     """Choose a core that is not the owner itself."""
-    return next(name for name, _ in cores if name != ledger.owner.node.me.name)
+    return next(w.name for w in workers if w.name != item_table.leader.node.me.name)
 
 
-def any_ballot(self, body):
+def any_ballot(self, part, ballot):
     """Check of a worker that has not heard of the newer owner."""
 
 
@@ -33,13 +33,13 @@
     with choice, check, HttpLotStage(131 + seed, slots=1, replicas=1) as stage:
         frozen = []
 
-        def freezing_begin(self, ledger, item, *rest):
-            REAL_BEGIN(self, ledger, item, *rest)
+        def freezing_dispatch(self, item_table, item, *rest):
+            REAL_DISPATCH(self, item_table, item, *rest)
             if len(frozen) < 1 and item.number >= 2:
                 frozen.append(self.node.me.name)
                 stage.sim.freeze(self.node.me.name, seconds)
 
-        with mock.patch.object(LotScheduler, "_begin", freezing_begin):
+        with mock.patch.object(LotScheduler, "_dispatch", freezing_dispatch):
             accepted(stage, "a", 8)
             while not frozen:
                 stage.run(0.01)
--- a/tests/test_lot_backlog.py
+++ b/tests/test_lot_backlog.py
@@ -7,7 +7,12 @@
 
 from quillring.kernel.errors import QuillringError
 from quillring.lots.http_requests import api
-from quillring.lots.http_requests.backlog import HEARD_FOR, DueItems, SlotShare, first_items_by_part
+from quillring.lots.http_requests.backlog import (
+    REMOTE_LIFETIME,
+    DueItems,
+    SlotShare,
+    first_items_by_part,
+)
 from quillring.lots.http_requests.concurrency_limits import rounding_offsets
 from quillring.nifty import Graph
 from tests.http_lot_replica import SERVICE
@@ -86,17 +91,17 @@
     total, rooms = sum(items.values()), {}
     for part in sorted(items):
         start = sum(items[name] for name in sorted(items) if name < part)
-        portion = SlotShare(start, start + items[part], total)
-        rooms[part] = [portion.room(slots, phase) for phase in rounding_offsets(names).values()]
+        share = SlotShare(start, start + items[part], total)
+        rooms[part] = [share.room(slots, offset) for offset in rounding_offsets(names).values()]
     assert [sum(column) for column in zip(*rooms.values(), strict=True)] == [slots] * replicas
     if count >= total:
         assert all(sum(room) >= int(items[part]) for part, room in rooms.items())
 
 
 def at_owner(stage):
-    """Return the demand table at the owner of the first part, with nothing of its own."""
+    """Return the backlog at the owner of the first part, with nothing of its own."""
     table = stage.owner_of(stage.parts[0]).find("raw_demand")
-    table.own, table.heard = {}, {}
+    table.local, table.remote = {}, {}
     return table
 
 
@@ -104,23 +109,23 @@
     with HttpLotStage(245) as stage:
         first, other = stage.parts
         table, victim = at_owner(stage), stage.owner_of(other).me.name
-        table.own = {first: {SERVICE: due((table.node.now() + 8, 10))}}
-        table.on_demand({"parts": {other: {SERVICE: 90}}, "due": {}}, victim)
-        assert table.portion(first, SERVICE, 18).ratio < 0.1
+        table.local = {first: {SERVICE: due((table.node.now() + 8, 10))}}
+        table.on_report({"parts": {other: {SERVICE: 90}}, "due": {}}, victim)
+        assert table.slot_share(first, SERVICE, 18).ratio < 0.1
         table.node.find("nifty").graph = Graph(table.node.me.name, {})
-        assert table.portion(first, SERVICE, 18).ratio == 1
+        assert table.slot_share(first, SERVICE, 18).ratio == 1
 
 
 def test_what_was_not_told_again_counts_no_more():
     with HttpLotStage(246) as stage:
         first, other = stage.parts
         table, victim = at_owner(stage), stage.owner_of(other).me.name
-        table.own = {first: {SERVICE: due((table.node.now() + 8, 10))}}
+        table.local = {first: {SERVICE: due((table.node.now() + 8, 10))}}
         rows = {other: {SERVICE: [[1.5, 90]]}}
-        table.on_demand({"parts": {other: {SERVICE: 90}}, "due": rows}, victim)
-        assert table.portion(first, SERVICE, 18).ratio < 0.1
-        stage.run(table.node.bounds.read_timeout * HEARD_FOR + 0.01)
-        assert table.portion(first, SERVICE, 18).ratio == 1
+        table.on_report({"parts": {other: {SERVICE: 90}}, "due": rows}, victim)
+        assert table.slot_share(first, SERVICE, 18).ratio < 0.1
+        stage.run(table.node.bounds.read_timeout * REMOTE_LIFETIME + 0.01)
+        assert table.slot_share(first, SERVICE, 18).ratio == 1
 
 
 def test_the_former_version_reads_what_is_told_and_is_read():
@@ -133,5 +138,5 @@
         part = stage.part("a")
         assert any(0 < parts.get(part, {}).get(SERVICE, 0) <= 40 for parts in told)
         table = cores[0].find("raw_demand")
-        table.on_demand({"parts": {part: {SERVICE: 40}}}, cores[1].me.name)
-        assert [row.items for row in table.heard[part].by_service[SERVICE]] == [40]
+        table.on_report({"parts": {part: {SERVICE: 40}}}, cores[1].me.name)
+        assert [row.items for row in table.remote[part].by_service[SERVICE]] == [40]
--- a/tests/test_slow_disks.py
+++ b/tests/test_slow_disks.py
@@ -78,7 +78,7 @@
 def test_the_disk_of_one_store_holds_up_no_lot(bring_about, place):
     with HttpLotStage(111 + place) as stage:
         owner = stage.owner()
-        part = next(p for p, o in owner.find("raw").ledgers.items() if o.owner.is_leader)
+        part = next(p for p, o in owner.find("raw").item_tables.items() if o.leader.is_leader)
         bring_about(stage.sim, owner.find("ownership").group(part)[place][0])
         for number in range(16):
             begun_at = stage.env.now
