--- a/proving/points/reads.py
+++ b/proving/points/reads.py
@@ -6,7 +6,7 @@
 from quillring.kernel.errors import TimedOut
 from quillring.lots.prompts.api import show_results
 from quillring.ownership import part_client
-from quillring.plans.front import confirm, propose, show_one
+from quillring.plans.api import confirm, propose, show_one
 from quillring.plans.runner import PlanRunner
 from quillring.quorum.parts import CONFIG
 from quillring.rollout import Freshness
@@ -158,7 +158,7 @@
 
 
 CORES = {}
-REAL_STEP = PlanRunner._step
+REAL_STEP = PlanRunner._run_step
 
 
 def no_news(self, *words):
@@ -171,7 +171,7 @@
     (
         "a plan outlives the core that runs it",
         plan_core_dies,
-        [(PlanRunner, "_step", first_core_only)],
+        [(PlanRunner, "_run_step", first_core_only)],
     ),
     (
         "a layout that grows is everywhere within 2 s",
--- /dev/null
+++ b/quillring/plans/api.py
@@ -0,0 +1,111 @@
+"""Plans over HTTP: propose, show, confirm, stop."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from quillring.kernel.checks import StrictValidator
+from quillring.kernel.errors import NotFound
+from quillring.kernel.wsgi import check_body, route
+from quillring.plans.messages import (
+    READ_PLANS,
+    ConfirmPlan,
+    ProposePlan,
+    StopPlan,
+    read_plan_query,
+)
+from quillring.plans.planner import INTENTS, FleetView, NodePlace, ReplicaLoad, make_plan
+from quillring.quorum.parts import CONFIG
+from quillring.rollout.messages import READ_CONFIGURATION, CurrentConfiguration
+
+if TYPE_CHECKING:
+    from quillring.kernel.node import Node
+    from quillring.kernel.types import Coroutine, WireMap
+    from quillring.kernel.wsgi import Request
+
+INTENT = StrictValidator(
+    {
+        "type": "object",
+        "additionalProperties": False,
+        "required": ["kind", "target"],
+        "properties": {
+            "kind": {"enum": INTENTS.names()},
+            "target": {"type": "string", "minLength": 1, "maxLength": 41},
+            "service": {"type": "string", "minLength": 1, "maxLength": 41},
+        },
+    }
+)
+CONFIRM = StrictValidator(
+    {
+        "type": "object",
+        "additionalProperties": False,
+        "properties": {
+            "accept": {"type": "array", "items": {"type": "string", "maxLength": 41}},
+            "id": {"type": "string", "minLength": 1, "maxLength": 64},
+        },
+    }
+)
+
+
+def view_fleet(node: Node, version: int, configuration: WireMap) -> FleetView:
+    """Return the view that a plan is made against."""
+    ownership, replicas = node.find("ownership"), node.find("replicas")
+    members = node.find("nifty").roster.members.values()
+    heartbeats = node.find("gossip").values_with_prefix("replica/").values()
+    return FleetView(
+        version,
+        configuration,
+        {part: [store.name for store in ownership.group(part)] for part in ownership.parts()},
+        {member.name: member.zone for member in members if member.role == "store"},
+        [
+            ReplicaLoad.from_heartbeat(fields)
+            for fields in heartbeats
+            if replicas.is_heard(fields["name"])
+        ],
+        {member.name: NodePlace(member.role, member.zone) for member in members},
+    )
+
+
+@route("POST", "/v1/plans")
+def propose(node: Node, request: Request) -> Coroutine:
+    """Answer an intent with a plan; nothing changes before it is confirmed."""
+    check_body(INTENT, request.body)
+    ownership = node.find("ownership")
+    answer = yield from ownership.read(CONFIG, READ_CONFIGURATION)
+    current = CurrentConfiguration.from_wire(answer)
+    if current.configuration is None:
+        raise NotFound(field="layout")
+    plan = make_plan(view_fleet(node, current.version, current.configuration), request.body)
+    name = f"{node.runtime.random.getrandbits(48):012x}"
+    command = ProposePlan(name, plan.to_state()).to_wire()
+    return (yield from ownership.submit(CONFIG, command))
+
+
+@route("GET", "/v1/plans")
+def show_all(node: Node, request: Request) -> Coroutine:
+    """Return all kept plans."""
+    return (yield from node.find("ownership").read(CONFIG, READ_PLANS))
+
+
+@route("GET", "/v1/plans/{plan}")
+def show_one(node: Node, request: Request) -> Coroutine:
+    """Return one plan with its progress."""
+    query = read_plan_query(request.words["plan"])
+    return (yield from node.find("ownership").read(CONFIG, query))
+
+
+@route("POST", "/v1/plans/{plan}/confirm")
+def confirm(node: Node, request: Request) -> Coroutine:
+    """Confirm a plan, accepting the consequences that are named."""
+    body = request.body or {}
+    check_body(CONFIRM, body)
+    command_id = body.get("id") or f"{node.runtime.random.getrandbits(96):024x}"
+    command = ConfirmPlan(request.words["plan"], body.get("accept", []), command_id)
+    return (yield from node.find("ownership").submit(CONFIG, command.to_wire()))
+
+
+@route("POST", "/v1/plans/{plan}/stop")
+def stop(node: Node, request: Request) -> Coroutine:
+    """Stop a plan between two steps."""
+    command = StopPlan(request.words["plan"])
+    return (yield from node.find("ownership").submit(CONFIG, command.to_wire()))
--- a/quillring/plans/commands.py
+++ b/quillring/plans/commands.py
@@ -1,10 +1,39 @@
 """Commands and queries of the config part that keep plans."""
 
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
 from quillring.kernel.errors import Conflict, NotFound, QuillringError
+from quillring.plans.messages import (
+    COMPLETE_STEP,
+    CONFIRM,
+    DONE,
+    FAILED,
+    PROPOSE,
+    PROPOSED,
+    RUNNING,
+    STOP,
+    STOPPED,
+    CompleteStep,
+    ConfigurationStep,
+    ConfirmPlan,
+    KeptPlan,
+    Progress,
+    ProposePlan,
+    StopPlan,
+    show_plan_fields,
+)
 from quillring.quorum.commands import COMMANDS, QUERIES
+from quillring.rollout.messages import ADOPT_CONFIGURATION, AdoptConfiguration
+
+if TYPE_CHECKING:
+    from typing import Any
+
+    from quillring.kernel.types import WireMap
 
 KEPT_PLANS = 32
-PROPOSED, RUNNING, DONE, STOPPED, FAILED = "proposed", "running", "done", "stopped", "failed"
+RUN_ALONE = ("retire_store", "empty_domain")
 
 
 class StalePlan(QuillringError):
@@ -28,111 +57,116 @@
     status = 409
 
 
-def _with_plan(state, name, **changes):
-    plans = state.get("plans", {})
-    return {**state, "plans": {**plans, name: {**plans[name], **changes}}}
+def kept_plans(state: WireMap) -> dict[str, WireMap]:
+    """Return {name: plan} of all kept plans, each as it stands in the state."""
+    plans: dict[str, WireMap] = state.get("plans", {})
+    return plans
 
 
-def find_plan(state, name):
+def find_plan(state: WireMap, name: str) -> KeptPlan:
     """Return a plan, or raise NotFound."""
-    plan = state.get("plans", {}).get(name)
-    if plan is None:
+    fields = kept_plans(state).get(name)
+    if fields is None:
         raise NotFound(field="plan", plan=name)
-    return plan
+    return KeptPlan.from_state(fields)
 
 
-@COMMANDS.entry("plan.propose")
-def propose_plan(state, command):
+def with_plan(state: WireMap, name: str, **changes: Any) -> WireMap:
+    """Return the state with some fields of a plan changed."""
+    plans = kept_plans(state)
+    return {**state, "plans": {**plans, name: {**plans[name], **changes}}}
+
+
+@COMMANDS.entry(PROPOSE)
+def propose_plan(state: WireMap, command: WireMap) -> tuple[WireMap, WireMap]:
     """Keep a plan until it is confirmed; nothing else changes."""
-    plans = state.get("plans", {})
-    if command["id"] in plans:
-        return state, {"plan": command["id"], **plans[command["id"]]}
-    ended = [n for n, p in plans.items() if p["phase"] != RUNNING]
-    dropped = set(ended[: max(0, len(plans) - KEPT_PLANS + 1)])
-    kept = {n: p for n, p in plans.items() if n not in dropped}
-    plan = {**command["plan"], "phase": PROPOSED, "done": 0}
-    return {**state, "plans": {**kept, command["id"]: plan}}, {"plan": command["id"], **plan}
-
-
-@COMMANDS.entry("plan.confirm")
-def confirm_plan(state, command):
+    proposal, plans = ProposePlan.from_wire(command), kept_plans(state)
+    if proposal.id in plans:
+        return state, show_plan_fields(proposal.id, plans[proposal.id])
+    idle_names = [name for name, fields in plans.items() if fields["phase"] != RUNNING]
+    dropped_names = set(idle_names[: max(0, len(plans) - KEPT_PLANS + 1)])
+    kept = {name: fields for name, fields in plans.items() if name not in dropped_names}
+    fields = {**proposal.plan, "phase": PROPOSED, "done": 0}
+    new_state = {**state, "plans": {**kept, proposal.id: fields}}
+    return new_state, show_plan_fields(proposal.id, fields)
+
+
+@COMMANDS.entry(CONFIRM)
+def confirm_plan(state: WireMap, command: WireMap) -> tuple[WireMap, WireMap]:
     """Start a plan, once, if it is not stale and nothing unaccepted stands in the way."""
-    plan = find_plan(state, command["plan"])
-    if plan["phase"] != PROPOSED:
-        if plan.get("confirmed_by") == command["id"]:
-            return state, {"plan": command["plan"], **plan}
-        raise Conflict(field="plan", plan=command["plan"], phase=plan["phase"])
-    if plan["against"]["version"] != state["version"]:
-        raise StalePlan(
-            plan=command["plan"],
-            made_against=plan["against"]["version"],
-            version=state["version"],
-        )
-    refused = [o for o in plan["obstacles"] if o["consequence"] not in command["accept"]]
-    if refused:
-        raise Impossible(plan=command["plan"], obstacles=refused)
-    kind, target = plan["intent"]["kind"], plan["intent"]["target"]
-    for name, other in state.get("plans", {}).items():
-        is_same = other["intent"]["target"] == target
-        are_retirings = kind == other["intent"]["kind"] == "retire_store"
-        are_emptyings = kind == other["intent"]["kind"] == "empty_domain"
-        if other["phase"] == RUNNING and (is_same or are_retirings or are_emptyings):
-            raise Contradiction(plan=command["plan"], running=name, target=other["target"])
-    new_state = _with_plan(state, command["plan"], phase=RUNNING, confirmed_by=command["id"])
-    return new_state, {"plan": command["plan"], **new_state["plans"][command["plan"]]}
-
-
-@COMMANDS.entry("plan.step")
-def step_plan(state, command):
-    """Note that a step is done; a layout step adopts its change in the same entry."""
-    plan = find_plan(state, command["plan"])
-    if plan["phase"] != RUNNING or plan["done"] != command["step"]:
-        return state, {"phase": plan["phase"], "done": plan["done"]}
-    step = plan["steps"][command["step"]]
-    if step["do"] == "layout":
+    confirmation = ConfirmPlan.from_wire(command)
+    name = confirmation.plan
+    plan = find_plan(state, name)
+    if plan.phase != PROPOSED:
+        if plan.confirmed_by == confirmation.id:
+            return state, show_plan_fields(name, plan.fields)
+        raise Conflict(field="plan", plan=name, phase=plan.phase)
+    if plan.base_version != state["version"]:
+        raise StalePlan(plan=name, made_against=plan.base_version, version=state["version"])
+    obstacles = plan.unaccepted_obstacles(confirmation.accepted)
+    if obstacles:
+        raise Impossible(plan=name, obstacles=obstacles)
+    check_contradictions(state, name, plan)
+    new_state = with_plan(state, name, phase=RUNNING, confirmed_by=confirmation.id)
+    return new_state, show_plan_fields(name, new_state["plans"][name])
+
+
+def check_contradictions(state: WireMap, name: str, plan: KeptPlan) -> None:
+    """Raise Contradiction where a plan under way speaks against this one."""
+    for other_name, fields in kept_plans(state).items():
+        other = KeptPlan.from_state(fields)
+        is_same_target = other.intent.target == plan.intent.target
+        run_alone = other.intent.kind == plan.intent.kind and plan.intent.kind in RUN_ALONE
+        if other.phase == RUNNING and (is_same_target or run_alone):
+            raise Contradiction(plan=name, running=other_name, target=other.title)
+
+
+@COMMANDS.entry(COMPLETE_STEP)
+def complete_step(state: WireMap, command: WireMap) -> tuple[WireMap, WireMap]:
+    """Note that a step is done; a configuration step adopts its change in the same entry."""
+    completion = CompleteStep.from_wire(command)
+    name, number = completion.plan, completion.step
+    plan = find_plan(state, name)
+    if plan.phase != RUNNING or plan.done_steps != number:
+        return state, Progress(plan.phase, plan.done_steps).to_wire()
+    step = plan.step(number)
+    if isinstance(step, ConfigurationStep):
+        change_id = f"{name} step {number}"
+        adoption = AdoptConfiguration(change_id, state["version"], step.change, is_whole=False)
         try:
-            state, _ = COMMANDS.find("layout.adopt")(
-                state,
-                {
-                    "id": f"{command['plan']} step {command['step']}",
-                    "whole": False,
-                    "base_version": state["version"],
-                    "change": step["change"],
-                },
-            )
+            state, _ = COMMANDS.find(ADOPT_CONFIGURATION)(state, adoption.to_wire())
         except QuillringError as error:
-            failed = _with_plan(state, command["plan"], phase=FAILED, trouble=error.to_json())
-            return failed, {"phase": FAILED, "done": plan["done"]}
-    done = command["step"] + 1
-    phase = DONE if done == len(plan["steps"]) else RUNNING
-    return _with_plan(state, command["plan"], done=done, phase=phase), {
-        "phase": phase,
-        "done": done,
-    }
-
-
-@COMMANDS.entry("plan.stop")
-def stop_plan(state, command):
+            failed_state = with_plan(state, name, phase=FAILED, trouble=error.to_json())
+            return failed_state, Progress(FAILED, plan.done_steps).to_wire()
+    done_steps = number + 1
+    phase = DONE if done_steps == plan.step_count() else RUNNING
+    new_state = with_plan(state, name, done=done_steps, phase=phase)
+    return new_state, Progress(phase, done_steps).to_wire()
+
+
+@COMMANDS.entry(STOP)
+def stop_plan(state: WireMap, command: WireMap) -> tuple[WireMap, WireMap]:
     """Stop a plan between two steps; what is done stays as it is, which is sound.
 
     A plan that was stopped stays stopped, so the order may be repeated and may come late.
     """
-    plan = find_plan(state, command["plan"])
-    if plan["phase"] == STOPPED:
-        return state, {"plan": command["plan"], **plan}
-    if plan["phase"] not in (PROPOSED, RUNNING):
-        raise Conflict(field="plan", plan=command["plan"], phase=plan["phase"])
-    new_state = _with_plan(state, command["plan"], phase=STOPPED)
-    return new_state, {"plan": command["plan"], **new_state["plans"][command["plan"]]}
+    name = StopPlan.from_wire(command).plan
+    plan = find_plan(state, name)
+    if plan.phase == STOPPED:
+        return state, show_plan_fields(name, plan.fields)
+    if plan.phase not in (PROPOSED, RUNNING):
+        raise Conflict(field="plan", plan=name, phase=plan.phase)
+    new_state = with_plan(state, name, phase=STOPPED)
+    return new_state, show_plan_fields(name, new_state["plans"][name])
 
 
 @QUERIES.entry("plans")
-def show_plans(state, query):
+def show_plans(state: WireMap, query: WireMap) -> WireMap:
     """Return all kept plans."""
-    return {"plans": [{"plan": n, **p} for n, p in state.get("plans", {}).items()]}
+    return {"plans": [show_plan_fields(name, p) for name, p in kept_plans(state).items()]}
 
 
 @QUERIES.entry("plan")
-def show_plan(state, query):
+def show_plan(state: WireMap, query: WireMap) -> WireMap:
     """Return one plan."""
-    return {"plan": query["plan"], **find_plan(state, query["plan"])}
+    return show_plan_fields(query["plan"], find_plan(state, query["plan"]).fields)
--- /dev/null
+++ b/quillring/plans/maintenance_windows.py
@@ -0,0 +1,82 @@
+"""Maintenance windows from iCalendar files: what operators intend, and when."""
+
+from __future__ import annotations
+
+import datetime
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+import icalendar
+import recurring_ical_events
+
+from quillring.kernel.errors import QuillringError
+
+if TYPE_CHECKING:
+    from quillring.kernel.types import WireMap
+
+MAX_REASON_CHARACTERS = 200
+INTENT_BY_VERB = {
+    "empty": "empty_domain",
+    "refill": "refill_domain",
+    "retire": "retire_store",
+    "restore": "restore_store",
+}
+
+
+class BadCalendar(QuillringError):
+    """The file is no iCalendar file."""
+
+    kind = "bad_calendar"
+    status = 400
+
+
+class MaintenanceWindow(NamedTuple):
+    """An event of a calendar: its times in ISO 8601, its summary, and the intent it states."""
+
+    start: str
+    end: str
+    summary: str
+    intent: WireMap | None
+
+    def to_json(self) -> WireMap:
+        """Return what operators see."""
+        return self._asdict()
+
+
+def read_windows(
+    data: bytes, start: datetime.datetime, end: datetime.datetime
+) -> list[MaintenanceWindow]:
+    """Return the windows between two times; a summary such as "empty north" is an intent.
+
+    Raises BadCalendar for what is no iCalendar file (RFC 5545).
+    """
+    try:
+        calendar = icalendar.Calendar.from_ical(data)
+        events = recurring_ical_events.of(calendar).between(start, end)
+    except (ValueError, KeyError, IndexError) as error:
+        raise BadCalendar(reason=str(error)[:MAX_REASON_CHARACTERS]) from error
+    return sorted((read_event(event) for event in events), key=lambda window: window.start)
+
+
+def read_event(event: Any) -> MaintenanceWindow:
+    """Return the window of an event; one without an end is over when it begins."""
+    start = event["DTSTART"]
+    end = event.get("DTEND", start)
+    summary = str(event.get("SUMMARY", ""))
+    return MaintenanceWindow(
+        as_time(start.dt).isoformat(), as_time(end.dt).isoformat(), summary, read_intent(summary)
+    )
+
+
+def read_intent(summary: str) -> WireMap | None:
+    """Return the intent that a summary states, or None."""
+    words = summary.lower().split()
+    if len(words) != 2 or words[0] not in INTENT_BY_VERB:
+        return None
+    return {"kind": INTENT_BY_VERB[words[0]], "target": words[1]}
+
+
+def as_time(value: datetime.date) -> datetime.datetime:
+    """Return a date or a naive time as a time in UTC."""
+    if not isinstance(value, datetime.datetime):
+        value = datetime.datetime.combine(value, datetime.time())
+    return value if value.tzinfo else value.replace(tzinfo=datetime.UTC)
--- /dev/null
+++ b/quillring/plans/messages.py
@@ -0,0 +1,227 @@
+"""Plans, their steps and the commands about them, in their forms in the log and the state."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+if TYPE_CHECKING:
+    from quillring.kernel.types import WireMap
+
+PROPOSE = "plan.propose"
+CONFIRM = "plan.confirm"
+COMPLETE_STEP = "plan.step"
+STOP = "plan.stop"
+
+READ_PLANS: WireMap = {"ask": "plans"}
+
+PROPOSED, RUNNING, DONE, STOPPED, FAILED = "proposed", "running", "done", "stopped", "failed"
+
+CONFIGURATION_STEP, WAIT_STEP = "layout", "wait"
+
+
+def read_plan_query(plan: str) -> WireMap:
+    """Return the query for one plan."""
+    return {"ask": "plan", "plan": plan}
+
+
+class Intent(NamedTuple):
+    """What an operator wants: a kind of plan, and what it is about; some kinds need a service."""
+
+    kind: str
+    target: str
+    service: str | None = None
+
+    @classmethod
+    def from_wire(cls, fields: WireMap) -> Intent:
+        """Read the intent as it was stated."""
+        return cls(fields["kind"], fields["target"], fields.get("service"))
+
+
+class ConfigurationStep(NamedTuple):
+    """A step that adopts a partial configuration."""
+
+    text: str
+    change: WireMap
+
+    def to_state(self) -> WireMap:
+        """Return the step as it stands in the state."""
+        return {"do": CONFIGURATION_STEP, "text": self.text, "change": self.change}
+
+
+class WaitStep(NamedTuple):
+    """A step that waits until a condition about a target holds."""
+
+    text: str
+    condition: str
+    target: str
+
+    def to_state(self) -> WireMap:
+        """Return the step as it stands in the state."""
+        return {"do": WAIT_STEP, "text": self.text, "until": self.condition, "target": self.target}
+
+
+Step = ConfigurationStep | WaitStep
+
+
+def step_from_state(fields: WireMap) -> Step:
+    """Read a step as it stands in the state."""
+    if fields["do"] == WAIT_STEP:
+        return WaitStep(fields["text"], fields["until"], fields["target"])
+    return ConfigurationStep(fields["text"], fields["change"])
+
+
+class Obstacle(NamedTuple):
+    """What stands in a plan's way; a consequence can be accepted under its name, None can not."""
+
+    consequence: str | None
+    text: str
+
+    def to_state(self) -> WireMap:
+        """Return the obstacle as it stands in the state."""
+        return {"consequence": self.consequence, "text": self.text}
+
+
+class Plan(NamedTuple):
+    """A plan as it is made against a version; `moves` tells in words what goes where.
+
+    `stated_intent` is the intent just as the operator sent it.
+    """
+
+    stated_intent: WireMap
+    steps: list[Step]
+    obstacles: list[Obstacle]
+    moves: list[str]
+    base_version: int
+
+    def to_state(self) -> WireMap:
+        """Return the plan as it stands in the state."""
+        intent = Intent.from_wire(self.stated_intent)
+        return {
+            "intent": self.stated_intent,
+            "target": f"{intent.kind} {intent.target}",
+            "steps": [step.to_state() for step in self.steps],
+            "obstacles": [obstacle.to_state() for obstacle in self.obstacles],
+            "moves": self.moves,
+            "against": {"version": self.base_version},
+        }
+
+
+class KeptPlan(NamedTuple):
+    """What is read of a plan that the state keeps.
+
+    `fields` is all of it: fields of another version of the program are kept as they came.
+    """
+
+    intent: Intent
+    title: str
+    base_version: int
+    phase: str
+    done_steps: int
+    confirmed_by: str | None
+    fields: WireMap
+
+    @classmethod
+    def from_state(cls, fields: WireMap) -> KeptPlan:
+        """Read a plan as it stands in the state."""
+        return cls(
+            Intent.from_wire(fields["intent"]),
+            fields["target"],
+            fields["against"]["version"],
+            fields["phase"],
+            fields["done"],
+            fields.get("confirmed_by"),
+            fields,
+        )
+
+    def step(self, number: int) -> Step:
+        """Return a step by its number."""
+        return step_from_state(self.fields["steps"][number])
+
+    def step_count(self) -> int:
+        """Return how many steps the plan has."""
+        return len(self.fields["steps"])
+
+    def unaccepted_obstacles(self, accepted: list[str]) -> list[WireMap]:
+        """Return the obstacles whose consequences are not among those accepted."""
+        obstacles: list[WireMap] = self.fields["obstacles"]
+        return [obstacle for obstacle in obstacles if obstacle["consequence"] not in accepted]
+
+
+class ProposePlan(NamedTuple):
+    """`plan.propose`: keep a plan under an id until it is confirmed."""
+
+    id: str
+    plan: WireMap
+
+    @classmethod
+    def from_wire(cls, command: WireMap) -> ProposePlan:
+        """Read the command from its form in the log."""
+        return cls(command["id"], command["plan"])
+
+    def to_wire(self) -> WireMap:
+        """Return the command in its form in the log."""
+        return {"do": PROPOSE, "id": self.id, "plan": self.plan}
+
+
+class ConfirmPlan(NamedTuple):
+    """`plan.confirm`: run a plan, accepting the consequences that are named."""
+
+    plan: str
+    accepted: list[str]
+    id: str
+
+    @classmethod
+    def from_wire(cls, command: WireMap) -> ConfirmPlan:
+        """Read the command from its form in the log."""
+        return cls(command["plan"], command.get("accept", []), command["id"])
+
+    def to_wire(self) -> WireMap:
+        """Return the command in its form in the log."""
+        return {"do": CONFIRM, "plan": self.plan, "accept": self.accepted, "id": self.id}
+
+
+class CompleteStep(NamedTuple):
+    """`plan.step`: the step of this number is done, or, if it changes the configuration, do it."""
+
+    plan: str
+    step: int
+
+    @classmethod
+    def from_wire(cls, command: WireMap) -> CompleteStep:
+        """Read the command from its form in the log."""
+        return cls(command["plan"], command["step"])
+
+    def to_wire(self) -> WireMap:
+        """Return the command in its form in the log."""
+        return {"do": COMPLETE_STEP, "plan": self.plan, "step": self.step}
+
+
+class StopPlan(NamedTuple):
+    """`plan.stop`: stop a plan between two steps."""
+
+    plan: str
+
+    @classmethod
+    def from_wire(cls, command: WireMap) -> StopPlan:
+        """Read the command from its form in the log."""
+        return cls(command["plan"])
+
+    def to_wire(self) -> WireMap:
+        """Return the command in its form in the log."""
+        return {"do": STOP, "plan": self.plan}
+
+
+def show_plan_fields(name: str, fields: WireMap) -> WireMap:
+    """Return a plan as operators see it."""
+    return {"plan": name, **fields}
+
+
+class Progress(NamedTuple):
+    """The answer to `plan.step`: the plan's phase, and how many of its steps are done."""
+
+    phase: Any
+    done_steps: int
+
+    def to_wire(self) -> WireMap:
+        """Return the answer in its wire form."""
+        return {"phase": self.phase, "done": self.done_steps}
--- /dev/null
+++ b/quillring/plans/planner.py
@@ -0,0 +1,203 @@
+"""Making a plan from an intent and a view of the fleet: pure, changes nothing."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, NamedTuple
+
+from quillring.kernel.errors import NotFound
+from quillring.kernel.registry import Registry
+from quillring.plans.messages import ConfigurationStep, Intent, Obstacle, Plan, Step, WaitStep
+from quillring.quorum.parts import GROUP_SIZE
+
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
+    from quillring.kernel.types import WireMap
+
+INTENTS = Registry("intent")
+
+EMPTIED = {
+    "edge": "not ready, takes no new inquiries and holds no new journals",
+    "core": "its parts, lots and journals go to cores elsewhere",
+    "store": "stays a member of its parts; retire it to move them",
+}
+NEEDED_ROLES = ("edge", "core")
+
+
+class ReplicaLoad(NamedTuple):
+    """A replica with its place and how many of its slots are busy."""
+
+    name: str
+    service: str
+    zone: str
+    slots: int
+    busy: int
+
+    @classmethod
+    def from_heartbeat(cls, fields: WireMap) -> ReplicaLoad:
+        """Read the load from a replica's heartbeat."""
+        return cls(
+            fields["name"],
+            fields["service"],
+            fields["domain"],
+            fields.get("slots", 0),
+            fields.get("busy", 0),
+        )
+
+
+class NodePlace(NamedTuple):
+    """The role of a node, and the zone that it stands in."""
+
+    role: str
+    zone: str
+
+
+class FleetView(NamedTuple):
+    """What a plan is made against, as one node sees it.
+
+    `groups` is {part: names of its stores}, `stores` {store: zone}.
+    """
+
+    version: int
+    configuration: WireMap
+    groups: Mapping[str, list[str]]
+    stores: Mapping[str, str]
+    replicas: list[ReplicaLoad]
+    nodes: Mapping[str, NodePlace]
+
+    def require_zone(self, zone: str) -> None:
+        """Raise NotFound unless the configuration knows the zone."""
+        if zone not in self.configuration["domains"]:
+            raise NotFound(field="target", domain=zone)
+
+    def is_emptied(self, zone: str) -> bool:
+        """Tell whether a zone is ordered to be emptied; one that is unknown is not."""
+        return bool(self.configuration["domains"].get(zone, {}).get("emptied"))
+
+
+class Proposal(NamedTuple):
+    """What an intent comes to: the steps, what stands in the way, and what goes where."""
+
+    steps: list[Step]
+    obstacles: list[Obstacle]
+    moves: list[str]
+
+
+def make_plan(view: FleetView, stated_intent: WireMap) -> Plan:
+    """Return the plan for an intent, or raise NotFound for unknown targets."""
+    intent = Intent.from_wire(stated_intent)
+    proposal: Proposal = INTENTS.find(intent.kind)(view, intent)
+    return Plan(stated_intent, proposal.steps, proposal.obstacles, proposal.moves, view.version)
+
+
+@INTENTS.entry("empty_domain")
+def plan_empty_zone(view: FleetView, intent: Intent) -> Proposal:
+    """Empty a zone of new work, then wait until what is under way there has ended."""
+    zone = intent.target
+    view.require_zone(zone)
+    leaving = [replica for replica in view.replicas if replica.zone == zone]
+    inside = {name: place.role for name, place in sorted(view.nodes.items()) if place.zone == zone}
+    obstacles = [
+        *room_obstacles(view, zone, sorted({replica.service for replica in leaving})),
+        *role_obstacles(view, zone, set(inside.values())),
+    ]
+    steps: list[Step] = [
+        ConfigurationStep(f"give {zone} no new work", {"domains": {zone: {"emptied": True}}}),
+        WaitStep(f"wait until {zone} is idle", "domain_idle", zone),
+    ]
+    moves = [f"{r.name}: {r.busy} under way end, new ones go elsewhere" for r in leaving]
+    moves.extend(f"{name}: {EMPTIED[role]}" for name, role in inside.items())
+    return Proposal(steps, obstacles, moves)
+
+
+def room_obstacles(view: FleetView, zone: str, services: list[str]) -> list[Obstacle]:
+    """Return the services whose replicas elsewhere have too few slots for what is under way."""
+    obstacles = []
+    for service in services:
+        replicas = [replica for replica in view.replicas if replica.service == service]
+        busy = sum(replica.busy for replica in replicas)
+        room = sum(
+            replica.slots
+            for replica in replicas
+            if replica.zone != zone and not view.is_emptied(replica.zone)
+        )
+        if room <= busy:
+            text = f"{service}: {busy} busy, {room} slots remain"
+            obstacles.append(Obstacle("less_room", text))
+    return obstacles
+
+
+def role_obstacles(view: FleetView, zone: str, leaving_roles: set[str]) -> list[Obstacle]:
+    """Return what would be lacking without the zone: zones at all, or nodes of a needed role."""
+    obstacles = []
+    zones = view.configuration["domains"]
+    staying_zones = [name for name in zones if name != zone and not view.is_emptied(name)]
+    if not staying_zones:
+        obstacles.append(Obstacle(None, "no domain would remain"))
+    staying_roles = {place.role for place in view.nodes.values() if place.zone in staying_zones}
+    for role in NEEDED_ROLES:
+        if role in leaving_roles and role not in staying_roles:
+            obstacles.append(Obstacle(f"no_{role}", f"no {role} would remain"))
+    return obstacles
+
+
+@INTENTS.entry("refill_domain")
+def plan_refill_zone(view: FleetView, intent: Intent) -> Proposal:
+    """Let a zone get work again."""
+    zone = intent.target
+    view.require_zone(zone)
+    change = {"domains": {zone: {"emptied": False}}}
+    return Proposal([ConfigurationStep(f"let {zone} get work again", change)], [], [])
+
+
+@INTENTS.entry("move_entry")
+def plan_move_route(view: FleetView, intent: Intent) -> Proposal:
+    """Point a route at another service of the same kind."""
+    route_name, service = intent.target, intent.service
+    routes, services = view.configuration["entries"], view.configuration["services"]
+    if route_name not in routes:
+        raise NotFound(field="target", entry=route_name)
+    if service not in services:
+        raise NotFound(field="service", service=service)
+    old_service = routes[route_name]["service"]
+    obstacles = []
+    if services[service]["kind"] != services[old_service]["kind"]:
+        obstacles.append(Obstacle(None, f"{service} is of another kind"))
+    if not any(replica.service == service for replica in view.replicas):
+        obstacles.append(Obstacle("no_replica", f"{service} has no replica"))
+    change = {"entries": {route_name: {"service": service}}}
+    step = ConfigurationStep(f"move {route_name} to {service}", change)
+    return Proposal([step], obstacles, [f"{route_name}: from {old_service} to {service}"])
+
+
+@INTENTS.entry("retire_store")
+def plan_retire_store(view: FleetView, intent: Intent) -> Proposal:
+    """Take a store machine out of every part, one member at a time."""
+    name = intent.target
+    if name not in view.stores:
+        raise NotFound(field="target", store=name)
+    parts = [part for part, group in sorted(view.groups.items()) if name in group]
+    orders = view.configuration.get("stores", {})
+    retired_names = {store for store, order in orders.items() if order.get("retired")} | {name}
+    zones = {zone for store, zone in view.stores.items() if store not in retired_names}
+    is_short = len(zones) < GROUP_SIZE
+    obstacles = []
+    if is_short and parts:
+        text = f"stores in {len(zones)} domains remain for {', '.join(parts)}"
+        obstacles.append(Obstacle("part_under_three", text))
+    order = {"retired": True, **({"forced": True} if is_short else {})}
+    steps: list[Step] = [
+        ConfigurationStep(f"retire {name}", {"stores": {name: order}}),
+        WaitStep(f"wait until no part has {name}", "store_unused", name),
+    ]
+    goal = "goes on with two members" if is_short else "a spare store takes its place"
+    return Proposal(steps, obstacles, [f"{part}: {name} leaves, {goal}" for part in parts])
+
+
+@INTENTS.entry("restore_store")
+def plan_restore_store(view: FleetView, intent: Intent) -> Proposal:
+    """Let a retired store machine be a member again where one is missing."""
+    name = intent.target
+    if name not in view.configuration.get("stores", {}):
+        raise NotFound(field="target", store=name)
+    return Proposal([ConfigurationStep(f"restore {name}", {"stores": {name: None}})], [], [])
--- a/quillring/plans/runner.py
+++ b/quillring/plans/runner.py
@@ -1,17 +1,26 @@
-"""Running confirmed plans: the core that owns the config part does one step after another."""
+"""Running confirmed plans: the core that leads the config part does one step after another."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
 
 from quillring.kernel.effects import Sleep
 from quillring.kernel.errors import QuillringError
 from quillring.kernel.registry import Registry
-from quillring.plans.commands import RUNNING
+from quillring.plans.messages import RUNNING, CompleteStep, KeptPlan, WaitStep
 from quillring.quorum.parts import CONFIG
 
+if TYPE_CHECKING:
+    from quillring.kernel.node import Node
+    from quillring.kernel.types import Coroutine, WireMap
+    from quillring.quorum.leader.part_leader import PartLeader
+
 CONDITIONS = Registry("condition")
 
 
 @CONDITIONS.entry("domain_idle")
-def is_zone_idle(node, zone):
-    """Coroutine: tell whether no replica and no node of the domain has anything under way.
+def is_zone_idle(node: Node, zone: str) -> Coroutine:
+    """Tell whether no replica and no node of the zone has anything under way.
 
     A node out of reach counts once it was silent for as long as service may be away.
     """
@@ -36,47 +45,51 @@
     return not any(isinstance(reply, QuillringError) or reply for reply in replies.values())
 
 
-def count_busy(node):
-    """Return how much is under way at a node: inquiries run or waiting, parts owned."""
-    dispatch, owners = node.find("dispatch"), node.find("ownership").leaders.values()
+def count_busy(node: Node) -> int:
+    """Return how much is under way at a node: requests that run or wait, parts led."""
+    dispatch, leaders = node.find("dispatch"), node.find("ownership").leaders.values()
     requests = len(dispatch.leases) + len(dispatch.queue) if dispatch is not None else 0
-    return requests + sum(owner.is_leader for owner in owners)
+    led_parts = sum(1 for leader in leaders if leader.is_leader)
+    return requests + led_parts
 
 
 @CONDITIONS.entry("store_unused")
-def is_store_unused(node, store):
-    """Coroutine: tell whether no part has the store as a member."""
+def is_store_unused(node: Node, store: str) -> Coroutine:
+    """Tell whether no part has the store as a member."""
     ownership = node.find("ownership")
-    return not any(store in [s[0] for s in ownership.group(part)] for part in ownership.parts())
+    members = [member for part in ownership.parts() for member in ownership.group(part)]
+    return not any(member.name == store for member in members)
     yield
 
 
 class PlanRunner:
-    """Looks after running plans while this core owns the config part under its fence."""
+    """Runs the confirmed plans while this core leads the config part and holds its lease."""
 
     __slots__ = ("node",)
 
-    def __init__(self, node):
+    def __init__(self, node: Node) -> None:
         self.node = node
 
-    def run(self):
-        """Coroutine: do the next step of every running plan."""
+    def run(self) -> Coroutine:
+        """Do the next step of every running plan."""
         while True:
             yield Sleep(self.node.bounds.heartbeat_interval)
-            owner = self.node.find("ownership").leaders.get(CONFIG)
-            if owner is None or not owner.has_lease():
+            leader = self.node.find("ownership").leaders.get(CONFIG)
+            if leader is None or not leader.has_lease():
                 continue
-            for name, plan in list(owner.state.get("plans", {}).items()):
+            for name, plan in list(leader.state.get("plans", {}).items()):
                 if plan["phase"] == RUNNING:
-                    yield from self._step(owner, name, plan)
-
-    def _step(self, owner, name, plan):
-        step = plan["steps"][plan["done"]]
-        if step["do"] == "wait" and not (
-            yield from CONDITIONS.find(step["until"])(self.node, step["target"])
-        ):
-            return
+                    yield from self._run_step(leader, name, plan)
+
+    def _run_step(self, leader: PartLeader, name: str, fields: WireMap) -> Coroutine:
+        """Complete a plan's next step, unless what it waits for is not so yet."""
+        plan = KeptPlan.from_state(fields)
+        step = plan.step(plan.done_steps)
+        if isinstance(step, WaitStep):
+            holds = yield from CONDITIONS.find(step.condition)(self.node, step.target)
+            if not holds:
+                return
         try:
-            yield from owner.submit({"do": "plan.step", "plan": name, "step": plan["done"]})
+            yield from leader.submit(CompleteStep(name, plan.done_steps).to_wire())
         except QuillringError as error:
-            self.node.log("warning", "plan %s: %s", name, error)
+            self.node.log("warning", "plan %s: step %s: %s", name, plan.done_steps, error)
--- a/quillring/verbs/fleet_verbs.py
+++ b/quillring/verbs/fleet_verbs.py
@@ -7,7 +7,7 @@
 import click
 
 from quillring.kernel.errors import QuillringError
-from quillring.plans.windows import read_windows
+from quillring.plans.maintenance_windows import read_windows
 from quillring.verbs.cli import REFUSED_FAULT, main, node_options, run_verb
 from quillring.verbs.client import ask
 from quillring.verbs.show import show_table
@@ -126,13 +126,13 @@
         with open(path, "rb") as calendar_file:
             found = read_windows(calendar_file.read(), now, now + datetime.timedelta(days=days))
         open_intents = [
-            w["intent"]
-            for w in found
-            if w["intent"] and datetime.datetime.fromisoformat(w["start"]) <= now
+            window.intent
+            for window in found
+            if window.intent and datetime.datetime.fromisoformat(window.start) <= now
         ]
         plans = [ask(node, "POST", "/v1/plans", i) for i in open_intents] if propose else []
     except QuillringError as error:
         click.echo(str(error), err=True)
         sys.exit(REFUSED_FAULT)
-    answer = {"windows": found, "plans": plans}
+    answer = {"windows": [window.to_json() for window in found], "plans": plans}
     click.echo(json.dumps(answer) if as_json else show_table(answer))
--- a/quillring/verbs/routes.py
+++ b/quillring/verbs/routes.py
@@ -6,7 +6,7 @@
 from quillring.kernel.errors import Conflict, NotFound, NotFounded, Refused
 from quillring.kernel.wsgi import check_body, route
 from quillring.lots.prompts import api as prompt_lots_api
-from quillring.plans import front as plans_front
+from quillring.plans import api as plans_api
 from quillring.quorum.founding.founding import found_fleet
 from quillring.quorum.parts import CONFIG
 from quillring.rollout.messages import (
@@ -23,7 +23,7 @@
     short_requests,
     stream_handlers,
     prompt_lots_api,
-    plans_front,
+    plans_api,
 )
 CHANGE = StrictValidator(
     {
--- /dev/null
+++ b/tests/test_plan_messages.py
@@ -0,0 +1,85 @@
+"""Plans and the commands about them in the form that all versions keep and exchange."""
+
+import cbor2
+import pytest
+
+from quillring.plans.messages import (
+    CompleteStep,
+    ConfigurationStep,
+    ConfirmPlan,
+    Intent,
+    KeptPlan,
+    Obstacle,
+    Plan,
+    Progress,
+    ProposePlan,
+    StopPlan,
+    WaitStep,
+    read_plan_query,
+    show_plan_fields,
+)
+
+STATED = {"target": "north", "kind": "empty_domain"}
+STEPS = [
+    {"do": "layout", "text": "empty it", "change": {"domains": {"north": {"emptied": True}}}},
+    {"do": "wait", "text": "wait for it", "until": "domain_idle", "target": "north"},
+]
+FIELDS = {
+    "intent": STATED,
+    "target": "empty_domain north",
+    "steps": STEPS,
+    "obstacles": [
+        {"consequence": "less_room", "text": "words"},
+        {"consequence": None, "text": "x"},
+    ],
+    "moves": ["words-1 goes"],
+    "against": {"version": 4},
+}
+PLAN = Plan(
+    STATED,
+    [
+        ConfigurationStep("empty it", {"domains": {"north": {"emptied": True}}}),
+        WaitStep("wait for it", "domain_idle", "north"),
+    ],
+    [Obstacle("less_room", "words"), Obstacle(None, "x")],
+    ["words-1 goes"],
+    4,
+)
+COMMANDS = [
+    (ProposePlan("p", FIELDS), {"do": "plan.propose", "id": "p", "plan": FIELDS}),
+    (
+        ConfirmPlan("p", ["less_room"], "op"),
+        {"do": "plan.confirm", "plan": "p", "accept": ["less_room"], "id": "op"},
+    ),
+    (CompleteStep("p", 1), {"do": "plan.step", "plan": "p", "step": 1}),
+    (StopPlan("p"), {"do": "plan.stop", "plan": "p"}),
+]
+
+
+@pytest.mark.parametrize("command, wire_form", COMMANDS, ids=lambda value: type(value).__name__)
+def test_a_command_has_the_form_that_all_versions_know(command, wire_form):
+    packed = cbor2.dumps(wire_form)
+    assert cbor2.dumps(command.to_wire()) == packed
+    assert type(command).from_wire(cbor2.loads(packed)) == command
+
+
+def test_a_plan_stands_in_the_state_as_all_versions_know_it():
+    assert PLAN.to_state() == FIELDS
+    assert cbor2.dumps(PLAN.to_state()) == cbor2.dumps(FIELDS)
+
+
+def test_a_kept_plan_is_read_by_name_and_keeps_fields_of_another_version():
+    kept = {**FIELDS, "phase": "running", "done": 1, "confirmed_by": "op", "new": 1}
+    plan = KeptPlan.from_state(kept)
+    assert plan.intent == Intent("empty_domain", "north", None)
+    assert (plan.title, plan.base_version) == ("empty_domain north", 4)
+    assert (plan.phase, plan.done_steps, plan.confirmed_by) == ("running", 1, "op")
+    assert [plan.step(number) for number in range(plan.step_count())] == PLAN.steps
+    assert plan.unaccepted_obstacles(["less_room"]) == [{"consequence": None, "text": "x"}]
+    assert plan.fields is kept
+    assert show_plan_fields("p", kept) == {"plan": "p", **kept}
+
+
+def test_answers_and_queries_have_the_form_that_all_versions_know():
+    assert Progress("done", 2).to_wire() == {"phase": "done", "done": 2}
+    assert read_plan_query("p") == {"ask": "plan", "plan": "p"}
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -4,7 +4,7 @@
 from proving.tools.deployments import DEPLOYMENTS, configuration_of
 from quillring.kernel.errors import Conflict, NotFound
 from quillring.plans.commands import Contradiction, Impossible, StalePlan
-from quillring.plans.make import View, make_plan
+from quillring.plans.planner import FleetView, NodePlace, ReplicaLoad, make_plan
 from quillring.quorum.commands import apply_batch, first_state
 from quillring.quorum.parts import CONFIG
 
@@ -12,12 +12,12 @@
 STORES = {f"store-{i + 1}": d for i, d in enumerate(("north", "east", "south", "west"))}
 GROUPS = {"config": ["store-1", "store-2", "store-3"], "part-0": ["store-2", "store-3", "store-4"]}
 REPLICAS = [
-    {"name": f"words-{i}", "service": "words", "domain": d, "slots": 4, "busy": 1}
+    ReplicaLoad(name=f"words-{i}", service="words", zone=d, slots=4, busy=1)
     for i, d in enumerate(STORES.values())
 ]
 
 
-NODES = {f"{role}-{d}": (role, d) for role in ("edge", "core") for d in STORES.values()}
+NODES = {f"{role}-{d}": NodePlace(role, d) for role in ("edge", "core") for d in STORES.values()}
 
 
 def view(**changes):
@@ -30,7 +30,7 @@
         "nodes": NODES,
         **changes,
     }
-    return View(*(fields[name] for name in View.__slots__))
+    return FleetView(**fields)
 
 
 def started():
@@ -55,7 +55,7 @@
 
 
 def propose(name, intent, **changes):
-    return {"do": "plan.propose", "id": name, "plan": make_plan(view(**changes), intent)}
+    return {"do": "plan.propose", "id": name, "plan": make_plan(view(**changes), intent).to_state()}
 
 
 def confirm(name, by="op", accept=()):
@@ -166,8 +166,8 @@
 
 
 def test_emptying_a_zone_whose_weight_would_not_fit_says_so():
-    busy = [{**r, "busy": 4} for r in REPLICAS]
-    plan = make_plan(view(replicas=busy), EMPTY_NORTH)
+    busy = [r._replace(busy=4) for r in REPLICAS]
+    plan = make_plan(view(replicas=busy), EMPTY_NORTH).to_state()
     assert plan["obstacles"][0]["consequence"] == "less_room"
 
 
@@ -191,7 +191,7 @@
     plan = make_plan(
         view(groups={"config": [s[0] for s in node.find("ownership").group(CONFIG)]}),
         {"kind": "retire_store", "target": node.find("ownership").group(CONFIG)[0][0]},
-    )
+    ).to_state()
     ownership = node.find("ownership")
 
     def operate():
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from quillring.plans.windows import BadCalendar, read_windows
+from quillring.plans.maintenance_windows import BadCalendar, read_windows
 
 CALENDAR = b"""BEGIN:VCALENDAR\r
 VERSION:2.0\r
@@ -28,7 +28,7 @@
 def test_recurring_windows_become_intents_and_other_events_do_not():
     start = datetime.datetime(2026, 12, 1, tzinfo=datetime.UTC)
     windows = read_windows(CALENDAR, start, start + datetime.timedelta(days=2))
-    assert [(w["start"][:13], w["intent"]) for w in windows] == [
+    assert [(w.start[:13], w.intent) for w in windows] == [
         ("2026-12-01T02", {"kind": "empty_domain", "target": "north"}),
         ("2026-12-02T00", None),
         ("2026-12-02T02", {"kind": "empty_domain", "target": "north"}),
