--- a/proving/histories/bugs.py
+++ b/proving/histories/bugs.py
@@ -87,10 +87,11 @@
     return []
 
 
-def check_without_ballot(self, body):
-    """Stand-in: an acceptor takes what an owner of an older term sends."""
-    record = self.parts.get(body["part"]) or AcceptorState()
-    return record, max(tuple(body["ballot"]), record.promised)
+def check_without_ballot(self, request):
+    """Stand-in: an acceptor takes what a leader of an older term sends."""
+    state = self.parts.get(request.part) or AcceptorState()
+    state.promised = min(state.promised, request.ballot)
+    return state
 
 
 def commit_without_sync(self, records):
@@ -173,7 +174,13 @@
         "check_remaining",
         no_check,
     ),
-    Bug("terms not compared", "Acceptors.check", Acceptors, "check", check_without_ballot),
+    Bug(
+        "terms not compared",
+        "Acceptors.check_ballot",
+        Acceptors,
+        "check_ballot",
+        check_without_ballot,
+    ),
     Bug("answer before sync", "SlotStore.commit", SlotStore, "commit", commit_without_sync),
     Bug("lot accepted anew", "raw.accept: digest", COMMANDS, "raw.accept", accept_anew),
     Bug("end not kept", "raw.end", COMMANDS, "raw.end", end_nothing),
--- a/proving/model/bugs.py
+++ b/proving/model/bugs.py
@@ -18,6 +18,7 @@
 from quillring.quorum.leader import follower_read, quorum_call, state_machine
 from quillring.quorum.leader.part_leader import PartLeader
 from quillring.quorum.leader.state_fetch import StateFetcher
+from quillring.quorum.values import Ballot
 
 
 class Bug(NamedTuple):
@@ -39,7 +40,7 @@
     def change(real, self, body, origin):
         record = self.parts.get(body["part"])
         if record is not None:
-            record.promised = min(record.promised, tuple(body["ballot"]))
+            record.promised = min(record.promised, Ballot.from_wire(body["ballot"]))
         return real(self, body, origin)
 
     return all_of([around("on_accept", change)])
@@ -93,13 +94,13 @@
 
 def learn_any_ballot():
     """A store applies whatever entry it holds at an index that was committed."""
-    real = AcceptorState.learn
+    real = AcceptorState.apply_committed
 
-    def learn(self, ballot, committed):
+    def apply_committed(self, ballot, committed):
         self.entries = {i: entry._replace(ballot=ballot) for i, entry in self.entries.items()}
         real(self, ballot, committed)
 
-    return all_of([mock.patch.object(AcceptorState, "learn", learn)])
+    return all_of([mock.patch.object(AcceptorState, "apply_committed", apply_committed)])
 
 
 def change_group_at_will():
--- a/proving/points/fleet.py
+++ b/proving/points/fleet.py
@@ -8,6 +8,7 @@
 from quillring.lots.prompts import scheduler
 from quillring.nifty import Nifty
 from quillring.quorum.acceptor import Acceptors
+from quillring.quorum.acceptor.log_records import FoundRecord
 from quillring.quorum.founding.founding import found_fleet
 
 
@@ -77,7 +78,7 @@
 
 def found_anything(self, body, origin):
     """Stand-in for the guard: a later founding takes the place of the first."""
-    yield from self.keep(["found", body["founding"]])
+    yield from self.persist(FoundRecord(body["founding"]))
     return body["founding"]["fleet"]
 
 
--- a/proving/points/lots.py
+++ b/proving/points/lots.py
@@ -160,10 +160,9 @@
     yield
 
 
-def unfenced(self, body):
+def unfenced(self, request):
     """Stand-in for the guard: any ballot and any identity will do."""
-    part_record = self.parts.get(body["part"]) or acceptor.AcceptorState()
-    return part_record, tuple(body["ballot"])
+    return self.parts.get(request.part) or acceptor.AcceptorState()
 
 
 def overwrite_result(state, command):
@@ -214,7 +213,7 @@
         "an owner that wakes without its fence accepts nothing",
         two_owners,
         [
-            (acceptor.Acceptors, "check", unfenced),
+            (acceptor.Acceptors, "check_ballot", unfenced),
             (acceptor.Acceptors, "on_confirm", lambda self, body, origin: True),
             (part_leader.PartLeader, "has_lease", lambda self: self.is_leader),
             (part_leader.PartLeader, "linearizable_state", unfenced_state),
@@ -245,6 +244,6 @@
     (
         "an emptied store never votes for the old one",
         emptied_store,
-        [(acceptor.Acceptors, "check", unfenced)],
+        [(acceptor.Acceptors, "check_ballot", unfenced)],
     ),
 ]
--- /dev/null
+++ b/quillring/quorum/acceptor/log_records.py
@@ -0,0 +1,214 @@
+"""The records of a store's log: what each changes in memory, and its form on disk.
+
+On disk a record is a list: its kind, then its fields. Every record about a part names the ballot
+that it was written under, which the acceptor has promised by then.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+from quillring.quorum.snapshot_chunks import ChunkOffset
+from quillring.quorum.values import Ballot
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Sequence
+
+    from quillring.kernel.types import WireMap
+    from quillring.quorum.messages import Batch
+    from quillring.quorum.snapshot_chunks import PartState
+
+FOUND = "found"
+HINT = "hint"
+HINTS_HANDED = "handed"
+PROMISE = "promise"
+ACCEPT = "accept"
+COMMIT = "commit"
+INSTALL = "install"
+INSTALL_CHUNK = "piece"
+
+
+class FoundRecord(NamedTuple):
+    """The founding record that this store belongs to."""
+
+    founding: WireMap
+
+    @classmethod
+    def from_disk(cls, fields: Sequence[Any]) -> FoundRecord:
+        """Read the record."""
+        _, founding = fields
+        return cls(founding)
+
+    def to_disk(self) -> list[Any]:
+        """Return the record as it stands on disk."""
+        return [FOUND, self.founding]
+
+
+class HintRecord(NamedTuple):
+    """An accept request, as it came over the wire, that is kept for a missing acceptor."""
+
+    target: str
+    request: WireMap
+
+    @classmethod
+    def from_disk(cls, fields: Sequence[Any]) -> HintRecord:
+        """Read the record."""
+        _, target, request = fields
+        return cls(target, request)
+
+    def to_disk(self) -> list[Any]:
+        """Return the record as it stands on disk."""
+        return [HINT, self.target, self.request]
+
+
+class HintsHandedRecord(NamedTuple):
+    """The oldest `count` hints for an acceptor were handed over or are needed no more."""
+
+    target: str
+    count: int
+
+    @classmethod
+    def from_disk(cls, fields: Sequence[Any]) -> HintsHandedRecord:
+        """Read the record."""
+        _, target, count = fields
+        return cls(target, count)
+
+    def to_disk(self) -> list[Any]:
+        """Return the record as it stands on disk."""
+        return [HINTS_HANDED, self.target, self.count]
+
+
+class PromiseRecord(NamedTuple):
+    """A ballot that was promised."""
+
+    part: str
+    ballot: Ballot
+
+    @classmethod
+    def from_disk(cls, fields: Sequence[Any]) -> PromiseRecord:
+        """Read the record; one of an unknown kind counts as the promise of its ballot."""
+        _, part, ballot, *_ = fields
+        return cls(part, Ballot.from_wire(ballot))
+
+    def to_disk(self) -> list[Any]:
+        """Return the record as it stands on disk."""
+        return [PROMISE, self.part, self.ballot.to_wire()]
+
+
+class AcceptRecord(NamedTuple):
+    """An entry that was accepted."""
+
+    part: str
+    ballot: Ballot
+    index: int
+    batch: Batch
+
+    @classmethod
+    def from_disk(cls, fields: Sequence[Any]) -> AcceptRecord:
+        """Read the record."""
+        _, part, ballot, index, batch = fields
+        return cls(part, Ballot.from_wire(ballot), index, batch)
+
+    def to_disk(self) -> list[Any]:
+        """Return the record as it stands on disk."""
+        return [ACCEPT, self.part, self.ballot.to_wire(), self.index, self.batch]
+
+
+class CommitRecord(NamedTuple):
+    """The entries up to `committed` that were accepted under the ballot are chosen."""
+
+    part: str
+    ballot: Ballot
+    committed: int
+
+    @classmethod
+    def from_disk(cls, fields: Sequence[Any]) -> CommitRecord:
+        """Read the record."""
+        _, part, ballot, committed = fields
+        return cls(part, Ballot.from_wire(ballot), committed)
+
+    def to_disk(self) -> list[Any]:
+        """Return the record as it stands on disk."""
+        return [COMMIT, self.part, self.ballot.to_wire(), self.committed]
+
+
+class InstallRecord(NamedTuple):
+    """The whole state after the entry `index`, in place of missed entries."""
+
+    part: str
+    ballot: Ballot
+    index: int
+    state: PartState
+
+    @classmethod
+    def from_disk(cls, fields: Sequence[Any]) -> InstallRecord:
+        """Read the record."""
+        _, part, ballot, index, state = fields
+        return cls(part, Ballot.from_wire(ballot), index, state)
+
+    def to_disk(self) -> list[Any]:
+        """Return the record as it stands on disk."""
+        return [INSTALL, self.part, self.ballot.to_wire(), self.index, self.state]
+
+
+class InstallChunkRecord(NamedTuple):
+    """A chunk of the state after the entry `index`, from `offset` up to `next_offset`.
+
+    `next_offset` is None in the last one, which puts the state in place.
+    """
+
+    part: str
+    ballot: Ballot
+    index: int
+    offset: ChunkOffset
+    data: bytes
+    next_offset: ChunkOffset | None
+
+    @classmethod
+    def from_disk(cls, fields: Sequence[Any]) -> InstallChunkRecord:
+        """Read the record."""
+        _, part, ballot, index, offset, data, next_offset = fields
+        return cls(
+            part,
+            Ballot.from_wire(ballot),
+            index,
+            ChunkOffset.from_wire(offset),
+            data,
+            None if next_offset is None else ChunkOffset.from_wire(next_offset),
+        )
+
+    def to_disk(self) -> list[Any]:
+        """Return the record as it stands on disk."""
+        return [
+            INSTALL_CHUNK,
+            self.part,
+            self.ballot.to_wire(),
+            self.index,
+            self.offset.to_wire(),
+            self.data,
+            None if self.next_offset is None else self.next_offset.to_wire(),
+        ]
+
+
+PartRecord = PromiseRecord | AcceptRecord | CommitRecord | InstallRecord | InstallChunkRecord
+"""A record about one part."""
+
+LogRecord = FoundRecord | HintRecord | HintsHandedRecord | PartRecord
+"""Any record of a store's log."""
+
+_READERS: dict[str, Callable[[Sequence[Any]], LogRecord]] = {
+    FOUND: FoundRecord.from_disk,
+    HINT: HintRecord.from_disk,
+    HINTS_HANDED: HintsHandedRecord.from_disk,
+    PROMISE: PromiseRecord.from_disk,
+    ACCEPT: AcceptRecord.from_disk,
+    COMMIT: CommitRecord.from_disk,
+    INSTALL: InstallRecord.from_disk,
+    INSTALL_CHUNK: InstallChunkRecord.from_disk,
+}
+
+
+def read_log_record(fields: Sequence[Any]) -> LogRecord:
+    """Return the typed record of what a log holds."""
+    kind, *_ = fields
+    return _READERS.get(kind, PromiseRecord.from_disk)(fields)
--- a/quillring/quorum/acceptor/retirement_gate.py
+++ b/quillring/quorum/acceptor/retirement_gate.py
@@ -11,6 +11,7 @@
     from typing import Any
 
     from quillring.kernel.node import Node
+    from quillring.kernel.types import WireMap
     from quillring.quorum.acceptor.acceptor import Acceptors
 
 
@@ -31,11 +32,11 @@
             raise Conflict(store=self.node.me.name, reason="retired or without news of it")
         return True
 
-    def on_leaving(self, body: Any, origin: str) -> dict:
+    def on_leaving(self, body: Any, origin: str) -> WireMap:
         """Tell whether this store knows of its retirement and which hints it still has to give."""
         reaches = self.node.find("nifty").reaches
         hints = sorted(name for name in self.acceptors.hints if reaches(name))
         return {"retired": self._is_retired(), "hints": hints}
 
-    def _is_retired(self):
+    def _is_retired(self) -> bool:
         return is_retirement_ordered(self.node, self.node.me.name)
--- a/quillring/quorum/acceptor/snapshot_rows.py
+++ b/quillring/quorum/acceptor/snapshot_rows.py
@@ -1,59 +1,168 @@
-"""The state of a store's acceptors as rows of a slot, each of bounded size, and back."""
+"""The state of a store's acceptors as rows of a snapshot, each of bounded size, and back.
+
+On disk a row is a list: its kind, a name, then its fields.
+"""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Any, NamedTuple
 
+from quillring.quorum.acceptor.snapshot_transfer import IncomingSnapshot
 from quillring.quorum.acceptor.state import AcceptorState
-from quillring.quorum.snapshot_chunks import put_row, state_rows
+from quillring.quorum.snapshot_chunks import (
+    ChunkOffset,
+    PartialState,
+    StateBuilder,
+    put_row,
+    state_rows,
+)
+from quillring.quorum.values import Ballot
 
 if TYPE_CHECKING:
-    from collections.abc import Iterable
+    from collections.abc import Iterable, Sequence
 
+    from quillring.kernel.types import WireMap
     from quillring.quorum.acceptor.acceptor import Acceptors
 
+STORE = "store"
+HINT = "hint"
+PART = "part"
+PART_STATE = "state"
+INCOMING = "arriving"
+INCOMING_STATE = "arrived"
+
+
+class StoreRow(NamedTuple):
+    """The store itself: its identity and the founding record that it belongs to."""
+
+    identity: str
+    founding: WireMap | None
+
+    def to_disk(self) -> list[Any]:
+        """Return the row as it stands on disk."""
+        return [STORE, self.identity, self.founding]
+
+
+class HintRow(NamedTuple):
+    """An accept request that is kept for a missing acceptor."""
+
+    target: str
+    request: WireMap
+
+    def to_disk(self) -> list[Any]:
+        """Return the row as it stands on disk."""
+        return [HINT, self.target, self.request]
+
+
+class PartRow(NamedTuple):
+    """What the acceptor holds of a part, but for the state, whose rows follow."""
+
+    part: str
+    acceptor: AcceptorState
+
+    def to_disk(self) -> list[Any]:
+        """Return the row as it stands on disk."""
+        promise = self.acceptor.to_promise()._replace(state=None)
+        return [PART, self.part, promise.to_wire()]
+
 
-def to_rows(acceptors: Acceptors) -> list[list]:
+class IncomingRow(NamedTuple):
+    """How far a part's state has come from its leader, but for its sections, whose rows follow."""
+
+    part: str
+    ballot: Ballot
+    index: int
+    rest: bytes
+    offset: ChunkOffset
+
+    @classmethod
+    def from_disk(cls, part: str, fields: Sequence[Any]) -> IncomingRow:
+        """Read the fields of the row."""
+        ballot, index, (_, rest, offset) = fields
+        return cls(part, Ballot.from_wire(ballot), index, rest, ChunkOffset.from_wire(offset))
+
+    def to_disk(self) -> list[Any]:
+        """Return the row as it stands on disk."""
+        partial = [{}, self.rest, self.offset.to_wire()]
+        return [INCOMING, self.part, [self.ballot.to_wire(), self.index, partial]]
+
+
+def to_rows(acceptors: Acceptors) -> list[list[Any]]:
     """Return all state as immutable rows; what changes later does not change them."""
-    rows = [["store", acceptors.identity, acceptors.founding]]
-    for name, records in acceptors.hints.items():
-        rows.extend(["hint", name, record] for record in records)
-    for name, record in acceptors.parts.items():
-        promised, applied, state, tail, committed = record.to_list()
-        rows.append(["part", name, [promised, applied, None, tail, committed]])
-        rows.extend(["state", name, *fields] for fields in state_rows(state or {}))
-    for name, fields in acceptors.transfers.to_map().items():
-        ballot, index, (sections, rest, place) = fields
-        rows.append(["arriving", name, [ballot, index, [{}, rest, place]]])
-        rows.extend(["arrived", name, *fields] for fields in state_rows(sections))
+    rows = [StoreRow(acceptors.identity, acceptors.founding).to_disk()]
+    for target, requests in acceptors.hints.items():
+        rows.extend(HintRow(target, request).to_disk() for request in requests)
+    for part, acceptor in acceptors.parts.items():
+        rows.append(PartRow(part, acceptor).to_disk())
+        rows.extend([PART_STATE, part, *fields] for fields in state_rows(acceptor.state or {}))
+    for part, incoming in acceptors.snapshot_transfer.incoming.items():
+        partial = incoming.builder.to_partial()
+        row = IncomingRow(part, incoming.ballot, incoming.index, partial.rest, partial.offset)
+        rows.append(row.to_disk())
+        rows.extend([INCOMING_STATE, part, *fields] for fields in state_rows(partial.sections))
     return rows
 
 
-def load_rows(acceptors: Acceptors, rows: Iterable[list]) -> None:
-    """Take the state of a slot."""
-    parts, hints, arriving = {}, {}, {}
+def load_rows(acceptors: Acceptors, rows: Iterable[list[Any]]) -> None:
+    """Take the state of a snapshot."""
+    loader = _RowLoader()
     for kind, name, *fields in rows:
-        if kind == "store":
-            acceptors.identity, acceptors.founding = name, fields[0]
-        elif kind == "hint":
-            hints.setdefault(name, []).append(fields[0])
-        elif kind == "part":
-            parts[name] = AcceptorState.from_list(fields[0])
-        elif kind == "state":
-            parts[name].state = parts[name].state or {}
-            put_row(parts[name].state, fields)
-        elif kind == "arriving":
-            arriving[name] = fields[0]
-        elif kind == "arrived":
-            put_row(arriving[name][2][0], fields)
-    acceptors.parts, acceptors.hints = parts, hints
-    acceptors.transfers.load(arriving)
-
-
-def load_whole(acceptors: Acceptors, snapshot: dict) -> None:
-    """Take the state of a slot of the version before, which is one value."""
+        loader.take(kind, name, fields)
+    acceptors.identity, acceptors.founding = loader.store
+    acceptors.parts, acceptors.hints = loader.parts, loader.hints
+    acceptors.snapshot_transfer.incoming = loader.incoming_snapshots()
+
+
+class _RowLoader:
+    """Puts together what the rows of a snapshot hold."""
+
+    __slots__ = ("store", "parts", "hints", "incoming", "sections")
+
+    def __init__(self) -> None:
+        self.store = StoreRow("", None)
+        self.parts: dict[str, AcceptorState] = {}
+        self.hints: dict[str, list[WireMap]] = {}
+        self.incoming: dict[str, IncomingRow] = {}
+        self.sections: dict[str, dict[str, Any]] = {}
+
+    def take(self, kind: str, name: str, fields: Sequence[Any]) -> None:
+        """Take a row; one of an unknown kind changes nothing."""
+        if kind == STORE:
+            (founding,) = fields
+            self.store = StoreRow(name, founding)
+        elif kind == HINT:
+            (request,) = fields
+            self.hints.setdefault(name, []).append(request)
+        elif kind == PART:
+            (promise,) = fields
+            self.parts[name] = AcceptorState.from_disk(promise)
+        elif kind == PART_STATE:
+            acceptor = self.parts[name]
+            acceptor.state = acceptor.state or {}
+            put_row(acceptor.state, fields)
+        elif kind == INCOMING:
+            (incoming,) = fields
+            self.incoming[name] = IncomingRow.from_disk(name, incoming)
+            self.sections[name] = {}
+        elif kind == INCOMING_STATE:
+            put_row(self.sections[name], fields)
+
+    def incoming_snapshots(self) -> dict[str, IncomingSnapshot]:
+        """Return the states that were coming from leaders."""
+        return {
+            part: IncomingSnapshot(
+                row.ballot,
+                row.index,
+                StateBuilder.from_partial(PartialState(self.sections[part], row.rest, row.offset)),
+            )
+            for part, row in self.incoming.items()
+        }
+
+
+def load_single_value(acceptors: Acceptors, snapshot: WireMap) -> None:
+    """Take the state of a snapshot of the first form, which is one value."""
     acceptors.identity, acceptors.founding = snapshot["identity"], snapshot["founding"]
     acceptors.parts = {
-        n: AcceptorState.from_list(fields) for n, fields in snapshot["parts"].items()
+        part: AcceptorState.from_disk(fields) for part, fields in snapshot["parts"].items()
     }
     acceptors.hints = snapshot["hints"]
--- a/quillring/quorum/acceptor/snapshot_transfer.py
+++ b/quillring/quorum/acceptor/snapshot_transfer.py
@@ -1,28 +1,31 @@
-"""The store's side of moving a part's state and entries in bounded pieces."""
+"""The acceptor's side of moving a part's state and entries in bounded chunks."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Any
 
 from quillring.kernel.errors import Conflict, NotFounded
-from quillring.quorum.snapshot_chunks import (
-    CHUNK_BYTES,
-    SNAPSHOT_START,
-    ChunkOffset,
-    StateBuilder,
-    cut_chunk,
+from quillring.quorum.acceptor.log_records import InstallChunkRecord
+from quillring.quorum.messages import (
+    AcceptedEntryReply,
+    AcceptedEntryRequest,
+    EntriesRequest,
+    InstallChunkRequest,
+    StateChunkRequest,
 )
+from quillring.quorum.snapshot_chunks import CHUNK_BYTES, SNAPSHOT_START, StateBuilder, cut_chunk
 
 if TYPE_CHECKING:
     from quillring.kernel.node import Node
-    from quillring.kernel.types import Coroutine
+    from quillring.kernel.types import Coroutine, WireMap
     from quillring.quorum.acceptor.acceptor import Acceptors
     from quillring.quorum.acceptor.state import AcceptorState
+    from quillring.quorum.snapshot_chunks import PartState
     from quillring.quorum.values import Ballot
 
 
 class IncomingSnapshot:
-    """A state that an owner sends piece by piece; `index` is what it will have applied."""
+    """A state that a leader sends chunk by chunk; `index` is what it will have applied."""
 
     __slots__ = ("ballot", "index", "builder")
 
@@ -33,109 +36,103 @@
 
 
 class SnapshotTransfer:
-    """Gives out pieces of applied states, and puts together those that owners install."""
+    """Gives out chunks of applied states, and puts together those that leaders install."""
 
-    __slots__ = ("acceptors", "arriving")
+    __slots__ = ("acceptors", "incoming")
 
     def __init__(self, acceptors: Acceptors) -> None:
         self.acceptors = acceptors
-        self.arriving = {}
+        self.incoming: dict[str, IncomingSnapshot] = {}
 
     def attach(self, node: Node) -> None:
-        """Answer the calls of owners."""
+        """Answer the calls of leaders."""
         node.handle("quorum.piece", self.on_piece)
         node.handle("quorum.entries", self.on_entries)
         node.handle("quorum.accepted", self.on_accepted)
         node.handle("quorum.install_piece", self.on_install_piece)
 
-    def to_map(self) -> dict[str, list]:
-        """Return what has come so far of each part, for a slot."""
-        return {
-            part: [list(a.ballot), a.index, a.builder.to_list()]
-            for part, a in self.arriving.items()
-        }
-
-    def load(self, arriving: dict[str, list]) -> None:
-        """Take what a slot holds."""
-        self.arriving = {
-            part: IncomingSnapshot(tuple(ballot), index, StateBuilder.from_list(fields))
-            for part, (ballot, index, fields) in arriving.items()
-        }
-
-    def take(
-        self,
-        part: str,
-        ballot: Ballot,
-        index: int,
-        place: list,
-        data: bytes,
-        following: list | None,
-    ) -> dict | None:
-        """Take a piece; return the whole state behind the last one, else None.
-
-        A piece that does not begin where the one before ended changes nothing.
+    def take_chunk(self, record: InstallChunkRecord) -> PartState | None:
+        """Take a chunk; return the whole state behind the last one, else None.
+
+        A chunk that does not begin where the one before ended changes nothing.
         """
-        place = ChunkOffset(*place)
-        if place == SNAPSHOT_START:
-            self.arriving[part] = IncomingSnapshot(ballot, index, StateBuilder())
-        arriving = self._expected(part, ballot, index)
-        if arriving is None or arriving.builder.place != place:
+        if record.offset == SNAPSHOT_START:
+            self.incoming[record.part] = IncomingSnapshot(
+                record.ballot, record.index, StateBuilder()
+            )
+        builder = self._builder_of(record.part, record.ballot, record.index)
+        if builder is None or builder.offset != record.offset:
             return None
-        arriving.builder.add(data, following)
-        if following is not None:
+        builder.add(record.data, record.next_offset)
+        if record.next_offset is not None:
             return None
-        return self.arriving.pop(part).builder.whole()
+        del self.incoming[record.part]
+        return builder.whole()
 
-    def forget(self, part: str, record: AcceptorState) -> None:
+    def drop_outdated(self, part: str, acceptor: AcceptorState) -> None:
         """Drop what a newer ballot, or what was applied meanwhile, made useless."""
-        arriving = self.arriving.get(part)
-        if arriving is not None and (
-            arriving.ballot < record.promised or arriving.index <= record.applied
+        incoming = self.incoming.get(part)
+        if incoming is not None and (
+            incoming.ballot < acceptor.promised or incoming.index <= acceptor.applied
         ):
-            del self.arriving[part]
-
-    def _expected(self, part: str, ballot: Ballot, index: int):
-        arriving = self.arriving.get(part)
-        is_same = arriving is not None and (arriving.ballot, arriving.index) == (ballot, index)
-        return arriving if is_same else None
-
-    def on_piece(self, body: dict, origin: str) -> list:
-        """Give a piece of the state applied at an index, as [data, place behind it or None]."""
-        record = self._record(body["part"])
-        if record.applied != body["index"]:
-            raise Conflict(part=body["part"], applied=record.applied)
-        data, following = cut_chunk(record.state, ChunkOffset(*body["place"]))
-        return [data, None if following is None else list(following)]
-
-    def on_entries(self, body: dict, origin: str) -> list | None:
-        """Give applied entries after an index, as many as a piece may hold; None if gone."""
-        return self._record(body["part"]).log_cache.since(body["after"], CHUNK_BYTES)
-
-    def on_accepted(self, body: dict, origin: str) -> list:
-        """Give the entry accepted at an index, as [ballot, batch]."""
-        record = self.acceptors.parts.get(body["part"])
-        if record is None or body["index"] not in record.entries:
-            raise NotFounded(part=body["part"], store=self.acceptors.node.me.name)
-        entry = record.entries[body["index"]]
-        return [list(entry.ballot), entry.batch]
-
-    def _record(self, part: str):
-        record = self.acceptors.parts.get(part)
-        if record is None or record.state is None:
+            del self.incoming[part]
+
+    def _builder_of(self, part: str, ballot: Ballot, index: int) -> StateBuilder | None:
+        """Return what was put together of this state under this ballot so far, or None."""
+        incoming = self.incoming.get(part)
+        if incoming is None or incoming.ballot != ballot or incoming.index != index:
+            return None
+        return incoming.builder
+
+    def on_piece(self, body: WireMap, origin: str) -> list[Any]:
+        """Give a chunk of the state applied at an index; Conflict when another one is."""
+        request = StateChunkRequest.from_wire(body)
+        acceptor, state = self._founded(request.part)
+        if acceptor.applied != request.index:
+            raise Conflict(part=request.part, applied=acceptor.applied)
+        return cut_chunk(state, request.offset).to_wire()
+
+    def on_entries(self, body: WireMap, origin: str) -> list[Any] | None:
+        """Give applied entries after an index, as many as a chunk may hold; None if gone."""
+        request = EntriesRequest.from_wire(body)
+        acceptor, _ = self._founded(request.part)
+        return acceptor.log_cache.since(request.after, CHUNK_BYTES)
+
+    def on_accepted(self, body: WireMap, origin: str) -> list[Any]:
+        """Give the entry accepted at an index, with its ballot."""
+        request = AcceptedEntryRequest.from_wire(body)
+        acceptor = self.acceptors.parts.get(request.part)
+        if acceptor is None or request.index not in acceptor.entries:
+            raise NotFounded(part=request.part, store=self.acceptors.node.me.name)
+        entry = acceptor.entries[request.index]
+        return AcceptedEntryReply(entry.ballot, entry.batch).to_wire()
+
+    def _founded(self, part: str) -> tuple[AcceptorState, PartState]:
+        """Return what is held of a part and its state; NotFounded when there is none."""
+        acceptor = self.acceptors.parts.get(part)
+        if acceptor is None or acceptor.state is None:
             raise NotFounded(part=part, store=self.acceptors.node.me.name)
-        return record
+        return acceptor, acceptor.state
 
-    def on_install_piece(self, body: dict, origin: str) -> Coroutine:
-        """Coroutine: keep a piece of an owner's state, durably; the last one puts it in place.
+    def on_install_piece(self, body: WireMap, origin: str) -> Coroutine:
+        """Keep a chunk of a leader's state, durably; the last one puts the state in place.
 
-        A piece that is not the next one is answered with a conflict that names the place wanted.
+        A chunk that is not the next one is answered with a conflict that names the offset wanted.
         """
-        _, ballot = self.acceptors.check(body)
-        part, index, place = body["part"], body["index"], ChunkOffset(*body["place"])
-        arriving = self._expected(part, ballot, index)
-        wanted_place = SNAPSHOT_START if arriving is None else arriving.builder.place
-        if place not in (wanted_place, SNAPSHOT_START):
-            raise Conflict(part=part, place=list(wanted_place))
-        fields = [index, list(place), body["data"], body["following"]]
-        yield from self.acceptors.keep(["piece", part, list(ballot), *fields])
-        return self.acceptors.tell(part)
+        request = InstallChunkRequest.from_wire(body)
+        self.acceptors.check_ballot(request)
+        builder = self._builder_of(request.part, request.ballot, request.index)
+        wanted_offset = SNAPSHOT_START if builder is None else builder.offset
+        if request.offset not in (wanted_offset, SNAPSHOT_START):
+            raise Conflict(part=request.part, place=wanted_offset.to_wire())
+        yield from self.acceptors.persist(
+            InstallChunkRecord(
+                request.part,
+                request.ballot,
+                request.index,
+                request.offset,
+                request.data,
+                request.next_offset,
+            )
+        )
+        return self.acceptors.notify_listeners(request.part)
--- a/quillring/quorum/acceptor/state.py
+++ b/quillring/quorum/acceptor/state.py
@@ -1,4 +1,4 @@
-"""What one acceptor holds of a part."""
+"""What one acceptor holds of a part: its promise, the accepted entries and the applied state."""
 
 from __future__ import annotations
 
@@ -7,79 +7,91 @@
 
 from quillring.quorum.commands import answer_query, apply_batch
 from quillring.quorum.log_cache import LogCache
-from quillring.quorum.messages import AcceptedProposal, Promise
+from quillring.quorum.messages import AcceptedProposal, Promise, QueryAnswer, UncommittedAnswer
+from quillring.quorum.values import NO_BALLOT, GroupMember
 
 if TYPE_CHECKING:
+    from collections.abc import Sequence
+    from typing import Any
+
+    from quillring.kernel.types import WireMap
+    from quillring.quorum.messages import Batch
+    from quillring.quorum.snapshot_chunks import PartState
     from quillring.quorum.values import Ballot
 
-RECENT_WEIGHT = 2 << 20
+LOG_CACHE_BYTES = 2 << 20
 
 
 class AcceptedEntry(NamedTuple):
     """A log entry that was accepted under a ballot and is not applied yet."""
 
-    ballot: tuple
-    batch: list
+    ballot: Ballot
+    batch: Batch
 
 
 class AcceptorState:
-    """What one acceptor holds of a part."""
+    """What one acceptor holds of a part.
+
+    `promised` is the highest ballot promised, `applied` the index of the last entry applied to
+    `state`, `entries` those accepted beyond it, `committed` the highest index known to be chosen.
+    """
 
     __slots__ = ("promised", "applied", "state", "entries", "committed", "log_cache")
 
     def __init__(
         self,
-        promised: Ballot = (0, ""),
+        promised: Ballot = NO_BALLOT,
         applied: int = 0,
-        state: dict | None = None,
+        state: PartState | None = None,
         entries: dict[int, AcceptedEntry] | None = None,
         committed: int = 0,
     ) -> None:
-        self.promised = tuple(promised)
+        self.promised = promised
         self.applied = applied
         self.state = state
         self.entries = entries or {}
         self.committed = committed
-        self.log_cache = LogCache(RECENT_WEIGHT)
-
-    def to_list(self) -> list:
-        """Return the record for a slot."""
-        return self.to_promise().to_list()
+        self.log_cache = LogCache(LOG_CACHE_BYTES)
 
     def to_promise(self) -> Promise:
         """Return what this store tells with a promise."""
-        tail = tuple(
-            AcceptedProposal(index, *entry) for index, entry in sorted(self.entries.items())
+        accepted = tuple(
+            AcceptedProposal(index, entry.ballot, entry.batch)
+            for index, entry in sorted(self.entries.items())
         )
-        return Promise(self.promised, self.applied, self.state, tail, self.committed)
+        return Promise(self.promised, self.applied, self.state, accepted, self.committed)
+
+    @classmethod
+    def from_promise(cls, promise: Promise) -> AcceptorState:
+        """Return the state that a snapshot holds in the form of a promise."""
+        entries = {
+            proposal.index: AcceptedEntry(proposal.ballot, proposal.batch or [])
+            for proposal in promise.accepted
+        }
+        return cls(promise.promised, promise.applied, promise.state, entries, promise.committed)
 
     @classmethod
-    def from_list(cls, fields: list) -> AcceptorState:
-        """Read a record from a slot."""
-        promised, applied, state, tail, committed = Promise.from_list(fields)
-        entries = {row.index: AcceptedEntry(row.ballot, row.batch) for row in tail}
-        return cls(promised, applied, state, entries, committed)
-
-    def replay(self, verb: str, ballot: Ballot, fields: list) -> None:
-        """Take the log record of a part; every one promises its ballot."""
+    def from_disk(cls, fields: Sequence[Any]) -> AcceptorState:
+        """Read the state from a snapshot."""
+        return cls.from_promise(Promise.from_wire(fields))
+
+    def promise(self, ballot: Ballot) -> None:
+        """Promise a ballot, unless a higher one was promised."""
         self.promised = max(self.promised, ballot)
-        if verb == "accept":
-            self._accept(ballot, *fields)
-        if verb == "commit":
-            self.learn(ballot, *fields)
-        if verb == "install":
-            self.install(*fields)
-
-    def _accept(self, ballot: Ballot, index: int, batch: list[dict]):
+
+    def accept(self, ballot: Ballot, index: int, batch: Batch) -> None:
+        """Hold an entry until it is committed, unless the entry of that index is applied."""
         if index > self.applied:
             self.entries[index] = AcceptedEntry(ballot, batch)
 
     def has_member(self, identity: str) -> bool:
         """Tell whether the applied state names the store of this identity as a member."""
-        return self.state is not None and any(s[1] == identity for s in self.state["group"])
+        if self.state is None:
+            return False
+        return any(GroupMember.from_wire(m).identity == identity for m in self.state["group"])
 
-    def learn(self, ballot: Ballot, committed: int) -> None:
-        """Apply what the ballot's owner says is committed; stop at a gap."""
+    def apply_committed(self, ballot: Ballot, committed: int) -> None:
+        """Apply what the ballot's leader says is committed; stop at a gap."""
         while self.applied < committed:
             entry = self.entries.get(self.applied + 1)
             if entry is None or entry.ballot != ballot or self.state is None:
@@ -90,7 +102,7 @@
             del self.entries[self.applied]
         self.committed = max(self.committed, self.applied)
 
-    def install(self, index: int, state: dict) -> None:
+    def install(self, index: int, state: PartState) -> None:
         """Take a whole state in place of missed entries, unless what is here is as new."""
         if index <= self.applied:
             return
@@ -99,7 +111,7 @@
         self.entries = {i: entry for i, entry in self.entries.items() if i > index}
         self.log_cache.clear()
 
-    def lots_beyond(self) -> list[list]:
+    def uncommitted_lots(self) -> list[list[Any]]:
         """Return [[index, lot or None], ...] of the commands accepted and not applied here."""
         return [
             [index, command.get("lot")]
@@ -108,17 +120,22 @@
             for command in entry.batch
         ]
 
-    def answers_beyond(self, query: dict) -> list[list]:
-        """Return [[index, ballot, kind, answer], ...] after each accepted entry in turn.
+    def uncommitted_answers(self, query: WireMap) -> tuple[UncommittedAnswer, ...]:
+        """Return what a query comes to after each accepted entry in turn.
 
         It ends before a gap, and before a change of the group, which decides what comes after.
         """
-        rows, state = [], self.state
+        answers: list[UncommittedAnswer] = []
+        if self.state is None:
+            return ()
+        state = self.state
         for index in count(self.applied + 1):
-            if index not in self.entries:
-                return rows
-            ballot, batch = self.entries[index]
-            state, _ = apply_batch(state, batch)
+            entry = self.entries.get(index)
+            if entry is None:
+                break
+            state, _ = apply_batch(state, entry.batch)
             if state["group"] != self.state["group"]:
-                return rows
-            rows.append([index, list(ballot), *answer_query(state, query)])
+                break
+            answer = QueryAnswer(*answer_query(state, query))
+            answers.append(UncommittedAnswer(index, entry.ballot, answer))
+        return tuple(answers)
--- a/quillring/quorum/leader/part_leader.py
+++ b/quillring/quorum/leader/part_leader.py
@@ -158,7 +158,7 @@
     def _prepare(self) -> Coroutine:
         """Ask the group to promise the ballot; return {member name: Promise} of a majority."""
         replies = yield from self._call_majority("prepare", brief=BRIEF_WITHOUT_BATCHES)
-        return {name: Promise.from_list(fields) for name, fields in replies.items()}
+        return {name: Promise.from_wire(fields) for name, fields in replies.items()}
 
     def _commit_uncommitted(self, promises: dict[str, Promise]) -> Coroutine:
         """Propose again every entry that may have been chosen; False after a group change."""
--- a/quillring/quorum/leader/uncommitted.py
+++ b/quillring/quorum/leader/uncommitted.py
@@ -30,7 +30,7 @@
     """Return {index: the entry of the highest ballot} of the accepted ones after an index."""
     best: dict[int, UncommittedEntry] = {}
     for store, promise in promises.items():
-        for index, ballot, batch in promise.tail:
+        for index, ballot, batch in promise.accepted:
             entry, known = UncommittedEntry(ballot, batch, [store]), best.get(index)
             if index <= after or (known is not None and known.ballot > entry.ballot):
                 continue
@@ -42,7 +42,7 @@
 
 def highest_ballot_beyond(promises: dict[str, Promise], index: int) -> tuple[int, str] | None:
     """Return the highest ballot of the entries accepted beyond an index, or None."""
-    rows = [row for promise in promises.values() for row in promise.tail]
+    rows = [row for promise in promises.values() for row in promise.accepted]
     ballots: list[tuple[int, str]] = [row.ballot for row in rows if row.index > index]
     return max(ballots, default=None)
 
--- a/quillring/quorum/messages.py
+++ b/quillring/quorum/messages.py
@@ -1,49 +1,517 @@
-"""What a store tells a new owner with its promise, as the owner reads it."""
+"""The messages between a part's leader, its acceptors and its readers.
+
+Each is decoded by `from_wire` and encoded by `to_wire`, here and nowhere else. What a leader asks
+of an acceptor names the part, the ballot and the identity of the store that is meant; acceptors
+refuse a lower ballot than they promised, and a call for a former self.
+"""
 
 from __future__ import annotations
 
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple, Protocol
+
+from quillring.quorum.snapshot_chunks import ChunkOffset, PartState
+from quillring.quorum.values import Ballot
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from quillring.kernel.types import WireMap
+
+Batch = list[dict[str, Any]]
+"""The commands of one entry of the log."""
+
+WireEntry = list[Any]
+"""An entry of the log on the wire: [index, batch]."""
 
 BRIEF_WITHOUT_BATCHES = "index"
 """Asks for a brief promise whose accepted entries are named without their batches."""
 
 
+class LeaderRequest(Protocol):
+    """What every request of a leader to an acceptor names."""
+
+    @property
+    def part(self) -> str:
+        """The part that is led."""
+
+    @property
+    def ballot(self) -> Ballot:
+        """The leader's ballot."""
+
+    @property
+    def identity(self) -> str:
+        """The identity of the store that is meant."""
+
+
+def _header_to_wire(request: LeaderRequest) -> WireMap:
+    return {
+        "part": request.part,
+        "ballot": request.ballot.to_wire(),
+        "identity": request.identity,
+    }
+
+
+class PrepareRequest(NamedTuple):
+    """Phase 1a of Paxos, `quorum.prepare`: promise this ballot.
+
+    `brief` asks for a promise without the state: True with the batches of accepted entries,
+    BRIEF_WITHOUT_BATCHES without them; None asks for all.
+    """
+
+    part: str
+    ballot: Ballot
+    identity: str
+    brief: bool | str | None = None
+
+    @classmethod
+    def from_wire(cls, body: WireMap) -> PrepareRequest:
+        """Read the request; leaders of former versions name no `brief`."""
+        return cls(
+            body["part"], Ballot.from_wire(body["ballot"]), body["identity"], body.get("brief")
+        )
+
+    def to_wire(self) -> WireMap:
+        """Return the request as it stands on the wire."""
+        body = _header_to_wire(self)
+        if self.brief is not None:
+            body["brief"] = self.brief
+        return body
+
+
+class AcceptRequest(NamedTuple):
+    """Phase 2a of Paxos, `quorum.accept`: accept an entry; `committed` is known to be chosen."""
+
+    part: str
+    ballot: Ballot
+    identity: str
+    index: int
+    batch: Batch
+    committed: int
+
+    @classmethod
+    def from_wire(cls, body: WireMap) -> AcceptRequest:
+        """Read the request."""
+        return cls(
+            body["part"],
+            Ballot.from_wire(body["ballot"]),
+            body["identity"],
+            body["index"],
+            body["batch"],
+            body["committed"],
+        )
+
+    def to_wire(self) -> WireMap:
+        """Return the request as it stands on the wire."""
+        body = _header_to_wire(self)
+        body["index"] = self.index
+        body["batch"] = self.batch
+        body["committed"] = self.committed
+        return body
+
+
+class CommitRequest(NamedTuple):
+    """`quorum.commit`: all entries up to `committed` are chosen."""
+
+    part: str
+    ballot: Ballot
+    identity: str
+    committed: int
+
+    @classmethod
+    def from_wire(cls, body: WireMap) -> CommitRequest:
+        """Read the request."""
+        return cls(
+            body["part"], Ballot.from_wire(body["ballot"]), body["identity"], body["committed"]
+        )
+
+    def to_wire(self) -> WireMap:
+        """Return the request as it stands on the wire."""
+        body = _header_to_wire(self)
+        body["committed"] = self.committed
+        return body
+
+
+class CatchUpRequest(NamedTuple):
+    """`quorum.catch_up`: chosen entries that the store missed, as [[index, batch], ...]."""
+
+    part: str
+    ballot: Ballot
+    identity: str
+    entries: Sequence[WireEntry]
+    committed: int
+
+    @classmethod
+    def from_wire(cls, body: WireMap) -> CatchUpRequest:
+        """Read the request."""
+        return cls(
+            body["part"],
+            Ballot.from_wire(body["ballot"]),
+            body["identity"],
+            body["entries"],
+            body["committed"],
+        )
+
+    def to_wire(self) -> WireMap:
+        """Return the request as it stands on the wire."""
+        body = _header_to_wire(self)
+        body["entries"] = self.entries
+        body["committed"] = self.committed
+        return body
+
+
+class InstallRequest(NamedTuple):
+    """`quorum.install`, of former versions: the whole state after the entry `index`."""
+
+    part: str
+    ballot: Ballot
+    identity: str
+    index: int
+    state: PartState
+
+    @classmethod
+    def from_wire(cls, body: WireMap) -> InstallRequest:
+        """Read the request."""
+        return cls(
+            body["part"],
+            Ballot.from_wire(body["ballot"]),
+            body["identity"],
+            body["index"],
+            body["state"],
+        )
+
+    def to_wire(self) -> WireMap:
+        """Return the request as it stands on the wire."""
+        body = _header_to_wire(self)
+        body["index"] = self.index
+        body["state"] = self.state
+        return body
+
+
+class InstallChunkRequest(NamedTuple):
+    """`quorum.install_piece`: a chunk of the state after the entry `index`.
+
+    `offset` is where the chunk begins, `next_offset` where the next one does; None at the end.
+    """
+
+    part: str
+    ballot: Ballot
+    identity: str
+    index: int
+    offset: ChunkOffset
+    data: bytes
+    next_offset: ChunkOffset | None
+
+    @classmethod
+    def from_wire(cls, body: WireMap) -> InstallChunkRequest:
+        """Read the request."""
+        next_offset = body["following"]
+        return cls(
+            body["part"],
+            Ballot.from_wire(body["ballot"]),
+            body["identity"],
+            body["index"],
+            ChunkOffset.from_wire(body["place"]),
+            body["data"],
+            None if next_offset is None else ChunkOffset.from_wire(next_offset),
+        )
+
+    def to_wire(self) -> WireMap:
+        """Return the request as it stands on the wire."""
+        body = _header_to_wire(self)
+        body["index"] = self.index
+        body["place"] = self.offset.to_wire()
+        body["data"] = self.data
+        body["following"] = None if self.next_offset is None else self.next_offset.to_wire()
+        return body
+
+
+class ConfirmRequest(NamedTuple):
+    """`quorum.confirm`: tell whether the ballot is still the highest one promised."""
+
+    part: str
+    ballot: Ballot
+    identity: str
+
+    @classmethod
+    def from_wire(cls, body: WireMap) -> ConfirmRequest:
+        """Read the request."""
+        return cls(body["part"], Ballot.from_wire(body["ballot"]), body["identity"])
+
+    def to_wire(self) -> WireMap:
+        """Return the request as it stands on the wire."""
+        return _header_to_wire(self)
+
+
 class AcceptedProposal(NamedTuple):
     """An entry that a store accepted and has not applied; a brief answer leaves the batch out."""
 
     index: int
-    ballot: tuple
-    batch: list | None
+    ballot: Ballot
+    batch: Batch | None
+
+    @classmethod
+    def from_wire(cls, fields: Sequence[Any]) -> AcceptedProposal:
+        """Read the entry as a promise and a snapshot hold it."""
+        index, ballot, batch = fields
+        return cls(index, Ballot.from_wire(ballot), batch)
+
+    def to_wire(self) -> list[Any]:
+        """Return the entry as a promise and a snapshot hold it."""
+        return [self.index, self.ballot.to_wire(), self.batch]
 
 
 class Promise(NamedTuple):
-    """A store's answer to `quorum.prepare`: its record of the part, under the promised ballot.
+    """Phase 1b of Paxos, the answer to `quorum.prepare`: what the acceptor holds of the part.
 
     `state` is None where the store holds none of the part, True in a brief answer where it holds
-    one, else the whole state after the entry `applied`.
+    one, else the whole state after the entry `applied`. `accepted` are the entries beyond it.
     """
 
-    promised: tuple
+    promised: Ballot
     applied: int
     state: Any
-    tail: tuple
+    accepted: tuple[AcceptedProposal, ...]
     committed: int
 
     @classmethod
-    def from_list(cls, fields: list) -> Promise:
-        """Read the answer as it came over the wire."""
-        promised, applied, state, rows, committed = fields
-        tail = tuple(AcceptedProposal(index, tuple(ballot), batch) for index, ballot, batch in rows)
-        return cls(tuple(promised), applied, state, tail, committed)
+    def from_wire(cls, fields: Sequence[Any]) -> Promise:
+        """Read the answer."""
+        promised, applied, state, proposals, committed = fields
+        accepted = tuple(AcceptedProposal.from_wire(proposal) for proposal in proposals)
+        return cls(Ballot.from_wire(promised), applied, state, accepted, committed)
 
-    def to_list(self) -> list:
-        """Return the answer in its form on the wire."""
-        rows = [[row.index, list(row.ballot), row.batch] for row in self.tail]
-        return [list(self.promised), self.applied, self.state, rows, self.committed]
+    def to_wire(self) -> list[Any]:
+        """Return the answer as it stands on the wire."""
+        proposals = [proposal.to_wire() for proposal in self.accepted]
+        return [self.promised.to_wire(), self.applied, self.state, proposals, self.committed]
 
     def brief(self, has_batches: bool) -> Promise:
         """Return the answer without the state, and without the batches unless they are wanted."""
         state = None if self.state is None else True
         if has_batches:
             return self._replace(state=state)
-        return self._replace(state=state, tail=tuple(row._replace(batch=None) for row in self.tail))
+        accepted = tuple(proposal._replace(batch=None) for proposal in self.accepted)
+        return self._replace(state=state, accepted=accepted)
+
+
+class StateChunkRequest(NamedTuple):
+    """`quorum.piece`: give the chunk at an offset of the state applied at an index."""
+
+    part: str
+    index: int
+    offset: ChunkOffset
+
+    @classmethod
+    def from_wire(cls, body: WireMap) -> StateChunkRequest:
+        """Read the request."""
+        return cls(body["part"], body["index"], ChunkOffset.from_wire(body["place"]))
+
+    def to_wire(self) -> WireMap:
+        """Return the request as it stands on the wire."""
+        return {"part": self.part, "index": self.index, "place": self.offset.to_wire()}
+
+
+class EntriesRequest(NamedTuple):
+    """`quorum.entries`: give applied entries after an index."""
+
+    part: str
+    after: int
+
+    @classmethod
+    def from_wire(cls, body: WireMap) -> EntriesRequest:
+        """Read the request."""
+        return cls(body["part"], body["after"])
+
+    def to_wire(self) -> WireMap:
+        """Return the request as it stands on the wire."""
+        return {"part": self.part, "after": self.after}
+
+
+class AcceptedEntryRequest(NamedTuple):
+    """`quorum.accepted`: give the entry accepted at an index."""
+
+    part: str
+    index: int
+
+    @classmethod
+    def from_wire(cls, body: WireMap) -> AcceptedEntryRequest:
+        """Read the request."""
+        return cls(body["part"], body["index"])
+
+    def to_wire(self) -> WireMap:
+        """Return the request as it stands on the wire."""
+        return {"part": self.part, "index": self.index}
+
+
+class AcceptedEntryReply(NamedTuple):
+    """The answer to `quorum.accepted`."""
+
+    ballot: Ballot
+    batch: Batch
+
+    @classmethod
+    def from_wire(cls, fields: Sequence[Any]) -> AcceptedEntryReply:
+        """Read the answer."""
+        ballot, batch = fields
+        return cls(Ballot.from_wire(ballot), batch)
+
+    def to_wire(self) -> list[Any]:
+        """Return the answer as it stands on the wire."""
+        return [self.ballot.to_wire(), self.batch]
+
+
+class ImageRequest(NamedTuple):
+    """`quorum.image`: give the whole applied state of a part to any reader."""
+
+    part: str
+
+    @classmethod
+    def from_wire(cls, body: WireMap) -> ImageRequest:
+        """Read the request."""
+        return cls(body["part"])
+
+    def to_wire(self) -> WireMap:
+        """Return the request as it stands on the wire."""
+        return {"part": self.part}
+
+
+class ImageReply(NamedTuple):
+    """The answer to `quorum.image`: a state and the index of the last entry applied to it."""
+
+    applied: int
+    state: PartState
+
+    @classmethod
+    def from_wire(cls, fields: Sequence[Any]) -> ImageReply:
+        """Read the answer."""
+        applied, state = fields
+        return cls(applied, state)
+
+    def to_wire(self) -> list[Any]:
+        """Return the answer as it stands on the wire."""
+        return [self.applied, self.state]
+
+
+class QueryAnswer(NamedTuple):
+    """What a query came to: an answer, or, where `error_kind` is set, that error's detail."""
+
+    error_kind: str | None
+    answer: Any
+
+
+class UncommittedAnswer(NamedTuple):
+    """What the query would come to after the entry `index`, accepted under `ballot`, too."""
+
+    index: int
+    ballot: Ballot
+    answer: QueryAnswer
+
+    @classmethod
+    def from_wire(cls, fields: Sequence[Any]) -> UncommittedAnswer:
+        """Read the answer."""
+        index, ballot, error_kind, answer = fields
+        return cls(index, Ballot.from_wire(ballot), QueryAnswer(error_kind, answer))
+
+    def to_wire(self) -> list[Any]:
+        """Return the answer as it stands on the wire."""
+        return [self.index, self.ballot.to_wire(), self.answer.error_kind, self.answer.answer]
+
+
+class FollowerReadRequest(NamedTuple):
+    """`quorum.peek`: answer a query from the applied state of one store.
+
+    `wants_uncommitted` asks for the answers after each accepted entry as well.
+    """
+
+    part: str
+    query: WireMap
+    wants_uncommitted: bool
+    identity: str
+
+    @classmethod
+    def from_wire(cls, body: WireMap) -> FollowerReadRequest:
+        """Read the request; readers of former versions don't ask for the uncommitted."""
+        return cls(body["part"], body["query"], bool(body.get("beyond")), body["identity"])
+
+    def to_wire(self) -> WireMap:
+        """Return the request as it stands on the wire."""
+        body: WireMap = {"part": self.part, "query": self.query}
+        if self.wants_uncommitted:
+            body["beyond"] = True
+        body["identity"] = self.identity
+        return body
+
+
+class FollowerReadReply(NamedTuple):
+    """The answer to `quorum.peek`.
+
+    `uncommitted_lots` names (index, lot or None) of each command accepted and not applied;
+    `uncommitted` is None where the answers after these were not asked for.
+    """
+
+    applied: int
+    group: Sequence[Sequence[str]]
+    uncommitted_lots: Sequence[Sequence[Any]]
+    answer: QueryAnswer
+    uncommitted: tuple[UncommittedAnswer, ...] | None = None
+
+    @classmethod
+    def from_wire(cls, fields: Sequence[Any]) -> FollowerReadReply:
+        """Read the answer; stores of former versions leave the last field out."""
+        applied, group, uncommitted_lots, error_kind, answer, *rest = fields
+        uncommitted = None
+        for answers in rest[:1]:
+            uncommitted = tuple(UncommittedAnswer.from_wire(row) for row in answers)
+        return cls(applied, group, uncommitted_lots, QueryAnswer(error_kind, answer), uncommitted)
+
+    def to_wire(self) -> list[Any]:
+        """Return the answer as it stands on the wire."""
+        fields = [self.applied, self.group, self.uncommitted_lots, *self.answer]
+        if self.uncommitted is not None:
+            fields.append([answer.to_wire() for answer in self.uncommitted])
+        return fields
+
+
+class FoundRequest(NamedTuple):
+    """`quorum.found`: take a founding record."""
+
+    identity: str
+    founding: WireMap
+
+    @classmethod
+    def from_wire(cls, body: WireMap) -> FoundRequest:
+        """Read the request."""
+        return cls(body["identity"], body["founding"])
+
+    def to_wire(self) -> WireMap:
+        """Return the request as it stands on the wire."""
+        return {"identity": self.identity, "founding": self.founding}
+
+
+class HintedEntry(NamedTuple):
+    """What names the entry of an accept request that is kept as a hint."""
+
+    part: str
+    identity: str
+    index: int
+
+    @classmethod
+    def from_wire(cls, body: WireMap) -> HintedEntry:
+        """Read the names of the request."""
+        return cls(body["part"], body["identity"], body["index"])
+
+
+class HintRequest(NamedTuple):
+    """`quorum.hint`: keep an accept request, as it stands on the wire, for a missing acceptor."""
+
+    target: str
+    request: WireMap
+
+    @classmethod
+    def from_wire(cls, body: WireMap) -> HintRequest:
+        """Read the request."""
+        return cls(body["for"], body["record"])
+
+    def to_wire(self) -> WireMap:
+        """Return the request as it stands on the wire."""
+        return {"for": self.target, "record": self.request}
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -44,7 +44,7 @@
 
 
 def test_a_spare_keeps_no_more_hints_than_so_many_bytes(monkeypatch):
-    monkeypatch.setattr(hint_store, "KEPT_BYTES", 100_000)
+    monkeypatch.setattr(hint_store, "MAX_HINT_BYTES", 100_000)
     fleet = ManyChanges(1, 2, 20)
     fleet.change(1)
     store = fleet.group()[0]
--- a/tests/test_peek.py
+++ b/tests/test_peek.py
@@ -10,6 +10,7 @@
 from quillring.quorum.commands import first_state
 from quillring.quorum.leader.follower_read import find_answer, give
 from quillring.quorum.leader.part_leader import PartLeader
+from quillring.quorum.values import Ballot
 
 GROUP = [["store-1", "a", "north"], ["store-2", "b", "east"], ["store-3", "c", "south"]]
 OTHER = [["store-4", "d", "west"], *GROUP[1:]]
@@ -23,7 +24,8 @@
 def reply(applied=0, group=GROUP, **entries):
     """What a store answers that holds these entries: i3=(ballot, batch)."""
     held = {int(name[1:]): entry for name, entry in entries.items()}
-    record = AcceptorState((9, "z"), applied, first_state(group), held)
+    accepted = {index: AcceptedEntry(*entry) for index, entry in held.items()}
+    record = AcceptorState(Ballot(9, "z"), applied, first_state(group), accepted)
     later = [[i, c.get("lot")] for i, (_, batch) in held.items() for c in batch]
     return [
         applied,
@@ -31,11 +33,14 @@
         later,
         None,
         applied,
-        [[index, ballot, None, index] for index, ballot, *_ in record.answers_beyond(ASKED)],
+        [
+            [later.index, later.ballot.to_wire(), None, later.index]
+            for later in record.uncommitted_answers(ASKED)
+        ],
     ]
 
 
-ONE, TWO = (1, "core-1#1"), (2, "core-2#1")
+ONE, TWO = Ballot(1, "core-1#1"), Ballot(2, "core-2#1")
 CHANGE = [{"do": "group.change", "group": GROUP[1:]}]
 
 
--- a/tests/test_retirement.py
+++ b/tests/test_retirement.py
@@ -6,6 +6,7 @@
 
 from quillring.kernel.effects import Sleep
 from quillring.quorum.acceptor.hint_store import HintStore
+from quillring.quorum.acceptor.log_records import HintRecord
 from quillring.quorum.leader.membership_repair import MembershipRepair
 from quillring.rollout.operator_orders import is_retired
 from tests.fleet_stage import SelfFounded
@@ -53,7 +54,9 @@
     with mock.patch.object(HintStore, "_hand_over", lambda self, name: iter(())):
         record = {"part": "part-0", "ballot": [0, ""], "identity": "", "index": 0}
         acceptors = stage.stores()[store]
-        stage.ask(store, acceptors.keep(["hint", other, {**record, "batch": [], "committed": 0}]))
+        stage.ask(
+            store, acceptors.persist(HintRecord(other, {**record, "batch": [], "committed": 0}))
+        )
         retire(stage, store)
         stage.run(6)
         assert not is_finished(stage, store)
--- a/tests/test_slot_turns.py
+++ b/tests/test_slot_turns.py
@@ -158,7 +158,7 @@
     for record in pieces[middle + 1 :]:
         again.replay(record)
     assert again.parts["part-0"].state == state and again.parts["part-0"].applied == 5
-    assert not again.transfers.arriving
+    assert not again.snapshot_transfer.incoming
 
 
 def test_a_slot_of_the_version_before_still_loads():
--- a/tests/test_transfer.py
+++ b/tests/test_transfer.py
@@ -67,12 +67,12 @@
     def call(self, target, service, body, seconds):
         place = ChunkOffset(*body["place"])
         self.places.append(place)
-        if place not in (self.builder.place, SNAPSHOT_START):
-            raise Conflict(place=list(self.builder.place))
-        self.former.append(self.builder.to_list())
+        if place not in (self.builder.offset, SNAPSHOT_START):
+            raise Conflict(place=list(self.builder.offset))
+        self.former.append(self.builder.to_partial())
         self.builder.add(body["data"], body["following"])
         if len(self.former) == self.loses_after:
-            self.builder = StateBuilder.from_list(self.former[-1])
+            self.builder = StateBuilder.from_partial(self.former[-1])
         return 0
         yield
 
