--- a/proving/model/patches.py
+++ b/proving/model/patches.py
@@ -4,21 +4,10 @@
 from unittest import mock
 
 from proving.model.store_machine import as_script
+from proving.sim.disk import InstantSlots
 from quillring.quorum import Acceptors
 
 
-class InstantSlots:
-    """Slots that pretend to be durable at once, and write nothing."""
-
-    error = None
-    is_idle = True
-
-    def commit(self, records):
-        """Coroutine: nothing to wait for."""
-        return
-        yield
-
-
 def around(name, change):
     """Patch an acceptor's handler: `change(real, self, body, origin)` is a coroutine."""
     real = getattr(Acceptors, name)
--- a/proving/points/early_refusals.py
+++ b/proving/points/early_refusals.py
@@ -104,7 +104,7 @@
     stage = Stage(seed)
     cores = stage.sim.names("core")
     stage.sim.cut(cores, names_but(stage, *cores))
-    early, early_served = timed_refusals(
+    early, _ = timed_refusals(
         stage, submit_lot, [{"entry": "gate-notices", "items": ["x"]}], "early"
     )
     stage.run(3)
--- a/proving/points/partitions.py
+++ b/proving/points/partitions.py
@@ -221,7 +221,7 @@
     (
         "hints are handed over and dropped",
         hinted_handoff,
-        [(HintStore, "_hand_over", no_script := (lambda self, name: iter(())))],
+        [(HintStore, "_hand_over", lambda self, name: iter(()))],
     ),
     ("full disks accept nothing", full_disks, [(SlotStore, "_write", write_nothing)]),
     (
--- a/proving/sim/disk.py
+++ b/proving/sim/disk.py
@@ -240,3 +240,15 @@
         (name, offset, bytes(half) + data[half:]),
         (name, offset, data[:half] + bytes(half // 2) + data[half + half // 2 :]),
     ]
+
+
+class InstantSlots:
+    """Slots that pretend to be durable at once, and write nothing."""
+
+    error = None
+    is_idle = True
+
+    def commit(self, records):
+        """Coroutine: nothing to wait for."""
+        return
+        yield
--- a/proving/sim/fleet.py
+++ b/proving/sim/fleet.py
@@ -16,8 +16,6 @@
 from quillring.nifty import Member
 from quillring.nifty.wire import SPOKEN
 
-FOUNDED_AT = 6.0
-
 
 class SimFleet:
     """All processes of one deployment in simulated time, from one seed.
--- a/proving/sim/traces.py
+++ b/proving/sim/traces.py
@@ -8,6 +8,7 @@
 
 from proving.points.configuration import names_but
 from proving.points.scenario_fleet import Stage
+from proving.sim.disk import InstantSlots
 from proving.sim.quorum_fuzz import Fuzz
 from quillring.kernel.errors import QuillringError
 from quillring.kernel.node import Node
@@ -68,18 +69,6 @@
     }
 
 
-class InstantSlots:
-    """Slots that are durable at once."""
-
-    error = None
-    is_idle = True
-
-    def commit(self, records):
-        """Coroutine: nothing to wait for."""
-        return
-        yield
-
-
 def play_store(trace):
     """Play the calls against a fresh store's state machine; return what it holds."""
     acceptors = Acceptors()
--- a/quillring/kernel/__init__.py
+++ b/quillring/kernel/__init__.py
@@ -7,7 +7,6 @@
     SendToClient,
     Signal,
     Sleep,
-    Sync,
     Wait,
 )
 from quillring.kernel.errors import QuillringError
@@ -23,7 +22,6 @@
     "Registry",
     "Signal",
     "Sleep",
-    "Sync",
     "QuillringError",
     "Wait",
 ]
--- a/quillring/kernel/effects.py
+++ b/quillring/kernel/effects.py
@@ -43,15 +43,6 @@
         self.seconds = seconds
 
 
-class Sync(Effect):
-    """Resume once the records are durable in the node's own log."""
-
-    __slots__ = ("records",)
-
-    def __init__(self, records: Any) -> None:
-        self.records = records
-
-
 class FetchJson(Effect):
     """Send one HTTP request with a JSON body to a back end; resume with (status, JSON body).
 
--- a/quillring/lots/http_requests/item_executor.py
+++ b/quillring/lots/http_requests/item_executor.py
@@ -65,7 +65,6 @@
         "text",
         "handle",
         "is_stopped",
-        "is_committing",
     )
 
     def __init__(self, order: RunItem) -> None:
@@ -79,7 +78,6 @@
         self.text = [] if order.last_event_id is None else [order.text]
         self.handle: Any = None
         self.is_stopped = False
-        self.is_committing = False
 
     def stop(self) -> None:
         """Stop it now; the replica sees its connection close."""
@@ -175,7 +173,6 @@
         try:
             outcome = yield from self._send_item(run, replica, order)
             if not run.is_stopped:
-                run.is_committing = True
                 yield from self._deliver(run, outcome)
         finally:
             self.node.under_way -= 1
--- a/tests/test_backend.py
+++ b/tests/test_backend.py
@@ -14,8 +14,8 @@
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ntrue"
 
 
-class Server:
-    """Answers the first inquiry of each connection, breaks off at the second."""
+class ScriptedServer:
+    """Serves each connection as an heir's `serve` does, on a port of its own."""
 
     def __init__(self):
         self.requests = []
@@ -23,6 +23,24 @@
         self.server.start()
         self.address = ("127.0.0.1", self.server.server_port)
 
+
+@pytest.fixture
+def start():
+    """Return a function that starts a server of a class; all are stopped in the end."""
+    servers = []
+
+    def started(server_class):
+        servers.append(server_class())
+        return servers[-1]
+
+    yield started
+    for server in servers:
+        server.server.stop(timeout=0)
+
+
+class BreaksAtSecondRequest(ScriptedServer):
+    """Answers the first request of each connection, breaks off at the second."""
+
     def serve(self, conn, _):
         with conn, conn.makefile("rb") as reader:
             for is_first in (True, False):
@@ -37,14 +55,14 @@
     return backend.fetch(FetchJson(server.address, "POST", "/x", {}, 5, may_repeat))
 
 
-def test_what_may_repeat_survives_a_kept_connection_that_breaks_off():
-    server = Server()
+def test_what_may_repeat_survives_a_kept_connection_that_breaks_off(start):
+    server = start(BreaksAtSecondRequest)
     assert [fetch(server, True) for _ in range(3)] == [(200, True)] * 3
     assert [is_first for is_first, _ in server.requests] == [True, False, True, False, True]
 
 
-def test_what_may_not_repeat_never_goes_over_a_kept_connection():
-    server = Server()
+def test_what_may_not_repeat_never_goes_over_a_kept_connection(start):
+    server = start(BreaksAtSecondRequest)
     assert fetch(server, True) == (200, True)
     assert [fetch(server, False) for _ in range(2)] == [(200, True)] * 2
     assert all(is_first for is_first, _ in server.requests)
@@ -64,14 +82,8 @@
     server.stop()
 
 
-class Closing:
-    """Reads each request and closes without a word."""
-
-    def __init__(self):
-        self.requests = []
-        self.server = StreamServer(("127.0.0.1", 0), self.serve)
-        self.server.start()
-        self.address = ("127.0.0.1", self.server.server_port)
+class ClosesUnanswered(ScriptedServer):
+    """Reads each request and closes without an answer."""
 
     def serve(self, conn, _):
         with conn, conn.makefile("rb") as reader:
@@ -83,22 +95,22 @@
 
 
 @pytest.mark.parametrize("method", ["GET", "POST", "DELETE"])
-def test_what_may_not_repeat_is_sent_once_also_by_the_library_below(method):
-    server = Closing()
+def test_what_may_not_repeat_is_sent_once_also_by_the_library_below(start, method):
+    server = start(ClosesUnanswered)
     with pytest.raises(BackendError):
         backend.fetch(FetchJson(server.address, method, "/x", None, 5, False))
     assert len(server.requests) == 1
 
 
-def test_a_stream_is_opened_once():
-    server = Closing()
+def test_a_stream_is_opened_once(start):
+    server = start(ClosesUnanswered)
     with pytest.raises(BackendError):
         backend.open_stream(OpenStream(server.address, "/x", {}, 5))
     assert len(server.requests) == 1
 
 
-def test_what_may_have_run_over_a_kept_connection_is_never_called_not_sent():
-    server = Server()
+def test_what_may_have_run_over_a_kept_connection_is_never_called_not_sent(start):
+    server = start(BreaksAtSecondRequest)
     assert fetch(server, True) == (200, True)
     server.server.stop(timeout=0)
     with pytest.raises(BackendError) as failure:
@@ -107,15 +119,13 @@
     assert len(server.requests) == 2
 
 
-class Surplus:
+class SendsSurplusAnswer(ScriptedServer):
     """Sends each answer, and a late copy of it when told to."""
 
     def __init__(self):
         self.connections = 0
         self.repeats, self.has_ended = gevent.event.Event(), gevent.event.Event()
-        self.server = StreamServer(("127.0.0.1", 0), self.serve)
-        self.server.start()
-        self.address = ("127.0.0.1", self.server.server_port)
+        super().__init__()
 
     def serve(self, conn, _):
         self.connections += 1
@@ -133,8 +143,8 @@
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
-def test_a_connection_with_surplus_bytes_serves_no_further_request():
-    server = Surplus()
+def test_a_connection_with_surplus_bytes_serves_no_further_request(start):
+    server = start(SendsSurplusAnswer)
     effect = FetchJson(server.address, "GET", "/x", None, 5, True)
     with mock.patch.object(backend, "IDLE", backend.Idle()):
         assert backend.fetch(effect) == (200, "first")
--- a/tests/test_check_settings.py
+++ b/tests/test_check_settings.py
@@ -4,15 +4,8 @@
 from click.testing import CliRunner
 
 from quillring.verbs.program import main
+from tests.settings_rows import EDGE_SETTINGS
 
-SETTINGS = {
-    "name": "edge-1",
-    "role": "edge",
-    "domain": "north",
-    "address": "127.0.0.1:7400",
-    "http_address": "127.0.0.1:8400",
-    "seeds": ["127.0.0.1:7401"],
-}
 CONFIGURATION = {
     "edition": 3,
     "services": {"maps": {"kind": "raw", "probe_path": "/alive"}},
@@ -45,7 +38,7 @@
 
 
 def test_sound_files_are_summed_up(check):
-    outcome = check(SETTINGS, CONFIGURATION)
+    outcome = check(EDGE_SETTINGS, CONFIGURATION)
     assert outcome.exit_code == 0 and outcome.stderr == ""
     settings_line, configuration_line = outcome.stdout.splitlines()
     assert settings_line.endswith("edge edge-1 in north at 127.0.0.1:7400: no fault")
@@ -53,7 +46,7 @@
 
 
 def test_every_fault_of_both_files_is_told_with_its_field(check):
-    settings = {**SETTINGS, "domain": "NORTH", "parts": 0, "extra": 1, "bounds": {"news": -1}}
+    settings = {**EDGE_SETTINGS, "domain": "NORTH", "parts": 0, "extra": 1, "bounds": {"news": -1}}
     forward = {**CONFIGURATION["forwards"]["tiles"], "kind": "other", "rounds": 0}
     outcome = check(settings, {**CONFIGURATION, "forwards": {"tiles": forward}})
     assert outcome.exit_code == 2 and outcome.stdout == ""
@@ -70,7 +63,7 @@
 
 
 def test_a_sound_file_is_summed_up_beside_a_faulty_one(check):
-    outcome = check({**SETTINGS, "role": "store"}, CONFIGURATION)
+    outcome = check({**EDGE_SETTINGS, "role": "store"}, CONFIGURATION)
     assert outcome.exit_code == 2
     assert "no fault" in outcome.stdout and "folder: a store needs" in outcome.stderr
 
--- a/tests/test_plain_schema.py
+++ b/tests/test_plain_schema.py
@@ -12,14 +12,10 @@
 from quillring.kernel.plain_schema import is_surely_sound
 from quillring.kernel.settings import SCHEMA
 from quillring.rollout.schema import FORWARD, LIMITS, RAW_SERVICE
+from tests.settings_rows import EDGE_SETTINGS
 
 SETTINGS = {
-    "name": "edge-1",
-    "role": "edge",
-    "domain": "north",
-    "address": "127.0.0.1:7400",
-    "http_address": "127.0.0.1:8400",
-    "seeds": ["127.0.0.1:7401"],
+    **EDGE_SETTINGS,
     "bootstrap": True,
     "losses": 2,
     "bounds": {"news": 2.5, "grace": 8},
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -4,24 +4,22 @@
 
 from quillring.kernel.settings import find_faults
 from quillring.verbs.cli import main
-
-GOOD = {
-    "name": "edge-1",
-    "role": "edge",
-    "domain": "north",
-    "address": "127.0.0.1:7400",
-    "http_address": "127.0.0.1:8400",
-    "seeds": ["127.0.0.1:7401"],
-}
+from tests.settings_rows import EDGE_SETTINGS
 
 
 def test_good_settings_have_no_fault():
-    assert find_faults(GOOD) == []
+    assert find_faults(EDGE_SETTINGS) == []
 
 
 def test_all_faults_come_at_once_with_exit_2(tmp_path):
     path = tmp_path / "edge.json"
-    bad = {**GOOD, "role": "edge", "domain": "NORTH", "address": "127.0.0.999:1", "extra": 1}
+    bad = {
+        **EDGE_SETTINGS,
+        "role": "edge",
+        "domain": "NORTH",
+        "address": "127.0.0.999:1",
+        "extra": 1,
+    }
     path.write_text(json.dumps(bad))
     outcome = CliRunner().invoke(main, ["edge", "--settings", str(path)])
     assert outcome.exit_code == 2
@@ -33,5 +31,7 @@
 
 
 def test_a_store_needs_a_folder_and_an_edge_takes_none():
-    assert find_faults({**GOOD, "role": "store"}) == ["folder: a store needs a data folder"]
-    assert find_faults({**GOOD, "folder": "x"}) == ["folder: a edge keeps nothing on disk"]
+    assert find_faults({**EDGE_SETTINGS, "role": "store"}) == [
+        "folder: a store needs a data folder"
+    ]
+    assert find_faults({**EDGE_SETTINGS, "folder": "x"}) == ["folder: a edge keeps nothing on disk"]
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -3,23 +3,7 @@
 from quillring.kernel.effects import Signal
 from quillring.kernel.errors import Damaged, DiskError
 from quillring.store import FolderDisk, SlotStore
-
-
-class Holder:
-    def __init__(self):
-        self.records = []
-
-    def rows(self):
-        return list(self.records)
-
-    def load_rows(self, rows):
-        self.records = list(rows)
-
-    def load(self, snapshot):
-        self.records = list(snapshot)
-
-    def replay(self, record):
-        self.records.append(record)
+from tests.slot_stage import Holder
 
 
 def opened(folder, log_limit=1 << 20):
