--- /dev/null
+++ b/tests/test_mixed_processes.py
@@ -0,0 +1,117 @@
+"""Processes of the landed version and of the present one are one fleet on real sockets and disks."""
+
+import json
+import os
+import random
+import subprocess
+import sys
+import tarfile
+import time
+
+import pytest
+
+from proving.tools.callers import Record, ask, follow_lot, lot_call, stream_call, tile_call
+from proving.tools.local_fleet import LocalFleet
+from tests.conftest import NAMES
+from tests.landed_code import ARCHIVE
+
+pytestmark = pytest.mark.xdist_group("mixed processes")
+
+LANDED = {"core-1", "store-1", "store-3", "edge-1"}
+RUN_LANDED = """
+import sys
+import quillring
+if not quillring.__file__.startswith(sys.argv[1]):
+    sys.exit(f"not the landed version: {quillring.__file__}")
+del sys.argv[1]
+from quillring.verbs.program import main
+main()
+"""
+
+
+class MixedProcesses(LocalFleet):
+    """A local fleet whose nodes in `landed_names` run the sources in a folder."""
+
+    def __init__(self, sources, *words):
+        super().__init__(*words)
+        self.sources, self.landed_names = str(sources), set(LANDED)
+
+    def start(self, name):
+        """Start a process under its version."""
+        if name not in self.landed_names:
+            super().start(name)
+            return
+        path = self.run_folder / f"{name}.json"
+        path.write_text(json.dumps(self.settings[name]))
+        words = ["-P", "-c", RUN_LANDED, self.sources, self.settings[name]["role"]]
+        with open(self.run_folder / f"{name}.out", "ab") as out_file:
+            self.processes[name] = subprocess.Popen(
+                [sys.executable, *words, "--settings", str(path)],
+                stdout=out_file,
+                stderr=out_file,
+                start_new_session=True,
+                env={**os.environ, "PYTHONPATH": self.sources},
+            )
+
+    def change_version(self, name):
+        """Start a node under the other version: a store is killed, the others end as planned."""
+        if name.startswith("store"):
+            self.kill(name)
+        else:
+            self.stop(name)
+        self.landed_names ^= {name}
+        self.start(name)
+        self.wait_whole()
+        self.wait_ready()
+
+
+@pytest.fixture(scope="module")
+def fleet(tmp_path_factory):
+    sources = tmp_path_factory.mktemp("landed")
+    with tarfile.open(ARCHIVE) as archive:
+        archive.extractall(sources, filter="data")
+    folder = tmp_path_factory.mktemp("mixed")
+    made = MixedProcesses(sources, "examples/ferrowa", folder, True, set(NAMES))
+    try:
+        made.start_all()
+        made.found()
+        made.wait_whole()
+        yield made
+    finally:
+        made.stop_all()
+
+
+def check_serving(fleet, seed):
+    """Each edge serves streams, tiles and a lot."""
+    for name in fleet.names("edge"):
+        record, chance = Record(), random.Random(f"{seed} {name}")
+        edge = [fleet.http(name)]
+        for _ in range(3):
+            stream_call(edge, chance, record, time.monotonic, "wayfinding", "short")
+        tile_call(edge, chance, record, "tiles")
+        lot_call(edge, chance, record, "gate-notices", 4)
+        assert record.violations == []
+        assert record.outcomes == {
+            ("short", "complete"): 3,
+            ("tile", "complete"): 1,
+            ("lot", "complete"): 1,
+        }
+
+
+def test_processes_of_both_versions_serve_together(fleet):
+    check_serving(fleet, "both")
+
+
+def test_every_process_changes_its_version_and_a_lot_is_kept(fleet):
+    """Each folder that one version wrote is opened by the other; half go up and half go back."""
+    body = {"entry": "gate-notices", "key": "kept", "items": [f"item {n}" for n in range(30)]}
+    edges = [fleet.http(name) for name in fleet.names("edge")]
+    status, accepted = ask(edges[0], "POST", "/v1/lots", body, "desk")
+    assert status == 200
+    for name in (*fleet.names("store"), *fleet.names("core"), *fleet.names("edge")):
+        fleet.change_version(name)
+    assert fleet.landed_names == set(fleet.settings) - LANDED
+    record = Record()
+    follow_lot(edges, random.Random(1), record, accepted["lot"], body["items"], "desk")
+    assert record.violations == [] and record.outcomes == {("lot", "complete"): 1}
+    check_serving(fleet, "changed")
