--- a/proving/points/fleet.py
+++ b/proving/points/fleet.py
@@ -3,7 +3,7 @@
 from proving.points.partitions import traffic
 from proving.points.scenario_fleet import Stage
 from proving.sim.fleet import SimFleet
-from quillring.classes import Taker
+from quillring.classes import QuotaClient
 from quillring.edge.slot_lease import QueuedRequest
 from quillring.lots.prompts import scheduler
 from quillring.nifty import Nifty
@@ -131,7 +131,7 @@
         flood_of_lots,
         [
             (QueuedRequest, "__init__", equal_waiter),
-            (Taker, "limit", no_limit),
+            (QuotaClient, "limit", no_limit),
             (scheduler, "ITEMS_AT_ONCE", 400),
         ],
     ),
--- a/proving/points/serving.py
+++ b/proving/points/serving.py
@@ -1,7 +1,7 @@
 """Scenarios about replicas and inquiries; each returns its violations and figures."""
 
 from proving.points.scenario_fleet import Stage, always_hopeful, no_check
-from quillring.classes.taker import Taker
+from quillring.classes.quota_client import QuotaClient
 from quillring.edge import dispatcher, replicas, stream_handlers
 from quillring.rollout.freshness import Freshness
 
@@ -173,7 +173,7 @@
     (
         "a cold replica never gets more than it can bear",
         cold_replicas,
-        [(Taker, "cold_room", all_slots)],
+        [(QuotaClient, "cold_slots", all_slots)],
     ),
     (
         "crowds meet bounded queues",
--- a/quillring/classes/__init__.py
+++ b/quillring/classes/__init__.py
@@ -1,8 +1,8 @@
-"""Classes of service: promises, and borrowing of the room others leave idle."""
+"""Classes of service: their terms, their share of the room, and borrowing of idle room."""
 
-from quillring.classes.granter import Granter
-from quillring.classes.meter import Meter
-from quillring.classes.shares import divide
-from quillring.classes.taker import Taker
+from quillring.classes.fair_share import allocate
+from quillring.classes.quota_client import QuotaClient
+from quillring.classes.quota_server import QuotaServer
+from quillring.classes.service_level import ServiceLevelMeter
 
-__all__ = ["Granter", "Meter", "Taker", "divide"]
+__all__ = ["QuotaClient", "QuotaServer", "ServiceLevelMeter", "allocate"]
--- /dev/null
+++ b/quillring/classes/fair_share.py
@@ -0,0 +1,52 @@
+"""Who may use how much of a service's room: own share first, idle room lent by urgency."""
+
+from __future__ import annotations
+
+import math
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+    from typing import Any
+
+
+def allocate(
+    room: int, classes: Mapping[str, Mapping[str, Any]], demands: Mapping[str, int]
+) -> dict[str, int]:
+    """Return {class: room it may use}.
+
+    `classes` is {class: {share, urgency}}, `demands` {class: requests running or waiting}. A class
+    gets what it asks for up to its share; what others leave idle is lent to the classes that ask
+    for more, the urgent first.
+    """
+    share_sum = sum(classes[name]["share"] for name in demands) or 1
+    own_rooms = {name: classes[name]["share"] / share_sum * room for name in demands}
+    granted = {name: min(demands[name], math.floor(own_rooms[name])) for name in demands}
+    idle = room - sum(granted.values())
+    for name in sorted(demands, key=lambda n: (-classes[n]["urgency"], n)):
+        lent = min(idle, demands[name] - granted[name])
+        granted[name] += lent
+        idle -= lent
+    return granted
+
+
+def apportion(amount: int, demands: Mapping[str, int]) -> dict[str, int]:
+    """Return {name: its part of the amount} by demand, in whole numbers that add up.
+
+    By the largest remainder (Hamilton's method).
+    """
+    total = sum(demands.values())
+    if total <= amount:
+        return dict(demands)
+    exact = {name: amount * demand / total for name, demand in demands.items()}
+    parts = {name: math.floor(value) for name, value in exact.items()}
+    by_remainder = sorted(exact, key=lambda n: (parts[n] - exact[n], n))
+    for name in by_remainder[: amount - sum(parts.values())]:
+        parts[name] += 1
+    return parts
+
+
+def slow_start_slots(slots: int, age_seconds: float, warm_up_seconds: float) -> int:
+    """Return how many requests a cold replica gets at this age."""
+    warm_share = min(1, age_seconds / warm_up_seconds)
+    return min(slots, max(1, int(slots * warm_share)))
--- /dev/null
+++ b/quillring/classes/quota_client.py
@@ -0,0 +1,120 @@
+"""The client of quotas on an edge, or on a core that runs lots: asks for limits and holds them."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, NamedTuple
+
+from quillring.classes.messages import REQUEST_QUOTA, Quota, QuotaRequest
+from quillring.kernel.effects import Sleep
+from quillring.kernel.errors import NotFounded, QuillringError
+from quillring.quorum.parts import part_of
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Mapping
+    from typing import Any
+
+    from quillring.kernel.node import Node
+    from quillring.kernel.types import Coroutine
+
+REQUESTS_PER_HEARTBEAT = 4
+LIMITS_HOLD_PROPAGATIONS = 2
+
+
+class HeldQuota(NamedTuple):
+    """A quota of a service, when it was asked for, and until when its parts hold, in seconds."""
+
+    limits: Mapping[str, int]
+    cold_slots: Mapping[str, int]
+    asked_at: float
+    limits_until: float
+    cold_until: float
+
+
+class QuotaClient:
+    """The quotas of this node, per service."""
+
+    __slots__ = ("node", "quotas", "on_quota")
+
+    def __init__(self, node: Node) -> None:
+        self.node = node
+        self.quotas: dict[str, HeldQuota] = {}
+        self.on_quota: Callable[[], None] = lambda: None
+
+    def run(self) -> Coroutine:
+        """Ask the deciding core of each service, more often while there is work."""
+        ticks = 0
+        while True:
+            yield Sleep(self.node.bounds.heartbeat_interval / REQUESTS_PER_HEARTBEAT)
+            ticks += 1
+            configuration = self.node.find("layout").configuration
+            if configuration is None or self.node.is_draining:
+                continue
+            services = configuration["services"].items()
+            for service in sorted(name for name, item in services if item["kind"] != "raw"):
+                is_busy = self.node.find("dispatch").demands(service)
+                if is_busy or ticks % REQUESTS_PER_HEARTBEAT == 0:
+                    self.node.spawn(self._request(service))
+
+    def _request(self, service: str) -> Coroutine:
+        """Ask the core that leads a service's part for its quota."""
+        ownership, bounds = self.node.find("ownership"), self.node.bounds
+        try:
+            part = part_of(service, len(ownership.parts()) - 1)
+        except NotFounded:
+            return
+        leader = ownership.known_leader(part)
+        if leader is None or not self.node.find("nifty").reaches(leader):
+            return
+        asked_at = self.node.now()
+        demands = self.node.find("dispatch").demands(service)
+        body = QuotaRequest(service, demands, self._held_cold_slots(service)).to_wire()
+        try:
+            reply = yield from self.node.call(
+                leader, REQUEST_QUOTA, body, bounds.heartbeat_interval
+            )
+        except QuillringError:
+            return
+        quota = Quota.from_wire(reply)
+        self.quotas[service] = HeldQuota(
+            quota.limits,
+            quota.cold_slots,
+            asked_at,
+            asked_at + bounds.propagation * LIMITS_HOLD_PROPAGATIONS,
+            asked_at + quota.lease_seconds,
+        )
+        self.on_quota()
+
+    def _held_cold_slots(self, service: str) -> dict[str, int]:
+        """Return what may be in use here: running at cold replicas, or granted and not over."""
+        granted = self._granted_cold_slots(service)
+        held: dict[str, int] = {}
+        for replica in self.node.find("replicas").table.values():
+            if replica.service == service and replica.state == "cold":
+                count = max(replica.in_flight, granted.get(replica.name, 0))
+                if count:
+                    held[replica.name] = count
+        return held
+
+    def _granted_cold_slots(self, service: str) -> Mapping[str, int]:
+        quota = self.quotas.get(service)
+        if quota is None or self.node.now() >= quota.cold_until:
+            return {}
+        return quota.cold_slots
+
+    def cold_slots(self, replica: Any) -> int:
+        """Return how many requests this node may have at a cold replica."""
+        return self._granted_cold_slots(replica.service).get(replica.name, 0)
+
+    def has_recent_quota(self, service: str) -> bool:
+        """Tell whether a deciding core answered lately."""
+        quota = self.quotas.get(service)
+        if quota is None:
+            return False
+        return self.node.now() - quota.asked_at < self.node.bounds.heartbeat_interval
+
+    def limit(self, service: str, class_name: str) -> int | None:
+        """Return how many requests of the class may run from here, None without a quota."""
+        quota = self.quotas.get(service)
+        if quota is None or self.node.now() >= quota.limits_until:
+            return None
+        return quota.limits.get(class_name)
--- /dev/null
+++ b/quillring/classes/quota_server.py
@@ -0,0 +1,173 @@
+"""The deciding core of a service: divides its room among classes and clients, and lends cold slots.
+
+The room of a service is the sum of the slots of its replicas, fewer while they are cold.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+from quillring.classes.fair_share import allocate, apportion, slow_start_slots
+from quillring.classes.messages import REQUEST_QUOTA, Quota, QuotaRequest
+from quillring.kernel.errors import NotOwner
+from quillring.nifty.graph import score
+from quillring.quorum.parts import part_of
+
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
+    from quillring.kernel.node import Node
+    from quillring.kernel.types import WireMap
+    from quillring.quorum.leader.part_leader import PartLeader
+
+DEFAULT_WARM_UP_MS = 8000
+
+
+class ClientDemand(NamedTuple):
+    """What a client last asked for of a service, and the cold slots it may hold until when."""
+
+    asked_at: float
+    demands: Mapping[str, int]
+    cold_slots: Mapping[str, int]
+    cold_until: float
+
+
+class LeaderTerm(NamedTuple):
+    """The ballot under which this core leads a part, and since when, in seconds."""
+
+    ballot: Any
+    since: float
+
+
+class QuotaServer:
+    """Answers clients for the services whose part this core leads, while it holds the lease.
+
+    `demands` is {service: {client: ClientDemand}}.
+    """
+
+    __slots__ = ("node", "demands", "terms")
+
+    def __init__(self, node: Node) -> None:
+        self.node = node
+        self.demands: dict[str, dict[str, ClientDemand]] = {}
+        self.terms: dict[str, LeaderTerm] = {}
+        node.find("ownership").leader_listeners.append(self._on_leader_change)
+        node.handle(REQUEST_QUOTA, self.on_request)
+
+    @property
+    def lease_seconds(self) -> float:
+        """Seconds for which a quota of cold slots holds."""
+        return self.node.bounds.propagation
+
+    def _on_leader_change(self, leader: PartLeader, batch: list[WireMap]) -> None:
+        term = self.terms.get(leader.part)
+        ballot = None if term is None else term.ballot
+        if leader.is_leader and ballot != leader.ballot:
+            self.terms[leader.part] = LeaderTerm(leader.ballot, self.node.now())
+        elif not leader.is_leader and ballot == leader.ballot:
+            del self.terms[leader.part]
+
+    def on_request(self, body: WireMap, origin: str) -> WireMap:
+        """Grant a client its limits by class and cold slots for one service.
+
+        Raises NotOwner unless this core leads the service's part and holds the lease.
+        """
+        request = QuotaRequest.from_wire(body)
+        service, held_slots = request.service, dict(request.held_cold_slots)
+        ownership = self.node.find("ownership")
+        part = part_of(service, len(ownership.parts()) - 1)
+        leader = ownership.leaders.get(part)
+        if leader is None or not leader.has_lease():
+            raise NotOwner(part=part)
+        now = self.node.now()
+        demand = ClientDemand(now, request.demands, held_slots, now + self.lease_seconds)
+        demands = self.demands.setdefault(service, {})
+        demands[origin] = demand
+        led_seconds = now - self.terms[part].since
+        cold_slots = self._cold_slots(service, origin, now, led_seconds)
+        names = dict.fromkeys((*cold_slots, *held_slots))
+        may_hold = {name: max(cold_slots.get(name, 0), held_slots.get(name, 0)) for name in names}
+        demands[origin] = demand._replace(cold_slots=may_hold)
+        limits = self._limits(service, origin, now)
+        return Quota(limits, cold_slots, self.lease_seconds).to_wire()
+
+    def _limits(self, service: str, client: str, now: float) -> dict[str, int]:
+        """Return {class: requests} for a client, by the demands of all that asked lately."""
+        configuration = self.node.find("layout").configuration or {"classes": {}}
+        classes = configuration["classes"]
+        replicas = self.node.find("replicas").available(service)
+        room = sum(self.usable_slots(replica) for replica in replicas)
+        oldest_seconds = self.node.bounds.propagation / 2
+        by_client = {
+            name: demand.demands
+            for name, demand in self.demands[service].items()
+            if now - demand.asked_at < oldest_seconds
+        }
+        asked_names = {name for demands in by_client.values() for name in demands}
+        class_names = sorted(asked_names & set(classes))
+        by_class = {
+            name: sum(demands.get(name, 0) for demands in by_client.values())
+            for name in class_names
+        }
+        granted = allocate(room, classes, by_class)
+        idle_slots = max(0, room - sum(granted.values())) // max(1, len(by_client))
+        limits = {}
+        for name in class_names:
+            demands_of_class = {n: demands.get(name, 0) for n, demands in by_client.items()}
+            limits[name] = apportion(granted[name], demands_of_class)[client] + idle_slots
+        return limits
+
+    def usable_slots(self, replica: Any) -> int:
+        """Return how many slots of a replica may be used now: fewer while it is cold."""
+        slots: int = replica.slots
+        if replica.state != "cold":
+            return slots
+        services = (self.node.find("layout").configuration or {}).get("services", {})
+        warm_up_ms = services.get(replica.service, {}).get("warm_up_ms", DEFAULT_WARM_UP_MS)
+        age_seconds = self.node.now() - replica.first_seen_at
+        return slow_start_slots(slots, age_seconds, warm_up_ms / 1000)
+
+    def _cold_slots(
+        self, service: str, client: str, now: float, led_seconds: float
+    ) -> dict[str, int]:
+        """Return {replica: slots}; what others may still hold is never granted twice.
+
+        A core that led for less than a lease knows not yet what others hold: it grants what the
+        client holds already.
+        """
+        replicas = self.node.find("replicas").available(service)
+        cold_replicas = [replica for replica in replicas if replica.state == "cold"]
+        if led_seconds < self.lease_seconds:
+            held = self.demands[service][client].cold_slots
+            return {r.name: held[r.name] for r in cold_replicas if held.get(r.name)}
+        by_client = {
+            name: demand
+            for name, demand in self.demands[service].items()
+            if demand.cold_until > now
+        }
+        slots = {}
+        for replica in cold_replicas:
+            count = self._slots_of(replica, client, by_client)
+            if count:
+                slots[replica.name] = count
+        return slots
+
+    def _slots_of(self, replica: Any, client: str, by_client: dict[str, ClientDemand]) -> int:
+        """Return the slots of one cold replica that a client gets.
+
+        Each client counts with one request more than it has, so that all get some; where there are
+        fewer slots than clients, rendezvous hashing picks those that get one.
+        """
+        usable = self.usable_slots(replica)
+        held_elsewhere = sum(
+            demand.cold_slots.get(replica.name, 0)
+            for name, demand in by_client.items()
+            if name != client
+        )
+        if usable < len(by_client):
+            ranked = sorted(by_client, key=lambda name: score(replica.name, name), reverse=True)
+            wanted = int(client in ranked[:usable])
+        else:
+            weights = {name: sum(d.demands.values()) + 1 for name, d in by_client.items()}
+            wanted = apportion(usable, weights)[client]
+        return max(0, min(wanted, usable - held_elsewhere))
--- a/quillring/edge/dispatcher.py
+++ b/quillring/edge/dispatcher.py
@@ -36,7 +36,7 @@
         self.leases: dict[SlotLease, None] = {}
         self.queue_wait = QueueWaitEstimator()
         node.find("replicas").on_change.append(self.wake)
-        node.find("taker").on_grant = self.wake
+        node.find("taker").on_quota = self.wake
 
     def run(self) -> Coroutine:
         """Look for free slots now and then, since warm-ups and ejections end with time."""
@@ -179,8 +179,8 @@
 
     def _preempt_over_limit(self, service: str) -> None:
         """Want slots back from resumable work of the classes that run over their limit."""
-        taker = self.node.find("taker")
-        if not taker.is_decided(service):
+        quotas = self.node.find("taker")
+        if not quotas.has_recent_quota(service):
             self._preempt_by_urgency(service)
             return
         by_class: dict[str, list[SlotLease]] = {}
@@ -188,7 +188,7 @@
             if lease.replica.service == service:
                 by_class.setdefault(lease.class_name, []).append(lease)
         for class_name, leases in by_class.items():
-            limit = taker.limit(service, class_name)
+            limit = quotas.limit(service, class_name)
             if limit is None:
                 continue
             surplus = len(leases) - limit - sum(lease.is_preempted for lease in leases)
@@ -240,7 +240,7 @@
     def capacity(self, replica: Replica) -> int:
         """Return how many requests this node may have at the replica; cold ones by grant."""
         if replica.state == "cold":
-            granted: int = self.node.find("taker").cold_room(replica)
+            granted: int = self.node.find("taker").cold_slots(replica)
             return granted
         return replica.slots
 
--- a/quillring/edge/short_requests.py
+++ b/quillring/edge/short_requests.py
@@ -1,6 +1,6 @@
 """Short inquiries: map tiles and seat confirmations."""
 
-from quillring.classes.promises import may_repeat
+from quillring.classes.class_terms import may_repeat
 from quillring.edge.admission import check_admission
 from quillring.edge.stream_handlers import check_before_sending
 from quillring.kernel.checks import StrictValidator, read_count
@@ -99,4 +99,4 @@
             finally:
                 lease.release()
     finally:
-        node.find("meter").note(route["class"], answered_at, first_end)
+        node.find("meter").record(route["class"], answered_at, first_end)
--- a/quillring/edge/slot_lease.py
+++ b/quillring/edge/slot_lease.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from quillring.classes.promises import may_run_on
+from quillring.classes.class_terms import may_run_on
 from quillring.kernel.effects import Signal
 
 if TYPE_CHECKING:
--- a/quillring/edge/stream_handlers.py
+++ b/quillring/edge/stream_handlers.py
@@ -1,6 +1,6 @@
 """Model inquiries: streamed, numbered, journalled, resumed."""
 
-from quillring.classes.promises import may_resume, may_run_on
+from quillring.classes.class_terms import may_resume, may_run_on
 from quillring.edge.admission import check_admission, check_open
 from quillring.edge.dispatcher import prefix_key
 from quillring.edge.resume_token import make_token, read_token
@@ -137,7 +137,7 @@
     finally:
         stream.is_running = False
         if stream.term[0] == 1:
-            node.find("meter").note(route["class"], sending.first_at, first_end)
+            node.find("meter").record(route["class"], sending.first_at, first_end)
         if not stream.pieces and not sending.has_head:
             node.find("journal").forget(stream)
     yield SendToClient({"end": True, "pieces": len(stream.pieces)})
--- a/quillring/fleet.py
+++ b/quillring/fleet.py
@@ -1,6 +1,6 @@
 """Assembly: which services a node of each role is made of; the same in every runtime."""
 
-from quillring.classes import Granter, Meter, Taker
+from quillring.classes import QuotaClient, QuotaServer, ServiceLevelMeter
 from quillring.edge import Dispatcher, Journal, ReplicaTable
 from quillring.edge.replica_snapshot import ReplicaSnapshot
 from quillring.edge.resume_token import LIFE_SECONDS
@@ -40,7 +40,7 @@
     node.offer("layout", ConfigurationSnapshot(node))
     node.offer("freshness", Freshness(node))
     node.offer("replicas", ReplicaTable(node))
-    node.offer("meter", Meter(node))
+    node.offer("meter", ServiceLevelMeter(node))
     node.offer("dialect", HeaderNames())
     node.offer("forwards", ForwardRouteTable(node))
     node.offer("placement", LoadBalancer(node))
@@ -84,7 +84,7 @@
     runner = node.offer("lots", PromptLotScheduler(node))
     node.find("ownership").submit_checks.append(runner.keeping.check)
     node.find("ownership").leader_listeners.append(runner.on_batch)
-    node.offer("granter", Granter(node))
+    node.offer("granter", QuotaServer(node))
     repair = node.offer("repair", MembershipRepair(node))
     plans = node.offer("plans", PlanRunner(node))
     node.spawn(repair.run())
@@ -95,7 +95,7 @@
 
 
 def _start_serving(node):
-    taker = node.offer("taker", Taker(node))
+    taker = node.offer("taker", QuotaClient(node))
     dispatch = node.offer("dispatch", Dispatcher(node))
     journal = node.offer("journal", Journal(node))
     node.spawn(dispatch.run())
--- a/quillring/lots/prompts/scheduler.py
+++ b/quillring/lots/prompts/scheduler.py
@@ -4,7 +4,7 @@
 from collections import Counter
 from itertools import islice
 
-from quillring.classes.promises import may_repeat
+from quillring.classes.class_terms import may_repeat
 from quillring.edge.dispatcher import prefix_key
 from quillring.edge.stream_handlers import STALL_MS, check_before_sending, check_line
 from quillring.kernel.effects import FetchJson, OpenStream, ReadLine, Signal, Sleep, Wait
--- a/tests/test_quorum.py
+++ b/tests/test_quorum.py
@@ -37,4 +37,4 @@
     former.step_down(NotOwner(part="part-1"))
     stage.run(6)
     former.step_down(NotOwner(part="part-1"))
-    assert ownership.leaders["part-1"].is_leader and "part-1" in granter.owned_since
+    assert ownership.leaders["part-1"].is_leader and "part-1" in granter.terms
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -1,4 +1,4 @@
-from quillring.classes import Meter
+from quillring.classes import ServiceLevelMeter
 from quillring.edge import ReplicaTable
 from quillring.gossip import Gossip
 from tests.fleet_stage import SelfFounded
@@ -60,11 +60,11 @@
 
 def test_the_meter_counts_by_class_and_forgets_after_a_quarter_hour():
     made, _, runtime = node("a")
-    meter = Meter(made)
+    meter = ServiceLevelMeter(made)
     for first_at, first_end in ((1, 2), (2, 2), (3, 2), (None, 2)):
-        meter.note("hint", first_at, first_end)
+        meter.record("hint", first_at, first_end)
     runtime.time = 14 * 60
-    meter.note("seat", 1, 2)
+    meter.record("seat", 1, 2)
     row = {"class": "hint", "kept": 2, "late": 1, "unserved": 1, "share_kept": 0.5}
     assert meter.rows()[0] == row
     runtime.time = 16 * 60
