--- a/examples/embed/nifty_trio.py
+++ b/examples/embed/nifty_trio.py
@@ -23,7 +23,7 @@
         gossip.publish(f"member/{member.name}", [member.incarnation], member.to_list())
 
     nifty.on_member = put_member
-    nifty.on_strange_roster = gossip.start_anti_entropy
+    nifty.on_unknown_roster = gossip.start_anti_entropy
     gossip.subscribe("member/", lambda key, fields: nifty.learn(Member.from_list(fields)))
     put_member(me)
     node.handle("greet", lambda body, origin: f"{me.name} greets {origin}")
--- a/proving/points/starts.py
+++ b/proving/points/starts.py
@@ -3,7 +3,7 @@
 from proving.points.configuration import drain
 from proving.points.partitions import traffic
 from proving.points.scenario_fleet import Stage
-from quillring.nifty import Nifty, nifty
+from quillring.nifty import Nifty
 from quillring.nifty.wire import SPOKEN
 
 FORMER = tuple(version - 1 for version in SPOKEN)
@@ -66,7 +66,7 @@
     levels = []
     for name in order:
         node = stage.node(name)
-        levels.append(stage.node("edge-1").find("nifty").level())
+        levels.append(stage.node("edge-1").find("nifty").lowest_common_version())
         if node.me.role != "store":
             drain(stage, node)
         sim.kill(name)
@@ -76,7 +76,7 @@
     callers.stop_at = stage.env.now
     stage.run(20)
     outcomes = stage.outcomes()
-    after = {stage.node(n).find("nifty").level() for n in order}
+    after = {stage.node(n).find("nifty").lowest_common_version() for n in order}
     if after != {SPOKEN[-1]} or set(levels) != {FORMER[-1]}:
         sim.history.violate(f"levels {levels}, in the end {after}")
     knocked = stage.node("core-1").counts.get("other_versions", 0)
@@ -102,7 +102,7 @@
 
 
 POINTS = [
-    ("a clock set back keeps no node out", clock_set_back, [(nifty, "tell_stranger", no_word)]),
+    ("a clock set back keeps no node out", clock_set_back, [(Nifty, "send_direct", no_word)]),
     (
         "two versions work together in an upgrade",
         mixed_versions,
--- a/proving/scale/one_node.py
+++ b/proving/scale/one_node.py
@@ -17,11 +17,11 @@
 from proving.scale.runs import process_bytes
 from quillring.kernel.bounds import Bounds
 from quillring.kernel.member import Member
-from quillring.nifty.heard import Beat, Heard
-from quillring.nifty.pace import Pace
+from quillring.nifty.heartbeat_round import HeartbeatRound
+from quillring.nifty.heartbeat_timing import HeartbeatTiming
+from quillring.nifty.peer_state import PeerState
 from quillring.nifty.roster import Roster
-from quillring.nifty.telling import Telling
-from quillring.nifty.wire import SPOKEN
+from quillring.nifty.wire import SPOKEN, Heartbeat
 
 PROGRAM = "from quillring.verbs.program import main; main()"
 PORT, HOST, NODE_HOST, NODE_PORT = 7413, "127.0.46.{}", "127.0.45.1", 7415
@@ -41,19 +41,22 @@
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.socket.bind(("0.0.0.0", PORT))
         self.socket.setblocking(False)
-        self.heard, self.sequence, self.taken = None, 0, 0
-        self.period = Pace(Bounds(propagation=NEWS, recovery=RETURN), count + 1).period
+        self.node_state, self.sequence, self.taken = None, 0, 0
+        self.period = HeartbeatTiming(Bounds(propagation=NEWS, recovery=RETURN), count + 1).interval
 
     def read(self):
         """Read what the node sent; one heartbeat of a round speaks for all its copies."""
         try:
             while True:
-                beat = Beat(self.socket.recv(65535), SPOKEN)
+                heartbeat = Heartbeat.from_wire(self.socket.recv(65535), SPOKEN)
                 self.taken += 1
-                self.heard = self.heard or Heard(beat)
-                self.heard.sequence = max(self.heard.sequence, beat.sequence)
-                self.heard.at, self.heard.reads_terse = time.monotonic(), beat.reads_terse
-                self.heard.acked = beat.echo[1] if beat.echo else 0
+                self.node_state = self.node_state or PeerState(heartbeat)
+                self.node_state.sequence = max(self.node_state.sequence, heartbeat.sequence)
+                self.node_state.heard_at, self.node_state.reads_terse = (
+                    time.monotonic(),
+                    heartbeat.reads_terse,
+                )
+                self.node_state.acked_sequence = heartbeat.echo.sequence if heartbeat.echo else 0
         except BlockingIOError:
             return
 
@@ -67,10 +70,12 @@
                 wait = round_start + period * (number + 1) / len(self.members) - time.monotonic()
                 time.sleep(max(0, wait))
                 self.read()
-                telling = Telling(
+                heartbeat_round = HeartbeatRound(
                     member, self.sequence, told, self.roster.digest, self.bitmap, None, SPOKEN, 0
                 )
-                self.socket.sendto(telling.to(self.heard), (NODE_HOST, NODE_PORT))
+                self.socket.sendto(
+                    heartbeat_round.encode_for(self.node_state), (NODE_HOST, NODE_PORT)
+                )
 
 
 def spent_seconds(pid):
@@ -105,7 +110,7 @@
             "first_s": round(start_cost, 3),
             "mb": round(process_bytes(process.pid) / 1e6, 1),
             "beats_taken": round((peers.taken - taken) / span, 1),
-            "acked": peers.heard is not None and peers.heard.acked > 0,
+            "acked": peers.node_state is not None and peers.node_state.acked_sequence > 0,
         }
     finally:
         process.terminate()
--- a/proving/sim/traces.py
+++ b/proving/sim/traces.py
@@ -95,20 +95,20 @@
         return [sorted(nifty.graph.links.get(name, ())), list(nifty.bridge_nodes())]
 
     before = [m.to_list() for m in nifty.roster.members.values()]
-    real_datagram, real_beats = runtime.on_datagram, Nifty.send_beats
+    real_datagram, real_send_heartbeats = runtime.on_datagram, Nifty.send_heartbeats
 
     def on_datagram(data):
         taken.append([runtime.now() - start, data])
         real_datagram(data)
 
-    def send_beats(self):
+    def send_heartbeats(self):
         if self is nifty:
             taken.append([runtime.now() - start, None])
-        real_beats(self)
+        real_send_heartbeats(self)
 
-    runtime.on_datagram, Nifty.send_beats = on_datagram, send_beats
+    runtime.on_datagram, Nifty.send_heartbeats = on_datagram, send_heartbeats
     try:
-        sequence = nifty.beat_sequence
+        sequence = nifty.heartbeat_sequence
         stage.run(2)
         stage.sim.cut([name], ["store-1", "store-2", "core-2"])
         stage.run(4)
@@ -119,7 +119,7 @@
         stage.sim.cut([name], names_but(stage, name))
         stage.run(3)
     finally:
-        Nifty.send_beats = real_beats
+        Nifty.send_heartbeats = real_send_heartbeats
     return {
         "me": node.me.to_list(),
         "members": before,
@@ -155,11 +155,11 @@
     nifty = node.offer("nifty", Nifty(node, []))
     for fields in trace["members"]:
         nifty.learn(Member.from_list(fields))
-    nifty.beat_sequence, views = trace["sequence"], []
+    nifty.heartbeat_sequence, views = trace["sequence"], []
     for at, data in trace["taken"]:
         runtime.time = at
         if data is None:
-            nifty.send_beats()
+            nifty.send_heartbeats()
             nifty.refresh()
         else:
             nifty.on_datagram(data)
--- a/quillring/fleet.py
+++ b/quillring/fleet.py
@@ -50,7 +50,7 @@
 
     nifty.listeners.append(node.on_graph)
     nifty.on_member = put_member
-    nifty.on_strange_roster = gossip.start_anti_entropy
+    nifty.on_unknown_roster = gossip.start_anti_entropy
 
     def take_member(key, fields):
         if fields is None:
--- a/quillring/lots/http_requests/lot_placement.py
+++ b/quillring/lots/http_requests/lot_placement.py
@@ -65,7 +65,7 @@
 
 def are_lots_spread(node: Node) -> bool:
     """Tell whether every member in reach knows lots that live outside their host's part."""
-    level: int = node.find("nifty").level()
+    level: int = node.find("nifty").lowest_common_version()
     return level >= SPREAD_LEVEL
 
 
--- a/quillring/lots/prompts/acceptance_fence.py
+++ b/quillring/lots/prompts/acceptance_fence.py
@@ -64,7 +64,7 @@
     request in its hands.
     """
     ownership = node.find("ownership")
-    if node.find("nifty").level() < FENCE_LEVEL:
+    if node.find("nifty").lowest_common_version() < FENCE_LEVEL:
         return (yield from ownership.submit(part, command))
     end_time = node.now() + node.bounds.propagation * 2
     fence = yield from ownership.read(part, {"ask": "lot.fence"})
--- a/quillring/lots/prompts/api.py
+++ b/quillring/lots/prompts/api.py
@@ -99,7 +99,7 @@
 def release_lot(node, request):
     """Forget an ended lot; its results need not be kept any longer."""
     lot_name = request.words["lot"]
-    if node.find("nifty").level() < RELEASE_LEVEL:
+    if node.find("nifty").lowest_common_version() < RELEASE_LEVEL:
         raise Refused(reason="some nodes are of the former version")
     command = {"do": "lot.release", "lot": lot_name, "sender": request.client_name}
     return (yield from node.find("ownership").submit(part_of_lot(node, lot_name), command))
--- a/quillring/nifty/bits.py
+++ b/quillring/nifty/bits.py
@@ -1,4 +1,7 @@
-"""Sets of members as whole numbers: one bit a name, in the order of some sorted names."""
+"""Sets of members as integers: one bit a name, in the order of some sorted names.
+
+Rows of the connectivity matrix are kept so: union, difference and count cost one operation a row.
+"""
 
 from __future__ import annotations
 
@@ -11,25 +14,25 @@
 
 
 def to_bits(places: Iterable[int]) -> int:
-    """Return the number with these bits set."""
+    """Return the integer with the bits at these places set."""
     text = bytearray(max(places, default=-1) // 8 + 1)
     for place in places:
         text[place >> 3] |= 1 << (place & 7)
     return int.from_bytes(text, "little")
 
 
-def places_of(bits: int) -> list[int]:
-    """Return the places of the set bits, in order."""
+def bit_positions(bits: int) -> list[int]:
+    """Return the places of the set bits, in ascending order."""
     text = bin(bits)[:1:-1]
     return [place for place, digit in enumerate(text) if digit == "1"]
 
 
-def merged(rows: Iterable[int]) -> int:
+def union(rows: Iterable[int]) -> int:
     """Return the bits set in any of the rows."""
     return reduce(or_, rows, 0)
 
 
-def transposed(rows: list[int], width: int) -> list[int]:
+def transpose(rows: list[int], width: int) -> list[int]:
     """Return the columns of a square matrix of `width` rows."""
     if not width:
         return []
@@ -37,13 +40,13 @@
     return [int(text[width - 1 - place :: width], 2) for place in range(width)]
 
 
-class Order:
-    """Bits made for one order of names, put into another one; names it lacks are left out."""
+class BitPermutation:
+    """Reads bits made for one order of names in another one; names that lacks are left out."""
 
     __slots__ = ("width", "pick")
 
     def __init__(self, names: Sequence[str], new_places: dict[str, int]) -> None:
-        """Make the reading of bits over `names` as bits over {name: place}."""
+        """Prepare to read bits over `names` as bits over {name: place}."""
         self.width = len(names)
         known = {name: place for place, name in enumerate(names)}
         picked = [known.get(name, self.width) for name in new_places]
@@ -56,19 +59,19 @@
         return int("".join(digits), 2) >> 2
 
 
-class Orders:
-    """The readings into {name: place}, each made once."""
+class BitPermutations:
+    """The permutations into one order of names, given as {name: place}; each is made once."""
 
     __slots__ = ("places", "made")
 
     def __init__(self, places: dict[str, int]) -> None:
         self.places = places
-        self.made = {}
+        self.made: dict[int, BitPermutation] = {}
 
     def read(self, bits: int, names: Sequence[str], places: dict[str, int]) -> int:
         """Return bits over `names`, whose {name: place} is `places`, in this order."""
         if places is self.places:
             return bits
         if id(places) not in self.made:
-            self.made[id(places)] = Order(names, self.places)
+            self.made[id(places)] = BitPermutation(names, self.places)
         return self.made[id(places)].read(bits)
--- /dev/null
+++ b/quillring/nifty/duplicate_filter.py
@@ -0,0 +1,30 @@
+"""Deduplication of messages that may be doubled or reordered on a route switch."""
+
+from __future__ import annotations
+
+WINDOW_SEQUENCES = 4096
+
+
+class DuplicateFilter:
+    """The sequence numbers received from one incarnation of an origin.
+
+    Those more than WINDOW_SEQUENCES below the highest count as received: a copy that comes later
+    than that is dropped, as if it had been lost.
+    """
+
+    __slots__ = ("incarnation", "highest", "received")
+
+    def __init__(self, incarnation: int) -> None:
+        self.incarnation = incarnation
+        self.highest = 0
+        self.received: set[int] = set()
+
+    def is_first_copy(self, sequence: int) -> bool:
+        """Return whether the sequence number is new, and remember it."""
+        if sequence <= self.highest - WINDOW_SEQUENCES or sequence in self.received:
+            return False
+        self.received.add(sequence)
+        self.highest = max(self.highest, sequence)
+        if len(self.received) > WINDOW_SEQUENCES * 2:
+            self.received = {s for s in self.received if s > self.highest - WINDOW_SEQUENCES}
+        return True
--- a/quillring/nifty/graph.py
+++ b/quillring/nifty/graph.py
@@ -1,17 +1,26 @@
-"""The connectivity graph and its routes (paper, section 5.2)."""
+"""The connectivity graph and its routes.
+
+Source: Alfatafta, Alkhatib, Alquraan and Al-Kiswany, "Toward a Generic Fault Tolerance Technique
+for Partial Network Partitioning", OSDI 2020 (NIFTY), section 5.2. Routes are those of Bellman-Ford
+with hop counts as weights; messages over equal routes are spread by rendezvous hashing.
+"""
 
 from __future__ import annotations
 
 import hashlib
 from typing import TYPE_CHECKING
 
-from quillring.nifty.bits import merged, places_of, to_bits, transposed
+from quillring.nifty.bits import bit_positions, to_bits, transpose, union
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Hashable, Iterable, Sequence
-    from typing import Any
+    from typing import Any, TypeVar
+
+    T = TypeVar("T")
+    Route = tuple[int, tuple[str, ...]]
+    """Hop count, and the neighbours that begin an equally short route."""
 
-KEPT_ANSWERS = 4096
+CACHED_RESULTS = 4096
 
 
 def score(*words: str) -> bytes:
@@ -25,7 +34,7 @@
     A row of links is one whole number, a bit a name: what is read of it is made when asked for.
     """
 
-    __slots__ = ("home", "names", "places", "rows", "live_bits", "routes", "known")
+    __slots__ = ("home", "names", "places", "rows", "live_bits", "routes", "cache")
 
     def __init__(self, home: str, rows: dict[str, Iterable[str]]) -> None:
         """Make the graph from {name: names it reaches}."""
@@ -47,20 +56,23 @@
         graph._make(home, names, places, rows)
         return graph
 
-    def _make(self, home: str, names: Sequence[str], places: dict[str, int], rows: dict[str, int]):
+    def _make(
+        self, home: str, names: Sequence[str], places: dict[str, int], rows: dict[str, int]
+    ) -> None:
         """Find the links and routes.
 
         The home's own links are what it sees itself; other pairs must both tell of their link,
         and of a node that is not heard the others tell.
         """
-        self.home, self.names, self.places, self.known = home, names, places, {}
+        self.home, self.names, self.places = home, names, places
+        self.cache: dict[Hashable, Any] = {}
         home_bit, own_row = 1 << places[home], rows.get(home, 0)
         told, silent_bits = [0] * len(names), (1 << len(names)) - 1
         for name, bits in rows.items():
             place = places[name]
             silent_bits &= ~(1 << place)
             told[place] = bits | home_bit if own_row >> place & 1 else bits & ~home_bit
-        tellers = transposed(told, len(names))
+        tellers = transpose(told, len(names))
         self.rows = [
             (tellers[place] if silent_bits >> place & 1 else bits & (silent_bits | tellers[place]))
             & ~(1 << place)
@@ -73,54 +85,56 @@
         """Tell whether another graph has the very same links between the same names."""
         return self.names == other.names and self.rows == other.rows
 
-    def _bellman_ford(self):
+    def _bellman_ford(self) -> dict[str, Route]:
         """Return {name: (hop count, first hops)}; direct links win, equal routes are all kept.
 
         With hop counts as weights the distance vectors settle ring by ring, from the home outwards.
         """
-        names, rows, names_of = self.names, self.rows, {}
+        names, rows = self.names, self.rows
+        names_of: dict[int, tuple[str, ...]] = {}
         ring = rows[self.places[self.home]]
-        routes = {names[place]: (1, (names[place],)) for place in places_of(ring)}
-        first_hops = {place: 1 << place for place in places_of(ring)}
-        seen_bits, distance = ring | 1 << self.places[self.home], 1
+        routes = {names[place]: (1, (names[place],)) for place in bit_positions(ring)}
+        first_hops = {place: 1 << place for place in bit_positions(ring)}
+        visited_bits, distance = ring | 1 << self.places[self.home], 1
         while ring:
-            next_ring, distance = self._reached_from(ring) & ~seen_bits, distance + 1
-            for place in places_of(next_ring):
+            next_ring, distance = self._reached_from(ring) & ~visited_bits, distance + 1
+            for place in bit_positions(next_ring):
                 hop_bits = rows[place] & ring
                 if distance > 2:
-                    hop_bits = merged([first_hops[former] for former in places_of(hop_bits)])
+                    hop_bits = union([first_hops[former] for former in bit_positions(hop_bits)])
                 if hop_bits not in names_of:
                     names_of[hop_bits] = self._names(hop_bits)
                 first_hops[place] = hop_bits
                 routes[names[place]] = distance, names_of[hop_bits]
-            seen_bits |= next_ring
+            visited_bits |= next_ring
             ring = next_ring
         return routes
 
-    def _reached_from(self, ring: int):
-        """Return what the names of a ring reach, as soon as that is everyone."""
+    def _reached_from(self, ring: int) -> int:
+        """Return the bits of what the names of a ring reach, as soon as that is everyone."""
         reached_bits = 0
-        for place in places_of(ring):
+        for place in bit_positions(ring):
             reached_bits |= self.rows[place]
             if reached_bits | ring == self.live_bits:
                 break
         return reached_bits
 
-    def _names(self, bits: int):
-        return tuple([self.names[place] for place in places_of(bits)])
+    def _names(self, bits: int) -> tuple[str, ...]:
+        return tuple([self.names[place] for place in bit_positions(bits)])
 
-    def _once(self, key: Hashable, make: Callable[[], Any]):
-        if key in self.known:
-            return self.known[key]
+    def _cached(self, key: Hashable, make: Callable[[], T]) -> T:
+        if key in self.cache:
+            cached: T = self.cache[key]
+            return cached
         value = make()
-        if len(self.known) < KEPT_ANSWERS:
-            self.known[key] = value
+        if len(self.cache) < CACHED_RESULTS:
+            self.cache[key] = value
         return value
 
     @property
     def links(self) -> dict[str, frozenset[str]]:
         """Return {name: names it has a link with}."""
-        return self._once(
+        return self._cached(
             "links",
             lambda: {
                 name: frozenset(self._names(bits)) for name, bits in zip(self.names, self.rows)
@@ -130,11 +144,11 @@
     @property
     def live(self) -> frozenset[str]:
         """Return the names with any link, home included."""
-        return self._once("live", lambda: frozenset(self._names(self.live_bits)))
+        return self._cached("live", lambda: frozenset(self._names(self.live_bits)))
 
     def neighbours(self) -> frozenset[str]:
         """Return the names that the home has a link with."""
-        return self._once(
+        return self._cached(
             "neighbours", lambda: frozenset(self._names(self.rows[self.places[self.home]]))
         )
 
@@ -146,7 +160,7 @@
         hops = known_route[1]
         if len(hops) == 1:
             return hops[0]
-        return self._once(
+        return self._cached(
             (target, origin), lambda: max(hops, key=lambda hop: score(origin, target, hop))
         )
 
@@ -159,7 +173,7 @@
 
     def reachable(self) -> frozenset[str]:
         """Return the names that a message can get to, home included."""
-        return self._once("reachable", lambda: frozenset(self.routes) | {self.home})
+        return self._cached("reachable", lambda: frozenset(self.routes) | {self.home})
 
     @property
     def is_cut(self) -> bool:
@@ -168,32 +182,32 @@
 
     def bridge_nodes(self) -> tuple[str, ...]:
         """Return the live nodes that reach every live node directly."""
-        return self._once(
+        return self._cached(
             "bridges",
             lambda: tuple(
                 self.names[place]
-                for place in places_of(self.live_bits)
+                for place in bit_positions(self.live_bits)
                 if self.rows[place].bit_count() == self.live_bits.bit_count() - 1
             ),
         )
 
     def bridges_without(self, left_out: frozenset[str]) -> frozenset[str]:
         """Return the live nodes that reach all others but some directly, if not all of them do."""
-        return self._once(("bridges", left_out), lambda: self._find_bridges(left_out))
+        return self._cached(("bridges", left_out), lambda: self._find_bridges(left_out))
 
-    def _find_bridges(self, left_out: frozenset[str]):
+    def _find_bridges(self, left_out: frozenset[str]) -> frozenset[str]:
         left_out_bits = to_bits([self.places[name] for name in left_out if name in self.places])
         asked_bits = self.live_bits & ~left_out_bits
         bridge_bits = to_bits(
-            [p for p in places_of(asked_bits) if not asked_bits & ~(self.rows[p] | 1 << p)]
+            [p for p in bit_positions(asked_bits) if not asked_bits & ~(self.rows[p] | 1 << p)]
         )
         return frozenset() if bridge_bits == asked_bits else frozenset(self._names(bridge_bits))
 
     def sides(self) -> tuple[tuple[str, ...], ...]:
         """Return the groups of live nodes on each side of the cut, bridges left out."""
-        return self._once("sides", self._find_sides)
+        return self._cached("sides", self._find_sides)
 
-    def _find_sides(self):
+    def _find_sides(self) -> tuple[tuple[str, ...], ...]:
         left_bits = self.live_bits
         if self.is_cut:
             left_bits &= ~to_bits([self.places[name] for name in self.bridge_nodes()])
@@ -202,12 +216,14 @@
             side, edge_bits = 0, left_bits & -left_bits
             while edge_bits:
                 side |= edge_bits
-                edge_bits = merged([self.rows[p] for p in places_of(edge_bits)]) & left_bits & ~side
+                edge_bits = (
+                    union([self.rows[p] for p in bit_positions(edge_bits)]) & left_bits & ~side
+                )
             left_bits &= ~side
             found_sides.append(self._names(side))
         return tuple(sorted(found_sides))
 
-    def to_json(self) -> dict:
+    def to_json(self) -> dict[str, Any]:
         """Return the graph as operators see it."""
         return {
             "is_cut": self.is_cut,
--- a/quillring/nifty/nifty.py
+++ b/quillring/nifty/nifty.py
@@ -1,4 +1,8 @@
-"""NIFTY in a process: heartbeats to all, bitmaps, graph, routes, relays, deduplication."""
+"""NIFTY in a process: heartbeats to all, bitmaps, graph, routes, relays, deduplication.
+
+Source: Alfatafta, Alkhatib, Alquraan and Al-Kiswany, "Toward a Generic Fault Tolerance Technique
+for Partial Network Partitioning", OSDI 2020 (NIFTY), section 5 and listing 5.1 where noted.
+"""
 
 from __future__ import annotations
 
@@ -6,223 +10,301 @@
 
 from quillring.kernel.effects import Sleep
 from quillring.kernel.errors import BadWire
-from quillring.nifty.bits import Orders
+from quillring.nifty.bits import BitPermutations
 from quillring.nifty.graph import Graph
-from quillring.nifty.heard import Beat, Heard
-from quillring.nifty.peers import Peers
+from quillring.nifty.heartbeat_round import HeartbeatRound
+from quillring.nifty.incarnations import is_name_clash, renew_incarnation
+from quillring.nifty.peer_state import PeerState
 from quillring.nifty.relay import Relay
-from quillring.nifty.starts import is_clash, renew_start, tell_stranger
-from quillring.nifty.telling import Telling
-from quillring.nifty.wire import SPOKEN
+from quillring.nifty.wire import SPOKEN, Heartbeat
 
 if TYPE_CHECKING:
-    from collections.abc import Iterable
+    from collections.abc import Callable, Iterable
 
+    from quillring.kernel.member import Member
     from quillring.kernel.node import Node
     from quillring.kernel.types import Address, Coroutine
+    from quillring.nifty.wire import Stamp
+
+    HeartbeatContent = tuple[object, bytes, bytes]
+
+SLICES_PER_INTERVAL = 4
+STARTUP_INTERVALS = 4
+ANTI_ENTROPY_STARTS_PER_SLICE = 3
+PROPAGATIONS_KEPT = 3
+LINK_TIMEOUTS_KEPT = 2
 
-PARTS = 4
-STARTING = 4
-MENDED_A_PART = 3
 
+class Nifty(Relay):
+    """The peer layer of one node.
 
-class Nifty(Relay, Peers):
-    """The peer layer of one node; newly started, it presses those it has no link to."""
+    Newly started, it sends heartbeats in every slice of an interval to those without a link.
+
+    Attributes
+    ----------
+    seeds : addresses that get heartbeats before their members are known
+    heartbeat_sequence : number of the last round of heartbeats
+    content, content_sequence : what the last full heartbeats told, and the first round of it
+    sent_at_by_sequence : when each recent round was sent
+    graph_inputs, refreshed_at : what the graph was last made of, and when
+    anti_entropy_count : calls of `on_unknown_roster` in this slice
+    listeners : called with each graph that differs from the one before
+    stamp_source : returns the freshness stamp that heartbeats bear
+    on_unknown_roster : called with the name of a member whose roster differs from this node's
+    linked_names : the names reached at the last slice
+    """
 
     __slots__ = (
         "seeds",
-        "graph",
-        "sequence",
-        "beat_sequence",
-        "told",
-        "beat_times",
-        "sources",
+        "heartbeat_sequence",
+        "content",
+        "content_sequence",
+        "sent_at_by_sequence",
+        "graph_inputs",
         "refreshed_at",
-        "mended_count",
-        "seen",
+        "anti_entropy_count",
         "listeners",
         "stamp_source",
-        "on_strange_roster",
-        "versions",
+        "on_unknown_roster",
         "started_at",
-        "answered_names",
+        "linked_names",
     )
 
     def __init__(
         self, node: Node, seeds: Iterable[Address], versions: tuple[int, ...] = SPOKEN
     ) -> None:
-        super().__init__(node)
+        super().__init__(node, versions)
         self.seeds = tuple(seeds)
-        self.graph = Graph(node.me.name, {})
-        self.sequence = 0
-        self.beat_sequence = 0
-        self.told = (None, 0)
-        self.beat_times = {}
-        self.sources = None
-        self.refreshed_at = None
-        self.mended_count = 0
-        self.seen = {}
-        self.listeners = []
-        self.stamp_source = lambda: None
-        self.on_strange_roster = lambda name: None
-        self.versions = versions
+        self.heartbeat_sequence = 0
+        self.content: HeartbeatContent | None = None
+        self.content_sequence = 0
+        self.sent_at_by_sequence: dict[int, float] = {}
+        self.graph_inputs: tuple[frozenset[str], frozenset[str]] | None = None
+        self.refreshed_at: float | None = None
+        self.anti_entropy_count = 0
+        self.listeners: list[Callable[[Graph], object]] = []
+        self.stamp_source: Callable[[], Stamp | None] = lambda: None
+        self.on_unknown_roster: Callable[[str], object] = lambda name: None
         self.started_at = node.now()
-        self.answered_names = frozenset()
-        node.handle("member.former", lambda body, origin: renew_start(self, body))
+        self.linked_names: frozenset[str] = frozenset()
+        node.handle("member.former", lambda body, origin: renew_incarnation(self, body))
 
     def run(self) -> Coroutine:
-        """Coroutine: send a heartbeat to all in every period, the lost ones included."""
+        """Send a heartbeat to all in every interval, the lost ones included."""
         while True:
-            self.send_beats()
-            for part in range(PARTS):
-                self._press(part)
+            self.send_heartbeats()
+            for slice_number in range(SLICES_PER_INTERVAL):
+                self._send_to_unlinked(slice_number)
                 self.refresh()
-                yield Sleep(self.pace.period / PARTS)
+                yield Sleep(self.timing.interval / SLICES_PER_INTERVAL)
 
-    def _press(self, part: int):
-        former_names, self.answered_names = self.answered_names, self.reached_names()
-        if part and self.node.now() - self.started_at < self.pace.period * STARTING:
-            self.send_beats(former_names & self.answered_names)
+    def _send_to_unlinked(self, slice_number: int) -> None:
+        """Newly started, send heartbeats between rounds to all that have no lasting link yet."""
+        former_names, self.linked_names = self.linked_names, self.reached_names()
+        is_starting = self.node.now() - self.started_at < self.timing.interval * STARTUP_INTERVALS
+        if slice_number and is_starting:
+            self.send_heartbeats(former_names & self.linked_names)
 
-    def send_beats(self, left_out_names: frozenset[str] = frozenset()) -> None:
+    def send_heartbeats(self, left_out_names: frozenset[str] = frozenset()) -> None:
         """Send one heartbeat to every member not left out and to each seed not yet known."""
-        telling, own_address, heard_of = self._next_telling(), self.node.me.address, self.heard.get
-        addresses = self.roster.addresses
+        heartbeat_round, own_address = self._begin_round(), self.node.me.address
+        addresses, find_state = self.roster.addresses, self.peer_states.get
+        send_datagram = self.node.runtime.datagram
+        sent_count = sent_bytes = 0
         for address, names in addresses.items():
             if address != own_address and not left_out_names.issuperset(names):
-                heard = (
-                    heard_of(names[0])
-                    if len(names) == 1
-                    else max(
-                        (self.heard[name] for name in names if name in self.heard),
-                        key=lambda heard: heard.at,
-                        default=None,
-                    )
-                )
-                self._send_beat(address, telling, heard)
+                state = find_state(names[0]) if len(names) == 1 else self._latest_state(names)
+                data = heartbeat_round.encode_for(state)
+                send_datagram(address, data)
+                sent_count += 1
+                sent_bytes += len(data)
+        self._count_sent(sent_count, sent_bytes)
         for address in dict.fromkeys(self.seeds):
             if address != own_address and address not in addresses:
-                self._send_beat(address, telling, None)
+                self._send_heartbeat(address, heartbeat_round, None)
+
+    def _latest_state(self, names: list[str]) -> PeerState | None:
+        """Return the state of the name heard last, of several names at one address."""
+        return max(
+            [self.peer_states[name] for name in names if name in self.peer_states],
+            key=lambda state: state.heard_at,
+            default=None,
+        )
 
-    def _next_telling(self):
+    def _begin_round(self) -> HeartbeatRound:
         me, roster, now = self.node.me, self.roster, self.node.now()
-        self.beat_sequence += 1
-        oldest_time = now - max(self.node.bounds.propagation * 3, self.pace.broken * 2)
-        self.beat_times = {s: at for s, at in self.beat_times.items() if at > oldest_time}
-        self.beat_times[self.beat_sequence] = now
+        self.heartbeat_sequence += 1
+        oldest_time = now - max(
+            self.node.bounds.propagation * PROPAGATIONS_KEPT,
+            self.timing.link_timeout * LINK_TIMEOUTS_KEPT,
+        )
+        self.sent_at_by_sequence = {
+            sequence: sent_at
+            for sequence, sent_at in self.sent_at_by_sequence.items()
+            if sent_at > oldest_time
+        }
+        self.sent_at_by_sequence[self.heartbeat_sequence] = now
         bitmap = roster.to_bitmap(self.reached_names())
         content = (me, roster.digest, bitmap)
-        if self.told[0] != content:
-            self.told = (content, self.beat_sequence)
-        return Telling(
+        if self.content != content:
+            self.content, self.content_sequence = content, self.heartbeat_sequence
+        return HeartbeatRound(
             me,
-            self.beat_sequence,
-            self.told[1],
+            self.heartbeat_sequence,
+            self.content_sequence,
             roster.digest,
             bitmap,
             self.stamp_source(),
             self.versions,
-            now - self.pace.broken,
+            now - self.timing.link_timeout,
         )
 
-    def _send_beat(self, address: Address, telling: Telling, heard: Heard | None):
-        data = telling.to(heard)
-        self.node.count("beats_sent")
-        self.node.count("beat_bytes", len(data))
+    def _send_heartbeat(
+        self, address: Address, heartbeat_round: HeartbeatRound, state: PeerState | None
+    ) -> None:
+        data = heartbeat_round.encode_for(state)
+        self._count_sent(1, len(data))
         self.node.runtime.datagram(address, data)
 
+    def _count_sent(self, heartbeat_count: int, byte_count: int) -> None:
+        self.node.count("beats_sent", heartbeat_count)
+        self.node.count("beat_bytes", byte_count)
+
     def on_datagram(self, data: bytes) -> None:
         """Take a heartbeat; garbage is counted and dropped."""
         try:
-            beat = Beat(data, self.versions, self.known_roster.members)
+            heartbeat = Heartbeat.from_wire(data, self.versions, self.known_roster.members)
         except BadWire as error:
             self.node.count("bad_datagrams")
             self.node.count("other_versions", error.detail["reason"] == "version")
             return
-        if beat.name == self.node.me.name:
+        if heartbeat.name == self.node.me.name:
             return
-        heard = former = self.heard.get(beat.name)
-        is_known = heard is not None and heard.incarnation == beat.incarnation
-        if not is_known or beat.sequence <= heard.sequence:
-            if not self._is_news(beat, heard):
+        state = former = self.peer_states.get(heartbeat.name)
+        is_known = state is not None and state.incarnation == heartbeat.incarnation
+        if state is None or not is_known or heartbeat.sequence <= state.sequence:
+            if not self._is_newer_incarnation(heartbeat, state):
                 return
-            heard = self.heard[beat.name] = Heard(beat)
-        self._hear(heard, beat)
-        if not is_known and (
-            former is not None or self.pace.period > self.node.bounds.heartbeat_interval
+            state = self.peer_states[heartbeat.name] = PeerState(heartbeat)
+        self._take_heartbeat(state, heartbeat)
+        if (
+            not is_known
+            and heartbeat.member is not None
+            and (former is not None or self.timing.interval > self.node.bounds.heartbeat_interval)
         ):
-            self._send_beat(beat.member.address, self._next_telling(), heard)
+            self._send_heartbeat(heartbeat.member.address, self._begin_round(), state)
+
+    def _is_newer_incarnation(self, heartbeat: Heartbeat, state: PeerState | None) -> bool:
+        """Return whether an unexpected heartbeat is of a newer incarnation.
 
-    def _is_news(self, beat: Beat, heard: Heard | None):
-        """Tell whether an unexpected heartbeat is of a newer start; a stranger is told."""
-        if beat.member is None:
+        One whose name clashes with a member's, and one whose clock was set back, is told so.
+        """
+        member = heartbeat.member
+        if member is None:
             self.node.count("unread_beats")
             return False
-        if is_clash(self, beat.member, heard):
+        if is_name_clash(self, member, state):
             self.node.count("identity_clashes")
-            tell_stranger(self, beat.member, beat.version, "member.clash", None)
+            self.send_direct(member, heartbeat.version, "member.clash", None)
             return False
-        if heard is None or beat.incarnation > heard.incarnation:
+        if state is None or heartbeat.incarnation > state.incarnation:
             return True
-        if beat.version > 1 and not self.is_heard(heard):
-            former = heard.incarnation
-            tell_stranger(self, beat.member, beat.version, "member.former", former)
+        if heartbeat.version > 1 and not self.is_heard(state):
+            self.send_direct(member, heartbeat.version, "member.former", state.incarnation)
         return False
 
-    def _hear(self, heard: Heard, beat: Beat):
-        """Take what a heartbeat tells; a link that came up is routed at once or within a part."""
+    def _take_heartbeat(self, state: PeerState, heartbeat: Heartbeat) -> None:
+        """Take what a heartbeat tells; a link that came up is routed at once or within a slice."""
         now = self.node.now()
-        heard.at, heard.sequence, heard.stamp = now, beat.sequence, beat.stamp
-        heard.is_refused = False
-        heard.version, heard.reads_terse = max(heard.version, beat.version), beat.reads_terse
-        is_echoed = beat.echo is not None and beat.echo[0] == self.node.me.incarnation
-        heard.acked = beat.echo[1] if is_echoed else 0
-        if is_echoed:
-            heard.echo_at = self.beat_times.get(beat.echo[1], heard.echo_at)
-        if beat.member is not None and beat.member is not self.known_roster.members.get(beat.name):
-            self.learn(beat.member)
-        if beat.bitmap is not None and self.take_row(heard, beat.digest, beat.bitmap):
-            self.is_stale = True
-        if heard.digest != self.known_roster.digest and self.mended_count < MENDED_A_PART:
-            self.mended_count += 1
-            self.on_strange_roster(beat.name)
+        state.heard_at, state.sequence, state.stamp = now, heartbeat.sequence, heartbeat.stamp
+        state.is_refused = False
+        state.version = max(state.version, heartbeat.version)
+        state.reads_terse = heartbeat.reads_terse
+        echo = heartbeat.echo
+        if echo is not None and echo.incarnation == self.node.me.incarnation:
+            state.acked_sequence = echo.sequence
+            state.echoed_at = self.sent_at_by_sequence.get(echo.sequence, state.echoed_at)
+        else:
+            state.acked_sequence = 0
+        if heartbeat.member is not None:
+            self._take_content(state, heartbeat, heartbeat.member)
+        if state.digest != self.known_roster.digest:
+            self._start_anti_entropy(heartbeat.name)
         if (
-            heard.echo_at is not None
-            and self.graph.hops(beat.name) != 1
-            and (heard.echo_at > now - self.pace.broken - self.pace.period)
+            state.echoed_at is not None
+            and self.graph.hops(heartbeat.name) != 1
+            and state.echoed_at > now - self.timing.link_timeout - self.timing.interval
         ):
-            self.is_stale = True
-            if self.refreshed_at is None or now - self.refreshed_at >= self.pace.period / PARTS:
-                self.refresh()
+            self._take_new_link(now)
+
+    def _take_content(self, state: PeerState, heartbeat: Heartbeat, member: Member) -> None:
+        """Take the member record and the bitmap of a full heartbeat."""
+        if member is not self.known_roster.members.get(member.name):
+            self.learn(member)
+        if (
+            heartbeat.bitmap is not None
+            and heartbeat.digest is not None
+            and self.take_bitmap(state, heartbeat.digest, heartbeat.bitmap)
+        ):
+            self.is_graph_stale = True
+
+    def _start_anti_entropy(self, name: str) -> None:
+        """Tell that a member has another roster, for a few members a slice at most."""
+        if self.anti_entropy_count < ANTI_ENTROPY_STARTS_PER_SLICE:
+            self.anti_entropy_count += 1
+            self.on_unknown_roster(name)
+
+    def _take_new_link(self, now: float) -> None:
+        self.is_graph_stale = True
+        slice_seconds = self.timing.interval / SLICES_PER_INTERVAL
+        if self.refreshed_at is None or now - self.refreshed_at >= slice_seconds:
+            self.refresh()
+
+    def on_refused(self, address: Address) -> None:
+        """Take that no process listens at an address: who lived there is lost at once.
+
+        It counts as lost as after missed heartbeats, and until its next one. In a fleet whose
+        heartbeats are not slowed for its size, the others hear of it at once too.
+        """
+        if not self.refuse(address):
+            return
+        self.node.count("refused_links")
+        self.refresh()
+        if self.timing.interval <= self.node.bounds.heartbeat_interval:
+            self.send_heartbeats()
 
     def refresh(self) -> None:
         """Make the graph anew if what was heard has changed; a changed one is told to listeners."""
-        heard_edge, roster, me = self.node.now() - self.pace.broken, self.roster, self.node.me.name
-        self.mended_count = 0
+        roster, me = self.roster, self.node.me.name
+        self.anti_entropy_count = 0
         reached_names = self.reached_names()
-        sources = (
-            reached_names,
-            frozenset(
-                [
-                    name
-                    for name, heard in self.heard.items()
-                    if heard.roster is not None
-                    and heard.at > heard_edge
-                    and not heard.is_refused
-                    and name in roster.places
-                ]
-            ),
-        )
-        if not self.is_stale and sources == self.sources:
+        teller_names = self._names_with_fresh_rows(roster.places)
+        graph_inputs = (reached_names, teller_names)
+        if not self.is_graph_stale and graph_inputs == self.graph_inputs:
             return
-        self.sources, self.is_stale, self.refreshed_at = sources, False, self.node.now()
-        orders = Orders(roster.places)
-        rows = {name: self.heard[name].bits_over(orders) for name in sources[1]}
+        self.graph_inputs, self.is_graph_stale = graph_inputs, False
+        self.refreshed_at = self.node.now()
+        permutations = BitPermutations(roster.places)
+        rows = {name: self.peer_states[name].bits_in_order(permutations) for name in teller_names}
         rows[me] = roster.from_bitmap(roster.to_bitmap(reached_names))
         self.node.count("graph_makings")
-        self._swap_graph(Graph.of_bits(me, roster.names, roster.places, rows))
+        self._replace_graph(Graph.of_bits(me, roster.names, roster.places, rows))
+
+    def _names_with_fresh_rows(self, places: dict[str, int]) -> frozenset[str]:
+        """Return the names of the roster that were heard lately and told whom they reach."""
+        heard_edge = self.node.now() - self.timing.link_timeout
+        return frozenset(
+            [
+                name
+                for name, state in self.peer_states.items()
+                if state.roster is not None
+                and state.heard_at > heard_edge
+                and not state.is_refused
+                and name in places
+            ]
+        )
 
-    def _swap_graph(self, new_graph: Graph):
+    def _replace_graph(self, new_graph: Graph) -> None:
         former_graph = self.graph
         if new_graph.same_links(former_graph):
             return
@@ -236,9 +318,9 @@
             listener(new_graph)
 
     def bridge_nodes(self) -> tuple[str, ...]:
-        """Return the current bridge list (paper, listing 5.1)."""
+        """Return the live nodes that reach all others directly (listing 5.1)."""
         return self.graph.bridge_nodes()
 
     def sides(self) -> tuple[tuple[str, ...], ...]:
-        """Return the sides of the current cut."""
+        """Return the groups of nodes on each side of the present partial partition."""
         return self.graph.sides()
--- a/quillring/nifty/relay.py
+++ b/quillring/nifty/relay.py
@@ -1,75 +1,116 @@
 """Messages between nodes: sent by the best route, relayed for others, delivered once."""
 
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
 from quillring.kernel.errors import BadWire
-from quillring.nifty.heard import read_envelope
-from quillring.nifty.seen import SeenWindow
-from quillring.nifty.wire import pack
+from quillring.nifty.duplicate_filter import DuplicateFilter
+from quillring.nifty.graph import Graph
+from quillring.nifty.peers import Peers
+from quillring.nifty.wire import Envelope
+
+if TYPE_CHECKING:
+    from typing import Any
+
+    from quillring.kernel.member import Member
+    from quillring.kernel.node import Node
+    from quillring.kernel.types import WireMap
 
 HOP_LIMIT = 6
 
 
-class Relay:
-    """The message side of the peer layer; a message may be lost, but is delivered once."""
+class Relay(Peers):
+    """The message side of the peer layer; a message may be lost, but is delivered once.
+
+    Attributes
+    ----------
+    graph : who reaches whom directly, and the routes
+    sequence : number of the last message sent
+    duplicate_filters : the messages received, by their origin
+    versions : versions of the format that this node speaks, the oldest first
+    """
 
-    __slots__ = ()
+    __slots__ = ("graph", "sequence", "duplicate_filters", "versions")
+
+    def __init__(self, node: Node, versions: tuple[int, ...]) -> None:
+        super().__init__(node)
+        self.graph = Graph(node.me.name, {})
+        self.sequence = 0
+        self.duplicate_filters: dict[str, DuplicateFilter] = {}
+        self.versions = versions
 
     def reaches(self, name: str) -> bool:
-        """Tell whether a message can get to the node, directly or relayed."""
+        """Return whether a message can get to the node, directly or relayed."""
         return name == self.node.me.name or name in self.graph.routes
 
-    def level(self) -> int:
-        """Return the newest version that every member in reach is known to speak."""
-        names = [name for name in self.roster.names if name in self.graph.routes]
-        spoken = [self.heard[n].version if n in self.heard else self.versions[0] for n in names]
-        return min((self.versions[-1], *spoken))
+    def lowest_common_version(self) -> int:
+        """Return the newest version of the format that every member in reach is known to speak."""
+        lowest = self.versions[-1]
+        for name in self.roster.names:
+            if name in self.graph.routes:
+                state = self.peer_states.get(name)
+                lowest = min(lowest, self.versions[0] if state is None else state.version)
+        return lowest
 
-    def send(self, target: str, message: dict) -> bool:
-        """Send a message by the best route; False when no route is known."""
+    def send(self, target: str, message: WireMap) -> bool:
+        """Send a message by the best route; return False when no route is known."""
         self.sequence += 1
         me = self.node.me
-        return self._forward([me.name, me.incarnation, self.sequence, target, HOP_LIMIT, message])
+        return self._forward(
+            Envelope(me.name, me.incarnation, self.sequence, target, HOP_LIMIT, message)
+        )
 
-    def _forward(self, envelope: list):
-        origin, _, _, target, hops_left, _ = envelope
-        hop = self.graph.next_hop(target, origin)
-        hop_member = self.roster.members.get(hop)
-        if hop_member is None or hops_left <= 0:
+    def send_direct(self, member: Member, version: int, service: str, body: Any) -> None:
+        """Send a message straight to the address of one who is no member under its incarnation."""
+        self.sequence += 1
+        me = self.node.me
+        message = {"s": service, "b": body}
+        envelope = Envelope(me.name, me.incarnation, self.sequence, member.name, 1, message)
+        self.node.runtime.frame(member.address, envelope.to_wire(version))
+
+    def _forward(self, envelope: Envelope) -> bool:
+        hop = self.graph.next_hop(envelope.target, envelope.origin)
+        hop_member = None if hop is None else self.roster.members.get(hop)
+        if hop is None or hop_member is None or envelope.hops_left <= 0:
             self.node.count("unrouted")
             return False
-        heard = self.heard.get(hop)
-        version = self.versions[0] if heard is None else heard.version
-        self.node.runtime.frame(hop_member.address, pack(envelope, version))
+        state = self.peer_states.get(hop)
+        version = self.versions[0] if state is None else state.version
+        self.node.runtime.frame(hop_member.address, envelope.to_wire(version))
         return True
 
     def on_frame(self, data: bytes) -> None:
-        """Take a frame: deliver it once here, or relay it."""
+        """Take a frame: deliver it once here, or relay it; garbage is counted and dropped."""
         try:
-            envelope = read_envelope(data, self.versions)
+            envelope = Envelope.from_wire(data, self.versions)
         except BadWire:
             self.node.count("bad_frames")
             return
-        origin, incarnation, sequence, target, hops_left, message = envelope
-        if target != self.node.me.name:
+        if envelope.target != self.node.me.name:
             self.node.count("relayed")
             self.node.count("relayed_bytes", len(data))
-            self._forward([*envelope[:4], hops_left - 1, message])
-            return
-        if self._is_new(origin, incarnation, sequence):
-            self.node.on_message(origin, message)
+            self._forward(envelope.after_hop())
+        elif self._is_first_copy(envelope):
+            self.node.on_message(envelope.origin, envelope.message)
         else:
             self.node.count("duplicates")
 
-    def _is_new(self, origin: str, incarnation: int, sequence: int):
-        """Tell whether a message is the first copy, and of no former life of its sender.
+    def _is_first_copy(self, envelope: Envelope) -> bool:
+        """Return whether a message is the first copy, and of no former incarnation of its sender.
 
-        The window knows the lives this node got messages from, the roster also those that it only
-        heard of: a node that starts anew has no window yet.
+        The filter knows the incarnations this node got messages from, the roster also those that it
+        only heard of: a node that starts anew has no filter yet.
         """
-        window = self.seen.get(origin)
-        if window is None:
+        origin, incarnation = envelope.origin, envelope.incarnation
+        duplicate_filter = self.duplicate_filters.get(origin)
+        if duplicate_filter is None:
             known = self.find_member(origin)
             if known is not None and incarnation < known.incarnation:
                 return False
-        if window is None or incarnation > window.incarnation:
-            window = self.seen[origin] = SeenWindow(incarnation)
-        return incarnation == window.incarnation and window.first_time(sequence)
+        if duplicate_filter is None or incarnation > duplicate_filter.incarnation:
+            duplicate_filter = DuplicateFilter(incarnation)
+            self.duplicate_filters[origin] = duplicate_filter
+        return incarnation == duplicate_filter.incarnation and duplicate_filter.is_first_copy(
+            envelope.sequence
+        )
--- a/quillring/nifty/roster.py
+++ b/quillring/nifty/roster.py
@@ -7,7 +7,7 @@
 
 import cbor2
 
-from quillring.nifty.bits import places_of, to_bits
+from quillring.nifty.bits import bit_positions, to_bits
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -58,4 +58,4 @@
 
     def names_of(self, bits: int) -> frozenset[str]:
         """Return the names of bits made for this roster's names."""
-        return frozenset([self.names[place] for place in places_of(bits)])
+        return frozenset([self.names[place] for place in bit_positions(bits)])
--- a/quillring/nifty/wire.py
+++ b/quillring/nifty/wire.py
@@ -1,4 +1,4 @@
-"""The node-to-node format: magic, version, then one cbor value.
+"""The node-to-node format: magic, version, then one CBOR value.
 
 A node speaks two versions, so that a fleet can be upgraded one node at a time: to a member it uses
 the newest one that both speak, to one it has not heard from the older. Every echo names the newest
@@ -6,23 +6,38 @@
 Echoes also name the form of terse heartbeats their sender reads; former readers pass over that.
 Version 2 added `lot.release`, `member.former` and the entry in answers to `journal.find`.
 Version 3 added lots outside their host's part, `raw.reserve`, `raw.release`, `raw.fence`.
+
+A frame holds [origin, incarnation, sequence, target, hops left, message].
+A full heartbeat holds [member record, sequence, roster digest, bitmap, stamp, echo], a terse one
+[name, incarnation, sequence, stamp, echo]; an echo is None or [incarnation, sequence, newest
+version, terse form].
 """
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 import cbor2
 
 from quillring.kernel.errors import BadWire
+from quillring.kernel.member import FIELDS, Member
 
 if TYPE_CHECKING:
     from typing import Any
 
+    from quillring.kernel.types import WireMap
+
+    Stamp = list[Any]
+    """Freshness stamp of a store: [ballot, index, identity of the store]."""
+
 MAGIC = b"QR"
 SPOKEN = (2, 3)
-FRAME_LIMIT = 64 * 1024 * 1024
+FRAME_LIMIT_BYTES = 64 * 1024 * 1024
 HEADS = [MAGIC + bytes([version]) for version in range(256)]
+FULL_FIELDS, TERSE_FIELDS = 6, 5
+STAMP_FIELDS = 3
+CBOR_ARRAY = 0x80
+NO_ECHO = cbor2.dumps(None)
 
 
 def pack(value: Any, version: int = SPOKEN[-1]) -> bytes:
@@ -31,7 +46,13 @@
 
 
 def unpack(data: bytes, versions: tuple[int, ...] = SPOKEN) -> tuple[int, Any]:
-    """Return (version, value); garbage and versions not spoken raise BadWire."""
+    """Return (version, value).
+
+    Raises
+    ------
+    BadWire
+        The bytes are garbage or of a version not among `versions`.
+    """
     if data[:2] != MAGIC:
         raise BadWire(reason="magic")
     if len(data) < 3 or data[2] not in versions:
@@ -40,3 +61,171 @@
         return data[2], cbor2.loads(data[3:])
     except (ValueError, cbor2.CBORError, RecursionError, MemoryError) as error:
         raise BadWire(reason="cbor") from error
+
+
+class Envelope(NamedTuple):
+    """A message on its way: who sent it under which number, to whom, and how far it may go."""
+
+    origin: str
+    incarnation: int
+    sequence: int
+    target: str
+    hops_left: int
+    message: WireMap
+
+    @classmethod
+    def from_wire(cls, data: bytes, versions: tuple[int, ...]) -> Envelope:
+        """Return the envelope of a frame.
+
+        Raises
+        ------
+        BadWire
+            The frame holds no envelope.
+        """
+        try:
+            origin, incarnation, sequence, target, hops_left, message = unpack(data, versions)[1]
+        except (ValueError, TypeError) as error:
+            raise BadWire(reason="frame") from error
+        if not (
+            isinstance(message, dict)
+            and ("s" in message or "r" in message)
+            and isinstance(incarnation, int)
+            and isinstance(sequence, int)
+            and isinstance(hops_left, int)
+            and isinstance(origin, str)
+            and isinstance(target, str)
+        ):
+            raise BadWire(reason="frame")
+        return cls(origin, incarnation, sequence, target, hops_left, message)
+
+    def to_wire(self, version: int) -> bytes:
+        """Return the frame under a version."""
+        return HEADS[version] + cbor2.dumps([*self])
+
+    def after_hop(self) -> Envelope:
+        """Return the envelope with one hop less left."""
+        origin, incarnation, sequence, target, hops_left, message = self
+        return Envelope(origin, incarnation, sequence, target, hops_left - 1, message)
+
+
+class Echo(NamedTuple):
+    """The last heartbeat that the sender of an echo had from its receiver."""
+
+    incarnation: int
+    sequence: int
+
+
+class Heartbeat(NamedTuple):
+    """One heartbeat as it came in.
+
+    A terse one bears neither member record nor roster digest nor bitmap: those stand as they were.
+
+    Attributes
+    ----------
+    version : newest version of the format that both sides speak
+    reads_terse : whether the sender reads terse heartbeats
+    """
+
+    member: Member | None
+    name: str
+    incarnation: int
+    sequence: int
+    digest: bytes | None
+    bitmap: bytes | None
+    stamp: Stamp | None
+    echo: Echo | None
+    version: int
+    reads_terse: bool
+
+    @classmethod
+    def from_wire(
+        cls, data: bytes, versions: tuple[int, ...], known_members: dict[str, Member] | None = None
+    ) -> Heartbeat:
+        """Return the heartbeat of a datagram; records that did not change give known members.
+
+        Raises
+        ------
+        BadWire
+            The datagram holds no heartbeat.
+        """
+        member = digest = bitmap = echo = None
+        reads_terse = False
+        try:
+            version, fields = unpack(data, versions)
+            if len(fields) == TERSE_FIELDS:
+                name, incarnation, sequence, stamp, told_echo = fields
+            else:
+                record, sequence, digest, bitmap, stamp, told_echo = fields
+                member = read_member(record, known_members or {})
+                name, incarnation = member.name, member.incarnation
+            if told_echo is not None:
+                echo = Echo(int(told_echo[0]), int(told_echo[1]))
+                if len(told_echo) > 2:
+                    version = max(version, min(versions[-1], int(told_echo[2])))
+                reads_terse = len(told_echo) > 3 and told_echo[3] == TERSE_FIELDS
+        except (ValueError, TypeError, IndexError, KeyError, OverflowError) as error:
+            raise BadWire(reason="beat") from error
+        if not isinstance(sequence, int) or not is_stamp_or_none(stamp):
+            raise BadWire(reason="beat")
+        if member is None:
+            if not isinstance(name, str) or not isinstance(incarnation, int):
+                raise BadWire(reason="beat")
+        elif not isinstance(bitmap, bytes) or not isinstance(digest, bytes):
+            raise BadWire(reason="beat")
+        return cls(
+            member,
+            name,
+            incarnation,
+            sequence,
+            digest,
+            bitmap,
+            stamp,
+            echo,
+            version,
+            reads_terse,
+        )
+
+
+def read_member(record: list[Any], known_members: dict[str, Member]) -> Member:
+    """Return the member of a record: the known one when nothing of it changed."""
+    known = known_members.get(record[0]) if len(record) == len(FIELDS) else None
+    if known is not None and known.to_list() == record:
+        return known
+    return Member.from_list(record)
+
+
+def is_stamp_or_none(stamp: Any) -> bool:
+    """Return whether a value is None or the freshness stamp of a store."""
+    return stamp is None or (
+        isinstance(stamp, list)
+        and len(stamp) == STAMP_FIELDS
+        and isinstance(stamp[1], int)
+        and isinstance(stamp[2], str)
+    )
+
+
+def encode_full_content(
+    me: Member, sequence: int, digest: bytes, bitmap: bytes, stamp: Stamp | None
+) -> bytes:
+    """Return a full heartbeat without its head and echo."""
+    fields = (me.to_list(), sequence, digest, bitmap, stamp)
+    return bytes([CBOR_ARRAY | FULL_FIELDS]) + b"".join([cbor2.dumps(field) for field in fields])
+
+
+def encode_terse_content(me: Member, sequence: int, stamp: Stamp | None) -> bytes:
+    """Return a terse heartbeat without its head and echo."""
+    fields = (me.name, me.incarnation, sequence, stamp)
+    return bytes([CBOR_ARRAY | TERSE_FIELDS]) + b"".join([cbor2.dumps(field) for field in fields])
+
+
+def encode_heartbeat(
+    version: int, content: bytes, incarnation: int, sequence: int, newest_version: int
+) -> bytes:
+    """Return the datagram of a heartbeat that echoes one of a member."""
+    echo = cbor2.dumps([incarnation, sequence, newest_version, TERSE_FIELDS])
+    return HEADS[version] + content + echo
+
+
+def encode_first_heartbeat(version: int, content: bytes) -> bytes:
+    """Return the datagram of a heartbeat for a member that was not heard."""
+    return HEADS[version] + content + NO_ECHO
--- a/quillring/rollout/freshness.py
+++ b/quillring/rollout/freshness.py
@@ -70,17 +70,21 @@
 
     def _reports(self, stores: Iterable[GroupMember]) -> list[StoreReport]:
         """Return the newest report of each of the config stores."""
-        heard_stores = self.node.find("nifty").heard
+        peer_states = self.node.find("nifty").peer_states
         reports = []
         for name, identity, _ in stores:
             confirmed_at, committed_index = None, 0
             polled = self.polled_stamps.get(name)
             if polled is not None and polled.stamp.identity == identity:
                 confirmed_at, committed_index = polled.asked_at, polled.stamp.committed_index
-            heard = heard_stores.get(name)
-            if heard is not None and heard.stamp is not None and heard.echo_at is not None:
-                stamp = StoreStamp.from_wire(heard.stamp)
-                newest = (heard.echo_at, stamp.committed_index)
+            peer_state = peer_states.get(name)
+            if (
+                peer_state is not None
+                and peer_state.stamp is not None
+                and peer_state.echoed_at is not None
+            ):
+                stamp = StoreStamp.from_wire(peer_state.stamp)
+                newest = (peer_state.echoed_at, stamp.committed_index)
                 is_newer = confirmed_at is None or newest > (confirmed_at, committed_index)
                 if stamp.identity == identity and is_newer:
                     confirmed_at, committed_index = newest
--- a/quillring/rollout/operator_orders.py
+++ b/quillring/rollout/operator_orders.py
@@ -101,8 +101,10 @@
     nifty = node.find("nifty")
     if nifty.reaches(store):
         return False
-    heard = nifty.heard.get(store)
-    heard_at: float = nifty.started_at if heard is None else max(heard.at, nifty.started_at)
+    peer_state = nifty.peer_states.get(store)
+    heard_at: float = (
+        nifty.started_at if peer_state is None else max(peer_state.heard_at, nifty.started_at)
+    )
     return node.now() - heard_at > node.bounds.recovery
 
 
--- a/tests/test_nifty.py
+++ b/tests/test_nifty.py
@@ -6,10 +6,9 @@
 from quillring.kernel.errors import BadWire
 from quillring.kernel.node import Node
 from quillring.nifty import Graph, Member, Nifty
-from quillring.nifty.heard import Beat
+from quillring.nifty.duplicate_filter import WINDOW_SEQUENCES, DuplicateFilter
 from quillring.nifty.roster import Roster
-from quillring.nifty.seen import WINDOW, SeenWindow
-from quillring.nifty.wire import MAGIC, SPOKEN, pack, unpack
+from quillring.nifty.wire import MAGIC, SPOKEN, Heartbeat, pack, unpack
 
 
 class TraceRuntime:
@@ -95,11 +94,11 @@
 
 def test_three_missed_beats_break_a_link_and_lost_members_still_get_beats():
     made, nifty, runtime = node("a")
-    nifty.send_beats()
+    nifty.send_heartbeats()
     for sequence in range(1, 5):
         runtime.time = sequence * 0.5
-        nifty.on_datagram(beat(member("b"), sequence, {"a"}, [1, nifty.beat_sequence], "ab"))
-        nifty.send_beats()
+        nifty.on_datagram(beat(member("b"), sequence, {"a"}, [1, nifty.heartbeat_sequence], "ab"))
+        nifty.send_heartbeats()
         nifty.refresh()
         assert nifty.reaches("b")
     for late in (0.5, 1.0, 1.4):
@@ -111,7 +110,7 @@
     assert not nifty.reaches("b")
     assert runtime.frames == [(member("b").address, "reset")]
     runtime.datagrams.clear()
-    nifty.send_beats()
+    nifty.send_heartbeats()
     assert member("b").address in [address for address, _ in runtime.datagrams]
 
 
@@ -119,7 +118,7 @@
     made, nifty, runtime = node("a")
     for sequence in range(1, 9):
         runtime.time = sequence * 0.5
-        nifty.send_beats()
+        nifty.send_heartbeats()
         nifty.on_datagram(beat(member("b"), sequence, set(), None, "ab"))
     assert not nifty.reaches("b")
 
@@ -127,17 +126,17 @@
 def test_a_bitmap_for_an_unknown_roster_is_not_read():
     made, nifty, runtime = node("a")
     strangers = []
-    nifty.on_strange_roster = strangers.append
-    nifty.send_beats()
+    nifty.on_unknown_roster = strangers.append
+    nifty.send_heartbeats()
     nifty.on_datagram(beat(member("b"), 1, {"a", "q"}, [1, 1], "abq"))
     assert strangers == ["b"]
-    assert nifty.heard["b"].row is None
+    assert nifty.peer_states["b"].neighbour_names is None
     nifty.learn(member("q"))
     nifty.on_datagram(beat(member("b"), 2, {"a", "q"}, [1, 1], "abq"))
-    assert nifty.heard["b"].row == {"a", "q"}
+    assert nifty.peer_states["b"].neighbour_names == {"a", "q"}
     nifty.learn(member("z"))
     nifty.on_datagram(beat(member("b"), 3, {"q"}, [1, 1], "abq"))
-    assert nifty.heard["b"].row == {"q"}
+    assert nifty.peer_states["b"].neighbour_names == {"q"}
 
 
 def test_a_member_at_a_new_address_is_learned_and_an_older_start_is_not():
@@ -187,15 +186,15 @@
 
 def test_a_stranger_gets_beats_in_the_older_version_and_a_member_in_its_newest():
     made, nifty, runtime = node("a")
-    nifty.send_beats()
+    nifty.send_heartbeats()
     assert [data[2] for _, data in runtime.datagrams] == [SPOKEN[0]]
     for number, (version, told, spoken) in enumerate(((2, 2, 2), (2, 3, 3), (3, 9, 3)), 1):
         echo = [1, 1, told]
         nifty.on_datagram(beat(member("b", number), 1, {"a"}, echo, "ab", version))
         runtime.datagrams.clear()
-        nifty.send_beats()
+        nifty.send_heartbeats()
         assert [data[2] for _, data in runtime.datagrams] == [spoken]
-        assert nifty.level() == spoken
+        assert nifty.lowest_common_version() == spoken
         runtime.frames.clear()
         nifty.send("b", {"s": "x", "b": None})
         assert runtime.frames[0][1][2] == spoken
@@ -208,8 +207,8 @@
     runtime.time = 2.0
     nifty.on_datagram(beat(member("b"), 1, {"a"}, None, "abz"))
     runtime.datagrams.clear()
-    nifty.send_beats()
-    assert [Beat(data, SPOKEN).echo for _, data in runtime.datagrams] == [(1, 1)]
+    nifty.send_heartbeats()
+    assert [Heartbeat.from_wire(data, SPOKEN).echo for _, data in runtime.datagrams] == [(1, 1)]
 
 
 def test_a_start_whose_clock_was_set_back_is_told_of_the_former_one():
@@ -235,7 +234,7 @@
     nifty.on_frame(frame)
     nifty.on_frame(frame)
     assert len(runtime.spawned) == 1 and made.counts["duplicates"] == 1
-    nifty.send_beats()
+    nifty.send_heartbeats()
     nifty.on_datagram(beat(member("b"), 1, {"a"}, [1, 1], "ab"))
     nifty.on_frame(pack(["c", 1, 1, "b", 1, {"s": "x", "b": None}]))
     assert runtime.frames == [] and made.counts["unrouted"] == 1
@@ -244,7 +243,7 @@
 
 
 def test_the_window_forgets_what_is_far_older():
-    window = SeenWindow(1)
-    assert all(window.first_time(n) for n in range(1, 3 * WINDOW))
-    assert not window.first_time(1)
-    assert not window.first_time(3 * WINDOW - 1)
+    window = DuplicateFilter(1)
+    assert all(window.is_first_copy(n) for n in range(1, 3 * WINDOW_SEQUENCES))
+    assert not window.is_first_copy(1)
+    assert not window.is_first_copy(3 * WINDOW_SEQUENCES - 1)
--- a/tests/test_nifty_rows.py
+++ b/tests/test_nifty_rows.py
@@ -4,10 +4,9 @@
 
 from quillring.kernel.bounds import Bounds
 from quillring.nifty import Graph
-from quillring.nifty.bits import Order, places_of, to_bits
-from quillring.nifty.heard import Beat
-from quillring.nifty.pace import Pace
-from quillring.nifty.wire import SPOKEN, pack
+from quillring.nifty.bits import BitPermutation, bit_positions, to_bits
+from quillring.nifty.heartbeat_timing import HeartbeatTiming
+from quillring.nifty.wire import SPOKEN, Heartbeat, pack
 from tests.test_nifty import beat, member, node
 
 
@@ -65,11 +64,11 @@
     def told_sizes(sequence, echo):
         nifty.on_datagram(beat(member("b"), sequence, {"a"}, echo, "ab"))
         runtime.datagrams.clear()
-        nifty.send_beats()
+        nifty.send_heartbeats()
         (data,) = [data for address, data in runtime.datagrams if address == member("b").address]
-        return Beat(data, SPOKEN).bitmap is None
+        return Heartbeat.from_wire(data, SPOKEN).bitmap is None
 
-    nifty.send_beats()
+    nifty.send_heartbeats()
     assert not told_sizes(1, [1, 1, 2, 5])
     assert told_sizes(2, [1, 2, 2, 5])
     assert not told_sizes(3, [1, 3, 2])
@@ -83,41 +82,44 @@
 
 def test_a_terse_beat_keeps_the_row_and_one_of_an_unknown_start_is_not_taken():
     made, nifty, runtime = node("a")
-    nifty.send_beats()
+    nifty.send_heartbeats()
     nifty.on_datagram(pack(["b", 1, 1, None, [1, 1, 2, 5]]))
     assert made.counts["unread_beats"] == 1 and not nifty.reaches("b")
     nifty.on_datagram(beat(member("b"), 1, {"a", "q"}, [1, 1, 2, 5], "abq"))
     runtime.time = 1.2
-    nifty.send_beats()
+    nifty.send_heartbeats()
     nifty.on_datagram(pack(["b", 1, 2, None, [1, 2, 2, 5]]))
     runtime.time = 2.4
     nifty.learn(member("q"))
     nifty.refresh()
-    assert nifty.reaches("b") and nifty.heard["b"].row == {"a", "q"}
+    assert nifty.reaches("b") and nifty.peer_states["b"].neighbour_names == {"a", "q"}
 
 
 def test_a_new_start_that_can_read_no_terse_beat_gets_a_full_one_at_once():
     made, nifty, runtime = node("a")
-    nifty.send_beats()
+    nifty.send_heartbeats()
     nifty.on_datagram(beat(member("b"), 1, {"a"}, [1, 1, 2, 5], "ab"))
     nifty.on_datagram(beat(member("b"), 2, {"a"}, [1, 1, 2, 5], "ab"))
     runtime.datagrams.clear()
     nifty.on_datagram(beat(member("b", 2), 1, set(), None, "b"))
     nifty.on_datagram(beat(member("b", 2), 2, set(), None, "b"))
     ((address, data),) = runtime.datagrams
-    told = Beat(data, SPOKEN)
+    told = Heartbeat.from_wire(data, SPOKEN)
     assert address == member("b").address
     assert told.member.name == "a" and told.bitmap is not None and told.echo == (2, 1)
 
 
 def test_a_bigger_fleet_beats_less_often_and_still_finds_a_broken_link_within_the_bound():
     bounds = Bounds()
-    assert [Pace(bounds, count).period for count in (1, 16, 128)] == [bounds.heartbeat_interval] * 3
-    assert Pace(bounds, 128).broken == bounds.link_timeout
+    assert [HeartbeatTiming(bounds, count).interval for count in (1, 16, 128)] == [
+        bounds.heartbeat_interval
+    ] * 3
+    assert HeartbeatTiming(bounds, 128).link_timeout == bounds.link_timeout
     for count in (129, 256, 512, 1100, 5000):
-        pace = Pace(bounds, count)
-        assert bounds.link_timeout < pace.broken <= bounds.recovery * 0.75 and pace.missed in (2, 3)
-    assert 1100 / Pace(bounds, 1100).period <= 256.01
+        timing = HeartbeatTiming(bounds, count)
+        assert bounds.link_timeout < timing.link_timeout <= bounds.recovery * 0.75
+        assert timing.missed_heartbeats in (2, 3)
+    assert 1100 / HeartbeatTiming(bounds, 1100).interval <= 256.01
 
 
 def test_rows_told_in_another_order_are_read_in_this_one():
@@ -128,7 +130,7 @@
         places = {name: place for place, name in enumerate(present)}
         reached = [name for name in former if chance.random() < 0.5]
         bits = to_bits([former.index(name) for name in reached])
-        read = Order(former, places).read(bits)
-        assert [present[place] for place in places_of(read)] == [
+        read = BitPermutation(former, places).read(bits)
+        assert [present[place] for place in bit_positions(read)] == [
             name for name in reached if name in present
         ]
--- a/tests/test_node_calls.py
+++ b/tests/test_node_calls.py
@@ -9,7 +9,7 @@
 from quillring.kernel.errors import Refused, TimedOut
 from quillring.kernel.node import Node
 from quillring.nifty import Member
-from quillring.nifty.seen import WINDOW, SeenWindow
+from quillring.nifty.duplicate_filter import WINDOW_SEQUENCES, DuplicateFilter
 
 
 class Sent:
@@ -138,18 +138,26 @@
 def test_a_held_copy_is_never_new_however_many_messages_went_past_it():
     """The window has no end in time: what is older than it counts as seen."""
     chance = random.Random(5)
-    for passed in (0, 1, WINDOW - 1, WINDOW, WINDOW + 1, 3 * WINDOW, 50 * WINDOW):
-        window = SeenWindow(1)
-        assert window.first_time(10)
+    for passed in (
+        0,
+        1,
+        WINDOW_SEQUENCES - 1,
+        WINDOW_SEQUENCES,
+        WINDOW_SEQUENCES + 1,
+        3 * WINDOW_SEQUENCES,
+        50 * WINDOW_SEQUENCES,
+    ):
+        window = DuplicateFilter(1)
+        assert window.is_first_copy(10)
         for sequence in range(11, 11 + passed):
-            assert window.first_time(sequence)
-        assert not window.first_time(10)
-    window, seen = SeenWindow(1), set()
+            assert window.is_first_copy(sequence)
+        assert not window.is_first_copy(10)
+    window, seen = DuplicateFilter(1), set()
     top = 0
     for _ in range(20_000):
         top += chance.randrange(3)
-        sequence = max(1, top - chance.randrange(2 * WINDOW))
-        if window.first_time(sequence):
+        sequence = max(1, top - chance.randrange(2 * WINDOW_SEQUENCES))
+        if window.is_first_copy(sequence):
             assert sequence not in seen
             seen.add(sequence)
-    assert len(window.recent) <= 2 * WINDOW + 1
+    assert len(window.received) <= 2 * WINDOW_SEQUENCES + 1
--- a/tests/test_wire_samples_nifty.py
+++ b/tests/test_wire_samples_nifty.py
@@ -11,7 +11,7 @@
 
 def test_a_first_heartbeat_to_a_peer_never_heard():
     _, nifty, runtime = node("a")
-    nifty.send_beats()
+    nifty.send_heartbeats()
     assert sent_to_b(runtime) == [
         (
             "51520286886161016465646765656e6f727468693132372e302e302e31191bb9191f40600148b0db"
@@ -22,13 +22,13 @@
 
 def test_heartbeats_to_a_peer_that_was_heard_full_then_terse():
     _, nifty, runtime = node("a")
-    nifty.send_beats()
+    nifty.send_heartbeats()
     nifty.on_datagram(beat(member("b"), 1, ["a"], [1, 1, 3, 5], "ab", 3))
-    nifty.send_beats()
+    nifty.send_heartbeats()
     nifty.on_datagram(beat(member("b"), 2, ["a"], [1, 2, 3, 5], "ab", 3))
     nifty.stamp_source = lambda: [[3, "core-1"], 41, "s1"]
-    nifty.send_beats()
-    nifty.send_beats()
+    nifty.send_heartbeats()
+    nifty.send_heartbeats()
     assert sent_to_b(runtime) == [
         (
             "51520286886161016465646765656e6f727468693132372e302e302e31191bb9191f40600148b0db"
@@ -46,7 +46,7 @@
 def test_frames_of_a_call_its_reply_its_error_and_a_oneway_message():
     made, nifty, runtime = node("a")
     nifty.on_datagram(beat(member("b"), 1, ["a"], [1, 1, 3, 5], "ab", 3))
-    nifty.send_beats()
+    nifty.send_heartbeats()
     nifty.on_datagram(beat(member("b"), 2, ["a"], [1, 1, 3, 5], "ab", 3))
     nifty.refresh()
     made.send_oneway("b", "gossip.news", {"k": 1})
@@ -73,7 +73,7 @@
 
 def test_a_relayed_frame_keeps_its_message_and_has_one_hop_less():
     _, nifty, runtime = node("a")
-    nifty.send_beats()
+    nifty.send_heartbeats()
     nifty.on_datagram(beat(member("b"), 1, ["a"], [1, 1, 3, 5], "ab", 3))
     nifty.on_frame(pack(["c", 1, 2, "b", 2, {"s": "x", "b": None, "c": 5}]))
     assert [data.hex() for _, data in runtime.frames] == [
