--- a/quillring/nifty/graph.py
+++ b/quillring/nifty/graph.py
@@ -93,7 +93,9 @@
         names, rows = self.names, self.rows
         names_of: dict[int, tuple[str, ...]] = {}
         ring = rows[self.places[self.home]]
-        routes = {names[place]: (1, (names[place],)) for place in bit_positions(ring)}
+        routes: dict[str, Route] = {
+            names[place]: (1, (names[place],)) for place in bit_positions(ring)
+        }
         first_hops = {place: 1 << place for place in bit_positions(ring)}
         visited_bits, distance = ring | 1 << self.places[self.home], 1
         while ring:
