--- a/proving/histories/bugs.py
+++ b/proving/histories/bugs.py
@@ -20,7 +20,7 @@
 from quillring.rollout.freshness import Freshness
 from quillring.rollout.orders import place_order
 from quillring.rollout.snapshot import ConfigurationSnapshot
-from quillring.store.slots import SlotStore
+from quillring.store.checkpointed_log import CheckpointedLog, PendingCommit
 
 MOST_SEEDS_A_BUG = 40
 SHOWN_TEXT = 60
@@ -96,7 +96,7 @@
 
 def commit_without_sync(self, records):
     """Stand-in: a store answers before its disk has the records."""
-    self.waiting.append((records, Signal()))
+    self.pending.append(PendingCommit(records, Signal()))
     self.dirty_signal.set()
     return
     yield
@@ -181,7 +181,13 @@
         "check_ballot",
         check_without_ballot,
     ),
-    Bug("answer before sync", "SlotStore.commit", SlotStore, "commit", commit_without_sync),
+    Bug(
+        "answer before sync",
+        "CheckpointedLog.commit",
+        CheckpointedLog,
+        "commit",
+        commit_without_sync,
+    ),
     Bug("lot accepted anew", "raw.accept: digest", COMMANDS, "raw.accept", accept_anew),
     Bug("end not kept", "raw.end", COMMANDS, "raw.end", end_nothing),
     Bug("results move", "state_machine.list_items", state_machine, "list_items", list_in_front),
--- a/proving/model/patches.py
+++ b/proving/model/patches.py
@@ -4,7 +4,7 @@
 from unittest import mock
 
 from proving.model.store_machine import as_script
-from proving.sim.disk import InstantSlots
+from proving.sim.disk import InstantLog
 from quillring.quorum import Acceptors
 
 
@@ -34,8 +34,8 @@
 
 def without_sync(real, self, body, origin):
     """Coroutine: run a handler whose records never reach the disk."""
-    slots, self.slots = self.slots, InstantSlots()
+    log, self.log = self.log, InstantLog()
     try:
         return (yield from as_script(real(self, body, origin)))
     finally:
-        self.slots = slots
+        self.log = log
--- a/proving/model/store_machine.py
+++ b/proving/model/store_machine.py
@@ -8,7 +8,7 @@
 from quillring.fleet import open_store
 from quillring.quorum import Acceptors
 from quillring.quorum.founding.founding_vote import FILES, FoundingVoter, Witness
-from quillring.store import SlotStore
+from quillring.store import CheckpointedLog
 
 SYNC_SECONDS = 1.0
 OWN_IDENTITY = ("prepare", "accept", "commit", "install", "confirm", "catch_up", "peek", "found")
@@ -21,7 +21,7 @@
         super().__init__(None)
         self.is_held = False
 
-    def pause(self):
+    def sync_delay_seconds(self):
         """Return how long the sync takes: any length that is not 0 waits for the model."""
         return SYNC_SECONDS if self.is_held else 0
 
@@ -47,7 +47,7 @@
             name = f"quorum.{service}"
             if name in self.node.handlers:
                 self.node.handle(name, self._watched(service, self.node.handlers[name]))
-        self.node.spawn(self.acceptors.slots.run(SYNC_SECONDS))
+        self.node.spawn(self.acceptors.log.run(SYNC_SECONDS))
         self.runtime.run()
         self.applied = {}
 
@@ -121,8 +121,8 @@
         """Tell acceptors and slots by their contents on disk and in memory."""
         if isinstance(value, Acceptors):
             return ("acceptors",)
-        if isinstance(value, SlotStore):
-            records = [waiting[0] for waiting in value.waiting]
+        if isinstance(value, CheckpointedLog):
+            records = [commit.records for commit in value.pending]
             return ("slots", cbor2.dumps(records), value.is_writing, value.error is None)
         return super().opaque(value)
 
--- a/proving/points/failures.py
+++ b/proving/points/failures.py
@@ -9,7 +9,7 @@
 from quillring.nifty.graph import Graph
 from quillring.quorum.leader.membership_repair import MembershipRepair
 from quillring.rollout.freshness import Freshness
-from quillring.store import slots
+from quillring.store import checkpointed_log
 
 
 def woken(role):
@@ -222,7 +222,7 @@
     (
         "two stores without power after a confirmation lose nothing",
         two_stores_power,
-        [(slots.SlotStore, "commit", accept_at_once)],
+        [(checkpointed_log.CheckpointedLog, "commit", accept_at_once)],
     ),
     ("cores cut in two or off go on or refuse", core_cuts, [DIRECT]),
 ]
--- a/proving/points/lots.py
+++ b/proving/points/lots.py
@@ -14,7 +14,7 @@
 from quillring.quorum.leader import part_leader, quorum_call
 from quillring.quorum.parts import CONFIG
 from quillring.rollout.freshness import Freshness
-from quillring.store import slots
+from quillring.store import checkpointed_log
 
 
 def power_after_accept(seed):
@@ -155,7 +155,7 @@
 
 def accept_at_once(self, records):
     """Stand-in for the guard: answered before anything is synced."""
-    self.waiting.append((records, slots.Signal()))
+    self.pending.append(checkpointed_log.PendingCommit(records, checkpointed_log.Signal()))
     return
     yield
 
@@ -202,7 +202,7 @@
     (
         "power lost right after acceptance loses no lot",
         power_after_accept,
-        [(slots.SlotStore, "commit", accept_at_once)],
+        [(checkpointed_log.CheckpointedLog, "commit", accept_at_once)],
     ),
     (
         "a domain and its disk lost loses no lot",
--- a/proving/points/partitions.py
+++ b/proving/points/partitions.py
@@ -6,7 +6,7 @@
 from quillring.ownership.elections import Elections
 from quillring.quorum.acceptor.hint_store import HintStore
 from quillring.quorum.leader.membership_repair import MembershipRepair
-from quillring.store.slots import SlotStore
+from quillring.store import CheckpointedLog
 
 
 def traffic(stage, seconds):
@@ -223,7 +223,7 @@
         hinted_handoff,
         [(HintStore, "_hand_over", lambda self, name: iter(()))],
     ),
-    ("full disks accept nothing", full_disks, [(SlotStore, "_write", write_nothing)]),
+    ("full disks accept nothing", full_disks, [(CheckpointedLog, "_write_batch", write_nothing)]),
     (
         "a retired store leaves every part",
         retired_store,
--- a/proving/sim/disk.py
+++ b/proving/sim/disk.py
@@ -32,27 +32,27 @@
         self.durable[name] = data
         self.pending.pop(name, None)
 
-    def begin(self, name, head):
+    def begin_file(self, name, header):
         """Begin a file that is written in steps."""
-        self.write(name, head)
+        self.write(name, header)
 
-    def extend(self, name, data):
+    def extend_file(self, name, data):
         """Append to the file and sync it."""
         self._check_room(name)
         self.syncs += 1
         self.durable[name] += data
 
-    def finish(self, name, head):
-        """Write the head of the file anew and sync it."""
+    def finish_file(self, name, header):
+        """Write the header of the file anew and sync it."""
         self._check_room(name)
-        self.durable[name] = head + self.durable[name][len(head) :]
+        self.durable[name] = header + self.durable[name][len(header) :]
 
     def append(self, name, data):
         """Append without syncing."""
         self._check_room(name)
         self.pending[name] = self.pending.get(name, b"") + data
 
-    def cut(self, name, size):
+    def truncate(self, name, size):
         """Cut a file back; one that is missing stays so."""
         if self.read(name) is None:
             return
@@ -64,11 +64,11 @@
         self.syncs += 1
         self.durable[name] = self.durable.get(name, b"") + self.pending.pop(name, b"")
 
-    def settle(self, name):
+    def sync_existing(self, name):
         """Make a file durable that a killed process may have left unsynced."""
         self.sync(name)
 
-    def pause(self):
+    def sync_delay_seconds(self):
         """Return how long this sync takes."""
         return self.chance.uniform(*self.sync_seconds)
 
@@ -139,23 +139,23 @@
         self._step(name)
         self.new_names.clear()
 
-    def begin(self, name, head):
+    def begin_file(self, name, header):
         """Begin a file that is written in steps."""
-        self.write(name, head)
+        self.write(name, header)
 
-    def extend(self, name, data):
+    def extend_file(self, name, data):
         """Append to the file and sync it."""
         self.append(name, data)
         self.sync(name)
 
-    def finish(self, name, head):
-        """Write the head of the file anew and sync it."""
+    def finish_file(self, name, header):
+        """Write the header of the file anew and sync it."""
         try:
             self._step(name)
         except DiskError:
-            self._change(name, 0, head[: len(head) // 2])
+            self._change(name, 0, header[: len(header) // 2])
             raise
-        self._change(name, 0, head)
+        self._change(name, 0, header)
         self.sync(name)
 
     def append(self, name, data):
@@ -168,7 +168,7 @@
             raise
         self._change(name, size, data)
 
-    def cut(self, name, size):
+    def truncate(self, name, size):
         """Cut a file back to a size, durably; one that is missing stays so."""
         if name not in self.files:
             return
@@ -182,14 +182,14 @@
         self._step(name)
         self._settle(name)
 
-    def settle(self, name):
+    def sync_existing(self, name):
         """Make a file durable that another process may have left unsynced, and its name."""
         self._step(name)
         self._settle(name)
         self._step(name)
         self.new_names.clear()
 
-    def pause(self):
+    def sync_delay_seconds(self):
         """Return the seconds a sync takes: none."""
         return 0
 
@@ -242,8 +242,8 @@
     ]
 
 
-class InstantSlots:
-    """Slots that pretend to be durable at once, and write nothing."""
+class InstantLog:
+    """A log that pretends to be durable at once, and writes nothing."""
 
     error = None
     is_idle = True
--- a/proving/sim/many_changes.py
+++ b/proving/sim/many_changes.py
@@ -133,8 +133,8 @@
 
     def disk_bytes(self, store):
         """Return the (log, slot) bytes of a store."""
-        slots = self.sim.nodes[store].find("acceptors").slots
-        return slots.log_size, slots.slot_size
+        log = self.sim.nodes[store].find("acceptors").log
+        return log.log_size, log.checkpoint_size
 
     def start_ms(self, store):
         """Return the milliseconds of real time in which a store's disk is read at its start."""
--- a/proving/sim/traces.py
+++ b/proving/sim/traces.py
@@ -8,7 +8,7 @@
 
 from proving.points.configuration import names_but
 from proving.points.scenario_fleet import Stage
-from proving.sim.disk import InstantSlots
+from proving.sim.disk import InstantLog
 from proving.sim.quorum_fuzz import Fuzz
 from quillring.kernel.errors import QuillringError
 from quillring.kernel.node import Node
@@ -72,7 +72,7 @@
 def play_store(trace):
     """Play the calls against a fresh store's state machine; return what it holds."""
     acceptors = Acceptors()
-    acceptors.identity, acceptors.slots = trace["identity"], InstantSlots()
+    acceptors.identity, acceptors.log = trace["identity"], InstantLog()
     node = Node(Member(trace["store"], 1, "store", "x", "127.0.0.1", 1, 2, ""), None)
     acceptors.attach(node)
     for verb, body in trace["calls"]:
--- a/quillring/fleet.py
+++ b/quillring/fleet.py
@@ -24,7 +24,7 @@
 from quillring.quorum.leader.membership_repair import MembershipRepair
 from quillring.rollout import ConfigurationSnapshot, Freshness
 from quillring.rollout import commands as rollout_commands
-from quillring.store import SlotStore
+from quillring.store import CheckpointedLog
 
 ROLES = Registry("role")
 PLUGINS = (rollout_commands,)
@@ -110,13 +110,13 @@
     acceptors.attach(node)
     node.find("nifty").stamp_source = acceptors.stamp
     hints = node.offer("hints", HintStore(node, acceptors))
-    snapshot = node.offer("memory", ReplicaSnapshot(node, acceptors.slots.disk))
+    snapshot = node.offer("memory", ReplicaSnapshot(node, acceptors.log.disk))
     snapshot.restore()
     node.spawn(snapshot.run())
-    node.spawn(acceptors.slots.run(node.bounds.heartbeat_interval))
-    node.spawn(DiskHealth(node, acceptors.slots).run())
+    node.spawn(acceptors.log.run(node.bounds.heartbeat_interval))
+    node.spawn(DiskHealth(node, acceptors.log).run())
     node.offer("leaving", RetirementGate(node, acceptors))
-    node.offer("witness", Witness(node, acceptors.slots.disk))
+    node.offer("witness", Witness(node, acceptors.log.disk))
     node.spawn(hints.run())
     if acceptors.founding is not None:
         node.find("gossip").publish("founding", [1], acceptors.founding)
@@ -125,10 +125,10 @@
 def open_store(disk, name, make_identity):
     """Recover the acceptors of a data folder, or begin it; return them with their identity."""
     acceptors = Acceptors()
-    acceptors.slots = SlotStore(disk, acceptors)
-    if not acceptors.slots.recover():
+    acceptors.log = CheckpointedLog(disk, acceptors)
+    if not acceptors.log.recover():
         acceptors.identity = f"{name}.{make_identity()}"
-        acceptors.slots.turn()
+        acceptors.log.write_checkpoint()
     if acceptors.identity.rpartition(".")[0] != name:
         raise OtherIdentity(
             folder_of=acceptors.identity,
--- a/quillring/quorum/acceptor/acceptor.py
+++ b/quillring/quorum/acceptor/acceptor.py
@@ -47,7 +47,7 @@
     from quillring.kernel.types import Coroutine, WireMap
     from quillring.quorum.acceptor.log_records import LogRecord, PartRecord
     from quillring.quorum.messages import LeaderRequest
-    from quillring.store import SlotStore
+    from quillring.store import CheckpointedLog
 
 FOUNDING_CALLS = ("found", "founding")
 LEADERS_CALLS = ("prepare", "accept", "commit", "install", "confirm", "catch_up")
@@ -57,7 +57,7 @@
 class Acceptors:
     """The store's side of every part; all that it answers is durable first.
 
-    `identity` and `slots` are set by whoever opens the data folder, `node` by attach().
+    `identity` and `log` are set by whoever opens the data folder, `node` by attach().
     """
 
     __slots__ = (
@@ -65,14 +65,14 @@
         "identity",
         "parts",
         "founding",
-        "slots",
+        "log",
         "hints",
         "listeners",
         "snapshot_transfer",
     )
 
     node: Node
-    slots: SlotStore
+    log: CheckpointedLog
 
     def __init__(self) -> None:
         self.identity = ""
@@ -172,7 +172,7 @@
         """
         for record in records:
             self.apply(record)
-        yield from self.slots.commit([record.to_disk() for record in records])
+        yield from self.log.commit([record.to_disk() for record in records])
 
     def check_ballot(self, request: LeaderRequest) -> AcceptorState:
         """Return what is held of the part of a request that this store may follow.
@@ -181,8 +181,8 @@
         DiskError of a disk that takes nothing.
         """
         self._check_identity(request.identity)
-        if self.slots.error is not None:
-            raise self.slots.error
+        if self.log.error is not None:
+            raise self.log.error
         acceptor = self.parts.get(request.part) or AcceptorState()
         if request.ballot < acceptor.promised:
             raise Fenced(part=request.part, ballot=acceptor.promised.to_wire())
@@ -243,7 +243,7 @@
         request = CommitRequest.from_wire(body)
         acceptor = self.check_ballot(request)
         is_known = acceptor.promised == request.ballot and acceptor.applied >= request.committed
-        if is_known and self.slots.is_idle:
+        if is_known and self.log.is_idle:
             return acceptor.applied
         yield from self.persist(CommitRecord(request.part, request.ballot, request.committed))
         return self.notify_listeners(request.part)
@@ -292,15 +292,15 @@
         if not request.wants_uncommitted:
             return reply.to_wire()
         reply = reply._replace(uncommitted=acceptor.uncommitted_answers(request.query))
-        is_durable = self.slots.is_idle and self.slots.error is None
+        is_durable = self.log.is_idle and self.log.error is None
         if reply.uncommitted and not is_durable:
-            yield from self.slots.commit([])
+            yield from self.log.commit([])
         return reply.to_wire()
 
     def stamp(self) -> list[Any] | None:
         """Return the config part's ballot and committed index, None if no member can give it."""
         acceptor = self.parts.get(CONFIG)
-        if acceptor is None or self.slots.error is not None:
+        if acceptor is None or self.log.error is not None:
             return None
         if not acceptor.has_member(self.identity):
             return None
--- a/quillring/quorum/disk_health.py
+++ b/quillring/quorum/disk_health.py
@@ -1,47 +1,71 @@
-"""News of stores whose disks take nothing: owners replace them as they replace lost ones."""
+"""News of stores whose disks take nothing: leaders replace them as they replace lost ones."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 from quillring.kernel.effects import Sleep
 
 if TYPE_CHECKING:
+    from collections.abc import Sequence
+    from typing import Any
+
     from quillring.kernel.node import Node
     from quillring.kernel.types import Coroutine
-    from quillring.store import SlotStore
+    from quillring.store import CheckpointedLog
+
+
+class DiskReport(NamedTuple):
+    """A store's own word about its disk, valid for one life of its process."""
+
+    incarnation: int
+    is_failing: bool
+
+    @classmethod
+    def from_wire(cls, fields: Sequence[Any]) -> DiskReport:
+        """Read the report as gossip carries it."""
+        incarnation, is_failing = fields
+        return cls(incarnation, is_failing)
+
+    def to_wire(self) -> list[Any]:
+        """Return the report as gossip carries it."""
+        return [self.incarnation, self.is_failing]
 
 
 class DiskHealth:
     """Tells all nodes when this store's disk begins to fail, and when it is well again."""
 
-    __slots__ = ("node", "slots", "is_failing", "sequence")
+    __slots__ = ("node", "log", "is_failing", "sequence")
 
-    def __init__(self, node: Node, slots: SlotStore) -> None:
+    def __init__(self, node: Node, log: CheckpointedLog) -> None:
         self.node = node
-        self.slots = slots
+        self.log = log
         self.is_failing = False
         self.sequence = 0
 
     def run(self) -> Coroutine:
-        """Coroutine: look at the disk twice in a heartbeat period, and tell a change."""
+        """Look at the disk twice in a heartbeat period, and tell a change."""
         while True:
             yield Sleep(self.node.bounds.heartbeat_interval / 2)
-            is_failing = self.slots.error is not None
+            is_failing = self.log.error is not None
             if is_failing != self.is_failing:
                 self.is_failing = is_failing
-                self._tell()
+                self._publish()
 
-    def _tell(self):
+    def _publish(self) -> None:
         self.sequence += 1
         me = self.node.me
-        self.node.log("warning", "disk of %s: %s", me.name, self.slots.error or "takes data again")
-        version, news = [me.incarnation, self.sequence], [me.incarnation, self.is_failing]
-        self.node.find("gossip").publish(f"disk/{me.name}", version, news)
+        self.node.log("warning", "disk of %s: %s", me.name, self.log.error or "takes data again")
+        report = DiskReport(me.incarnation, self.is_failing)
+        version = [me.incarnation, self.sequence]
+        self.node.find("gossip").publish(f"disk/{me.name}", version, report.to_wire())
 
 
 def is_disk_failing(node: Node, name: str) -> bool:
     """Tell whether a store's disk takes nothing, by its own word since its last start."""
     news = node.find("gossip").get(f"disk/{name}")
     member = node.find("nifty").roster.members.get(name)
-    return news is not None and member is not None and news == [member.incarnation, True]
+    if news is None or member is None:
+        return False
+    report = DiskReport.from_wire(news)
+    return report.is_failing and report.incarnation == member.incarnation
--- a/quillring/store/__init__.py
+++ b/quillring/store/__init__.py
@@ -1,6 +1,6 @@
-"""Durable state of a store machine: two slots written in turn, a short log between."""
+"""Durable state of a store machine: a write-ahead log with two alternating checkpoints."""
 
+from quillring.store.checkpointed_log import CheckpointedLog
 from quillring.store.disk import FolderDisk
-from quillring.store.slots import SlotStore
 
-__all__ = ["FolderDisk", "SlotStore"]
+__all__ = ["CheckpointedLog", "FolderDisk"]
--- /dev/null
+++ b/quillring/store/checkpoint_file.py
@@ -0,0 +1,125 @@
+"""Checkpoint files: whole images of a store's state, written step by step; the header comes last.
+
+A checkpoint file is a header and a body. Bodies of the first form are one value; those of the
+second are records: how many records at the start of the checkpoint's log are in it already, then
+the state by rows.
+"""
+
+from __future__ import annotations
+
+import hashlib
+import struct
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+import cbor2
+
+from quillring.store.records import decode_records, encode_record
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+    from quillring.store.disk import Disk
+
+HEADER = struct.Struct(">4sQI32s")
+SINGLE_VALUE_MAGIC, ROWS_MAGIC = b"QSL1", b"QSL2"
+STEP_BYTES = 256 << 10
+NO_HEADER = bytes(HEADER.size)
+
+
+class CheckpointHeader(NamedTuple):
+    """The header of a checkpoint file: the form, the generation, and what the body must be."""
+
+    magic: bytes
+    generation: int
+    body_size: int
+    digest: bytes
+
+    @classmethod
+    def from_disk(cls, data: bytes) -> CheckpointHeader:
+        """Read the header; struct.error when it is not there in full."""
+        magic, generation, body_size, digest = HEADER.unpack_from(data)
+        return cls(magic, generation, body_size, digest)
+
+    def to_disk(self) -> bytes:
+        """Return the bytes of the header."""
+        return HEADER.pack(self.magic, self.generation, self.body_size, self.digest)
+
+
+class Checkpoint(NamedTuple):
+    """A readable checkpoint; `single_value` is set in the first form, `rows` in the second.
+
+    `covered_count` is how many records at the start of its log are in it already, `size` the bytes
+    of its body.
+    """
+
+    generation: int
+    size: int
+    single_value: Any = None
+    rows: list[Any] | None = None
+    covered_count: int = 0
+
+
+def checkpoint_file_name(generation: int) -> str:
+    """Return the file of a generation's checkpoint: two are written alternately."""
+    return f"slot.{generation % 2}"
+
+
+def read_checkpoint(data: bytes) -> Checkpoint | None:
+    """Return the checkpoint in the bytes of its file, or None when it is torn."""
+    try:
+        header = CheckpointHeader.from_disk(data)
+        body = data[HEADER.size : HEADER.size + header.body_size]
+        if hashlib.sha256(body).digest() != header.digest:
+            return None
+        if header.magic == SINGLE_VALUE_MAGIC:
+            return Checkpoint(header.generation, header.body_size, single_value=cbor2.loads(body))
+        if header.magic != ROWS_MAGIC:
+            return None
+        (covered_count, *rows), end = decode_records(body)
+        if end != header.body_size:
+            return None
+        return Checkpoint(
+            header.generation, header.body_size, rows=rows, covered_count=covered_count
+        )
+    except (struct.error, ValueError, cbor2.CBORError):
+        return None
+
+
+class CheckpointWriter:
+    """Writes the checkpoint of a generation in steps of bounded size; no crash on the way harms."""
+
+    __slots__ = ("disk", "file_name", "generation", "rows", "buffer", "digest", "size")
+
+    def __init__(
+        self, disk: Disk, generation: int, rows: Iterable[Any], covered_count: int
+    ) -> None:
+        self.disk = disk
+        self.file_name = checkpoint_file_name(generation)
+        self.generation = generation
+        self.rows = iter(rows)
+        self.buffer = bytearray(encode_record(covered_count))
+        self.digest = hashlib.sha256()
+        self.size = 0
+        disk.begin_file(self.file_name, NO_HEADER)
+
+    def step(self) -> bool:
+        """Write and sync some of it; True once the checkpoint is complete, header and all."""
+        self._fill_buffer()
+        data = bytes(self.buffer[:STEP_BYTES])
+        del self.buffer[:STEP_BYTES]
+        if data:
+            self.disk.extend_file(self.file_name, data)
+            self.digest.update(data)
+            self.size += len(data)
+            return False
+        header = CheckpointHeader(ROWS_MAGIC, self.generation, self.size, self.digest.digest())
+        self.disk.finish_file(self.file_name, header.to_disk())
+        return True
+
+    def _fill_buffer(self) -> None:
+        """Encode rows until a step's worth of bytes waits, or none are left."""
+        while len(self.buffer) < STEP_BYTES:
+            row = next(self.rows, None)
+            if row is None:
+                return
+            self.buffer += encode_record(row)
--- /dev/null
+++ b/quillring/store/checkpointed_log.py
@@ -0,0 +1,307 @@
+"""A write-ahead log with two alternating checkpoints.
+
+Each generation has a checkpoint and a log. While the next checkpoint is being written, in small
+steps beside the ordinary work, what comes in goes to the next log already, which says that it
+follows the present one: until the new checkpoint is complete, the state is the old checkpoint and
+both logs.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any, NamedTuple, Protocol
+
+from quillring.kernel.effects import Signal, Sleep, Wait
+from quillring.kernel.errors import Damaged, DiskError
+from quillring.store.checkpoint_file import (
+    Checkpoint,
+    CheckpointWriter,
+    checkpoint_file_name,
+    read_checkpoint,
+)
+from quillring.store.log_file import REPAIR, LogContents, LogHead, log_file_name, read_log
+from quillring.store.records import BATCH_HEAD, encode_record
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable
+
+    from quillring.kernel.types import Coroutine
+    from quillring.store.disk import Disk
+
+LOG_LIMIT_BYTES = 1 << 20
+STEP_PAUSE_SECONDS = 0.002
+IDLE_SECONDS = 3600
+PARITIES = (0, 1)
+
+
+class StateMachine(Protocol):
+    """The state in memory that is made durable; records change it in the order of the log."""
+
+    def rows(self) -> list[Any]:
+        """Return all state as immutable values."""
+
+    def load_rows(self, rows: Iterable[Any]) -> None:
+        """Take the state that rows() gave."""
+
+    def load(self, snapshot: Any) -> None:
+        """Take the state of a checkpoint of the first form, which is one value."""
+
+    def replay(self, fields: Any) -> None:
+        """Take one record of the log."""
+
+
+class PendingCommit(NamedTuple):
+    """Records that wait for the disk; the signal is set to None or to the DiskError."""
+
+    records: list[Any]
+    done_signal: Signal
+
+
+class CheckpointedLog:
+    """The recoverable state of one store machine.
+
+    Records reach the disk in the order of commit(), in batches under one sync. `log_limit` is the
+    size in bytes from which on a log is folded into the next checkpoint.
+    """
+
+    __slots__ = (
+        "disk",
+        "state_machine",
+        "generation",
+        "log_generation",
+        "log_size",
+        "log_count",
+        "log_limit",
+        "pending",
+        "dirty_signal",
+        "error",
+        "syncs",
+        "checkpoint_size",
+        "is_writing",
+        "writer",
+    )
+
+    def __init__(
+        self, disk: Disk, state_machine: StateMachine, log_limit: int = LOG_LIMIT_BYTES
+    ) -> None:
+        self.disk = disk
+        self.state_machine = state_machine
+        self.generation = self.log_generation = 0
+        self.log_size = self.log_count = 0
+        self.log_limit = log_limit
+        self.pending: list[PendingCommit] = []
+        self.dirty_signal = Signal()
+        self.error: DiskError | None = None
+        self.syncs = 0
+        self.checkpoint_size = 0
+        self.is_writing = False
+        self.writer: CheckpointWriter | None = None
+
+    def recover(self) -> bool:
+        """Load the newest checkpoint and its logs; False when the folder was empty.
+
+        Raises Damaged when something that was synced is gone.
+        """
+        files = [self.disk.read(checkpoint_file_name(parity)) for parity in PARITIES]
+        logs = self._read_logs()
+        checkpoint = _newest_checkpoint(files)
+        if checkpoint is None:
+            if logs and any(data is not None for data in files):
+                raise Damaged(file="slot", reason="no slot is readable", repair=REPAIR)
+            return False
+        self.generation, self.checkpoint_size = checkpoint.generation, checkpoint.size
+        self._check_newer_logs(logs)
+        self.disk.sync_existing(checkpoint_file_name(self.generation))
+        if checkpoint.rows is None:
+            self.state_machine.load(checkpoint.single_value)
+        else:
+            self.state_machine.load_rows(checkpoint.rows)
+        self._replay_logs(logs, checkpoint.covered_count)
+        return True
+
+    def _read_logs(self) -> dict[int, LogContents]:
+        """Return {generation: contents} of the logs that are there."""
+        logs = {}
+        for parity in PARITIES:
+            name = log_file_name(parity)
+            log = read_log(name, self.disk.read(name) or b"")
+            if log is not None:
+                logs[log.head.generation] = log
+        return logs
+
+    def _check_newer_logs(self, logs: dict[int, LogContents]) -> None:
+        """Raise Damaged if a log is newer than any checkpoint, but for the one that follows."""
+        for generation, log in logs.items():
+            former = logs.get(self.generation)
+            is_next = log.head.follows == self.generation
+            if is_next and former is not None and former.good_size >= log.head.former_size:
+                continue
+            if generation > self.generation:
+                raise Damaged(file="slot", reason="a log is newer than any slot", repair=REPAIR)
+
+    def _replay_logs(self, logs: dict[int, LogContents], covered_count: int) -> None:
+        """Take the records that the checkpoint lacks, and cut off what is torn."""
+        if self.generation not in logs:
+            self._start_log(self.generation)
+            return
+        for generation in (self.generation, self.generation + 1):
+            log = logs.get(generation)
+            if log is None:
+                break
+            for record in log.records[covered_count:]:
+                self.state_machine.replay(record)
+            covered_count = 0
+            name = log_file_name(generation)
+            self.disk.truncate(name, log.good_size)
+            self.disk.sync_existing(name)
+            self.log_generation = generation
+            self.log_size, self.log_count = log.good_size, len(log.records)
+
+    def _start_log(self, generation: int) -> None:
+        self._write_log_head(LogHead(generation))
+
+    def _follow_log(self) -> None:
+        self._write_log_head(LogHead(self.generation + 1, self.generation, self.log_size))
+
+    def _write_log_head(self, head: LogHead) -> None:
+        """Begin a log; the old records are surely gone before the new head is there."""
+        name, data = log_file_name(head.generation), encode_record(head.to_disk())
+        self.disk.truncate(name, 0)
+        self.disk.write(name, data)
+        self.log_generation = head.generation
+        self.log_size, self.log_count = len(data), 0
+
+    def write_checkpoint(self) -> None:
+        """Write all state to the next checkpoint at once; its log begins anew unless in use."""
+        has_log = self.log_generation > self.generation
+        covered_count = self.log_count if has_log else 0
+        self._open_writer(covered_count)
+        self._finish_checkpoint()
+        if has_log:
+            self.disk.truncate(log_file_name(self.generation), self.log_size)
+        else:
+            self._start_log(self.generation)
+
+    def _begin_checkpoint(self) -> None:
+        """Begin the next checkpoint; pending records that it holds are not replayed on it."""
+        if self.log_generation == self.generation:
+            self._follow_log()
+        pending_count = sum(len(commit.records) for commit in self.pending)
+        self._open_writer(self.log_count + pending_count)
+
+    def _open_writer(self, covered_count: int) -> None:
+        rows = self.state_machine.rows()
+        self.writer = CheckpointWriter(self.disk, self.generation + 1, rows, covered_count)
+
+    def _write_checkpoint_step(self) -> bool:
+        """Write some of the next checkpoint; True once it is complete, or none is under way."""
+        writer = self.writer
+        if writer is None:
+            return True
+        if not writer.step():
+            return False
+        self.generation, self.checkpoint_size = writer.generation, writer.size
+        self.writer = None
+        return True
+
+    def _finish_checkpoint(self) -> None:
+        while not self._write_checkpoint_step():
+            pass
+
+    @property
+    def is_idle(self) -> bool:
+        """True when all that was handed over is durable."""
+        return not self.pending and not self.is_writing
+
+    def commit(self, records: list[Any]) -> Coroutine:
+        """Return once the records are durable; DiskError when they can't be."""
+        if self.error is not None:
+            raise self.error
+        done_signal = Signal()
+        self.pending.append(PendingCommit(records, done_signal))
+        self.dirty_signal.set()
+        while not done_signal.is_set:
+            yield Wait(done_signal, IDLE_SECONDS)
+        if done_signal.value is not None:
+            raise done_signal.value
+
+    def run(self, retry_seconds: float) -> Coroutine:
+        """Write what is pending in batches; a failed disk is tried again by a new checkpoint."""
+        while True:
+            if self.writer is not None:
+                yield Sleep(STEP_PAUSE_SECONDS)
+            elif self.error is None and not self.pending and not self._is_checkpoint_due():
+                yield Wait(self.dirty_signal, IDLE_SECONDS)
+            self.dirty_signal = Signal()
+            if self.pending or self.error is not None:
+                yield from self._write_pending()
+            if self.error is None:
+                yield from self._continue_checkpoint()
+            else:
+                yield Sleep(retry_seconds)
+
+    def _write_pending(self) -> Coroutine:
+        batch, self.pending = self.pending, []
+        self.is_writing = True
+        yield from self._wait_for_disk()
+        outcome = self._write_batch(batch)
+        self.is_writing = False
+        for commit in batch:
+            commit.done_signal.set(outcome)
+
+    def _continue_checkpoint(self) -> Coroutine:
+        """Begin the next checkpoint if it is due, or write one step of the one under way."""
+        if self.writer is None and not self._is_checkpoint_due():
+            return
+        yield from self._wait_for_disk()
+        if self.writer is None:
+            self._try(self._begin_checkpoint)
+        else:
+            self._try(self._write_checkpoint_step)
+
+    def _is_checkpoint_due(self) -> bool:
+        if self.log_size > max(self.log_limit, self.checkpoint_size):
+            return True
+        return self.writer is None and self.log_generation > self.generation
+
+    def _wait_for_disk(self) -> Coroutine:
+        seconds = self.disk.sync_delay_seconds()
+        if seconds:
+            yield Sleep(seconds)
+
+    def _write_batch(self, batch: list[PendingCommit]) -> DiskError | None:
+        """Write a batch and sync it; return None or the DiskError that kept it from the disk."""
+        data = b"".join(encode_record(record) for commit in batch for record in commit.records)
+        if self.error is not None:
+            return self._try(self.write_checkpoint)
+        if data and self._try(lambda: self._append(data)) is None:
+            self.log_count += sum(len(commit.records) for commit in batch)
+        outcome = self.error
+        if outcome is None and self._is_checkpoint_due():
+            if self.writer is None:
+                self._try(self._begin_checkpoint)
+            else:
+                self._try(self._finish_checkpoint)
+        return outcome
+
+    def _append(self, data: bytes) -> None:
+        name, marked_data = log_file_name(self.log_generation), BATCH_HEAD + data
+        self.disk.append(name, marked_data)
+        self.disk.sync(name)
+        self.log_size += len(marked_data)
+
+    def _try(self, action: Callable[[], object]) -> DiskError | None:
+        """Do something at the disk; return and keep its error, or None."""
+        try:
+            action()
+            self.syncs += 1
+            self.error = None
+        except DiskError as error:
+            self.error, self.writer = error, None
+        return self.error
+
+
+def _newest_checkpoint(files: list[bytes | None]) -> Checkpoint | None:
+    """Return the readable checkpoint of the highest generation, or None."""
+    checkpoints = [read_checkpoint(data) for data in files if data is not None]
+    readable = [checkpoint for checkpoint in checkpoints if checkpoint is not None]
+    return max(readable, key=lambda checkpoint: checkpoint.generation, default=None)
--- a/quillring/store/disk.py
+++ b/quillring/store/disk.py
@@ -1,29 +1,69 @@
 """The data folder: whole files and appended ones, lasting only once synced."""
 
+from __future__ import annotations
+
 import os
+from typing import TYPE_CHECKING, Protocol
 
 from quillring.kernel.errors import DiskError
 
+if TYPE_CHECKING:
+    from io import FileIO
+
+
+class Disk(Protocol):
+    """The files of one store; every method may raise DiskError."""
+
+    def read(self, name: str) -> bytes | None:
+        """Return the bytes of a file, or None."""
+
+    def write(self, name: str, data: bytes) -> None:
+        """Write a whole file anew and sync it and the folder."""
+
+    def begin_file(self, name: str, header: bytes) -> None:
+        """Begin a file anew that is written in steps; its header is written again at the end."""
+
+    def extend_file(self, name: str, data: bytes) -> None:
+        """Append to the file begun last and sync it."""
+
+    def finish_file(self, name: str, header: bytes) -> None:
+        """Write the header of the file begun last, sync and close it."""
+
+    def append(self, name: str, data: bytes) -> None:
+        """Append to a file; what it adds lasts only after sync."""
+
+    def truncate(self, name: str, size: int) -> None:
+        """Cut a file back to a size in bytes, durably; one that is missing stays so."""
+
+    def sync(self, name: str) -> None:
+        """Make the appended bytes durable."""
+
+    def sync_existing(self, name: str) -> None:
+        """Make durable what a killed process may have left unsynced in a file, and its name."""
+
+    def sync_delay_seconds(self) -> float:
+        """Return the seconds a sync takes beyond the call itself."""
+
 
 class FolderDisk:
     """Files under one data folder."""
 
-    __slots__ = ("folder", "log_file", "log_name", "slot_file")
+    __slots__ = ("folder", "log_file", "log_name", "staged_file")
 
-    def __init__(self, folder):
+    def __init__(self, folder: str) -> None:
         self.folder = folder
-        self.log_file = None
-        self.log_name = None
-        self.slot_file = None
+        self.log_file: FileIO | None = None
+        self.log_name: str | None = None
+        self.staged_file: FileIO | None = None
         try:
             make_folder(os.path.abspath(folder))
         except OSError as error:
             raise DiskError(folder=folder, reason=error.strerror) from error
 
-    def _path(self, name):
+    def _path(self, name: str) -> str:
         return os.path.join(self.folder, name)
 
-    def read(self, name):
+    def read(self, name: str) -> bytes | None:
         """Return the bytes of a file, or None."""
         try:
             with open(self._path(name), "rb") as read_file:
@@ -33,7 +73,7 @@
         except OSError as error:
             raise DiskError(file=name, reason=error.strerror) from error
 
-    def write(self, name, data):
+    def write(self, name: str, data: bytes) -> None:
         """Write a whole file anew and sync it and the folder."""
         try:
             with open(self._path(name), "wb") as written_file:
@@ -44,43 +84,39 @@
         except OSError as error:
             raise DiskError(file=name, reason=error.strerror) from error
 
-    def begin(self, name, head):
-        """Begin a file anew that is written in steps; its head is written again at the end."""
+    def begin_file(self, name: str, header: bytes) -> None:
+        """Begin a file anew that is written in steps; its header is written again at the end."""
         try:
-            if self.slot_file is not None:
-                self.slot_file.close()
-            self.slot_file = open(self._path(name), "wb", buffering=0)
-            self._extend(name, head)
+            if self.staged_file is not None:
+                self.staged_file.close()
+            self.staged_file = open(self._path(name), "wb", buffering=0)
+            _write_and_sync(self.staged_file, name, header)
             sync_path(self.folder)
         except OSError as error:
             raise DiskError(file=name, reason=error.strerror) from error
 
-    def extend(self, name, data):
+    def extend_file(self, name: str, data: bytes) -> None:
         """Append to the file begun last and sync it."""
         try:
-            self._extend(name, data)
+            _write_and_sync(_opened(self.staged_file, name), name, data)
         except OSError as error:
             raise DiskError(file=name, reason=error.strerror) from error
 
-    def _extend(self, name, data):
-        if self.slot_file.write(data) != len(data):
-            raise DiskError(file=name, reason="short write")
-        os.fsync(self.slot_file.fileno())
-
-    def finish(self, name, head):
-        """Write the head of the file begun last, sync and close it."""
+    def finish_file(self, name: str, header: bytes) -> None:
+        """Write the header of the file begun last, sync and close it."""
         try:
-            self.slot_file.seek(0)
-            self._extend(name, head)
-            self.slot_file.close()
-            self.slot_file = None
+            staged_file = _opened(self.staged_file, name)
+            staged_file.seek(0)
+            _write_and_sync(staged_file, name, header)
+            staged_file.close()
+            self.staged_file = None
         except OSError as error:
             raise DiskError(file=name, reason=error.strerror) from error
 
-    def append(self, name, data):
+    def append(self, name: str, data: bytes) -> None:
         """Append to a file; what it adds lasts only after sync."""
         try:
-            if self.log_name != name:
+            if self.log_file is None or self.log_name != name:
                 if self.log_file is not None:
                     self.log_file.close()
                 self.log_file, self.log_name = open(self._path(name), "ab", buffering=0), name
@@ -89,8 +125,8 @@
         except OSError as error:
             raise DiskError(file=name, reason=error.strerror) from error
 
-    def cut(self, name, size):
-        """Cut a file back to a size, durably; one that is missing stays so."""
+    def truncate(self, name: str, size: int) -> None:
+        """Cut a file back to a size in bytes, durably; one that is missing stays so."""
         try:
             if self.log_name == name and self.log_file is not None:
                 self.log_file.close()
@@ -102,14 +138,14 @@
         except OSError as error:
             raise DiskError(file=name, reason=error.strerror) from error
 
-    def sync(self, name):
+    def sync(self, name: str) -> None:
         """Make the appended bytes durable."""
         try:
-            os.fsync(self.log_file.fileno())
+            os.fsync(_opened(self.log_file, name).fileno())
         except OSError as error:
             raise DiskError(file=name, reason=error.strerror) from error
 
-    def settle(self, name):
+    def sync_existing(self, name: str) -> None:
         """Make durable what a killed process may have left unsynced in a file, and its name."""
         try:
             sync_path(self._path(name))
@@ -117,12 +153,25 @@
         except OSError as error:
             raise DiskError(file=name, reason=error.strerror) from error
 
-    def pause(self):
+    def sync_delay_seconds(self) -> float:
         """Return the seconds a sync takes beyond the call itself: none here."""
         return 0
 
 
-def make_folder(path):
+def _opened(file: FileIO | None, name: str) -> FileIO:
+    """Return the file that was opened before; DiskError when none was."""
+    if file is None:
+        raise DiskError(file=name, reason="the file is not open")
+    return file
+
+
+def _write_and_sync(file: FileIO, name: str, data: bytes) -> None:
+    if file.write(data) != len(data):
+        raise DiskError(file=name, reason="short write")
+    os.fsync(file.fileno())
+
+
+def make_folder(path: str) -> None:
     """Make a folder and those above it that are missing, each durable in the one above."""
     if os.path.isdir(path):
         return
@@ -132,7 +181,7 @@
     sync_path(parent)
 
 
-def sync_path(path):
+def sync_path(path: str) -> None:
     """Make a file, or the names in a folder, durable; OSError when that fails."""
     handle = os.open(path, os.O_RDONLY)
     try:
--- a/quillring/verbs/status_routes.py
+++ b/quillring/verbs/status_routes.py
@@ -13,7 +13,7 @@
 def show_status(node, request):
     """Return what this node is and how it does."""
     snapshot, acceptors = node.find("layout"), node.find("acceptors")
-    disk_error = None if acceptors is None else acceptors.slots.error
+    disk_error = None if acceptors is None else acceptors.log.error
     return {
         "name": node.me.name,
         "role": node.me.role,
--- a/tests/slot_stage.py
+++ b/tests/checkpoint_stage.py
@@ -3,7 +3,7 @@
 from proving.sim.disk import CrashDisk, PowerLost
 from quillring.kernel.effects import Wait
 from quillring.kernel.errors import DiskError
-from quillring.store import SlotStore
+from quillring.store import CheckpointedLog
 
 BATCHES = [
     [["a", 1]],
@@ -47,10 +47,10 @@
 
     def __init__(self, disk, log_limit=LOG_LIMIT, is_eager=False):
         self.disk, self.holder, self.is_eager = disk, Holder(), is_eager
-        self.store = SlotStore(disk, self.holder, log_limit)
+        self.store = CheckpointedLog(disk, self.holder, log_limit)
         self.acknowledged = 0
         if not self.store.recover():
-            self.store.turn()
+            self.store.write_checkpoint()
         self.acknowledged = len(self.holder.records)
         self.writer = self.store.run(0.1)
         self.effect = next(self.writer)
--- a/tests/test_acceptor_properties.py
+++ b/tests/test_acceptor_properties.py
@@ -58,7 +58,7 @@
         self.acceptors = open_store(self.disk, "store-1", lambda: "1")
         self.runtime = CoroutineRuntime("store-1")
         self.acceptors.attach(Node(make_member("store-1", 1, "store-1.1"), self.runtime))
-        self.runtime.spawn(self.acceptors.slots.run(1.0))
+        self.runtime.spawn(self.acceptors.log.run(1.0))
         self.runtime.run()
 
     def call(self, service, body):
@@ -156,8 +156,8 @@
     @rule()
     def turn(self):
         """Fold the log into a slot, once nothing waits."""
-        if self.acceptors.slots.is_idle:
-            self.acceptors.slots.turn()
+        if self.acceptors.log.is_idle:
+            self.acceptors.log.write_checkpoint()
 
     @rule(service=st.sampled_from(("prepare", "accept", "commit", "install", "confirm")))
     def wrong_identity(self, service):
--- a/tests/test_slot_crashes.py
+++ b/tests/test_checkpoint_crashes.py
@@ -3,7 +3,7 @@
 import pytest
 
 from proving.sim.disk import CrashDisk, PowerLost
-from tests.slot_stage import RECORDS, Machine, check, live, lives
+from tests.checkpoint_stage import RECORDS, Machine, check, live, lives
 
 
 @pytest.mark.parametrize("is_eager", [False, True])
--- a/tests/test_slot_files.py
+++ b/tests/test_checkpoint_files.py
@@ -8,15 +8,15 @@
 from proving.sim.disk import CrashDisk
 from quillring.kernel.errors import Damaged
 from quillring.store import FolderDisk
-from quillring.store.records import pack_record
-from tests.slot_stage import RECORDS, Machine, check
+from quillring.store.records import encode_record
+from tests.checkpoint_stage import RECORDS, Machine, check
 
 
 def log_of_earlier_version(records):
     """Return a disk whose log has no marks of batches."""
     disk = CrashDisk()
     Machine(disk)
-    disk.files["log.1"] = b"".join(map(pack_record, [1, *records]))
+    disk.files["log.1"] = b"".join(map(encode_record, [1, *records]))
     return CrashDisk(disk.files)
 
 
@@ -63,11 +63,11 @@
         recorder.paths.clear()
         disk.append("slot.1", b"tail")
         disk.sync("slot.1")
-        disk.cut("slot.1", 4)
+        disk.truncate("slot.1", 4)
         assert recorder.paths == [str(folder / "slot.1")] * 2
         recorder.paths.clear()
-        disk.settle("slot.1")
+        disk.sync_existing("slot.1")
         assert recorder.paths == [str(folder / "slot.1"), str(folder)]
-        disk.cut("missing", 0)
+        disk.truncate("missing", 0)
     assert sorted(os.listdir(folder)) == ["slot.1"]
     assert disk.read("slot.1") == b"slot"
--- a/tests/test_slot_turns.py
+++ b/tests/test_checkpoints.py
@@ -12,8 +12,9 @@
 from quillring.kernel.errors import Damaged
 from quillring.quorum.commands import first_state
 from quillring.quorum.snapshot_chunks import SNAPSHOT_START, cut_chunk
-from quillring.store import SlotStore
-from quillring.store.slot_file import HEADER, STEP_BYTES
+from quillring.store import CheckpointedLog
+from quillring.store.checkpoint_file import HEADER, STEP_BYTES
+from quillring.store.checkpointed_log import PendingCommit
 from tests.test_store import Holder
 
 GROUP = [["store-1", "store-1.x", "a"]]
@@ -34,12 +35,12 @@
         super().write(name, data)
         self._note(len(data))
 
-    def extend(self, name, data):
-        super().extend(name, data)
+    def extend_file(self, name, data):
+        super().extend_file(name, data)
         self._note(len(data))
 
-    def finish(self, name, head):
-        super().finish(name, head)
+    def finish_file(self, name, head):
+        super().finish_file(name, head)
         self._note(len(head))
 
     def sync(self, name):
@@ -55,26 +56,26 @@
 
 def recovered(files):
     holder = Holder()
-    store = SlotStore(disk_of(files), holder)
+    store = CheckpointedLog(disk_of(files), holder)
     assert store.recover()
     return holder.records
 
 
 def written(store, holder, records):
     holder.records.extend(records)
-    assert store._write([(records, Signal())]) is None
+    assert store._write_batch([PendingCommit(records, Signal())]) is None
     store.disk.acknowledged = len(holder.records)
 
 
 def turned(count, step_every, size=10):
     """A store that wrote records and, by turns, steps of its slots; returns (store, disk)."""
     holder, disk = Holder(), WatchedDisk()
-    store = SlotStore(disk, holder, log_limit=200)
-    store.turn()
+    store = CheckpointedLog(disk, holder, log_limit=200)
+    store.write_checkpoint()
     for number in range(count):
         written(store, holder, [["r", number, "x" * size]])
         if number % step_every == 0:
-            for _ in store._go_on_turning():
+            for _ in store._continue_checkpoint():
                 pass
     return store, disk
 
@@ -109,13 +110,13 @@
     store, disk = turned(21, 1000)
     assert store.writer is not None
     holder = Holder()
-    again = SlotStore(disk_of(disk.durable), holder, log_limit=200)
-    assert again.recover() and again._is_turn_due()
+    again = CheckpointedLog(disk_of(disk.durable), holder, log_limit=200)
+    assert again.recover() and again._is_checkpoint_due()
     while again.generation == store.generation:
-        for _ in again._go_on_turning():
+        for _ in again._continue_checkpoint():
             pass
     holder.records.append(["r", 21, ""])
-    assert again._write([([["r", 21, ""]], Signal())]) is None
+    assert again._write_batch([PendingCommit([["r", 21, ""]], Signal())]) is None
     assert [record[1] for record in recovered(again.disk.durable)] == list(range(22))
 
 
@@ -124,14 +125,14 @@
     lots = {f"lot-{n}": {"items": [bytes(3000)] * 100} for n in range(20)}
     acceptors.replay(["found", {"groups": {"part-0": GROUP}}])
     acceptors.replay(["install", "part-0", [1, "c"], 5, {**first_state(GROUP), "raw": lots}])
-    slots = acceptors.slots
+    slots = acceptors.log
     slots.disk.sizes.clear()
-    slots._begin_turn()
+    slots._begin_checkpoint()
     steps = 0
     while slots.writer is not None:
-        slots._step_turn()
+        slots._write_checkpoint_step()
         steps += 1
-    assert slots.slot_size > 6_000_000 and steps > 20
+    assert slots.checkpoint_size > 6_000_000 and steps > 20
     assert max(slots.disk.sizes) <= STEP_BYTES
     again = open_store(disk_of(slots.disk.durable), "store-1", lambda: "y")
     assert again.parts["part-0"].state == acceptors.parts["part-0"].state
@@ -150,10 +151,12 @@
     middle = len(pieces) // 2
     for record in pieces[:middle]:
         acceptors.replay(record)
-    acceptors.slots._begin_turn()
-    acceptors.slots._finish_turn()
-    assert acceptors.slots._write([(pieces[middle : middle + 1], Signal())]) is None
-    again = open_store(disk_of(acceptors.slots.disk.durable), "store-1", lambda: "y")
+    acceptors.log._begin_checkpoint()
+    acceptors.log._finish_checkpoint()
+    assert (
+        acceptors.log._write_batch([PendingCommit(pieces[middle : middle + 1], Signal())]) is None
+    )
+    again = open_store(disk_of(acceptors.log.disk.durable), "store-1", lambda: "y")
     assert again.parts["part-0"].state is None
     for record in pieces[middle + 1 :]:
         again.replay(record)
--- a/tests/test_first_start.py
+++ b/tests/test_first_start.py
@@ -3,7 +3,7 @@
 import pytest
 
 from tests.fleet_stage import SelfFounded
-from tests.test_autofound import all_owned
+from tests.test_founding_bootstrap import all_owned
 from tests.test_repair import ordered_zones, zone_order
 
 SIZES = {"sizes": {"edge": 2, "core": 4, "store": 4}}
--- a/tests/test_landed_folders.py
+++ b/tests/test_landed_folders.py
@@ -13,8 +13,8 @@
 from quillring.nifty import Member
 from quillring.quorum.founding.founding_vote import Witness
 from quillring.store import FolderDisk
-from quillring.store.records import read_records
-from quillring.store.slot_file import HEADER
+from quillring.store.checkpoint_file import HEADER
+from quillring.store.records import decode_records
 
 FOLDER = Path(__file__).parent / "data" / "landed"
 STORES = ("busy", "half-snapshot")
@@ -60,12 +60,12 @@
 def recovered_slot(disk, name):
     """Recover a data folder; return the slot that holds what was recovered."""
     acceptors = open_store(disk, (FOLDER / name / "NAME").read_text(), None)
-    acceptors.slots.turn()
-    return disk.read(f"slot.{acceptors.slots.generation % 2}")
+    acceptors.log.write_checkpoint()
+    return disk.read(f"slot.{acceptors.log.generation % 2}")
 
 
 def rows_of(slot):
-    return read_records(slot[HEADER.size :])[0][1:]
+    return decode_records(slot[HEADER.size :])[0][1:]
 
 
 @pytest.mark.parametrize("name", STORES)
--- a/tests/test_peek.py
+++ b/tests/test_peek.py
@@ -103,13 +103,13 @@
 def test_an_entry_that_a_store_has_not_synced_is_told_of_only_afterwards():
     acceptors, synced = Acceptors(), Signal()
 
-    class SlowSlots:
+    class SlowLog:
         error, is_idle = None, False
 
         def commit(self, records):
             yield Wait(synced, 1)
 
-    acceptors.identity, acceptors.slots = "a", SlowSlots()
+    acceptors.identity, acceptors.log = "a", SlowLog()
     acceptors.parts["part-1"] = AcceptorState(
         ONE, 4, first_state(GROUP), {5: AcceptedEntry(ONE, accept("l"))}
     )
--- a/tests/test_slow_disks.py
+++ b/tests/test_slow_disks.py
@@ -99,7 +99,7 @@
     for number in range(4):
         assert fleet.submit("core-2", order(number))[1] is None
     fleet.run(0.05)
-    assert isinstance(acceptors.slots.error, DiskError)
+    assert isinstance(acceptors.log.error, DiskError)
     assert "no space left" in show_status(fleet.sim.nodes[name], None)["disk_error"]
     assert acceptors.stamp() is None
     index, state = acceptors.on_image({"part": CONFIG}, "anyone")
@@ -107,7 +107,7 @@
     fleet.run(fleet.sim.bounds.resync * 0.4)
     newest = max(a.parts[CONFIG].applied for a in fleet.stores().values() if CONFIG in a.parts)
     is_whole = fleet.wait_for(lambda: acceptors.parts[CONFIG].applied == newest, 3)
-    assert is_whole is not None and acceptors.slots.error is None
+    assert is_whole is not None and acceptors.log.error is None
     assert name in config_stores(fleet)
     assert show_status(fleet.sim.nodes[name], None)["disk_error"] is None
 
@@ -128,7 +128,7 @@
         self.name, self.disk = name, disk or SimDisk(random.Random(1), (0, 0))
         self.acceptors = open_store(self.disk, name, lambda: "1")
         self.acceptors.node = BareNode()
-        self.writer = self.acceptors.slots.run(0.5)
+        self.writer = self.acceptors.log.run(0.5)
         next(self.writer)
 
     def ask(self, service, ballot, **body):
@@ -230,4 +230,4 @@
     assert full not in config_stores(fleet)
     fleet.sim.disks[full].is_full = False
     fleet.run(4)
-    assert fleet.stores()[full].slots.error is None
+    assert fleet.stores()[full].log.error is None
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -2,21 +2,22 @@
 
 from quillring.kernel.effects import Signal
 from quillring.kernel.errors import Damaged, DiskError
-from quillring.store import FolderDisk, SlotStore
-from tests.slot_stage import Holder
+from quillring.store import CheckpointedLog, FolderDisk
+from quillring.store.checkpointed_log import PendingCommit
+from tests.checkpoint_stage import Holder
 
 
 def opened(folder, log_limit=1 << 20):
     holder = Holder()
-    store = SlotStore(FolderDisk(str(folder)), holder, log_limit)
+    store = CheckpointedLog(FolderDisk(str(folder)), holder, log_limit)
     if not store.recover():
-        store.turn()
+        store.write_checkpoint()
     return store, holder
 
 
 def written(store, holder, records):
     holder.records.extend(records)
-    assert store._write([(records, Signal())]) is None
+    assert store._write_batch([PendingCommit(records, Signal())]) is None
 
 
 def test_records_come_back_in_order_over_slot_turns(tmp_path):
@@ -48,7 +49,7 @@
 
 def test_a_torn_slot_whose_log_was_used_refuses_to_start(tmp_path):
     store, holder = opened(tmp_path)
-    store.turn()
+    store.write_checkpoint()
     written(store, holder, [["acknowledged"]])
     (tmp_path / "slot.0").write_bytes(b"rotten")
     with pytest.raises(Damaged) as caught:
@@ -81,10 +82,10 @@
 
     good, store.disk = store.disk, FullDisk(str(tmp_path))
     holder.records.append(["late"])
-    error = store._write([([["late"]], Signal())])
+    error = store._write_batch([PendingCommit([["late"]], Signal())])
     assert isinstance(error, DiskError)
     with pytest.raises(DiskError):
         next(store.commit([["more"]]))
     store.disk = good
-    assert store._write([]) is None
+    assert store._write_batch([]) is None
     assert opened(tmp_path)[1].records == [["late"]]
