--- a/tests/mixed_fleet.py
+++ b/tests/mixed_fleet.py
@@ -23,7 +23,13 @@
 LandedError = landed("quillring.kernel.errors", "QuillringError")
 LandedRequest = landed("quillring.kernel.wsgi", "Request")
 LandedNode = landed("quillring.kernel.node", "Node")
-LandedNode.runtime = property(operator.attrgetter("world"))
+
+# What the simulator reads of nodes by its present name, and the name it had.
+for landed_class, name, landed_name in (
+    (LandedNode, "runtime", "world"),
+    (landed("quillring.edge", "Replicas"), "on_heartbeat", "on_beat"),
+):
+    setattr(landed_class, name, property(operator.attrgetter(landed_name)))
 
 LANDED_TWINS = {
     present.serve_model: landed("quillring.edge.streams", "serve_model"),
--- a/tests/test_mixed_processes.py
+++ b/tests/test_mixed_processes.py
@@ -1,4 +1,4 @@
-"""Processes of the landed version and of the present one are one fleet on real sockets and disks."""
+"""Processes of the landed version and of the present one as one fleet on real sockets."""
 
 import json
 import os
