--- a/quillring/kernel/backend.py
+++ b/quillring/kernel/backend.py
@@ -3,14 +3,23 @@
 Addresses are IP numbers, so the resolver has nothing to wait for and needs no threads.
 """
 
+from __future__ import annotations
+
 import json
 import time
+from typing import TYPE_CHECKING
 
 import gevent
 from geventhttpclient import HTTPClient, HTTPParseError
 
 from quillring.kernel.errors import BackendError, NotSent
 
+if TYPE_CHECKING:
+    from typing import Any
+
+    from quillring.kernel.effects import FetchJson, OpenStream, ReadLine
+    from quillring.kernel.types import Address
+
 gevent.config.resolver = "block"
 HEADERS = {"Content-Type": "application/json"}
 SHORTEST_WAIT = 0.01
@@ -23,18 +32,18 @@
 
     __slots__ = ("client", "response", "status", "kept")
 
-    def __init__(self, client, response):
+    def __init__(self, client: Any, response: Any) -> None:
         self.client = client
         self.response = response
-        self.status = response.status_code
+        self.status: int = response.status_code
         self.kept = b""
 
-    def close(self):
+    def close(self) -> None:
         """Close the connection, which tells the replica to stop."""
         self.client.close()
 
 
-def _connect(address, seconds):
+def _connect(address: Address, seconds: float) -> Any:
     client = HTTPClient(
         address[0],
         address[1],
@@ -51,7 +60,7 @@
     return client
 
 
-def send_once(client):
+def send_once(client: Any) -> None:
     """Keep the library from sending GET and DELETE up to three times after a close or a reset.
 
     It allows as many sendings beyond the first as its pool has places, and one more; no setting
@@ -60,7 +69,7 @@
     client._connection_pool.size = SENDINGS_BEYOND_THE_FIRST - 1
 
 
-def _request(client, method, path, body):
+def _request(client: Any, method: str, path: str, body: Any) -> Any:
     data = b"" if body is None else json.dumps(body).encode()
     return client.request(method, path, body=data, headers=HEADERS)
 
@@ -70,18 +79,18 @@
 
     __slots__ = ("clients", "room")
 
-    def __init__(self, room=256):
-        self.clients = []
+    def __init__(self, room: int = 256) -> None:
+        self.clients: list[tuple[Address, Any]] = []
         self.room = room
 
-    def take(self, address):
+    def take(self, address: Address) -> Any:
         """Return a client that is connected to the address, or None."""
         for number in range(len(self.clients) - 1, -1, -1):
             if self.clients[number][0] == address:
                 return self.clients.pop(number)[1]
         return None
 
-    def put(self, address, client):
+    def put(self, address: Address, client: Any) -> None:
         """Keep a client whose answer was read whole; the oldest goes when there are too many."""
         self.clients.append((address, client))
         if len(self.clients) > self.room:
@@ -91,7 +100,7 @@
 IDLE = Idle()
 
 
-def fetch(effect):
+def fetch(effect: FetchJson) -> tuple[int, Any]:
     """Send a request and return (status, JSON body).
 
     One that may repeat is sent once more, on a new connection, where a kept one broke off; it may
@@ -114,7 +123,7 @@
     return _exchange(_connect(effect.address, effect.seconds), effect, effect.seconds)
 
 
-def _exchange(client, effect, seconds):
+def _exchange(client: Any, effect: FetchJson, seconds: float) -> tuple[int, Any]:
     is_whole = False
     try:
         with gevent.Timeout(max(seconds, SHORTEST_WAIT), BackendError(reason="time")):
@@ -131,7 +140,7 @@
             client.close()
 
 
-def open_stream(effect):
+def open_stream(effect: OpenStream) -> Handle:
     """Send a request and return the handle of its streamed answer."""
     client = _connect(effect.address, effect.seconds)
     try:
@@ -144,7 +153,7 @@
         raise BackendError(reason=type(error).__name__) from error
 
 
-def next_line(effect):
+def next_line(effect: ReadLine) -> Any:
     """Return the next JSON line, or None at the end."""
     try:
         with gevent.Timeout(effect.seconds, BackendError(reason="stall")):
--- a/quillring/kernel/channel.py
+++ b/quillring/kernel/channel.py
@@ -1,13 +1,22 @@
 """The one-way connections between nodes: what they hold, and what their end tells."""
 
+from __future__ import annotations
+
 import contextlib
 import struct
 import time
+from typing import TYPE_CHECKING
 
 import gevent
 import gevent.queue
 import gevent.socket
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+    from typing import Any
+
+    from quillring.kernel.types import Address
+
 FRAME_HEAD = struct.Struct(">I")
 QUEUE_LIMIT = 1024
 HELD_FACTOR = 10
@@ -26,19 +35,25 @@
 
     __slots__ = ("address", "timeout", "queue", "conn", "watcher", "on_refused")
 
-    def __init__(self, address, timeout, on_refused=lambda address: None):
+    def __init__(
+        self,
+        address: Address,
+        timeout: float,
+        on_refused: Callable[[Address], object] = lambda address: None,
+    ) -> None:
         self.address = address
         self.timeout = timeout
         self.queue = gevent.queue.Queue()
-        self.conn = self.watcher = None
+        self.conn: Any = None
+        self.watcher: Any = None
         self.on_refused = on_refused
 
-    def put(self, data):
+    def put(self, data: bytes) -> None:
         """Queue a frame, unless too many wait already."""
         if self.queue.qsize() < QUEUE_LIMIT:
             self.queue.put((time.monotonic(), data))
 
-    def run(self):
+    def run(self) -> None:
         """Write frames for ever, connecting anew after a failure."""
         while True:
             queued_at, data = self.queue.get()
@@ -54,7 +69,7 @@
                 except OSError:
                     self.close()
 
-    def _connect(self):
+    def _connect(self) -> Any:
         if self.conn is None:
             conn = gevent.socket.create_connection(self.address, self.timeout)
             conn.setsockopt(gevent.socket.IPPROTO_TCP, gevent.socket.TCP_NODELAY, 1)
@@ -63,7 +78,7 @@
             self.watcher.start(gevent.spawn, self._look_again, conn)
         return self.conn
 
-    def _look_again(self, conn):
+    def _look_again(self, conn: Any) -> None:
         """Close a connection that the other side closed, and see whether anyone listens there."""
         if self.conn is not conn:
             return
@@ -75,7 +90,7 @@
         except OSError:
             return
 
-    def close(self):
+    def close(self) -> None:
         """Close the connection, if there is one."""
         conn, self.conn = self.conn, None
         watcher, self.watcher = self.watcher, None
--- a/quillring/kernel/checks.py
+++ b/quillring/kernel/checks.py
@@ -1,12 +1,19 @@
 """Checks of what comes in from outside: strict schemas, sound JSON, counts."""
 
+from __future__ import annotations
+
 import json
 import math
+from typing import TYPE_CHECKING
 
 from quillring.kernel.errors import BadRequest
 from quillring.kernel.lazy import lazy_module
 from quillring.kernel.plain_schema import is_integer, is_number, is_surely_sound
 
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+    from typing import Any
+
 jsonschema = lazy_module("jsonschema")
 
 DEPTH_LIMIT = 32
@@ -17,19 +24,20 @@
     """A schema's validator; the library is asked only about what is not plainly sound."""
 
     __slots__ = ("schema",)
-    library_class = None
+    library_class: Any = None
 
-    def __init__(self, schema):
+    def __init__(self, schema: Any) -> None:
         self.schema = schema
 
-    def iter_errors(self, value):
+    def iter_errors(self, value: Any) -> Iterator[Any]:
         """Return the faults of a value."""
         if is_surely_sound(self.schema, value):
             return iter(())
-        return self.make_library_class()(self.schema).iter_errors(value)
+        faults: Iterator[Any] = self.make_library_class()(self.schema).iter_errors(value)
+        return faults
 
     @classmethod
-    def make_library_class(cls):
+    def make_library_class(cls) -> Any:
         """Return the library's validator with strict numbers, made once."""
         if cls.library_class is None:
             plain_class = jsonschema.Draft202012Validator
@@ -40,12 +48,12 @@
         return cls.library_class
 
 
-def refuse_constant(name):
+def refuse_constant(name: str) -> None:
     """Refuse NaN and the infinities, which are no JSON."""
     raise ValueError(name)
 
 
-def read_float(text):
+def read_float(text: str) -> float:
     """Return the finite number of a text."""
     number = float(text)
     if not math.isfinite(number):
@@ -53,7 +61,7 @@
     return number
 
 
-def parse_json(data):
+def parse_json(data: bytes | str) -> Any:
     """Return the value of UTF-8 JSON text; whatever is not sound raises ValueError."""
     text = data.decode("utf-8") if isinstance(data, bytes) else data
     try:
@@ -66,7 +74,7 @@
     return value
 
 
-def check_depth(value):
+def check_depth(value: Any) -> None:
     """Raise ValueError for a value nested deeper than anything sound is."""
     level = [value]
     for _ in range(DEPTH_LIMIT):
@@ -82,7 +90,7 @@
     raise ValueError("too deep")
 
 
-def read_count(text, field):
+def read_count(text: str, field: str) -> int:
     """Return the count that a text of few digits names."""
     if not (text.isascii() and text.isdigit() and len(text) <= DIGITS):
         raise BadRequest(field=field, faults=[{"field": field, "fault": "not a count"}])
--- a/quillring/kernel/connections.py
+++ b/quillring/kernel/connections.py
@@ -1,6 +1,9 @@
 """Connections to replicas, kept while a replica surely keeps them too."""
 
+from __future__ import annotations
+
 import time
+from typing import TYPE_CHECKING
 
 import gevent.socket
 import httptools
@@ -8,6 +11,15 @@
 
 from quillring.kernel.errors import NotSent
 
+if TYPE_CHECKING:
+    from typing import Any
+
+    from quillring.kernel.http_client import Answer
+    from quillring.kernel.types import Address
+
+    AnswerId = tuple[str, str | None]
+    """Lower-case name of a header and its value, by which an answer is known as due."""
+
 CONNECT_SECONDS = 0.4
 IDLE_LIMIT = 512
 CARRIED_LIMIT = 1000
@@ -18,36 +30,36 @@
 
     __slots__ = ("address", "sock", "parser", "answer", "idle_until", "was_used", "carried_ids")
 
-    def __init__(self, address, sock):
+    def __init__(self, address: Address, sock: Any) -> None:
         self.address = address
         self.sock = sock
         self.parser = httptools.HttpResponseParser(self)
-        self.answer = None
-        self.idle_until = 0
+        self.answer: Answer
+        self.idle_until: float = 0
         self.was_used = False
-        self.carried_ids = set()
+        self.carried_ids: set[AnswerId] = set()
 
-    def on_message_begin(self):
+    def on_message_begin(self) -> None:
         """Begin to read an answer."""
         self.answer.begin()
 
-    def on_header(self, name, value):
+    def on_header(self, name: bytes, value: bytes) -> None:
         """Take one header line."""
         self.answer.lines.append((name.decode("latin-1"), value.decode("latin-1")))
 
-    def on_headers_complete(self):
+    def on_headers_complete(self) -> None:
         """Take the end of the head."""
         self.answer.end_head(self.parser.get_status_code(), self.parser.should_keep_alive())
 
-    def on_body(self, data):
+    def on_body(self, data: bytes) -> None:
         """Take bytes of the body."""
         self.answer.add(data)
 
-    def on_message_complete(self):
+    def on_message_complete(self) -> None:
         """Take the end of an answer."""
         self.answer.end()
 
-    def close(self):
+    def close(self) -> None:
         """Close it; a replica still at work drops the request."""
         self.sock.close()
 
@@ -57,10 +69,10 @@
 
     __slots__ = ("idle",)
 
-    def __init__(self):
-        self.idle = {}
+    def __init__(self) -> None:
+        self.idle: dict[Address, list[Connection]] = {}
 
-    def take(self, address, answer_id=None):
+    def take(self, address: Address, answer_id: AnswerId | None = None) -> Connection | None:
         """Return a kept connection that is sound by all that can be seen, or None.
 
         One that has carried the id before is closed: a late copy of that answer would be taken for
@@ -79,7 +91,7 @@
             connection.close()
         return None
 
-    def put(self, connection, keep_seconds):
+    def put(self, connection: Connection, keep_seconds: float) -> None:
         """Keep a connection whose last answer was read whole, up to CARRIED_LIMIT requests."""
         if len(connection.carried_ids) >= CARRIED_LIMIT:
             connection.close()
@@ -90,7 +102,7 @@
         if sum(map(len, self.idle.values())) > IDLE_LIMIT:
             self.drop_old()
 
-    def drop_old(self):
+    def drop_old(self) -> None:
         """Close connections that would not be used again."""
         now = time.monotonic()
         for address, kept_connections in list(self.idle.items()):
@@ -105,18 +117,18 @@
 POOL = Pool()
 
 
-def is_readable(sock):
+def is_readable(sock: Any) -> bool:
     """Tell whether something lies unread on a connection: surplus bytes or its end."""
     return bool(select.select([sock], [], [], 0)[0])
 
 
-def wait_for_either(sock):
+def wait_for_either(sock: Any) -> tuple[bool, bool]:
     """Wait until a connection may be read or written; return whether it may be, each."""
     may_read, may_write, _ = select.select([sock], [sock], [])
     return bool(may_read), bool(may_write)
 
 
-def connect(address, seconds):
+def connect(address: Address, seconds: float) -> Connection:
     """Return a new connection to an address, or raise NotSent."""
     try:
         sock = gevent.socket.create_connection(
@@ -126,4 +138,4 @@
         raise NotSent(address=list(address), reason=type(error).__name__) from error
     sock.settimeout(None)
     sock.setsockopt(gevent.socket.IPPROTO_TCP, gevent.socket.TCP_NODELAY, 1)
-    return Connection(tuple(address), sock)
+    return Connection((address[0], address[1]), sock)
--- a/quillring/kernel/datagrams.py
+++ b/quillring/kernel/datagrams.py
@@ -1,9 +1,17 @@
 """The datagrams of a process: one socket, read in batches."""
 
+from __future__ import annotations
+
 import socket
+from typing import TYPE_CHECKING
 
 import gevent.socket
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterator
+
+    from quillring.kernel.types import Address
+
 LIMIT = 65535
 BATCH = 256
 
@@ -17,12 +25,12 @@
 
     __slots__ = ("socket",)
 
-    def __init__(self, host, port):
+    def __init__(self, host: str, port: int) -> None:
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.socket.setblocking(False)
         self.socket.bind((host, port))
 
-    def run(self, take, rest):
+    def run(self, take: Callable[[bytes], object], rest: Callable[[], object]) -> None:
         """Hand each datagram to a function, for ever; rest after each batch."""
         while True:
             gevent.socket.wait_read(self.socket.fileno())
@@ -30,7 +38,7 @@
                 take(data)
             rest()
 
-    def _waiting(self):
+    def _waiting(self) -> Iterator[bytes]:
         """Yield the datagrams that have come in, a batch at most."""
         for _ in range(BATCH):
             try:
@@ -41,7 +49,7 @@
                 continue
             yield data
 
-    def send(self, address, data):
+    def send(self, address: Address, data: bytes) -> None:
         """Send a datagram; it may be lost."""
         try:
             self.socket.sendto(data, address)
--- a/quillring/kernel/gevent_runtime.py
+++ b/quillring/kernel/gevent_runtime.py
@@ -1,8 +1,11 @@
 """The production runtime: gevent drives the coroutines, sockets carry datagrams and frames."""
 
+from __future__ import annotations
+
 import os
 import random
 import time
+from typing import TYPE_CHECKING
 
 import gevent
 import gevent.event
@@ -27,6 +30,15 @@
 from quillring.kernel.lazy import lazy_module
 from quillring.kernel.steps import Steps
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Generator
+    from typing import Any
+
+    from quillring.kernel.effects import Effect, Signal
+    from quillring.kernel.types import Address, Coroutine
+
+    DataHandler = Callable[[bytes], object]
+
 gevent.config.resolver = "block"
 backend = lazy_module("quillring.kernel.backend")
 
@@ -47,28 +59,28 @@
         "steps",
     )
 
-    def __init__(self, report, frame_timeout):
+    def __init__(self, report: Callable[[Exception], object], frame_timeout: float) -> None:
         self.random = random.Random(os.urandom(16))
-        self.datagrams = None
-        self.channels = {}
+        self.datagrams: Datagrams
+        self.channels: dict[Address, Channel] = {}
         self.report = report
         self.frame_timeout = frame_timeout
-        self.on_refused = lambda address: None
+        self.on_refused: Callable[[Address], object] = lambda address: None
         self.steps = Steps(time.monotonic(), REST_SECONDS)
 
-    def now(self):
+    def now(self) -> float:
         """Return monotonic seconds."""
         return time.monotonic()
 
-    def wall_time(self):
+    def wall_time(self) -> float:
         """Return seconds of the wall clock, for what outlives a process."""
         return time.time()
 
-    def secret(self, count):
+    def secret(self, count: int) -> bytes:
         """Return bytes nobody can guess."""
         return os.urandom(count)
 
-    def listen(self, host, port, on_datagram, on_frame):
+    def listen(self, host: str, port: int, on_datagram: DataHandler, on_frame: DataHandler) -> Any:
         """Take datagrams and frames at the address."""
         self.datagrams = Datagrams(host, port)
         gevent.spawn(
@@ -82,7 +94,7 @@
         server.start()
         return server
 
-    def _read_frames(self, conn, on_frame):
+    def _read_frames(self, conn: Any, on_frame: DataHandler) -> None:
         with conn, conn.makefile("rb") as reader:
             while True:
                 try:
@@ -99,17 +111,17 @@
                 if length > FRAME_LIMIT:
                     return
 
-    def _guard(self, handler, data):
+    def _guard(self, handler: Callable[[Any], object], data: Any) -> None:
         try:
             handler(data)
         except Exception as error:
             self.report(error)
 
-    def datagram(self, address, data):
+    def datagram(self, address: Address, data: bytes) -> None:
         """Send a datagram; it may be lost."""
-        self.datagrams.send(tuple(address), data)
+        self.datagrams.send((address[0], address[1]), data)
 
-    def frame(self, address, data):
+    def frame(self, address: Address, data: bytes) -> None:
         """Queue a frame on the channel to the address; it may be lost."""
         channel = self.channels.get(address)
         if channel is None:
@@ -117,20 +129,20 @@
             gevent.spawn(channel.run)
         channel.put(data)
 
-    def _refused(self, address):
+    def _refused(self, address: Address) -> None:
         self._guard(self.on_refused, address)
 
-    def reset(self, address):
+    def reset(self, address: Address) -> None:
         """Drop the connection to a lost member, so that a healed link begins afresh at once."""
         channel = self.channels.get(address)
         if channel is not None:
             channel.close()
 
-    def spawn(self, coroutine):
+    def spawn(self, coroutine: Coroutine) -> Any:
         """Run a coroutine in its own greenlet."""
         return gevent.spawn(self._run, coroutine)
 
-    def _run(self, coroutine):
+    def _run(self, coroutine: Coroutine) -> Any:
         try:
             return self.drive(coroutine)
         except QuillringError as error:
@@ -138,7 +150,7 @@
         except Exception as error:
             self.report(error)
 
-    def drive(self, coroutine):
+    def drive(self, coroutine: Coroutine) -> Any:
         """Run a coroutine to its end here and return its value."""
         lines = self.lines(coroutine)
         try:
@@ -147,7 +159,7 @@
         except StopIteration as stop:
             return stop.value
 
-    def lines(self, coroutine):
+    def lines(self, coroutine: Coroutine) -> Generator[Any, None, Any]:
         """Run a coroutine here; yield each line that it emits; return its value."""
         value, error = None, None
         try:
@@ -167,7 +179,7 @@
         finally:
             coroutine.close()
 
-    def perform(self, effect):
+    def perform(self, effect: Effect) -> Any:
         """Bring about one effect and return its outcome."""
         match effect:
             case Sleep():
@@ -188,11 +200,11 @@
             case ReadBody():
                 return effect.handle.read_body_part(effect.seconds)
 
-    def sleep(self, seconds):
+    def sleep(self, seconds: float) -> None:
         """Sleep until a step near to then: what wakes together costs one wake."""
         gevent.sleep(self.steps.seconds_to(time.monotonic(), seconds))
 
-    def _wait(self, signal, seconds):
+    def _wait(self, signal: Signal, seconds: float) -> bool:
         if signal.is_set:
             return True
         wake_event = gevent.event.Event()
--- a/quillring/kernel/http_client.py
+++ b/quillring/kernel/http_client.py
@@ -5,8 +5,11 @@
 once all of it was written: whether that is allowed is known to `forward.attempt` alone.
 """
 
+from __future__ import annotations
+
 import time
 from collections import deque
+from typing import TYPE_CHECKING
 
 import gevent
 import httptools
@@ -14,6 +17,10 @@
 from quillring.kernel.connections import POOL, connect, wait_for_either
 from quillring.kernel.errors import BackendError, NotSent, StaleConnection
 
+if TYPE_CHECKING:
+    from quillring.kernel.connections import Connection
+    from quillring.kernel.effects import SendRequest
+
 READ_SIZE = 65536
 KEEP_SECONDS = 4.0
 KEEP_SHARE = 0.6
@@ -42,27 +49,29 @@
         "is_written",
     )
 
-    def __init__(self, connection, effect):
+    def __init__(self, connection: Connection, effect: SendRequest) -> None:
         self.connection = connection
         self.effect = effect
         self.answer_id = effect.answer_id
-        self.parts = deque()
+        self.parts: deque[bytes] = deque()
         self.has_bytes = False
         self.is_whole = self.has_surplus = False
         self.is_closed = False
         self.is_written = False
         self.begin()
 
-    def begin(self):
+    def begin(self) -> None:
         """Forget what was read: another answer begins; after our own it is surplus."""
         if self.is_whole:
             self.has_surplus = True
             return
-        self.lines = []
-        self.status, self.headers, self.is_kept = None, {}, False
+        self.lines: list[tuple[str, str]] = []
+        self.status: int = 0
+        self.headers: dict[str, str] = {}
+        self.is_kept = False
         self.is_ours = self.has_head = self.is_framed = False
 
-    def end_head(self, status, is_kept):
+    def end_head(self, status: int, is_kept: bool) -> None:
         """Take the head; an answer to another request is skipped."""
         if self.has_surplus:
             return
@@ -74,23 +83,23 @@
         if self.is_ours and self.effect.data.startswith(HEAD_METHOD):
             self.is_whole, self.is_kept = True, False
 
-    def _bears_our_id(self):
+    def _bears_our_id(self) -> bool:
         """Tell whether the head names the request's id and no other, or none where it has none."""
         id_header, request_id = self.answer_id
         named_ids = {value for name, value in self.lines if name.lower() == id_header}
         return named_ids == ({request_id} if request_id is not None else set())
 
-    def add(self, data):
+    def add(self, data: bytes) -> None:
         """Take body bytes."""
         if self.is_ours and not self.is_whole:
             self.parts.append(data)
 
-    def end(self):
+    def end(self) -> None:
         """Take the end of a message; what comes after ours belongs to nobody."""
         if self.is_ours:
             self.is_whole = True
 
-    def read(self):
+    def read(self) -> None:
         """Read once from the connection and parse it; BackendError at its end.
 
         A body without a length is whole once its replica closed the connection; a reset is none.
@@ -111,13 +120,13 @@
                 raise BackendError(reason="no answer") from error
             self.has_surplus = True
 
-    def take_close(self):
+    def take_close(self) -> None:
         """Take the orderly close of the connection: the end of a body without a length."""
         if self.is_framed or not self.is_ours:
             raise BackendError(reason="broken off")
         self.is_whole, self.is_kept = True, False
 
-    def write_until(self, end_time):
+    def write_until(self, end_time: float) -> None:
         """Write the request; NotSent where a process that stood still comes too late for it."""
         seconds = end_time - time.monotonic()
         if seconds <= 0:
@@ -131,7 +140,7 @@
         except OSError as error:
             raise BackendError(reason=type(error).__name__) from error
 
-    def _write(self):
+    def _write(self) -> None:
         """Write the request; a replica that answers before it has read all of it gets no more."""
         sock = self.connection.sock
         rest = memoryview(self.effect.data)
@@ -144,7 +153,7 @@
                 rest = rest[sock.send(rest) :]
         self.is_written = not rest
 
-    def read_head(self, seconds):
+    def read_head(self, seconds: float) -> None:
         """Return once the head is there; StaleConnection where a kept connection had died."""
         try:
             self._read_head(seconds)
@@ -153,13 +162,13 @@
                 raise
             raise StaleConnection(**error.detail) from error
 
-    def _read_head(self, seconds):
+    def _read_head(self, seconds: float) -> None:
         if not self.has_head:
             with gevent.Timeout(max(seconds, 0.001), BackendError(reason="stall")):
                 while not self.has_head:
                     self.read()
 
-    def read_body_part(self, seconds):
+    def read_body_part(self, seconds: float) -> bytes | None:
         """Return the next bytes of the body, or None at its proper end."""
         if not self.parts and not self.is_whole:
             with gevent.Timeout(max(seconds, 0.001), BackendError(reason="stall")):
@@ -171,7 +180,7 @@
         self.parts.clear()
         return data
 
-    def keep_seconds(self):
+    def keep_seconds(self) -> float:
         """Return how long the replica surely keeps the connection when nothing is sent."""
         for word in self.headers.get("keep-alive", "").split(","):
             name, _, value = word.strip().partition("=")
@@ -179,7 +188,7 @@
                 return int(value) * KEEP_SHARE
         return KEEP_SECONDS * KEEP_SHARE
 
-    def close(self):
+    def close(self) -> None:
         """End with the answer; only where both ways were whole is the connection kept."""
         if self.is_closed:
             return
@@ -192,7 +201,7 @@
             self.connection.close()
 
 
-def send_request(effect):
+def send_request(effect: SendRequest) -> Answer:
     """Send a request on a kept or a new connection and return the handle of its answer.
 
     Without an id no answer could be told from a surplus one, so that such a request gets a new
@@ -201,7 +210,9 @@
     """
     end_time = time.monotonic() + effect.seconds
     may_reuse = effect.may_reuse and effect.answer_id[1] is not None
-    kept = POOL.take(tuple(effect.address), effect.answer_id) if may_reuse else None
+    kept = (
+        POOL.take((effect.address[0], effect.address[1]), effect.answer_id) if may_reuse else None
+    )
     if kept is not None:
         answer = Answer(kept, effect)
         try:
--- a/quillring/kernel/plain_schema.py
+++ b/quillring/kernel/plain_schema.py
@@ -4,21 +4,32 @@
 keyword, is left to the full validator, which also tells the faults.
 """
 
+from __future__ import annotations
+
 import math
 import re
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Sized
+    from typing import Any
+
+    Schema = dict[str, Any]
+    Rule = Callable[[Any, Any, Schema], bool]
+    """`rule(wanted, value, schema)` tells whether a value follows one keyword of a schema."""
 
 
-def is_integer(checker, value):
+def is_integer(checker: object, value: object) -> bool:
     """Tell whether a value is a whole number and written as one."""
     return isinstance(value, int) and not isinstance(value, bool)
 
 
-def is_number(checker, value):
+def is_number(checker: object, value: object) -> bool:
     """Tell whether a value is a finite number."""
     return is_integer(checker, value) or (isinstance(value, float) and math.isfinite(value))
 
 
-TYPES = {
+TYPES: dict[str, Callable[[Any], bool]] = {
     "object": lambda value: isinstance(value, dict),
     "array": lambda value: isinstance(value, list),
     "string": lambda value: isinstance(value, str),
@@ -29,7 +40,7 @@
 }
 
 
-def is_surely_sound(schema, value):
+def is_surely_sound(schema: Schema, value: Any) -> bool:
     """Tell whether a value surely follows a schema; False says nothing."""
     return all(
         keyword in KEYWORDS and KEYWORDS[keyword](wanted, value, schema)
@@ -37,25 +48,25 @@
     )
 
 
-def follows_type(wanted, value, schema):
+def follows_type(wanted: Any, value: Any, schema: Schema) -> bool:
     """Tell whether a value is of one of the types."""
     names = [wanted] if isinstance(wanted, str) else wanted
     return any(name in TYPES and TYPES[name](value) for name in names)
 
 
-def follows_enum(wanted, value, schema):
+def follows_enum(wanted: Any, value: Any, schema: Schema) -> bool:
     """Tell whether a text is one of those listed; other values are compared elsewhere."""
     return isinstance(value, str) and value in wanted
 
 
-def follows_properties(wanted, value, schema):
+def follows_properties(wanted: Any, value: Any, schema: Schema) -> bool:
     """Tell whether each named property follows its schema."""
     return not isinstance(value, dict) or all(
         is_surely_sound(inner, value[name]) for name, inner in wanted.items() if name in value
     )
 
 
-def follows_patterns(wanted, value, schema):
+def follows_patterns(wanted: Any, value: Any, schema: Schema) -> bool:
     """Tell whether each property follows the schema of every pattern that its name bears."""
     return not isinstance(value, dict) or all(
         isinstance(name, str)
@@ -68,7 +79,7 @@
     )
 
 
-def follows_additional(wanted, value, schema):
+def follows_additional(wanted: Any, value: Any, schema: Schema) -> bool:
     """Tell whether each property that nothing names may be there."""
     if not isinstance(value, dict):
         return True
@@ -86,31 +97,31 @@
     )
 
 
-def follows_items(wanted, value, schema):
+def follows_items(wanted: Any, value: Any, schema: Schema) -> bool:
     """Tell whether each item of a list, beyond those with a schema by place, follows it."""
     return not isinstance(value, list) or all(
         is_surely_sound(wanted, item) for item in value[len(schema.get("prefixItems", ())) :]
     )
 
 
-def follows_places(wanted, value, schema):
+def follows_places(wanted: Any, value: Any, schema: Schema) -> bool:
     """Tell whether the first items of a list follow the schemas of their places."""
     return not isinstance(value, list) or all(
         is_surely_sound(inner, item) for inner, item in zip(wanted, value)
     )
 
 
-def number_rule(holds):
+def number_rule(holds: Callable[[Any, Any], bool]) -> Rule:
     """Return the rule for a number's bound."""
     return lambda wanted, value, schema: not is_number(None, value) or holds(value, wanted)
 
 
-def size_rule(kind, holds):
+def size_rule(kind: type[Sized], holds: Callable[[int, Any], bool]) -> Rule:
     """Return the rule for the size of a text or list."""
     return lambda wanted, value, schema: not isinstance(value, kind) or holds(len(value), wanted)
 
 
-KEYWORDS = {
+KEYWORDS: dict[str, Rule] = {
     "description": lambda wanted, value, schema: True,
     "type": follows_type,
     "enum": follows_enum,
--- a/quillring/kernel/raw_connection.py
+++ b/quillring/kernel/raw_connection.py
@@ -5,6 +5,10 @@
 target of a request must be passed on as it came.
 """
 
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
 import gevent
 import gevent.event
 import gevent.queue
@@ -16,6 +20,13 @@
 from quillring.kernel.raw_http import BadClient, ClientGone, RawRequest, chunk, head_bytes
 from quillring.kernel.raw_reader import RequestReader
 
+if TYPE_CHECKING:
+    from collections.abc import Generator
+    from typing import Any
+
+    from quillring.kernel.raw_server import RawServer
+    from quillring.kernel.types import HeaderLines
+
 READ_SIZE = 65536
 PIPELINED = 8
 SHORTEST_WAIT = 0.001
@@ -38,23 +49,23 @@
         "rests_since",
     )
 
-    def __init__(self, server, sock):
+    def __init__(self, server: RawServer, sock: Any) -> None:
         self.server = server
         self.sock = sock
         self.reader = RequestReader(server, self._take, self._offer_to_go_on)
         self.requests = gevent.queue.Queue()
-        self.handler = None
+        self.handler: Any = None
         self.is_gone = False
         self.can_read = gevent.event.Event()
         self.can_read.set()
         self.rests_since = server.now()
 
-    def _take(self, request):
+    def _take(self, request: RawRequest) -> None:
         self.requests.put(request)
         if self.requests.qsize() >= PIPELINED:
             self.can_read.clear()
 
-    def read_all(self):
+    def read_all(self) -> None:
         """Read until the client closes; then whatever is under way for it ends."""
         end = self._read_to_end()
         self.requests.put(end)
@@ -64,7 +75,7 @@
         if self.handler is not None:
             self.handler.kill(block=False)
 
-    def _wait_for_close(self):
+    def _wait_for_close(self) -> None:
         """Read past what is no request until the client closes."""
         try:
             while self.sock.recv(READ_SIZE):
@@ -72,7 +83,7 @@
         except OSError:
             return
 
-    def _read_to_end(self):
+    def _read_to_end(self) -> BadClient | str:
         """Return why nothing more is read: CLIENT_GONE, NO_UPGRADE or what the client did wrong."""
         try:
             while True:
@@ -94,7 +105,7 @@
                 return CLIENT_GONE
             return cause if isinstance(cause, BadClient) else BadClient(status=400)
 
-    def _receive(self):
+    def _receive(self) -> bytes | None:
         """Return the next bytes, b"" at the client's end, or None when the time for them is over.
 
         A client may rest between two requests for `idle_seconds` from the end of the last answer.
@@ -107,12 +118,12 @@
         elif not self._is_busy():
             seconds = max(SHORTEST_WAIT, self._rest_left())
         with gevent.Timeout(seconds, False):
-            data = self.sock.recv(READ_SIZE)
+            data: bytes = self.sock.recv(READ_SIZE)
             self.rests_since = self.server.now()
             return data
         return None
 
-    def _end_of_time(self):
+    def _end_of_time(self) -> BadClient | str | None:
         """Return why nothing more is waited for, or None while the client has time left."""
         if self._is_busy() or is_readable(self.sock):
             return None
@@ -120,19 +131,19 @@
             return BadClient(status=408)
         return CLIENT_GONE if self._rest_left() <= 0 else None
 
-    def _is_busy(self):
+    def _is_busy(self) -> bool:
         return self.handler is not None or not self.requests.empty()
 
-    def _rest_left(self):
+    def _rest_left(self) -> float:
         return self.rests_since + self.server.limits().idle_seconds - self.server.now()
 
-    def _offer_to_go_on(self):
+    def _offer_to_go_on(self) -> None:
         """Ask for the body that a client holds back, unless answers are due to it before that."""
         if self.reader.owes_interim and not self._is_busy():
             self.reader.owes_interim = False
             self.sock.sendall(INTERIM)
 
-    def run(self):
+    def run(self) -> None:
         """Answer the requests of the connection in their order, unless its client has gone.
 
         A process that was frozen finds requests whose clients gave them up long ago.
@@ -159,18 +170,18 @@
             reading.kill(block=False)
             self.sock.close()
 
-    def _send_refusal(self, end):
+    def _send_refusal(self, end: BadClient | str) -> None:
         if isinstance(end, BadClient):
             headers = [("Content-Length", "0"), ("Connection", "close")]
             self._send(head_bytes(end.detail["status"], headers))
 
-    def _send(self, data):
+    def _send(self, data: bytes) -> None:
         try:
             self.sock.sendall(data)
         except OSError as error:
             raise ClientGone() from error
 
-    def _answer(self, request):
+    def _answer(self, request: RawRequest) -> bool:
         """Answer one request; return True when the connection may serve another."""
         node = self.server.node
         node.under_way += 1
@@ -188,7 +199,7 @@
             if lines is not None:
                 lines.close()
 
-    def _send_lines(self, request, lines):
+    def _send_lines(self, request: RawRequest, lines: Generator[Any, None, Any]) -> bool:
         """Send what the handler emits as a stream, or its value as a whole answer."""
         has_head = False
         while True:
@@ -207,20 +218,24 @@
                 has_head = True
                 self._send_head(request, *line)
 
-    def _send_head(self, request, status, headers, body):
+    def _send_head(
+        self, request: RawRequest, status: int, headers: HeaderLines, body: bytes
+    ) -> None:
         keeping = self._keeping(self._is_kept(request))
         head = head_bytes(status, [*headers, ("Transfer-Encoding", "chunked"), *keeping])
         self._send(head + (chunk(body) if body else b""))
 
-    def _send_whole(self, request, status, headers, body):
+    def _send_whole(
+        self, request: RawRequest, status: int, headers: HeaderLines, body: bytes
+    ) -> bool:
         is_kept = self._is_kept(request)
         length = ("Content-Length", str(len(body)))
         head = head_bytes(status, [*headers, length, *self._keeping(is_kept)])
         self._send(head + (b"" if request.method == "HEAD" else body))
         return is_kept
 
-    def _is_kept(self, request):
+    def _is_kept(self, request: RawRequest) -> bool:
         return request.is_kept and not self.server.node.is_draining
 
-    def _keeping(self, is_kept):
+    def _keeping(self, is_kept: bool) -> HeaderLines:
         return [] if is_kept else [("Connection", "close")]
--- a/quillring/kernel/raw_http.py
+++ b/quillring/kernel/raw_http.py
@@ -1,7 +1,16 @@
 """Requests and answers as bytes: what a client sent, within which limits, and what goes back."""
 
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
 from quillring.kernel.errors import QuillringError
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+    from quillring.kernel.types import HeaderLines
+
 WORDS = {
     200: "OK",
     202: "Accepted",
@@ -27,7 +36,13 @@
 
     __slots__ = ("head_bytes", "body_bytes", "head_seconds", "idle_seconds")
 
-    def __init__(self, head_bytes=16384, body_bytes=4 << 20, head_seconds=3.0, idle_seconds=15.0):
+    def __init__(
+        self,
+        head_bytes: int = 16384,
+        body_bytes: int = 4 << 20,
+        head_seconds: float = 3.0,
+        idle_seconds: float = 15.0,
+    ) -> None:
         self.head_bytes = head_bytes
         self.body_bytes = body_bytes
         self.head_seconds = head_seconds
@@ -39,7 +54,15 @@
 
     __slots__ = ("method", "target", "lines", "headers", "body", "is_kept", "arrived_at")
 
-    def __init__(self, method, target, lines, body, is_kept, arrived_at):
+    def __init__(
+        self,
+        method: str,
+        target: str,
+        lines: HeaderLines,
+        body: bytes,
+        is_kept: bool,
+        arrived_at: float,
+    ) -> None:
         self.method = method
         self.target = target
         self.lines = lines
@@ -56,14 +79,14 @@
     status = 400
 
 
-def head_bytes(status, headers):
+def head_bytes(status: int, headers: Iterable[tuple[str, str]]) -> bytes:
     """Return the head of an answer."""
     lines = [f"HTTP/1.1 {status} {WORDS.get(status, 'Status')}"]
     lines.extend(f"{name}: {value}" for name, value in headers)
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
 
 
-def chunk(data):
+def chunk(data: bytes) -> bytes:
     """Return the bytes of one chunk."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
--- a/quillring/kernel/raw_server.py
+++ b/quillring/kernel/raw_server.py
@@ -1,11 +1,25 @@
 """The listening side of HTTP/1.1 where bytes pass unchanged."""
 
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
 import gevent.server
 import gevent.socket
 
 from quillring.kernel.errors import QuillringError
 from quillring.kernel.raw_connection import RawConnection
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+    from typing import Any
+
+    from quillring.kernel.node import Node
+    from quillring.kernel.raw_http import RawLimits, RawRequest
+    from quillring.kernel.types import Address, Coroutine
+
+    RequestHandler = Callable[[Node, RawRequest], Coroutine]
+
 
 class RawServer:
     """A listening address whose requests a coroutine answers.
@@ -17,18 +31,24 @@
 
     __slots__ = ("node", "handle", "limits", "report", "server")
 
-    def __init__(self, node, handle, limits, report):
+    def __init__(
+        self,
+        node: Node,
+        handle: RequestHandler,
+        limits: Callable[[], RawLimits],
+        report: Callable[[Exception], object],
+    ) -> None:
         self.node = node
         self.handle = handle
         self.limits = limits
         self.report = report
-        self.server = None
+        self.server: Any = None
 
-    def now(self):
+    def now(self) -> float:
         """Return the node's time."""
         return self.node.now()
 
-    def start(self, address):
+    def start(self, address: Address) -> RawServer:
         """Listen at an address."""
         self.server = gevent.server.StreamServer(tuple(address), self._serve, backlog=1024)
         self.server.init_socket()
@@ -36,12 +56,12 @@
         self.server.start()
         return self
 
-    def _serve(self, sock, _):
+    def _serve(self, sock: Any, _: Address) -> None:
         try:
             RawConnection(self, sock).run()
         except (OSError, QuillringError):
             return
 
-    def stop(self):
+    def stop(self) -> None:
         """Listen no more."""
         self.server.stop(timeout=0)
--- a/quillring/kernel/settings.py
+++ b/quillring/kernel/settings.py
@@ -1,9 +1,18 @@
 """Settings of one process, from a file or flags, checked by schema; all faults at once."""
 
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
 from quillring.kernel.bounds import Bounds
 from quillring.kernel.checks import StrictValidator, parse_json
 from quillring.kernel.errors import BadSetting
 
+if TYPE_CHECKING:
+    from typing import Any
+
+    from quillring.kernel.types import Address
+
 ADDRESS = {"type": "string", "pattern": r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$"}
 SECONDS = {"type": "number", "exclusiveMinimum": 0, "maximum": 3600}
 SCHEMA = {
@@ -92,29 +101,29 @@
         "witness",
     )
 
-    def __init__(self, fields):
-        self.name = fields["name"]
-        self.role = fields["role"]
-        self.zone = fields["domain"]
+    def __init__(self, fields: dict[str, Any]) -> None:
+        self.name: str = fields["name"]
+        self.role: str = fields["role"]
+        self.zone: str = fields["domain"]
         self.address = split_address(fields["address"])
         self.http_address = split_address(fields["http_address"])
         self.seeds = tuple(split_address(seed) for seed in fields["seeds"])
-        self.folder = fields.get("folder")
-        self.log_file = fields.get("log_file")
-        self.parts = fields.get("parts", 4)
+        self.folder: str | None = fields.get("folder")
+        self.log_file: str | None = fields.get("log_file")
+        self.parts: int = fields.get("parts", 4)
         self.bounds = Bounds.from_settings(fields.get("bounds", {}))
-        self.bootstrap = fields.get("bootstrap", False)
-        self.losses = fields.get("losses", 1)
-        self.witness = fields.get("witness")
+        self.bootstrap: bool = fields.get("bootstrap", False)
+        self.losses: int = fields.get("losses", 1)
+        self.witness: str | None = fields.get("witness")
 
 
-def split_address(text):
+def split_address(text: str) -> Address:
     """Return (host, port) of a checked address text."""
     host, port = text.rsplit(":", 1)
     return host, int(port)
 
 
-def find_faults(fields):
+def find_faults(fields: Any) -> list[str]:
     """Return one clear line for each fault of the settings."""
     validator = StrictValidator(SCHEMA)
     faults = [
@@ -138,12 +147,12 @@
     return sorted(faults)
 
 
-def listed(value):
+def listed(value: Any) -> list[Any]:
     """Return the value if it is a list, else an empty one."""
     return value if isinstance(value, list) else []
 
 
-def is_real_address(address):
+def is_real_address(address: str) -> bool:
     """Tell whether the text holds four bytes and a port that exists."""
     host, _, port = address.rpartition(":")
     numbers = host.split(".")
@@ -151,9 +160,9 @@
     return is_host and port.isdigit() and 0 < int(port) < 65536
 
 
-def read_settings(path, flags):
+def read_settings(path: str | None, flags: dict[str, Any]) -> Settings:
     """Read a settings file, lay the flags over it, and check the whole."""
-    fields = {}
+    fields: Any = {}
     if path is not None:
         try:
             with open(path, encoding="utf-8") as settings_file:
@@ -166,7 +175,7 @@
     return check_settings(fields)
 
 
-def check_settings(fields):
+def check_settings(fields: Any) -> Settings:
     """Return the settings of fields that are sound, or raise all faults as one group."""
     faults = find_faults(fields)
     if faults:
--- a/quillring/kernel/types.py
+++ b/quillring/kernel/types.py
@@ -8,6 +8,9 @@
 Address = tuple[str, int]
 """Host and port."""
 
+HeaderLines = list[tuple[str, str]]
+"""Header lines of HTTP in their order: (name, value)."""
+
 Coroutine = Generator[Any, Any, Any]
 """A coroutine: it yields effects, is sent their outcomes, and returns its result."""
 
--- a/quillring/kernel/wsgi.py
+++ b/quillring/kernel/wsgi.py
@@ -1,14 +1,29 @@
 """HTTP/1.1 + JSON towards callers, back ends and operators, by gevent's WSGI server."""
 
+from __future__ import annotations
+
 import json
 import re
 from types import GeneratorType
+from typing import TYPE_CHECKING
 from urllib.parse import parse_qs
 
 from quillring.kernel.checks import parse_json
 from quillring.kernel.errors import BadRequest, NotFound, QuillringError, TooLarge, WrongMethod
 from quillring.kernel.registry import Registry
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Generator, Iterable, Iterator, Sequence
+    from typing import Any, TypeVar
+
+    from quillring.kernel.node import Node
+    from quillring.kernel.types import Coroutine
+
+    Environ = dict[str, Any]
+    StartResponse = Callable[[str, list[tuple[str, str]]], object]
+    Handler = Callable[[Node, Any], Any]
+    H = TypeVar("H", bound=Handler)
+
 ROUTES = Registry("route")
 BODY_LIMIT = 1 << 20
 STATUS_WORDS = {
@@ -35,7 +50,14 @@
 
     __slots__ = ("method", "words", "query", "body", "client_name")
 
-    def __init__(self, method, words, query, body, client_name):
+    def __init__(
+        self,
+        method: str,
+        words: dict[str, str],
+        query: dict[str, list[str]],
+        body: Any,
+        client_name: str,
+    ) -> None:
         self.method = method
         self.words = words
         self.query = query
@@ -43,19 +65,21 @@
         self.client_name = client_name
 
 
-def route(method, pattern, limit=BODY_LIMIT, query_words=()):
+def route(
+    method: str, pattern: str, limit: int = BODY_LIMIT, query_words: Sequence[str] = ()
+) -> Callable[[H], H]:
     """Register a function(node, inquiry) for a path such as /v1/lots/{lot}."""
     names = re.findall(r"{(\w+)}", pattern)
     matcher = re.compile(re.sub(r"{\w+}", "([^/]+)", pattern))
 
-    def enter(function):
+    def enter(function: H) -> H:
         ROUTES.entry((method, pattern))((matcher, names, limit, query_words, function))
         return function
 
     return enter
 
 
-def check_body(validator, body):
+def check_body(validator: Any, body: Any) -> None:
     """Refuse a body that breaks its schema, naming every faulty field."""
     faults = sorted(
         (".".join(str(step) for step in error.absolute_path) or "body", error.message)
@@ -67,7 +91,7 @@
         )
 
 
-def need_client_name(request):
+def need_client_name(request: Request) -> None:
     """Refuse an inquiry whose answer belongs to a sender that it does not name."""
     if not request.client_name or len(request.client_name) > 200:
         raise BadRequest(
@@ -76,9 +100,9 @@
         )
 
 
-def find_route(method, path):
+def find_route(method: str, path: str) -> tuple[Handler, dict[str, str], int, Sequence[str]]:
     """Return (function, path words, body limit, query words), or raise what is wrong."""
-    methods = []
+    methods: list[str] = []
     for (route_method, _), (matcher, names, limit, query_words, function) in ROUTES.entries.items():
         found = matcher.fullmatch(path)
         if found and route_method == method:
@@ -89,7 +113,7 @@
     raise NotFound(path=path, method=method)
 
 
-def read_body(environ, limit):
+def read_body(environ: Environ, limit: int) -> Any:
     """Read and parse the JSON body within the limit."""
     try:
         length = int(environ.get("CONTENT_LENGTH") or 0)
@@ -113,7 +137,7 @@
         raise BadRequest(field="body", faults=[{"field": "body", "fault": "not JSON"}]) from error
 
 
-def read_query(environ, query_words):
+def read_query(environ: Environ, query_words: Sequence[str]) -> dict[str, list[str]]:
     """Return the query; a word that the route does not know is refused."""
     query = parse_qs(environ.get("QUERY_STRING", ""), keep_blank_values=True)
     unknown_words = sorted(set(query) - set(query_words))
@@ -123,13 +147,13 @@
     return query
 
 
-def make_app(node):
+def make_app(node: Node) -> Callable[[Environ, StartResponse], UnderWay]:
     """Return the WSGI application of a node."""
 
-    def app(environ, start_response):
+    def app(environ: Environ, start_response: StartResponse) -> UnderWay:
         return UnderWay(node, answer(environ, start_response))
 
-    def answer(environ, start_response):
+    def answer(environ: Environ, start_response: StartResponse) -> Iterable[bytes]:
         try:
             method = environ["REQUEST_METHOD"]
             function, words, limit, query_words = find_route(method, environ["PATH_INFO"])
@@ -156,16 +180,16 @@
 class UnderWay:
     """An answer that counts as under way until the server has sent it or given up."""
 
-    def __init__(self, node, chunks):
+    def __init__(self, node: Node, chunks: Iterable[bytes]) -> None:
         self.node = node
         self.chunks = chunks
         self.is_open = True
         node.under_way += 1
 
-    def __iter__(self):
+    def __iter__(self) -> Iterator[bytes]:
         return iter(self.chunks)
 
-    def close(self):
+    def close(self) -> None:
         """End the answer; called by the server in every case."""
         if self.is_open:
             self.is_open = False
@@ -175,7 +199,12 @@
                 close()
 
 
-def send_whole(start_response, answer, status=200, headers=()):
+def send_whole(
+    start_response: StartResponse,
+    answer: Any,
+    status: int = 200,
+    headers: Iterable[tuple[str, str]] = (),
+) -> list[bytes]:
     """Send one JSON body."""
     body = json.dumps(answer).encode()
     start_response(
@@ -189,7 +218,7 @@
     return [body]
 
 
-def send_error(node, start_response, error):
+def send_error(node: Node, start_response: StartResponse, error: QuillringError) -> list[bytes]:
     """Send an error at once; a refusal says when to come back, spread so crowds do not."""
     headers = []
     body = error.to_json()
@@ -201,7 +230,7 @@
     return send_whole(start_response, body, error.status, headers)
 
 
-def send_lines(node, start_response, coroutine):
+def send_lines(node: Node, start_response: StartResponse, coroutine: Coroutine) -> Iterable[bytes]:
     """Drive a coroutine: its return value is a whole body, its emitted lines a streamed one."""
     lines = node.runtime.lines(coroutine)
     try:
@@ -212,7 +241,7 @@
     return stream_lines(first_line, lines)
 
 
-def stream_lines(first_line, lines):
+def stream_lines(first_line: Any, lines: Generator[Any, None, Any]) -> Iterator[bytes]:
     """Yield the encoded lines; closing it closes the coroutine."""
     try:
         yield json.dumps(first_line).encode() + b"\n"
