--- a/proving/points/retention.py
+++ b/proving/points/retention.py
@@ -21,7 +21,7 @@
     """Lots come in that nobody reads, until the part is full; then some are released."""
     stage, accepted, refused, heaviest = Stage(seed), {}, 0, 0
     bound = 30_000
-    with mock.patch.object(retention, "HELD_WEIGHT", bound):
+    with mock.patch.object(retention, "HELD_LIMIT_BYTES", bound):
         for number in range(60):
             items = [f"unread {number} {n}" for n in range(3)]
             answer, error = submit(stage, f"k{number}", "ann", items)
--- a/proving/points/stream_resumption.py
+++ b/proving/points/stream_resumption.py
@@ -142,7 +142,7 @@
 
 def find_any_lot(state, query):
     """Stand-in for the guard: whoever asks is answered."""
-    lot = state["lots"].get(query["lot"])
+    lot = state["lots"].get(query.lot)
     if lot is None:
         raise NotFound(field="lot")
     return lot
--- a/quillring/fleet.py
+++ b/quillring/fleet.py
@@ -82,7 +82,7 @@
     """A core owns parts, runs lots and holds journals."""
     _start_serving(node)
     runner = node.offer("lots", PromptLotScheduler(node))
-    node.find("ownership").submit_checks.append(runner.keeping.check)
+    node.find("ownership").submit_checks.append(runner.retention.check)
     node.find("ownership").leader_listeners.append(runner.on_batch)
     node.offer("granter", QuotaServer(node))
     repair = node.offer("repair", MembershipRepair(node))
--- a/quillring/lots/prompts/acceptance_fence.py
+++ b/quillring/lots/prompts/acceptance_fence.py
@@ -1,4 +1,4 @@
-"""The fence of the own interface's lots: a late copy of an acceptance takes no forgotten lot anew.
+"""The fence of acceptances: a late copy of an acceptance takes no forgotten lot anew.
 
 A part counts the lots that it forgot, and remembers the count at which each of the last ones went.
 An acceptance names the count that its node had read when the request came in. Where the lot's own
@@ -6,12 +6,24 @@
 refused; a lot that is there is told as taken before that. No clock takes part in this.
 """
 
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
 from quillring.kernel.errors import QuillringError
+from quillring.lots.prompts import commands
+from quillring.lots.prompts.commands import AcceptLot, QueryFence, Wire
+from quillring.lots.prompts.lot_table import DropTable, State
 from quillring.quorum.commands import QUERIES
 
+if TYPE_CHECKING:
+    from quillring.kernel.node import Node
+    from quillring.kernel.types import Coroutine
+
 FENCE_LEVEL = 3
+"""The wire version from which acceptances are fenced."""
 KEPT_DROPS = 256
-NOTHING_DROPPED = {"count": 0, "floor": 0, "kept": {}}
+NOTHING_DROPPED: DropTable = {"count": 0, "floor": 0, "kept": {}}
 
 
 class StaleLot(QuillringError):
@@ -22,51 +34,53 @@
     comes_back = True
 
 
-def drops_of(state):
+def drop_table(state: State) -> DropTable:
     """Return the part's table of forgotten lots."""
-    return state.get("lot_drops") or NOTHING_DROPPED
+    table: DropTable | None = state.get("lot_drops")
+    return table or NOTHING_DROPPED
 
 
-def check_fresh(state, command):
+def check_fresh(state: State, command: AcceptLot) -> None:
     """Raise StaleLot for an acceptance from before the lot of its name was forgotten.
 
     One of the version before names no count and is not fenced.
     """
-    seen_drops, drops = command.get("seen_drops"), drops_of(state)
-    if seen_drops is None:
+    if command.seen_drops is None:
         return
-    last_drop = drops["kept"].get(command["lot"], drops["floor"])
-    if seen_drops < last_drop:
-        raise StaleLot(lot=command["lot"], drops=last_drop, seen_drops=seen_drops)
+    table = drop_table(state)
+    last_drop = table["kept"].get(command.lot, table["floor"])
+    if command.seen_drops < last_drop:
+        raise StaleLot(lot=command.lot, drops=last_drop, seen_drops=command.seen_drops)
 
 
-def note_drop(state, name):
+def note_drop(state: State, name: str) -> State:
     """Return the state that remembers when a lot was forgotten, in bounded memory."""
-    drops = drops_of(state)
-    count = drops["count"] + 1
-    kept = {lot: at for lot, at in drops["kept"].items() if lot != name}
+    table = drop_table(state)
+    count = table["count"] + 1
+    kept = {lot: at for lot, at in table["kept"].items() if lot != name}
     kept[name] = count
     surplus = list(kept)[: max(0, len(kept) - KEPT_DROPS)]
-    floor = max([drops["floor"], *(kept.pop(lot) for lot in surplus)])
-    return {**state, "lot_drops": {"count": count, "floor": floor, "kept": kept}}
+    floor = max([table["floor"], *(kept.pop(lot) for lot in surplus)])
+    new_table: DropTable = {"count": count, "floor": floor, "kept": kept}
+    return {**state, "lot_drops": new_table}
 
 
-@QUERIES.entry("lot.fence")
-def lot_fence(state, query):
+@QUERIES.entry(commands.FENCE)
+def lot_fence(state: State, wire: Wire) -> dict[str, Any]:
     """Return how many lots the part forgot, which an acceptance has to name."""
-    return {"drops": drops_of(state)["count"]}
+    return {"drops": drop_table(state)["count"]}
 
 
-def submit_accept(node, part, command):
-    """Coroutine: commit an acceptance under the fence of what the part had forgotten by now.
+def submit_fenced(node: Node, part: str, command: AcceptLot) -> Coroutine:
+    """Commit an acceptance under the fence of what the part had forgotten by now.
 
     One that is refused as stale is not tried again here: the node may just have woken with an old
     request in its hands.
     """
     ownership = node.find("ownership")
     if node.find("nifty").lowest_common_version() < FENCE_LEVEL:
-        return (yield from ownership.submit(part, command))
+        return (yield from ownership.submit(part, command.to_wire()))
     end_time = node.now() + node.bounds.propagation * 2
-    fence = yield from ownership.read(part, {"ask": "lot.fence"})
-    fenced = {**command, "seen_drops": fence["drops"]}
-    return (yield from ownership.submit(part, fenced, max(0, end_time - node.now())))
+    fence = yield from ownership.read(part, QueryFence().to_wire())
+    fenced = command._replace(seen_drops=fence["drops"])
+    return (yield from ownership.submit(part, fenced.to_wire(), max(0, end_time - node.now())))
--- a/quillring/lots/prompts/api.py
+++ b/quillring/lots/prompts/api.py
@@ -1,16 +1,33 @@
-"""Lots over HTTP: submit, status, results, cancel."""
+"""Lots over HTTP: submit, status, results, release, cancel."""
+
+from __future__ import annotations
 
 import hashlib
+from typing import TYPE_CHECKING
 
 from quillring.edge.admission import check_admission
 from quillring.kernel.checks import StrictValidator, read_count
 from quillring.kernel.errors import BadRequest, Refused
 from quillring.kernel.wsgi import check_body, need_client_name, route
-from quillring.lots.prompts.acceptance_fence import submit_accept
+from quillring.lots.prompts.acceptance_fence import submit_fenced
+from quillring.lots.prompts.commands import (
+    AcceptLot,
+    CancelLot,
+    QueryResults,
+    QueryStatus,
+    ReleaseLot,
+)
 from quillring.quorum.parts import part_of
 
-LOT_LIMIT = 8 << 20
+if TYPE_CHECKING:
+    from quillring.kernel.node import Node
+    from quillring.kernel.types import Coroutine
+    from quillring.kernel.wsgi import Request
+
+LOT_LIMIT_BYTES = 8 << 20
+MOST_RESULTS = 1000
 RELEASE_LEVEL = 2
+"""The wire version from which lots can be released."""
 LOT = StrictValidator(
     {
         "type": "object",
@@ -30,38 +47,36 @@
 )
 
 
-@route("POST", "/v1/lots", limit=LOT_LIMIT)
-def submit_lot(node, request):
-    """Accept a lot; the answer comes once two domains have synced it."""
+@route("POST", "/v1/lots", limit=LOT_LIMIT_BYTES)
+def submit_lot(node: Node, request: Request) -> Coroutine:
+    """Accept a lot; the answer comes once two zones have synced it.
+
+    Its name is PART.CLIENT_SPACE.KEY, with the key that the client chose or a random one.
+    """
     need_client_name(request)
     check_body(LOT, request.body)
     check_admission(node)
-    route, service, _ = node.find("layout").route(request.body["entry"])
+    route, service, _promise = node.find("layout").route(request.body["entry"])
     if service["kind"] != "model":
         raise BadRequest(field="entry", faults=[{"field": "entry", "fault": "not a model"}])
     part = part_of(route["service"], len(node.find("ownership").parts()) - 1)
-    own_key = f"{node.runtime.random.getrandbits(96):024x}"
-    lot_name = f"{part}.{client_space(request.client_name)}.{request.body.get('key') or own_key}"
-    answer = yield from submit_accept(
-        node,
-        part,
-        {
-            "do": "lot.accept",
-            "lot": lot_name,
-            "sender": request.client_name,
-            "entry": request.body["entry"],
-            "items": request.body["items"],
-        },
+    random_key = f"{node.runtime.random.getrandbits(96):024x}"
+    key = request.body.get("key") or random_key
+    command = AcceptLot(
+        lot=f"{part}.{client_space(request.client_name)}.{key}",
+        sender=request.client_name,
+        entry=request.body["entry"],
+        items=request.body["items"],
     )
-    return answer
+    return (yield from submit_fenced(node, part, command))
 
 
-def client_space(client_name):
+def client_space(client_name: str) -> str:
     """Return the name space of a sender: no other one's keys meet its own."""
     return hashlib.sha256(client_name.encode("utf-8", "surrogatepass")).hexdigest()[:16]
 
 
-def part_of_lot(node, lot_name):
+def part_of_lot(node: Node, lot_name: str) -> str:
     """Return the part a lot's name points to, or refuse the name."""
     part = lot_name.partition(".")[0]
     if part not in node.find("ownership").parts():
@@ -70,44 +85,36 @@
 
 
 @route("GET", "/v1/lots/{lot}")
-def show_lot(node, request):
+def show_lot(node: Node, request: Request) -> Coroutine:
     """Tell how far a lot is."""
-    lot_name = request.words["lot"]
-    query = {"ask": "lot.status", "lot": lot_name, "sender": request.client_name}
-    return (yield from node.find("ownership").read(part_of_lot(node, lot_name), query))
+    query = QueryStatus(request.words["lot"], request.client_name)
+    part = part_of_lot(node, query.lot)
+    return (yield from node.find("ownership").read(part, query.to_wire()))
 
 
 @route("GET", "/v1/lots/{lot}/results", query_words=("from", "count"))
-def show_results(node, request):
+def show_results(node: Node, request: Request) -> Coroutine:
     """Return the results from a position on."""
-    lot_name = request.words["lot"]
-    start, count = (
-        read_count(request.query.get(name, [default])[0], name)
-        for name, default in (("from", "0"), ("count", "1000"))
-    )
-    query = {
-        "ask": "lot.results",
-        "lot": lot_name,
-        "sender": request.client_name,
-        "from": start,
-        "count": min(count, 1000),
-    }
-    return (yield from node.find("ownership").read(part_of_lot(node, lot_name), query))
+    start = read_count(request.query.get("from", ["0"])[0], "from")
+    count = read_count(request.query.get("count", [str(MOST_RESULTS)])[0], "count")
+    query = QueryResults(request.words["lot"], request.client_name, start, min(count, MOST_RESULTS))
+    part = part_of_lot(node, query.lot)
+    return (yield from node.find("ownership").read(part, query.to_wire()))
 
 
 @route("POST", "/v1/lots/{lot}/release")
-def release_lot(node, request):
+def release_lot(node: Node, request: Request) -> Coroutine:
     """Forget an ended lot; its results need not be kept any longer."""
-    lot_name = request.words["lot"]
+    command = ReleaseLot(request.words["lot"], request.client_name)
     if node.find("nifty").lowest_common_version() < RELEASE_LEVEL:
         raise Refused(reason="some nodes are of the former version")
-    command = {"do": "lot.release", "lot": lot_name, "sender": request.client_name}
-    return (yield from node.find("ownership").submit(part_of_lot(node, lot_name), command))
+    part = part_of_lot(node, command.lot)
+    return (yield from node.find("ownership").submit(part, command.to_wire()))
 
 
 @route("DELETE", "/v1/lots/{lot}")
-def cancel_lot(node, request):
+def cancel_lot(node: Node, request: Request) -> Coroutine:
     """End a lot early."""
-    lot_name = request.words["lot"]
-    command = {"do": "lot.cancel", "lot": lot_name, "sender": request.client_name}
-    return (yield from node.find("ownership").submit(part_of_lot(node, lot_name), command))
+    command = CancelLot(request.words["lot"], request.client_name)
+    part = part_of_lot(node, command.lot)
+    return (yield from node.find("ownership").submit(part, command.to_wire()))
--- a/quillring/lots/prompts/retention.py
+++ b/quillring/lots/prompts/retention.py
@@ -1,59 +1,92 @@
-"""Keeping the results of ended lots: bounded where lots are accepted, never by taking one away."""
+"""Retention of ended lots' results: bounded where lots are accepted, never by taking one away."""
 
-from quillring.lots.prompts.state_machine import OPEN, TooManyLots
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+from quillring.lots.prompts.commands import ACCEPT, AcceptLot, DropLot, Wire
+from quillring.lots.prompts.lot_table import OPEN, LotRecord, lot_records
+from quillring.lots.prompts.state_machine import TooManyLots
+
+if TYPE_CHECKING:
+    from quillring.kernel.node import Node
 
 KEPT_SECONDS = 7 * 86_400
-HELD_WEIGHT = 48 << 20
-RESERVE = 1024
+HELD_LIMIT_BYTES = 48 << 20
+ITEM_OVERHEAD_BYTES = 1024
+
+
+class WeighedResults(NamedTuple):
+    """The results of an ended lot, and how many bytes they take."""
+
+    results: Any
+    weight: int
 
 
 class Retention:
-    """What the lots of the parts owned here weigh, and since when they have ended."""
+    """What the lots of the parts led here weigh, and since when they have ended.
 
-    __slots__ = ("node", "weights", "ended_at", "looked_at")
+    Attributes
+    ----------
+    weights, ended_at
+        By part and lot.
+    checked_at
+        When a part's lots were last looked at, by part.
+    """
 
-    def __init__(self, node):
+    __slots__ = ("node", "weights", "ended_at", "checked_at")
+
+    def __init__(self, node: Node) -> None:
         self.node = node
-        self.weights = {}
-        self.ended_at = {}
-        self.looked_at = {}
+        self.weights: dict[tuple[str, str], WeighedResults] = {}
+        self.ended_at: dict[tuple[str, str], float] = {}
+        self.checked_at: dict[str, float] = {}
 
-    def weight(self, part, name, lot):
+    def weight(self, part: str, name: str, lot: LotRecord) -> int:
         """Return what a lot weighs; an ended one is weighed once."""
         if lot["phase"] == OPEN:
-            return lot["weight"] + RESERVE * lot["count"]
+            return lot["weight"] + ITEM_OVERHEAD_BYTES * lot["count"]
         known = self.weights.get((part, name))
-        if known is None or known[0] is not lot["results"]:
-            known = (lot["results"], sum(len(str(result)) for result in lot["results"].values()))
-            self.weights[part, name] = known
-        return known[1]
+        if known is None or known.results is not lot["results"]:
+            weight = sum(len(str(result)) for result in lot["results"].values())
+            known = self.weights[part, name] = WeighedResults(lot["results"], weight)
+        return known.weight
 
-    def check(self, owner, command):
+    def check(self, leader: Any, wire: Wire) -> None:
         """Refuse a lot when the part holds as much as it may, until some are released or old."""
-        if command["do"] != "lot.accept" or command["lot"] in owner.state["lots"]:
+        if wire["do"] != ACCEPT:
+            return
+        command, lots = AcceptLot.from_wire(wire), lot_records(leader.state)
+        if command.lot in lots:
             return
-        held = sum(self.weight(owner.part, n, lot) for n, lot in owner.state["lots"].items())
-        added = sum(map(len, command["items"])) + RESERVE * len(command["items"])
-        if held + added > HELD_WEIGHT:
-            raise TooManyLots(lot=command["lot"], held_weight=held)
+        held = sum(self.weight(leader.part, name, lot) for name, lot in lots.items())
+        added = sum(map(len, command.items)) + ITEM_OVERHEAD_BYTES * len(command.items)
+        if held + added > HELD_LIMIT_BYTES:
+            raise TooManyLots(lot=command.lot, held_weight=held)
 
-    def drop_old(self, owner):
-        """Forget lots that ended long ago by this owner's own clock; looked at now and then."""
+    def drop_old(self, leader: Any) -> None:
+        """Forget a lot that ended long ago by this leader's own clock; looked at now and then."""
         now, bounds = self.node.now(), self.node.bounds
-        if now - self.looked_at.get(owner.part, -bounds.recovery) < bounds.recovery:
+        if now - self.checked_at.get(leader.part, -bounds.recovery) < bounds.recovery:
             return
-        self.looked_at[owner.part] = now
-        lots = owner.state["lots"]
-        places = [(owner.part, name) for name, lot in lots.items() if lot["phase"] != OPEN]
-        others = {key: at for key, at in self.ended_at.items() if key[0] != owner.part}
-        self.ended_at = {**others, **{key: self.ended_at.get(key, now) for key in places}}
+        self.checked_at[leader.part] = now
+        lots = lot_records(leader.state)
+        ended = [name for name, lot in lots.items() if lot["phase"] != OPEN]
+        self._follow(leader.part, lots, ended, now)
+        for name in ended:
+            is_due = now - self.ended_at[leader.part, name] > KEPT_SECONDS
+            if is_due and not leader.has_queued_commands():
+                self.node.spawn(leader.submit(DropLot(name).to_wire()))
+                return
+
+    def _follow(self, part: str, lots: dict[str, LotRecord], ended: list[str], now: float) -> None:
+        """Note since when lots have ended, and forget those that are gone."""
+        ended_at = {key: at for key, at in self.ended_at.items() if key[0] != part}
+        for name in ended:
+            ended_at[part, name] = self.ended_at.get((part, name), now)
+        self.ended_at = ended_at
         self.weights = {
-            key: known
-            for key, known in self.weights.items()
-            if key[0] != owner.part or key[1] in lots
+            (other_part, name): known
+            for (other_part, name), known in self.weights.items()
+            if other_part != part or name in lots
         }
-        for _, name in places:
-            is_due = now - self.ended_at[owner.part, name] > KEPT_SECONDS
-            if is_due and not owner.has_queued_commands():
-                self.node.spawn(owner.submit({"do": "lot.drop", "lot": name}))
-                return
--- a/quillring/lots/prompts/scheduler.py
+++ b/quillring/lots/prompts/scheduler.py
@@ -1,19 +1,39 @@
-"""Running the items of open lots, on the core that owns their part, on room left idle."""
+"""Running the items of open lots, on the core that leads their part, on room left idle."""
+
+from __future__ import annotations
 
 import math
 from collections import Counter
+from collections.abc import Iterator, Sequence
 from itertools import islice
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from quillring.classes.class_terms import may_repeat
 from quillring.edge.dispatcher import prefix_key
 from quillring.edge.stream_handlers import STALL_MS, check_before_sending, check_line
 from quillring.kernel.effects import FetchJson, OpenStream, ReadLine, Signal, Sleep, Wait
 from quillring.kernel.errors import BackendError, Busy, NotSent, QuillringError
+from quillring.lots.prompts.commands import CANCEL, CancelLot, StartItem, Wire, WriteResult
+from quillring.lots.prompts.lot_table import OPEN, LotRecord, lot_records
 from quillring.lots.prompts.retention import Retention
-from quillring.lots.prompts.state_machine import OPEN
+from quillring.quorum.values import Ballot
+
+if TYPE_CHECKING:
+    from quillring.kernel.node import Node
+    from quillring.kernel.types import Coroutine
 
 ITEMS_AT_ONCE = 4
-RESULT_LIMIT = 1 << 18
+RESULT_LIMIT_CHARACTERS = 1 << 18
+MOST_PIECES = 64
+BUSY_STATUS = 503
+
+
+class ItemKey(NamedTuple):
+    """Names an item over all parts."""
+
+    part: str
+    lot: str
+    number: int
 
 
 class RunningItem:
@@ -21,84 +41,103 @@
 
     __slots__ = ("stop_signal", "handle")
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.stop_signal = Signal()
-        self.handle = None
+        self.handle: Any = None
 
-    def stop(self):
+    def stop(self) -> None:
         """Stop the item now; the replica sees its connection close."""
         self.stop_signal.set()
+        self.close()
+
+    def close(self) -> None:
+        """Close the replica's stream if there is one."""
         if self.handle is not None:
             self.handle.close()
 
 
 class PromptLotScheduler:
-    """Keeps items of the lots of the owned parts running until each has a result."""
+    """Keeps items of the lots of the led parts running until each has a result.
 
-    __slots__ = ("node", "running", "unsent", "first_open", "keeping")
+    Attributes
+    ----------
+    running
+        The items under way.
+    unsent
+        Items whose last run reached no replica.
+    first_open
+        The first number without a result, by part and lot.
+    """
 
-    def __init__(self, node):
+    __slots__ = ("node", "running", "unsent", "first_open", "retention")
+
+    def __init__(self, node: Node) -> None:
         self.node = node
-        self.running = {}
-        self.unsent = set()
-        self.first_open = {}
-        self.keeping = node.offer("keeping", Retention(node))
+        self.running: dict[ItemKey, RunningItem] = {}
+        self.unsent: set[ItemKey] = set()
+        self.first_open: dict[tuple[str, str], int] = {}
+        self.retention: Retention = node.offer("keeping", Retention(node))
 
-    def run(self):
-        """Coroutine: start items while there is room, and stop those of ended lots."""
+    def run(self) -> Coroutine:
+        """Start items while there is room, and stop those of ended lots."""
+        ownership = self.node.find("ownership")
         while True:
             yield Sleep(self.node.bounds.heartbeat_interval / 5)
-            for owner in self.node.find("ownership").leaders.values():
-                if owner.has_lease():
-                    self.keeping.drop_old(owner)
-                    if not self.node.find("ownership").is_leaving(self.node.me.name):
-                        self._start_items(owner)
+            for leader in ownership.leaders.values():
+                if leader.has_lease():
+                    self.retention.drop_old(leader)
+                    if not ownership.is_leaving(self.node.me.name):
+                        self._start_items(leader)
             self._stop_ended()
 
-    def _start_items(self, owner):
-        open_lots = {n: lot for n, lot in owner.state["lots"].items() if lot["phase"] == OPEN}
-        running = Counter(key[:2] for key in self.running)
+    def _start_items(self, leader: Any) -> None:
+        part, lots = leader.part, lot_records(leader.state)
+        open_lots = {name: lot for name, lot in lots.items() if lot["phase"] == OPEN}
+        running = Counter((key.part, key.lot) for key in self.running)
         self.first_open = {
-            place: n
-            for place, n in self.first_open.items()
-            if place[0] != owner.part or place[1] in open_lots
+            (other_part, name): number
+            for (other_part, name), number in self.first_open.items()
+            if other_part != part or name in open_lots
         }
         for name, lot in open_lots.items():
-            room = ITEMS_AT_ONCE - running[owner.part, name]
-            for number in islice(self._waiting(owner.part, name, lot), max(0, room)):
-                key = (owner.part, name, number)
+            room = max(0, ITEMS_AT_ONCE - running[part, name])
+            for number in islice(self._waiting(part, name, lot), room):
+                key = ItemKey(part, name, number)
                 self.running[key] = RunningItem()
-                self.node.spawn(self._run_item(owner, key, lot))
+                self.node.spawn(self._run_item(leader, key, lot))
 
-    def _waiting(self, part, name, lot):
+    def _waiting(self, part: str, name: str, lot: LotRecord) -> Iterator[int]:
         """Yield the numbers that neither have a result nor run; what lies done is passed once."""
         first = self.first_open.get((part, name), 0)
         while first in lot["results"]:
             first += 1
         self.first_open[part, name] = first
         for number in range(first, len(lot["items"])):
-            if number not in lot["results"] and (part, name, number) not in self.running:
+            if number not in lot["results"] and ItemKey(part, name, number) not in self.running:
                 yield number
 
-    def on_batch(self, owner, batch):
+    def on_batch(self, leader: Any, batch: Sequence[Wire]) -> None:
         """Have replicas stop the items of lots that were ended early, whoever runs them.
 
-        A former owner that is frozen holds its connections open and can't close them.
+        A former leader that is frozen holds its connections open and can't close them.
         """
-        for command in batch:
-            lot = owner.state["lots"].get(command.get("lot"))
-            if command["do"] == "lot.cancel" and lot is not None and lot["phase"] != OPEN:
-                self.node.spawn(self._tell_replicas(command["lot"], lot["entry"]))
+        for wire in batch:
+            if wire["do"] != CANCEL:
+                continue
+            command = CancelLot.from_wire(wire)
+            lot = lot_records(leader.state).get(command.lot)
+            if lot is not None and lot["phase"] != OPEN:
+                self.node.spawn(self._tell_replicas(command.lot, lot["entry"]))
 
-    def _tell_replicas(self, lot_name, route_name):
-        route, _, _ = self.node.find("layout").route(route_name)
+    def _tell_replicas(self, lot_name: str, route_name: str) -> Coroutine:
+        route, _service, _promise = self.node.find("layout").route(route_name)
         replicas = self.node.find("replicas").available_before(route["service"], math.inf)
         for replica in replicas:
             self.node.spawn(self._tell_replica(replica, f"{lot_name}-"))
         return
         yield
 
-    def _tell_replica(self, replica, prefix):
+    def _tell_replica(self, replica: Any, prefix: str) -> Coroutine:
         try:
             yield FetchJson(
                 replica.address,
@@ -111,37 +150,33 @@
         except BackendError:
             self.node.count("stops_not_heard")
 
-    def _is_wanted(self, owner, key):
-        lot = owner.state["lots"].get(key[1]) if owner.has_lease() else None
-        return lot is not None and lot["phase"] == OPEN and key[2] not in lot["results"]
+    def _is_wanted(self, leader: Any, key: ItemKey) -> bool:
+        if not leader.has_lease():
+            return False
+        lot = lot_records(leader.state).get(key.lot)
+        return lot is not None and lot["phase"] == OPEN and key.number not in lot["results"]
 
-    def _stop_ended(self):
-        owners = self.node.find("ownership").leaders
+    def _stop_ended(self) -> None:
+        leaders = self.node.find("ownership").leaders
         for key, item in list(self.running.items()):
-            if not self._is_wanted(owners[key[0]], key):
+            if not self._is_wanted(leaders[key.part], key):
                 item.stop()
 
-    def _run_item(self, owner, key, lot):
+    def _run_item(self, leader: Any, key: ItemKey, lot: LotRecord) -> Coroutine:
         try:
-            result = yield from self._item_result(owner, key, lot)
+            result = yield from self._item_result(leader, key, lot)
             if result is not None:
-                yield from owner.submit(
-                    {
-                        "do": "lot.result",
-                        "lot": key[1],
-                        "n": key[2],
-                        "result": result,
-                    }
-                )
+                yield from leader.submit(WriteResult(key.lot, key.number, result).to_wire())
         except QuillringError as error:
             self.node.count("item_troubles")
-            self.node.log("debug", "item %s: %s", key, error)
+            self.node.log("debug", "item %s: %s", tuple(key), error)
             yield Wait(self.running[key].stop_signal, self.node.bounds.heartbeat_interval)
         finally:
             self.running.pop(key, None)
 
-    def _item_result(self, owner, key, lot):
-        node, (_, lot_name, number) = self.node, key
+    def _item_result(self, leader: Any, key: ItemKey, lot: LotRecord) -> Coroutine:
+        """Run an item on a replica; return its result, None where none is wanted any more."""
+        node, item = self.node, self.running[key]
         route, service, promise = node.find("layout").route(lot["entry"])
         end_time = node.now() + promise["time_left_ms"] / 1000
         prefix = route.get("prefix", "")
@@ -152,69 +187,73 @@
             prefix_key(prefix),
             node.now() + node.bounds.propagation,
         )
-        handle = None
         try:
-            if not may_repeat(promise):
-                answer = yield from owner.submit(
-                    {
-                        "do": "lot.start",
-                        "lot": lot_name,
-                        "n": number,
-                        "by": list(owner.ballot),
-                        "was_unsent": key in self.unsent,
-                    }
-                )
-                if not answer["may_run"]:
-                    return {"trouble": "outcome_unknown"}
+            if not may_repeat(promise) and not (yield from self._mark_started(leader, key)):
+                return {"trouble": "outcome_unknown"}
             check_before_sending(node, lease.replica, end_time)
-            if not self._is_wanted(owner, key):
+            if not self._is_wanted(leader, key):
                 return None
             stall_seconds = service.get("stall_ms", STALL_MS) / 1000
-            request_name = f"{lot_name}-{number}"
-            self.unsent.discard(key)
-            lease.may_still_run = True
-            path = lease.replica.path("/v1/generate")
-            handle = self.running[key].handle = yield OpenStream(
-                lease.replica.address,
-                path,
-                {
-                    "inquiry": request_name,
-                    "prefix": prefix,
-                    "prompt": lot["items"][number],
-                    "from": 0,
-                    "max_pieces": 64,
-                },
-                stall_seconds,
-            )
-            if handle.status == 503:
-                lease.may_still_run = False
-                raise Busy(replica=lease.replica.name)
-            result = yield from self._read_result(handle, request_name, stall_seconds, key)
-            lease.may_still_run = result is None
-            return result
+            body = generation_request(key, prefix, lot["items"][key.number])
+            return (yield from self._generate(key, lease, body, stall_seconds))
         except (Busy, NotSent) as error:
             self.unsent.add(key)
             if isinstance(error, Busy):
                 node.find("replicas").note_full(lease.replica)
             raise
         except BackendError:
-            if not self.running[key].stop_signal.is_set:
+            if not item.stop_signal.is_set:
                 node.find("replicas").eject(lease.replica)
             raise
         finally:
             lease.release()
-            if handle is not None:
-                handle.close()
+            item.close()
+
+    def _mark_started(self, leader: Any, key: ItemKey) -> Coroutine:
+        """Commit that an item which may not repeat begins; return whether it may."""
+        ballot, was_unsent = Ballot.from_wire(leader.ballot), key in self.unsent
+        command = StartItem(key.lot, key.number, ballot, was_unsent)
+        answer = yield from leader.submit(command.to_wire())
+        return answer["may_run"]
 
-    def _read_result(self, handle, request_name, stall_seconds, key):
-        pieces, weight = [], 0
-        while not self.running[key].stop_signal.is_set:
-            line = yield ReadLine(handle, stall_seconds)
+    def _generate(
+        self, key: ItemKey, lease: Any, body: dict[str, Any], stall_seconds: float
+    ) -> Coroutine:
+        """Send the item to the leased replica and read its result."""
+        item, replica = self.running[key], lease.replica
+        self.unsent.discard(key)
+        lease.may_still_run = True
+        path = replica.path("/v1/generate")
+        item.handle = yield OpenStream(replica.address, path, body, stall_seconds)
+        if item.handle.status == BUSY_STATUS:
+            lease.may_still_run = False
+            raise Busy(replica=replica.name)
+        result = yield from self._read_result(item, body["inquiry"], stall_seconds)
+        lease.may_still_run = result is None
+        return result
+
+    def _read_result(self, item: RunningItem, request_name: str, stall_seconds: float) -> Coroutine:
+        """Read the stream's lines; return the result, None when the item was stopped."""
+        pieces: list[str] = []
+        length = 0
+        while not item.stop_signal.is_set:
+            line = yield ReadLine(item.handle, stall_seconds)
             check_line(line, request_name, len(pieces))
             if line.get("end"):
                 return {"text": "".join(pieces)}
             pieces.append(line["piece"])
-            weight += len(line["piece"])
-            if weight > RESULT_LIMIT:
+            length += len(line["piece"])
+            if length > RESULT_LIMIT_CHARACTERS:
                 return {"trouble": "too_large"}
         return None
+
+
+def generation_request(key: ItemKey, prefix: str, prompt: str) -> dict[str, Any]:
+    """Return the body of an item's request to a replica."""
+    return {
+        "inquiry": f"{key.lot}-{key.number}",
+        "prefix": prefix,
+        "prompt": prompt,
+        "from": 0,
+        "max_pieces": MOST_PIECES,
+    }
--- a/quillring/lots/prompts/state_machine.py
+++ b/quillring/lots/prompts/state_machine.py
@@ -1,15 +1,42 @@
-"""Commands and queries of lots in the part that their service hashes to."""
+"""What commands and queries of these lots do to the state of the part of their service."""
+
+from __future__ import annotations
 
 import hashlib
+from typing import Any
 
 import cbor2
 
 from quillring.kernel.errors import Conflict, NotFound, QuillringError
+from quillring.lots.prompts import commands
 from quillring.lots.prompts.acceptance_fence import check_fresh, note_drop
+from quillring.lots.prompts.commands import (
+    AcceptLot,
+    CancelLot,
+    DropLot,
+    QueryResults,
+    QueryStatus,
+    ReleaseLot,
+    StartItem,
+    Wire,
+    WriteResult,
+)
+from quillring.lots.prompts.lot_table import (
+    CANCELLED,
+    ENDED,
+    OPEN,
+    LotRecord,
+    State,
+    lot_records,
+    with_lot,
+)
 from quillring.quorum.commands import COMMANDS, QUERIES
+from quillring.quorum.values import Ballot
+
+OPEN_LIMIT_BYTES = 16 << 20
 
-OPEN, ENDED, CANCELLED = "open", "ended", "cancelled"
-OPEN_WEIGHT = 16 << 20
+Answer = dict[str, Any]
+"""What a command or query answers, as it goes on the wire."""
 
 
 class TooManyLots(QuillringError):
@@ -20,131 +47,148 @@
     comes_back = True
 
 
-@COMMANDS.entry("lot.accept")
-def accept_lot(state, command):
+@COMMANDS.entry(commands.ACCEPT)
+def accept_lot(state: State, wire: Wire) -> tuple[State, Answer]:
     """Accept a lot; the same lot again is the same acceptance, a late copy is refused."""
-    known = state["lots"].get(command["lot"])
+    command, lots = AcceptLot.from_wire(wire), lot_records(state)
+    known = lots.get(command.lot)
     if known is not None:
         if known["digest"] != digest_of(command):
-            raise Conflict(field="lot", lot=command["lot"])
-        return state, {"lot": command["lot"], "items": known["count"], "repeated": True}
+            raise Conflict(field="lot", lot=command.lot)
+        return state, {"lot": command.lot, "items": known["count"], "repeated": True}
     check_fresh(state, command)
-    weight = sum(len(item) for item in command["items"])
-    open_weight = sum(lot["weight"] for lot in state["lots"].values() if lot["phase"] == OPEN)
-    if open_weight + weight > OPEN_WEIGHT:
-        raise TooManyLots(lot=command["lot"], open_weight=open_weight)
-    lot = {
-        "sender": command["sender"],
-        "entry": command["entry"],
-        "items": command["items"],
-        "count": len(command["items"]),
+    weight = sum(len(item) for item in command.items)
+    open_weight = sum(lot["weight"] for lot in lots.values() if lot["phase"] == OPEN)
+    if open_weight + weight > OPEN_LIMIT_BYTES:
+        raise TooManyLots(lot=command.lot, open_weight=open_weight)
+    lot: LotRecord = {
+        "sender": command.sender,
+        "entry": command.entry,
+        "items": command.items,
+        "count": len(command.items),
         "digest": digest_of(command),
         "weight": weight,
         "results": {},
         "started": {},
         "phase": OPEN,
     }
-    new_state = {**state, "lots": {**state["lots"], command["lot"]: lot}}
-    return new_state, {"lot": command["lot"], "items": len(command["items"])}
+    return with_lot(state, command.lot, lot), {"lot": command.lot, "items": len(command.items)}
 
 
-def digest_of(command):
-    """Return the digest that tells whether the same lot is handed in again."""
-    fields = [command["sender"], command["entry"], command["items"]]
+def digest_of(command: AcceptLot) -> bytes:
+    """Return the digest that tells whether the same lot is submitted again."""
+    fields = [command.sender, command.entry, command.items]
     return hashlib.sha256(cbor2.dumps(fields)).digest()[:16]
 
 
-def _end(phase):
-    """Return the changes that end a lot: only its results are kept."""
-    return {"phase": phase, "items": [], "started": {}}
+def _ended(lot: LotRecord, phase: str) -> LotRecord:
+    """Return the record of a lot that is over: only its results are kept."""
+    return {**lot, "phase": phase, "items": [], "started": {}}
 
 
-def _with_lot(state, name, **changes):
-    return {**state, "lots": {**state["lots"], name: {**state["lots"][name], **changes}}}
+def _find_open(state: State, name: str, number: int) -> LotRecord | None:
+    """Return the lot if it is open and has no result for this item yet, else None."""
+    lot = lot_records(state).get(name)
+    if lot is None or lot["phase"] != OPEN or number in lot["results"]:
+        return None
+    return lot
 
 
-@COMMANDS.entry("lot.start")
-def start_item(state, command):
+@COMMANDS.entry(commands.START)
+def start_item(state: State, wire: Wire) -> tuple[State, Answer]:
     """Mark an item that may not repeat as begun, before it is sent anywhere."""
-    lot = state["lots"].get(command["lot"])
-    if lot is None or lot["phase"] != OPEN or command["n"] in lot["results"]:
+    command = StartItem.from_wire(wire)
+    lot = _find_open(state, command.lot, command.number)
+    if lot is None:
         return state, {"may_run": False}
-    if command["n"] in lot["started"]:
-        if command["was_unsent"] and lot["started"][command["n"]] == command["by"]:
-            return state, {"may_run": True}
-        return state, {"may_run": False}
-    started = {**lot["started"], command["n"]: command["by"]}
-    return _with_lot(state, command["lot"], started=started), {"may_run": True}
+    started_by = lot["started"].get(command.number)
+    if started_by is not None:
+        is_same_leader = Ballot.from_wire(started_by) == command.ballot
+        return state, {"may_run": bool(command.was_unsent) and is_same_leader}
+    started = {**lot["started"], command.number: command.ballot.to_wire()}
+    return with_lot(state, command.lot, {**lot, "started": started}), {"may_run": True}
 
 
-@COMMANDS.entry("lot.result")
-def write_result(state, command):
+@COMMANDS.entry(commands.RESULT)
+def write_result(state: State, wire: Wire) -> tuple[State, Answer]:
     """Write the result at its position, once; a second one changes nothing."""
-    lot = state["lots"].get(command["lot"])
-    if lot is None or lot["phase"] != OPEN or command["n"] in lot["results"]:
+    command = WriteResult.from_wire(wire)
+    lot = _find_open(state, command.lot, command.number)
+    if lot is None:
         return state, {"written": False}
-    results = {**lot["results"], command["n"]: command["result"]}
-    changes = _end(ENDED) if len(results) == lot["count"] else {}
-    new_state = _with_lot(state, command["lot"], results=results, **changes)
-    return new_state, {"written": True}
+    results = {**lot["results"], command.number: command.result}
+    new_lot: LotRecord = {**lot, "results": results}
+    if len(results) == lot["count"]:
+        new_lot = _ended(new_lot, ENDED)
+    return with_lot(state, command.lot, new_lot), {"written": True}
 
 
-@COMMANDS.entry("lot.cancel")
-def cancel_lot(state, command):
+@COMMANDS.entry(commands.CANCEL)
+def cancel_lot(state: State, wire: Wire) -> tuple[State, Answer]:
     """End a lot early; results that stand keep standing."""
-    lot = state["lots"].get(command["lot"])
-    if lot is None or lot["sender"] != command["sender"]:
+    command = CancelLot.from_wire(wire)
+    lot = lot_records(state).get(command.lot)
+    if lot is None or lot["sender"] != command.sender:
         raise NotFound(field="lot")
     if lot["phase"] != OPEN:
         return state, {"phase": lot["phase"]}
-    return _with_lot(state, command["lot"], **_end(CANCELLED)), {"phase": CANCELLED}
+    return with_lot(state, command.lot, _ended(lot, CANCELLED)), {"phase": CANCELLED}
 
 
-@COMMANDS.entry("lot.drop")
-def drop_lot(state, command):
+@COMMANDS.entry(commands.DROP)
+def drop_lot(state: State, wire: Wire) -> tuple[State, Answer]:
     """Forget a lot whose end lies long back."""
-    lot = state["lots"].get(command["lot"])
+    command = DropLot.from_wire(wire)
+    lot = lot_records(state).get(command.lot)
     if lot is None or lot["phase"] == OPEN:
         return state, {"dropped": False}
-    lots = {name: kept for name, kept in state["lots"].items() if name != command["lot"]}
-    return note_drop({**state, "lots": lots}, command["lot"]), {"dropped": True}
+    return _without_lot(state, command.lot), {"dropped": True}
 
 
-@COMMANDS.entry("lot.release")
-def release_lot(state, command):
+@COMMANDS.entry(commands.RELEASE)
+def release_lot(state: State, wire: Wire) -> tuple[State, Answer]:
     """Forget an ended lot, since its sender has read what it wanted."""
+    command = ReleaseLot.from_wire(wire)
     lot = _find_lot(state, command)
     if lot["phase"] == OPEN:
-        raise Conflict(field="lot", lot=command["lot"], phase=OPEN)
-    return drop_lot(state, command)[0], {"released": True}
+        raise Conflict(field="lot", lot=command.lot, phase=OPEN)
+    return _without_lot(state, command.lot), {"released": True}
+
+
+def _without_lot(state: State, name: str) -> State:
+    lots = {other: lot for other, lot in lot_records(state).items() if other != name}
+    return note_drop({**state, "lots": lots}, name)
 
 
-def _find_lot(state, query):
-    lot = state["lots"].get(query["lot"])
-    if lot is None or lot["sender"] != query["sender"]:
+def _find_lot(state: State, query: QueryStatus | QueryResults | ReleaseLot) -> LotRecord:
+    """Return a lot of the sender who asks; NotFound for another one's lot."""
+    lot = lot_records(state).get(query.lot)
+    if lot is None or lot["sender"] != query.sender:
         raise NotFound(field="lot")
     return lot
 
 
-@QUERIES.entry("lot.status")
-def lot_status(state, query):
+@QUERIES.entry(commands.STATUS)
+def lot_status(state: State, wire: Wire) -> Answer:
     """Return how far a lot is."""
+    query = QueryStatus.from_wire(wire)
     lot = _find_lot(state, query)
     return {
-        "lot": query["lot"],
+        "lot": query.lot,
         "phase": lot["phase"],
         "items": lot["count"],
         "results": len(lot["results"]),
     }
 
 
-@QUERIES.entry("lot.results")
-def lot_results(state, query):
+@QUERIES.entry(commands.RESULTS)
+def lot_results(state: State, wire: Wire) -> Answer:
     """Return the results from a position on, each with its position."""
+    query = QueryResults.from_wire(wire)
     lot = _find_lot(state, query)
-    numbers = range(query["from"], min(lot["count"], query["from"] + query["count"]))
+    numbers = range(query.start, min(lot["count"], query.start + query.most_items))
     return {
-        "lot": query["lot"],
+        "lot": query.lot,
         "phase": lot["phase"],
         "items": lot["count"],
         "results": [{"n": n, **lot["results"][n]} for n in numbers if n in lot["results"]],
--- a/tests/test_lot_commands.py
+++ b/tests/test_lot_commands.py
@@ -7,6 +7,7 @@
 import pytest
 
 from quillring.lots.http_requests import commands, messages
+from quillring.lots.prompts import commands as prompt_commands
 from quillring.quorum.values import Ballot
 
 ITEM = ["x-0", "/p/0?q=1", [["Model", "m"]], b"body", 10]
@@ -147,6 +148,43 @@
         {"parts": {"part-1": {"words": 7.5}}, "due": {"part-1": {"words": [[1.5, 7.5]]}}},
     ),
 ]
+PROMPT_ACCEPT_FIELDS = {
+    "do": "lot.accept",
+    "lot": "part-1.0b.k",
+    "sender": "ann",
+    "entry": "e",
+    "items": ["one", "two"],
+}
+PROMPT_ACCEPT = prompt_commands.AcceptLot("part-1.0b.k", "ann", "e", ["one", "two"])
+PROMPT_SAMPLES = [
+    (PROMPT_ACCEPT, PROMPT_ACCEPT_FIELDS),
+    (PROMPT_ACCEPT._replace(seen_drops=0), {**PROMPT_ACCEPT_FIELDS, "seen_drops": 0}),
+    (
+        prompt_commands.StartItem("x", 1, Ballot(7, "core-1/2"), False),
+        {"do": "lot.start", "lot": "x", "n": 1, "by": [7, "core-1/2"], "was_unsent": False},
+    ),
+    (
+        prompt_commands.WriteResult("x", 1, {"text": "A"}),
+        {"do": "lot.result", "lot": "x", "n": 1, "result": {"text": "A"}},
+    ),
+    (
+        prompt_commands.CancelLot("x", "ann"),
+        {"do": "lot.cancel", "lot": "x", "sender": "ann"},
+    ),
+    (prompt_commands.DropLot("x"), {"do": "lot.drop", "lot": "x"}),
+    (
+        prompt_commands.ReleaseLot("x", "ann"),
+        {"do": "lot.release", "lot": "x", "sender": "ann"},
+    ),
+    (
+        prompt_commands.QueryStatus("x", "ann"),
+        {"ask": "lot.status", "lot": "x", "sender": "ann"},
+    ),
+    (
+        prompt_commands.QueryResults("x", "ann", 3, 10),
+        {"ask": "lot.results", "lot": "x", "sender": "ann", "from": 3, "count": 10},
+    ),
+]
 CALLS_TO_A_LEADER = [
     (
         messages.HeldRead({"ask": "raw.results", "lot": "x@h", "from": 3, "limit": 9}, 0.8),
@@ -160,7 +198,7 @@
 ]
 
 
-@pytest.mark.parametrize(("message", "wire"), SAMPLES)
+@pytest.mark.parametrize(("message", "wire"), SAMPLES + PROMPT_SAMPLES)
 def test_a_message_has_its_landed_form_and_is_read_from_it(message, wire):
     assert message.to_wire() == wire
     assert cbor2.dumps(message.to_wire()) == cbor2.dumps(wire)
@@ -189,3 +227,7 @@
 )
 def test_only_commands_that_change_a_lots_items_are_followed(wire, change):
     assert commands.LotChange.from_wire(wire) == change
+
+
+def test_the_question_for_the_fence_of_acceptances_has_no_fields():
+    assert prompt_commands.QueryFence().to_wire() == {"ask": "lot.fence"}
