--- a/proving/histories/bugs.py
+++ b/proving/histories/bugs.py
@@ -133,7 +133,7 @@
 
 def newest_of_any(replies, group, query):
     """Stand-in: what may be chosen beyond the applied state is not looked at."""
-    return max(replies, key=lambda reply: reply[0])[3:5] if replies else None
+    return max(replies, key=lambda reply: reply.applied).answer if replies else None
 
 
 def wait_for_nothing(self, lot=None):
--- a/proving/model/bugs.py
+++ b/proving/model/bugs.py
@@ -158,7 +158,7 @@
     real = follower_read.find_answer
 
     def find_answer(replies, group, query):
-        applied_only = [[reply[0], reply[1], [], *reply[3:5]] for reply in replies]
+        applied_only = [r._replace(uncommitted_lots=(), uncommitted=None) for r in replies]
         return real(applied_only, group, query)
 
     return all_of([mock.patch.object(follower_read, "find_answer", find_answer)])
--- a/proving/model/core_machine.py
+++ b/proving/model/core_machine.py
@@ -8,8 +8,8 @@
 from quillring.kernel.errors import NotOwner, QuillringError
 from quillring.quorum.founding.founding import found_fleet
 from quillring.quorum.founding.founding_vote import FoundingVoter, agree
-from quillring.quorum.leader.follower_read import peek
-from quillring.quorum.values import GroupMember
+from quillring.quorum.leader.follower_read import read_from_majority, value_of
+from quillring.quorum.values import GroupMember, group_from_wire
 
 CONFIGURATION = {"ask": "layout"}
 
@@ -119,7 +119,7 @@
     def on_peek(self, step_input):
         """Read the configuration from the stores; `subject` is the group that the node knows."""
         reader = self._begin_read("peek")
-        group = [list(store) for store in step_input.subject]
+        group = group_from_wire(step_input.subject)
 
         def on_end(outcome):
             version = outcome["version"] if isinstance(outcome, dict) else None
@@ -128,8 +128,8 @@
         self.runtime.spawn(self._peek(group), "peek", on_end)
 
     def _peek(self, group):
-        known = yield from peek(self.node, self.model.part, group, CONFIGURATION)
-        return None if known is None else known()
+        known = yield from read_from_majority(self.node, self.model.part, group, CONFIGURATION)
+        return None if known is None else value_of(known)
 
     def _begin_read(self, kind):
         self.busy.add(kind)
--- a/proving/model/watched_owner.py
+++ b/proving/model/watched_owner.py
@@ -2,6 +2,7 @@
 
 from proving.model.events import ProposedUnasked
 from quillring.quorum.leader.part_leader import PartLeader
+from quillring.quorum.messages import PrepareRequest
 
 
 class WatchedOwner(PartLeader):
@@ -14,10 +15,10 @@
         self.asked_ballot, self.asked_groups = None, frozenset()
         self.unasked = []
 
-    def _call_majority(self, service, **body):
+    def _call_majority(self, request_type, **fields):
         ballot, group = tuple(self.ballot), members_of(self.group)
-        replies = yield from super()._call_majority(service, **body)
-        if service == "prepare":
+        replies = yield from super()._call_majority(request_type, **fields)
+        if request_type is PrepareRequest:
             known = self.asked_groups if ballot == self.asked_ballot else frozenset()
             self.asked_ballot, self.asked_groups = ballot, known | {group}
         return replies
--- a/proving/points/reads.py
+++ b/proving/points/reads.py
@@ -167,7 +167,11 @@
 
 
 POINTS = [
-    ("a result can be read within 1 s", result_read, [(part_client, "peek", never_peek)]),
+    (
+        "a result can be read within 1 s",
+        result_read,
+        [(part_client, "read_from_majority", never_peek)],
+    ),
     (
         "a plan outlives the core that runs it",
         plan_core_dies,
--- a/quillring/lots/http_requests/api.py
+++ b/quillring/lots/http_requests/api.py
@@ -44,7 +44,7 @@
     QuotaExceeded,
 )
 from quillring.lots.http_requests.messages import READ, HeldRead
-from quillring.quorum.leader.follower_read import peek
+from quillring.quorum.leader.follower_read import read_from_majority, value_of
 
 if TYPE_CHECKING:
     from quillring.kernel.node import Node
@@ -273,9 +273,9 @@
     except QuillringError as error:
         node.count("raw_reads_elsewhere")
         node.log("debug", "raw.read %s: %s", part, error)
-    known = yield from peek(node, part, ownership.group(part), read.query)
+    known = yield from read_from_majority(node, part, ownership.group(part), read.query)
     if known is not None:
-        return known()
+        return value_of(known)
     return (yield from read_surely(node, part, read.query, bounds.read_timeout * LOG_READ_SHARE))
 
 
--- a/quillring/ownership/part_client.py
+++ b/quillring/ownership/part_client.py
@@ -16,7 +16,7 @@
 )
 from quillring.ownership.jitter import LONGEST_SHARE, sleep_with_jitter
 from quillring.ownership.messages import READ, SUBMIT, LeaderRecord, ReadRequest, SubmitRequest
-from quillring.quorum.leader.follower_read import peek
+from quillring.quorum.leader.follower_read import read_from_majority, value_of
 from quillring.quorum.parts import majority
 
 if TYPE_CHECKING:
@@ -84,10 +84,10 @@
             seconds = min(bounds.read_timeout / 2, end_time - self.node.now())
             if seconds > 0:
                 group = self.directory.group(part)
-                give_answer = yield from peek(self.node, part, group, query, seconds)
-                if give_answer is not None:
+                known = yield from read_from_majority(self.node, part, group, query, seconds)
+                if known is not None:
                     self.node.count("peeks")
-                    return give_answer()
+                    return value_of(known)
             yield from self._pause_before_retry(end_time)
         raise Refused(reason=last_error.kind, part=part)
 
--- a/quillring/quorum/leader/anti_entropy.py
+++ b/quillring/quorum/leader/anti_entropy.py
@@ -6,6 +6,7 @@
 
 from quillring.kernel.effects import Sleep
 from quillring.kernel.errors import QuillringError
+from quillring.quorum.messages import CommitRequest
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -64,7 +65,7 @@
         """Tell followers in reach what is committed; return {store: the index it has applied}."""
         node = self.caller.node
         reaches = node.find("nifty").reaches
-        commits = self.caller.calls("commit", committed=self.machine.last_applied)
+        commits = self.caller.calls(CommitRequest, committed=self.machine.last_applied)
         calls = [call for call in commits if reaches(call[0])]
         replies = yield from node.gather(calls, len(calls))
         return {t: r for t, r in replies.items() if not isinstance(r, QuillringError)}
--- a/quillring/quorum/leader/catch_up.py
+++ b/quillring/quorum/leader/catch_up.py
@@ -13,6 +13,12 @@
 
 from quillring.kernel.errors import Conflict, QuillringError, UnknownService
 from quillring.quorum.leader.state_fetch import fetch_entries, nearest_first
+from quillring.quorum.messages import (
+    CatchUpRequest,
+    CommitRequest,
+    InstallChunkRequest,
+    InstallRequest,
+)
 from quillring.quorum.snapshot_chunks import (
     CHUNK_BYTES,
     SNAPSHOT_START,
@@ -26,7 +32,8 @@
 
     from quillring.kernel.types import Coroutine
     from quillring.quorum.leader.quorum_call import QuorumCaller
-    from quillring.quorum.leader.state_machine import State, StateMachine
+    from quillring.quorum.leader.state_machine import StateMachine
+    from quillring.quorum.snapshot_chunks import PartState
     from quillring.quorum.values import GroupMember
 
 MOST_RESUMPTIONS = 8
@@ -62,8 +69,7 @@
         caller = self.caller
         for _ in range(MOST_ROUNDS):
             index = self.machine.last_applied
-            body = caller.request(member, committed=index)
-            commit = (member.name, "quorum.commit", body)
+            commit = caller.call_to(member, CommitRequest, committed=index)
             replies = yield from caller.node.gather([commit], 1, caller.node.bounds.propagation)
             applied = replies[member.name]
             if isinstance(applied, QuillringError) or not self.is_leader():
@@ -89,13 +95,11 @@
             entries = machine.log_cache.since(applied, CHUNK_BYTES)
             if not entries:
                 return False
-            body = caller.request(member, entries=entries, committed=entries[-1][0])
-            reply = yield from caller.node.call(
-                member.name, "quorum.catch_up", body, caller.node.bounds.propagation
-            )
-            if reply <= applied:
+            call = caller.call_to(member, CatchUpRequest, entries=entries, committed=entries[-1][0])
+            now_applied = yield from caller.node.call(*call, caller.node.bounds.propagation)
+            if now_applied <= applied:
                 return False
-            applied = reply
+            applied = now_applied
         return True
 
     def _learn_entries(self, member: GroupMember, applied: int) -> Coroutine:
@@ -121,27 +125,32 @@
         seconds, resumptions = caller.node.bounds.propagation, 0
         offset: ChunkOffset | None = SNAPSHOT_START
         while offset is not None and self.is_leader():
-            data, following = cut_chunk(state, offset)
-            body = caller.request(
-                member, index=index, place=list(offset), data=data, following=following
+            data, next_offset = cut_chunk(state, offset)
+            call = caller.call_to(
+                member,
+                InstallChunkRequest,
+                index=index,
+                offset=offset,
+                data=data,
+                next_offset=next_offset,
             )
             try:
-                yield from caller.node.call(member.name, "quorum.install_piece", body, seconds)
+                yield from caller.node.call(*call, seconds)
             except Conflict as error:
                 resumptions += 1
                 if resumptions > MOST_RESUMPTIONS:
                     raise
-                offset = ChunkOffset(*error.detail["place"])
+                offset = ChunkOffset.from_wire(error.detail["place"])
                 continue
             except UnknownService:
-                whole = caller.request(member, index=index, state=state)
-                yield from caller.node.call(member.name, "quorum.install", whole, seconds)
+                whole = caller.call_to(member, InstallRequest, index=index, state=state)
+                yield from caller.node.call(*whole, seconds)
                 return
             caller.node.count("pieces_sent")
-            offset = following
+            offset = next_offset
 
 
-def is_state_smaller(state: State, entries_bytes: int) -> bool:
+def is_state_smaller(state: PartState, entries_bytes: int) -> bool:
     """Tell whether a state takes fewer bytes than entries do; it is read no further."""
     if entries_bytes <= CHUNK_BYTES // 4:
         return False
--- a/quillring/quorum/leader/follower_read.py
+++ b/quillring/quorum/leader/follower_read.py
@@ -1,4 +1,4 @@
-"""Reading a part while it has no owner: from a majority of its stores."""
+"""Follower reads: a part that has no leader in reach is read from a majority of its stores."""
 
 from __future__ import annotations
 
@@ -7,72 +7,99 @@
 from typing import TYPE_CHECKING
 
 from quillring.kernel.errors import QuillringError, rebuild
+from quillring.quorum.messages import FollowerReadReply, FollowerReadRequest
 from quillring.quorum.parts import majority
+from quillring.quorum.values import group_from_wire
 
 if TYPE_CHECKING:
+    from collections.abc import Sequence
     from typing import Any
 
     from quillring.kernel.node import Node
-    from quillring.kernel.types import Coroutine
-    from quillring.quorum.values import Group
+    from quillring.kernel.types import Coroutine, WireMap
+    from quillring.quorum.messages import QueryAnswer, UncommittedAnswer
+    from quillring.quorum.values import Ballot, Group
 
 
-def peek(
-    node: Node, part: str, group: Group, query: dict[str, Any], seconds: float | None = None
+def read_from_majority(
+    node: Node, part: str, group: Group, query: WireMap, seconds: float | None = None
 ) -> Coroutine:
-    """Coroutine: return a function that gives the answer or raises it, or None when it is not sure.
+    """Return the QueryAnswer that a majority of a part's stores makes sure, or None.
 
-    It takes `seconds` at most, by default half the bound on reading.
+    It takes `seconds` at most, by default half of `bounds.read_timeout`. All stores are asked where
+    the first majority to answer is not enough.
     """
     seconds = node.bounds.read_timeout / 2 if seconds is None else seconds
-    body = {"part": part, "query": query, "beyond": True}
-    calls = [(store, "quorum.peek", {**body, "identity": identity}) for store, identity, _ in group]
-    for need in dict.fromkeys((majority(group), len(group))):
-        replies = yield from node.gather(calls, need, seconds / 2)
-        known = [reply for reply in replies.values() if not isinstance(reply, QuillringError)]
-        found = find_answer(known, group, query)
-        if found is not None:
-            return lambda: give(*found)
-        if len(known) < majority(group):
+    calls = []
+    for member in group:
+        request = FollowerReadRequest(part, query, True, member.identity)
+        calls.append((member.name, "quorum.peek", request.to_wire()))
+    for needed in dict.fromkeys((majority(group), len(group))):
+        fields = yield from node.gather(calls, needed, seconds / 2)
+        replies = [
+            FollowerReadReply.from_wire(reply)
+            for reply in fields.values()
+            if not isinstance(reply, QuillringError)
+        ]
+        answer = find_answer(replies, group, query)
+        if answer is not None:
+            return answer
+        if len(replies) < majority(group):
             return None
     return None
 
 
-def find_answer(replies: list[list[Any]], group: Group, query: dict[str, Any]) -> list[Any] | None:
-    """Return [error's kind or None, answer] that a majority's words make sure, or None.
+def find_answer(
+    replies: Sequence[FollowerReadReply], group: Group, query: WireMap
+) -> QueryAnswer | None:
+    """Return the answer that the replies of a majority make sure, or None.
 
     Whatever was chosen lies at one of the majority: applied there, or accepted beyond. An entry
     that a majority holds under one ballot is chosen: each of them has it on its disk, and a higher
     ballot can only propose the same again. The answer after it counts from a store whose state
     before it was chosen as well. Any other entry may be chosen or not; where it concerns the lot
-    that is asked for, or no lot, only an owner can tell. So it is when the stores tell of another
+    that is asked for, or no lot, only a leader can tell. So it is when the stores tell of another
     group than the one asked, or of a change of it, which gives what follows to other stores.
     """
     if len(replies) < majority(group):
         return None
-    applied, known_group, _, *answer = max(replies, key=lambda reply: reply[0])[:5]
-    if sorted(map(list, known_group)) != sorted(map(list, group)):
+    newest = max(replies, key=lambda reply: reply.applied)
+    if sorted(group_from_wire(newest.group)) != sorted(group):
         return None
-    beyond = [reply[5] if len(reply) > 5 else [] for reply in replies]
-    votes = Counter((index, tuple(ballot)) for rows in beyond for index, ballot, *_ in rows)
-    chosen = max(
-        (
-            list(takewhile(lambda row: votes[row[0], tuple(row[1])] >= majority(group), rows))
-            for reply, rows in zip(replies, beyond, strict=True)
-            if reply[0] == applied
-        ),
-        key=len,
-    )
+    applied, answer = newest.applied, newest.answer
+    chosen = _chosen_beyond(replies, applied, majority(group))
     if chosen:
-        applied, _, *answer = chosen[-1]
-    unsure = {lot for reply in replies for index, lot in reply[2] if index > applied}
-    if None in unsure or query.get("lot") in unsure or (unsure and "lot" not in query):
+        applied, answer = chosen[-1].index, chosen[-1].answer
+    unsure_lots = {
+        lot for reply in replies for index, lot in reply.uncommitted_lots if index > applied
+    }
+    concerns_all = None in unsure_lots or (unsure_lots and "lot" not in query)
+    if concerns_all or query.get("lot") in unsure_lots:
         return None
     return answer
 
 
-def give(kind: str | None, answer: Any) -> Any:
-    """Return the answer, or raise the error of this kind."""
-    if kind is not None:
-        raise rebuild(kind, answer)
-    return answer
+def _chosen_beyond(
+    replies: Sequence[FollowerReadReply], applied: int, needed: int
+) -> list[UncommittedAnswer]:
+    """Return the longest run of entries beyond an applied index that so many stores accepted."""
+    votes: Counter[tuple[int, Ballot]] = Counter(
+        (entry.index, entry.ballot) for reply in replies for entry in reply.uncommitted or ()
+    )
+
+    def is_chosen(entry: UncommittedAnswer) -> bool:
+        return votes[entry.index, entry.ballot] >= needed
+
+    runs = [
+        list(takewhile(is_chosen, reply.uncommitted or ()))
+        for reply in replies
+        if reply.applied == applied
+    ]
+    return max(runs, key=len)
+
+
+def value_of(answer: QueryAnswer) -> Any:
+    """Return what the query came to, or raise the error that it came to."""
+    if answer.error_kind is not None:
+        raise rebuild(answer.error_kind, answer.answer)
+    return answer.answer
--- a/quillring/quorum/leader/hinted_handoff.py
+++ b/quillring/quorum/leader/hinted_handoff.py
@@ -5,23 +5,34 @@
 from typing import TYPE_CHECKING
 
 from quillring.nifty.graph import score
+from quillring.quorum.messages import HintRequest
 from quillring.quorum.retirement_orders import is_retirement_ordered
 
 if TYPE_CHECKING:
-    from quillring.kernel.node import Node
-    from quillring.quorum.parts import Call
+    from typing import Any
 
+    from quillring.kernel.node import Node
+    from quillring.quorum.leader.quorum_call import QuorumCaller, RequestType
 
-def send_hints(node: Node, part: str, calls: list[Call]) -> None:
-    """Send the accept calls of unreachable members to the part's spare store, as hints.
 
-    `calls` go to all members of the group, so that none of them is chosen as the spare.
-    """
-    nifty = node.find("nifty")
-    missing = [call for call in calls if not nifty.reaches(call[0])]
+def send_hints(caller: QuorumCaller, request_type: RequestType, **fields: Any) -> None:
+    """Send a request that unreachable members miss to the part's spare store, as hints."""
+    node, reaches = caller.node, caller.node.find("nifty").reaches
+    missing = [member for member in caller.group if not reaches(member.name)]
     if not missing:
         return
-    member_names = {name for name, _, _ in calls}
+    spare_name = pick_spare(node, caller.part, {member.name for member in caller.group})
+    if spare_name is None:
+        return
+    for member in missing:
+        target, _, body = caller.call_to(member, request_type, **fields)
+        node.count("hints_sent")
+        node.send_oneway(spare_name, "quorum.hint", HintRequest(target, body).to_wire())
+
+
+def pick_spare(node: Node, part: str, member_names: set[str]) -> str | None:
+    """Return the store in reach that keeps the hints of a part, or None if there is none."""
+    nifty = node.find("nifty")
     spares: list[str] = [
         m.name
         for m in nifty.roster.members.values()
@@ -30,9 +41,4 @@
         and nifty.reaches(m.name)
         and not is_retirement_ordered(node, m.name)
     ]
-    if not spares:
-        return
-    spare_name = max(spares, key=lambda name: score(part, name))
-    for target, _, body in missing:
-        node.count("hints_sent")
-        node.send_oneway(spare_name, "quorum.hint", {"for": target, "record": body})
+    return max(spares, default=None, key=lambda name: score(part, name))
--- a/quillring/quorum/leader/part_leader.py
+++ b/quillring/quorum/leader/part_leader.py
@@ -20,7 +20,14 @@
 from quillring.quorum.leader.state_fetch import StateFetcher
 from quillring.quorum.leader.state_machine import StateMachine
 from quillring.quorum.leader.uncommitted import best_entries, fetch_batch, highest_ballot_beyond
-from quillring.quorum.messages import BRIEF_WITHOUT_BATCHES, Promise
+from quillring.quorum.messages import (
+    BRIEF_WITHOUT_BATCHES,
+    AcceptRequest,
+    CommitRequest,
+    ConfirmRequest,
+    PrepareRequest,
+    Promise,
+)
 from quillring.quorum.parts import CONFIG
 
 if TYPE_CHECKING:
@@ -29,7 +36,9 @@
 
     from quillring.kernel.node import Node
     from quillring.kernel.types import Coroutine
-    from quillring.quorum.leader.state_machine import Batch, State
+    from quillring.quorum.leader.quorum_call import RequestType
+    from quillring.quorum.messages import Batch
+    from quillring.quorum.snapshot_chunks import PartState
     from quillring.quorum.values import Ballot, GroupMember, WireGroup
 
     Listener = Callable[["PartLeader", Batch], object]
@@ -96,7 +105,7 @@
         return self.machine.last_applied
 
     @property
-    def state(self) -> State | None:
+    def state(self) -> PartState | None:
         """The state after the entry `index`; None before the first election."""
         return self.machine.state
 
@@ -157,7 +166,7 @@
 
     def _prepare(self) -> Coroutine:
         """Ask the group to promise the ballot; return {member name: Promise} of a majority."""
-        replies = yield from self._call_majority("prepare", brief=BRIEF_WITHOUT_BATCHES)
+        replies = yield from self._call_majority(PrepareRequest, brief=BRIEF_WITHOUT_BATCHES)
         return {name: Promise.from_wire(fields) for name, fields in replies.items()}
 
     def _commit_uncommitted(self, promises: dict[str, Promise]) -> Coroutine:
@@ -208,17 +217,17 @@
     def replicate(self, batch: Batch) -> Coroutine:
         """Have a majority accept the next entry; apply it; return the answers of its commands."""
         asked_at, index = self.node.now(), self.index + 1
-        entry = {"index": index, "batch": batch, "committed": index - 1}
-        send_hints(self.node, self.part, self.caller.calls("accept", **entry))
+        fields: dict[str, Any] = {"index": index, "batch": batch, "committed": index - 1}
+        send_hints(self.caller, AcceptRequest, **fields)
         self.in_flight.begin(batch)
         try:
-            yield from self._call_majority("accept", **entry)
+            yield from self._call_majority(AcceptRequest, **fields)
             answers = self.machine.apply(index, batch)
         finally:
             self.in_flight.end()
         self.confirmed_at = asked_at
         if self.part == CONFIG:
-            yield from self._call_majority("commit", committed=index)
+            yield from self._call_majority(CommitRequest, committed=index)
         else:
             self._send_commit()
         return answers
@@ -248,14 +257,14 @@
         promises = yield from self._prepare()
         higher_ballot = highest_ballot_beyond(promises, self.index)
         if higher_ballot is not None:
-            raise Fenced(part=self.part, ballot=list(higher_ballot))
+            raise Fenced(part=self.part, ballot=higher_ballot.to_wire())
 
     def _send_commit(self) -> None:
-        for target, service, body in self.caller.calls("commit", committed=self.index):
+        for target, service, body in self.caller.calls(CommitRequest, committed=self.index):
             self.node.send_oneway(target, service, body)
 
-    def _call_majority(self, service: str, **body: Any) -> Coroutine:
-        return self.caller.call_majority(service, body)
+    def _call_majority(self, request_type: RequestType, **fields: Any) -> Coroutine:
+        return self.caller.call_majority(request_type, **fields)
 
     def step_down(self, error: QuillringError) -> None:
         """End the term: nothing more is replicated; all that is queued ends with NotOwner."""
@@ -288,7 +297,7 @@
     def _confirm(self) -> Coroutine:
         """Have a majority confirm the ballot; that extends the lease from the moment of asking."""
         asked_at = self.node.now()
-        yield from self._call_majority("confirm")
+        yield from self._call_majority(ConfirmRequest)
         self.confirmed_at = max(asked_at, self.confirmed_at)
 
     # Followers.
--- a/quillring/quorum/leader/quorum_call.py
+++ b/quillring/quorum/leader/quorum_call.py
@@ -5,17 +5,46 @@
 from typing import TYPE_CHECKING
 
 from quillring.kernel.errors import Fenced, NoMajority, QuillringError
+from quillring.quorum.messages import (
+    AcceptRequest,
+    CatchUpRequest,
+    CommitRequest,
+    ConfirmRequest,
+    InstallChunkRequest,
+    InstallRequest,
+    PrepareRequest,
+)
 from quillring.quorum.parts import majority
 from quillring.quorum.values import NO_BALLOT, Ballot, GroupMember, group_from_wire
 
 if TYPE_CHECKING:
-    from typing import Any
+    from collections.abc import Callable
+    from typing import Any, Protocol
 
     from quillring.kernel.node import Node
-    from quillring.kernel.types import Coroutine
+    from quillring.kernel.types import Coroutine, WireMap
     from quillring.quorum.parts import Call
     from quillring.quorum.values import WireGroup
 
+    class Request(Protocol):
+        """A request of a leader: a named tuple of part, ballot, identity and its own fields."""
+
+        def to_wire(self) -> WireMap:
+            """Return the request as it stands on the wire."""
+
+    RequestType = Callable[..., Request]
+
+SERVICES: dict[RequestType, str] = {
+    PrepareRequest: "quorum.prepare",
+    AcceptRequest: "quorum.accept",
+    CommitRequest: "quorum.commit",
+    ConfirmRequest: "quorum.confirm",
+    CatchUpRequest: "quorum.catch_up",
+    InstallRequest: "quorum.install",
+    InstallChunkRequest: "quorum.install_piece",
+}
+"""The service of the acceptors that answers each request."""
+
 
 class QuorumCaller:
     """Calls each acceptor of one part's group under one ballot.
@@ -47,27 +76,31 @@
 
     def adopt_group(self, wire_group: WireGroup) -> bool:
         """Call these members from now on; tell whether that is a change."""
-        group = group_from_wire(wire_group)
-        if group == self.group:
+        if tuple(map(tuple, wire_group)) == self.group:
             return False
-        self.group = group
+        self.group = group_from_wire(wire_group)
         return True
 
-    def request(self, member: GroupMember, **body: Any) -> dict[str, Any]:
-        """Return the body of a call to one member, who need not be in the group yet."""
-        return {
-            "part": self.part,
-            "ballot": self.ballot.to_wire(),
-            "identity": member.identity,
-            **body,
-        }
-
-    def calls(self, service: str, **body: Any) -> list[Call]:
-        """Return the calls of `quorum.<service>` to each member of the group."""
-        name = f"quorum.{service}"
-        return [(member.name, name, self.request(member, **body)) for member in self.group]
-
-    def call_majority(self, service: str, body: dict[str, Any]) -> Coroutine:
+    def call_to(self, member: GroupMember, request_type: RequestType, **fields: Any) -> Call:
+        """Return the call of a request to one store, which need not be in the group yet.
+
+        `fields` are those of the request beside part, ballot and identity.
+        """
+        request = request_type(self.part, self.ballot, member.identity, **fields)
+        return member.name, SERVICES[request_type], request.to_wire()
+
+    def calls(self, request_type: RequestType, **fields: Any) -> list[Call]:
+        """Return the calls of a request to each member of the group.
+
+        The bodies differ in the identity only, so that the request is encoded once.
+        """
+        service = SERVICES[request_type]
+        body = request_type(self.part, self.ballot, "", **fields).to_wire()
+        return [
+            (member.name, service, {**body, "identity": member.identity}) for member in self.group
+        ]
+
+    def call_majority(self, request_type: RequestType, **fields: Any) -> Coroutine:
         """Call the group; return {member name: good reply} of a majority at least.
 
         Raises Fenced when a member knows of a higher ballot, NoMajority when too few answer in
@@ -75,7 +108,7 @@
         """
         needed = majority(self.group)
         replies = yield from self.node.gather(
-            self.calls(service, **body), needed, self.node.bounds.call_timeout, True
+            self.calls(request_type, **fields), needed, self.node.bounds.call_timeout, True
         )
         higher_ballots = [r.detail["ballot"] for r in replies.values() if isinstance(r, Fenced)]
         if higher_ballots:
--- a/quillring/quorum/leader/state_fetch.py
+++ b/quillring/quorum/leader/state_fetch.py
@@ -10,7 +10,8 @@
 
 from quillring.kernel.errors import Conflict, NoMajority, QuillringError, UnknownService
 from quillring.quorum.leader.election_progress import STATE
-from quillring.quorum.snapshot_chunks import SNAPSHOT_START, ChunkOffset, StateBuilder
+from quillring.quorum.messages import EntriesRequest, ImageReply, ImageRequest, StateChunkRequest
+from quillring.quorum.snapshot_chunks import SNAPSHOT_START, Chunk, ChunkOffset, StateBuilder
 
 if TYPE_CHECKING:
     from typing import Any
@@ -77,25 +78,26 @@
         builder, seconds = StateBuilder(), self.node.bounds.propagation / 2
         offset: ChunkOffset | None = SNAPSHOT_START
         while offset is not None:
-            body = {"part": self.part, "index": index, "place": list(offset)}
+            body = StateChunkRequest(self.part, index, offset).to_wire()
             try:
                 reply = yield from self.node.call(store, "quorum.piece", body, seconds)
             except UnknownService:
                 return (yield from self._fetch_whole(store, index, seconds))
-            data, following = reply
+            chunk = Chunk.from_wire(reply)
             self.node.count("pieces_fetched")
-            self.progress.fetched_bytes += len(data)
-            builder.add(data, following)
-            offset = None if following is None else ChunkOffset(*following)
+            self.progress.fetched_bytes += len(chunk.data)
+            builder.add(chunk.data, chunk.next_offset)
+            offset = chunk.next_offset
         return builder.whole()
 
     def _fetch_whole(self, store: str, index: int, seconds: float) -> Coroutine:
         """Return the state of a store of a former version, which sends it in one message."""
-        body = {"part": self.part}
-        applied, state = (yield from self.node.call(store, "quorum.image", body, seconds))[:2]
-        if applied != index:
-            raise Conflict(part=self.part, applied=applied)
-        return state
+        body = ImageRequest(self.part).to_wire()
+        fields = yield from self.node.call(store, "quorum.image", body, seconds)
+        image = ImageReply.from_wire(fields)
+        if image.applied != index:
+            raise Conflict(part=self.part, applied=image.applied)
+        return image.state
 
 
 def nearest_first(node: Node, stores: list[str]) -> list[str]:
@@ -113,7 +115,7 @@
     """Return [[index, batch], ...] after one index up to another, or None if some are gone."""
     entries: list[list[Any]] = []
     while after < last:
-        body = {"part": part, "after": after}
+        body = EntriesRequest(part, after).to_wire()
         try:
             rows = yield from node.call(store, "quorum.entries", body, node.bounds.read_timeout)
         except UnknownService:
--- a/quillring/quorum/leader/state_machine.py
+++ b/quillring/quorum/leader/state_machine.py
@@ -10,11 +10,10 @@
 if TYPE_CHECKING:
     from typing import Any
 
+    from quillring.quorum.messages import Batch
+    from quillring.quorum.snapshot_chunks import PartState
     from quillring.quorum.values import WireGroup
 
-    State = dict[str, Any]
-    Batch = list[dict[str, Any]]
-
 
 class StateMachine:
     """A part's state after the entry `last_applied`, and a cache of the entries before it.
@@ -27,7 +26,7 @@
     def __init__(
         self,
         last_applied: int = 0,
-        state: State | None = None,
+        state: PartState | None = None,
         log_cache: LogCache | None = None,
     ) -> None:
         self.last_applied = last_applied
@@ -43,7 +42,7 @@
         group: WireGroup = self.known_state()["group"]
         return group
 
-    def known_state(self) -> State:
+    def known_state(self) -> PartState:
         """Return the state of a part that is known to have one."""
         assert self.state is not None
         return self.state
@@ -55,6 +54,6 @@
         self.state, answers = apply_batch(self.known_state(), batch)
         return answers
 
-    def install(self, index: int, state: State) -> None:
+    def install(self, index: int, state: PartState) -> None:
         """Take the state after an index in place of the present one; the log cache stays."""
         self.last_applied, self.state = index, state
--- a/quillring/quorum/leader/uncommitted.py
+++ b/quillring/quorum/leader/uncommitted.py
@@ -9,20 +9,20 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from quillring.kernel.errors import NoMajority, QuillringError
+from quillring.quorum.messages import AcceptedEntryReply, AcceptedEntryRequest
 
 if TYPE_CHECKING:
-    from typing import Any
-
     from quillring.kernel.node import Node
     from quillring.kernel.types import Coroutine
-    from quillring.quorum.messages import Promise
+    from quillring.quorum.messages import Batch, Promise
+    from quillring.quorum.values import Ballot
 
 
 class UncommittedEntry(NamedTuple):
     """An accepted entry as promises name it; `batch` is None where only its holders have it."""
 
-    ballot: tuple[int, str]
-    batch: list[dict[str, Any]] | None
+    ballot: Ballot
+    batch: Batch | None
     holders: list[str]
 
 
@@ -40,26 +40,24 @@
     return best
 
 
-def highest_ballot_beyond(promises: dict[str, Promise], index: int) -> tuple[int, str] | None:
+def highest_ballot_beyond(promises: dict[str, Promise], index: int) -> Ballot | None:
     """Return the highest ballot of the entries accepted beyond an index, or None."""
     rows = [row for promise in promises.values() for row in promise.accepted]
-    ballots: list[tuple[int, str]] = [row.ballot for row in rows if row.index > index]
-    return max(ballots, default=None)
+    return max((row.ballot for row in rows if row.index > index), default=None)
 
 
 def fetch_batch(node: Node, part: str, index: int, entry: UncommittedEntry) -> Coroutine:
     """Return the batch of an accepted entry; raises NoMajority when no holder gives it now."""
     if entry.batch is not None:
         return entry.batch
-    body = {"part": part, "index": index}
+    body = AcceptedEntryRequest(part, index).to_wire()
     for store in entry.holders:
         try:
-            ballot, batch = yield from node.call(
-                store, "quorum.accepted", body, node.bounds.read_timeout
-            )
+            fields = yield from node.call(store, "quorum.accepted", body, node.bounds.read_timeout)
         except QuillringError as error:
             node.log("warning", "entry %s of %s from %s: %s", index, part, store, error)
             continue
-        if tuple(ballot) == entry.ballot:
-            return batch
+        reply = AcceptedEntryReply.from_wire(fields)
+        if reply.ballot == entry.ballot:
+            return reply.batch
     raise NoMajority(part=part, reason="no store gave an accepted entry", index=index)
--- a/tests/test_histories_found.py
+++ b/tests/test_histories_found.py
@@ -3,7 +3,7 @@
 from quillring.kernel.errors import Conflict
 from quillring.lots.http_requests import api
 from quillring.lots.http_requests.lot_placement import place_of_lot
-from quillring.quorum.leader.follower_read import peek
+from quillring.quorum.leader.follower_read import read_from_majority, value_of
 from quillring.quorum.parts import CONFIG
 from tests.http_lot_stage import FORWARD, HOST, HttpLotStage
 
@@ -77,9 +77,11 @@
 def peek_at_edge(stage, part, query):
     """Read a part from a majority of its stores, as an edge does without an owner."""
     group = stage.up("edge").find("ownership").group(part)
-    known, error = stage.do(stage.up("edge"), lambda node: peek(node, part, group, query))
+    known, error = stage.do(
+        stage.up("edge"), lambda node: read_from_majority(node, part, group, query)
+    )
     assert error is None and known is not None
-    return known()
+    return value_of(known)
 
 
 def test_an_owner_shows_no_older_configuration_than_its_stores_told():
--- a/tests/test_peek.py
+++ b/tests/test_peek.py
@@ -8,9 +8,10 @@
 from quillring.quorum.acceptor import Acceptors
 from quillring.quorum.acceptor.state import AcceptedEntry, AcceptorState
 from quillring.quorum.commands import first_state
-from quillring.quorum.leader.follower_read import find_answer, give
+from quillring.quorum.leader.follower_read import find_answer, value_of
 from quillring.quorum.leader.part_leader import PartLeader
-from quillring.quorum.values import Ballot
+from quillring.quorum.messages import FollowerReadReply, QueryAnswer
+from quillring.quorum.values import Ballot, group_from_wire
 
 GROUP = [["store-1", "a", "north"], ["store-2", "b", "east"], ["store-3", "c", "south"]]
 OTHER = [["store-4", "d", "west"], *GROUP[1:]]
@@ -90,14 +91,16 @@
     ],
 )
 def test_an_entry_is_chosen_when_a_majority_holds_it_under_one_ballot(replies, answer):
-    expected = None if answer is None else [None, answer]
-    assert find_answer(replies, GROUP, ASKED) == expected
-    assert find_answer(replies[::-1], GROUP, ASKED) == expected
+    expected = None if answer is None else QueryAnswer(None, answer)
+    group = group_from_wire(GROUP)
+    read = [FollowerReadReply.from_wire(fields) for fields in replies]
+    assert find_answer(read, group, ASKED) == expected
+    assert find_answer(read[::-1], group, ASKED) == expected
 
 
 def test_a_error_that_is_the_answer_is_raised():
     with pytest.raises(NotFound):
-        give("not_found", {"field": "lot"})
+        value_of(QueryAnswer("not_found", {"field": "lot"}))
 
 
 def test_an_entry_that_a_store_has_not_synced_is_told_of_only_afterwards():
--- a/tests/test_removed_members.py
+++ b/tests/test_removed_members.py
@@ -5,7 +5,7 @@
 import pytest
 
 from quillring.gossip import Gossip
-from quillring.quorum.leader.follower_read import peek
+from quillring.quorum.leader.follower_read import read_from_majority
 from quillring.quorum.parts import CONFIG, majority
 from tests.fleet_stage import SelfFounded
 from tests.test_repair import members, zone_order
@@ -16,8 +16,8 @@
 
 def replace_two(stage):
     """Retire two members of the config part one after the other; return (former group, left)."""
-    former = [list(s) for s in stage.sim.nodes["core-1"].find("ownership").group(CONFIG)]
-    left = [store[0] for store in former[1:]]
+    former = stage.sim.nodes["core-1"].find("ownership").group(CONFIG)
+    left = [member.name for member in former[1:]]
     for store in left:
         command = {"do": "store.mark", "store": store, "retired": True}
         name = stage.owner()
@@ -96,6 +96,6 @@
     owner = stage.owner()
     assert stage.submit(owner, zone_order("new"), seconds=3)[1] is None
     edge = stage.sim.nodes["edge-1"]
-    known, error = stage.ask("edge-1", peek(edge, CONFIG, former, ASKED))
+    known, error = stage.ask("edge-1", read_from_majority(edge, CONFIG, former, ASKED))
     assert known is None and error is None
     assert len(left) == majority(former)
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -5,13 +5,14 @@
 import pytest
 
 from quillring.quorum.leader.part_leader import PartLeader
+from quillring.quorum.messages import ConfirmRequest
 from quillring.quorum.parts import CONFIG
 from quillring.verbs.routes import show_configuration
 from tests.fleet_stage import SelfFounded
 
 FREEZES = (2, 20, 60)
 SLOW_STEPS = (0.002, 0.008, 0.03)
-REAL_ATTEMPT = PartLeader._call_majority
+REAL_CALL = PartLeader._call_majority
 
 
 def zone_order(zone, emptied=True):
@@ -19,23 +20,23 @@
     return {"do": "domain.mark", "domain": zone, "emptied": emptied, "nodes": False}
 
 
-def frozen_during(fleet, service, seconds):
+def frozen_during(fleet, request_type, seconds):
     """Freeze the owner of the configuration right after it began to ask for something."""
     name = fleet.owner()
     owner = fleet.sim.nodes[name].find("ownership").leaders[CONFIG]
     frozen_at = []
 
-    def freezing_round(self, asked_service, **body):
-        if self is owner and asked_service == service and not frozen_at:
+    def freezing_call(self, asked_type, **fields):
+        if self is owner and asked_type is request_type and not frozen_at:
             frozen_at.append(fleet.env.now)
             fleet.env.process(freeze_soon())
-        return REAL_ATTEMPT(self, asked_service, **body)
+        return REAL_CALL(self, asked_type, **fields)
 
     def freeze_soon():
         yield fleet.env.timeout(0.0001)
         fleet.sim.freeze(name, seconds)
 
-    with mock.patch.object(PartLeader, "_call_majority", freezing_round):
+    with mock.patch.object(PartLeader, "_call_majority", freezing_call):
         fleet.wait_for(lambda: frozen_at, 2, 0.01)
         fleet.run(frozen_at[0] + seconds - 0.001 - fleet.env.now)
     return name, owner
@@ -44,7 +45,7 @@
 @pytest.mark.parametrize("seconds", FREEZES)
 def test_an_owner_that_wakes_amid_a_confirmation_may_not_act_on_it(seconds):
     fleet = SelfFounded(11)
-    name, owner = frozen_during(fleet, "confirm", seconds)
+    name, owner = frozen_during(fleet, ConfirmRequest, seconds)
     assert fleet.owner() not in (None, name), "nobody took the part over"
     acted = []
     for _ in range(300):
@@ -65,11 +66,11 @@
     owner = node.find("ownership").leaders[CONFIG]
     reads = []
 
-    def ask_during(self, service, **body):
-        if self is owner and service == "confirm" and reads and len(reads) == 1:
+    def ask_during(self, request_type, **fields):
+        if self is owner and request_type is ConfirmRequest and reads and len(reads) == 1:
             reads.append(fleet.env.now)
             fleet.env.process(freeze_soon())
-        return REAL_ATTEMPT(self, service, **body)
+        return REAL_CALL(self, request_type, **fields)
 
     def freeze_soon():
         yield fleet.env.timeout(0.0001)
