--- a/proving/points/failures.py
+++ b/proving/points/failures.py
@@ -212,7 +212,7 @@
     (
         "a woken replica mixes nothing and runs nothing twice",
         woken_replica,
-        [(stream_handlers, "one_attempt", rerun_attempt)],
+        [(stream_handlers, "try_replica", rerun_attempt)],
     ),
     (
         "a store isolated, emptied and retired leaves all whole",
--- a/proving/points/retention.py
+++ b/proving/points/retention.py
@@ -100,7 +100,7 @@
     """Journals are small; streams under way fill them while many others come and end."""
     stage = Stage(seed)
     callers = stage.callers
-    with mock.patch.object(journal, "KEPT_WEIGHT", 9_000):
+    with mock.patch.object(journal, "MAX_BYTES", 9_000):
         for _ in range(8):
             stage.start(callers.stream("tagging", "long", 400, drop_after=60))
         for _ in range(60):
@@ -112,7 +112,7 @@
         stage.sim.history.violate(f"streams under way were dropped: {outcomes}")
     if outcomes.get("short/complete", 0) < 20:
         stage.sim.history.violate(f"no room was made for others: {outcomes}")
-    weights = [n.find("journal").weight for n in stage.sim.nodes.values() if n.find("journal")]
+    weights = [n.find("journal").size for n in stage.sim.nodes.values() if n.find("journal")]
     if max(weights) > 50_000:
         stage.sim.history.violate(f"journals weigh {weights}")
     dropped = sum(n.counts.get("streams_dropped", 0) for n in stage.sim.nodes.values())
@@ -161,7 +161,7 @@
 def drop_oldest(self):
     """Stand-in for the guard: room is made by dropping the oldest, under way or not."""
     while self._is_full() and self.streams:
-        self.forget(min(self.streams.values(), key=lambda s: (s.ended, s.touched_at)))
+        self.forget(min(self.streams.values(), key=lambda s: (s.has_ended, s.touched_at)))
 
 
 POINTS = [
@@ -175,7 +175,7 @@
     (
         "a piece is held twice before a resumed sender sees it",
         frozen_holders,
-        [(stream_takeover, "ensure_held", lambda journal, stream: iter(()))],
+        [(stream_takeover, "ensure_backup", lambda journal, stream: iter(()))],
     ),
     (
         "what was refused leaves nothing behind",
--- a/proving/points/serving.py
+++ b/proving/points/serving.py
@@ -127,7 +127,7 @@
 REAL_ACQUIRE = dispatcher.Dispatcher.acquire
 
 
-def rerun_attempt(node, stream, sending, end_time, avoided_names):
+def rerun_attempt(node, stream, progress, end_time, avoided_names):
     """Stand-in for the guard: work that may not repeat is tried elsewhere all the same."""
     configuration = node.find("layout")
     real_route = configuration.route
@@ -136,7 +136,7 @@
     holder = type("Image", (), {"route": staticmethod(lambda name: patched)})
     node.services["layout"], kept = _Facade(configuration, holder), configuration
     try:
-        yield from REAL_ATTEMPT(node, stream, sending, end_time, avoided_names)
+        yield from REAL_ATTEMPT(node, stream, progress, end_time, avoided_names)
     finally:
         node.services["layout"] = kept
 
@@ -152,13 +152,13 @@
         return getattr(self.holder if name == "route" else self.real, name)
 
 
-REAL_ATTEMPT = stream_handlers.one_attempt
+REAL_ATTEMPT = stream_handlers.try_replica
 FRESH = (Freshness, "check", no_check)
 POINTS = [
     (
         "what may not repeat never runs twice",
         lost_reply,
-        [(stream_handlers, "one_attempt", rerun_attempt)],
+        [(stream_handlers, "try_replica", rerun_attempt)],
     ),
     (
         "nothing runs after a refusal",
--- a/proving/points/stream_resumption.py
+++ b/proving/points/stream_resumption.py
@@ -7,7 +7,8 @@
 from proving.points.scenario_fleet import Stage, no_check
 from proving.sim.callers import Connection
 from quillring.edge import stream_handlers
-from quillring.edge.resume_token import LIFE_SECONDS, make_token
+from quillring.edge.journal_messages import Term
+from quillring.edge.resume_token import LIFETIME_SECONDS, ResumeToken, make_token
 from quillring.edge.stream_handlers import resume_stream, serve_model
 from quillring.kernel.errors import NotFound, QuillringError
 from quillring.kernel.wsgi import Request
@@ -95,7 +96,10 @@
         ),
         "another sender": (head["resume"], "bob"),
         "no sender": (head["resume"], ""),
-        "expired": (make_token(secret, stream, node.runtime.wall_time() - LIFE_SECONDS - 1), "ann"),
+        "expired": (
+            make_token(secret, stream, node.runtime.wall_time() - LIFETIME_SECONDS - 1),
+            "ann",
+        ),
         "cut off": (head["resume"][: chance.randrange(1, 20)], "ann"),
         "not ascii": ("\u00fc" * 8, "ann"),
     }
@@ -137,7 +141,7 @@
         name, served_term, _ = cbor2.loads(body)
     except (ValueError, TypeError, cbor2.CBORError) as error:
         raise QuillringError() from error
-    return name, tuple(served_term)
+    return ResumeToken(name, Term.from_wire(served_term))
 
 
 def find_any_lot(state, query):
--- a/proving/points/streams.py
+++ b/proving/points/streams.py
@@ -52,7 +52,7 @@
     tasks = [stage.start(stage.callers.stream("wayfinding", "short", 100)) for _ in range(8)]
     stage.run(0.6)
     holders = sorted(
-        {s.holder for s in stage.node("edge-1").find("journal").streams.values() if s.holder}
+        {s.backup for s in stage.node("edge-1").find("journal").streams.values() if s.backup}
     )
     for holder in holders[:1]:
         stage.sim.kill(holder)
@@ -147,21 +147,21 @@
     return True
 
 
-def local_keep(self, stream, new_pieces, ended=False):
+def append_locally(self, stream, new_pieces, has_ended=False):
     """Stand-in for the guard: pieces are kept on the own node only."""
     stream.pieces.extend(new_pieces)
-    stream.ended = ended or stream.ended
+    stream.has_ended = has_ended or stream.has_ended
     return
     yield
 
 
 def append_unfenced(self, body, origin):
     """Stand-in for the guard: an append of any round is taken."""
-    stream = self.streams.get(body["stream"]) or journal.Stream(
+    stream = self.streams.get(body["stream"]) or journal.JournaledStream(
         body["stream"], body["inquiry"], body["sender"], self.node.now(), body["round"]
     )
     stream.pieces[body["from"] :] = body["pieces"]
-    stream.ended = body["ended"]
+    stream.has_ended = body["ended"]
     self.streams[stream.name] = stream
     return len(stream.pieces)
 
@@ -169,7 +169,7 @@
 def claim_longest(self, name, client_name, served_term, check):
     """Stand-in for the guard: the longest copy counts, of whatever round."""
     question = {"stream": name, "sender": client_name}
-    reached = [n for n in self.keepers() if self.node.find("nifty").reaches(n)]
+    reached = [n for n in self.possible_holders() if self.node.find("nifty").reaches(n)]
     claim_term = [next(CLAIM_TERMS), ""]
     calls = [(n, "journal.claim", {**question, "round": claim_term}) for n in reached]
     claims = yield from self.node.gather(calls, len(calls))
@@ -177,8 +177,8 @@
     if not good:
         raise Refused(reason="the stream's holders are out of reach")
     request, pieces, ended, _ = max(good, key=lambda reply: len(reply[1]))
-    stream = journal.Stream(name, request, client_name, self.node.now(), claim_term)
-    stream.pieces, stream.ended = list(pieces), ended
+    stream = journal.JournaledStream(name, request, client_name, self.node.now(), claim_term)
+    stream.pieces, stream.has_ended = list(pieces), ended
     self.streams[name] = stream
     return stream
 
@@ -193,12 +193,12 @@
     (
         "no conversation dropped when an edge dies",
         edge_dies,
-        [(journal.Journal, "keep", local_keep)],
+        [(journal.Journal, "append", append_locally)],
     ),
     (
         "no conversation dropped when the second holder dies too",
         holder_dies,
-        [(journal.Journal, "keep", local_keep)],
+        [(journal.Journal, "append", append_locally)],
     ),
     (
         "a resumed stream is run by one edge",
@@ -208,5 +208,9 @@
             (journal.Journal, "_check_term", no_check),
         ],
     ),
-    ("no answer is mixed from two runs", stale_holder, [(journal.Journal, "claim", claim_longest)]),
+    (
+        "no answer is mixed from two runs",
+        stale_holder,
+        [(journal.Journal, "take_over", claim_longest)],
+    ),
 ]
--- a/proving/points/zone_loss.py
+++ b/proving/points/zone_loss.py
@@ -50,10 +50,10 @@
     """Note every new holding of a stream and every start of an item inside from now on."""
     real_hold, real_run = Journal.hold, PromptLotScheduler._run_item
 
-    def hold(self, body):
-        if self.node.me.zone == zone and body["stream"] not in self.streams:
+    def hold(self, request):
+        if self.node.me.zone == zone and request.stream_name not in self.streams:
             taken.append(f"{self.node.me.name} became a holder")
-        return real_hold(self, body)
+        return real_hold(self, request)
 
     def run_item(self, *words):
         if self.node.me.zone == zone:
@@ -108,14 +108,16 @@
     }
 
 
-def one_zone(self, name, avoided=()):
+def one_zone(self, name, avoided_names=()):
     """Stand-in for the guard: the second holder may stand in the same domain."""
     members = self.node.find("nifty").roster.members.values()
     return sorted(
         (
             m.name
             for m in members
-            if m.role in ("edge", "core") and m.name not in avoided and m.name != self.node.me.name
+            if m.role in ("edge", "core")
+            and m.name not in avoided_names
+            and m.name != self.node.me.name
         ),
         key=lambda n: self.node.find("nifty").roster.members[n].zone != self.node.me.zone,
     )
@@ -140,6 +142,6 @@
     (
         "a domain lost with every role loses nothing",
         lost_zone,
-        [(Journal, "holders", one_zone)],
+        [(Journal, "backup_candidates", one_zone)],
     ),
 ]
--- a/proving/sim/callers.py
+++ b/proving/sim/callers.py
@@ -2,7 +2,7 @@
 
 from proving.tools.callers import Answer, Record
 from proving.tools.fake_replica_logic import piece_count, piece_text, seat_word, tile_word
-from quillring.edge.short_requests import serve_seat, serve_tile
+from quillring.edge.short_requests import serve_idempotent_read, serve_keyed_write
 from quillring.edge.stream_handlers import resume_stream, serve_model
 from quillring.kernel.effects import Signal
 from quillring.kernel.errors import QuillringError, Refused
@@ -159,7 +159,7 @@
         """Process: one tile."""
         words = {"entry": route, "zoom": "12", "column": str(self.number), "row": "7"}
         self.number += 1
-        answer, error = yield from self.ask(serve_tile, words=words)
+        answer, error = yield from self.ask(serve_idempotent_read, words=words)
         if answer and answer["tile"] != tile_word(f"/v1/tiles/12/{words['column']}/7"):
             self.history.violate("wrong tile")
         self.record.note("tile", error.kind if error else "complete")
@@ -169,7 +169,7 @@
         key = self._name("seat")
         body = {"entry": route, "key": key, "seat": "4a"}
         for _ in range(4):
-            answer, error = yield from self.ask(serve_seat, "POST", body=body)
+            answer, error = yield from self.ask(serve_keyed_write, "POST", body=body)
             if answer:
                 if answer["confirmed"] != seat_word(key, "4a"):
                     self.history.violate(f"wrong confirmation of {key}")
--- a/quillring/edge/admission.py
+++ b/quillring/edge/admission.py
@@ -1,17 +1,24 @@
-"""Whether this node may take new work at all: the same rule for every kind of inquiry."""
+"""Admission: whether this node may take new work at all; one rule for every kind of request."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
 
 from quillring.kernel.errors import Refused
 
+if TYPE_CHECKING:
+    from quillring.kernel.node import Node
+
 
-def check_open(node):
-    """Refuse whatever comes in anew while this node drains or its domain is emptied."""
+def check_open(node: Node) -> None:
+    """Refuse new requests while this node or its zone drains."""
     if node.is_draining:
         raise Refused(reason="draining")
     if node.find("layout").is_zone_draining(node.me.zone):
         raise Refused(reason="the domain is emptied", domain=node.me.zone)
 
 
-def check_admission(node):
-    """Refuse new work here, also while the layout may be old."""
+def check_admission(node: Node) -> None:
+    """Refuse new work here, also while the layout may be out of date."""
     check_open(node)
     node.find("freshness").check()
--- a/quillring/edge/journal.py
+++ b/quillring/edge/journal.py
@@ -1,40 +1,57 @@
-"""The stream journal: each piece is held on a second node before a sender sees it."""
+"""The stream journal: each piece is replicated to a second node before a client sees it."""
 
-from quillring.edge.journaled_stream import Stream, append_body
-from quillring.edge.stream_takeover import claim_stream
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+from quillring.edge.journal_messages import AppendRequest, ClaimReply, FindReply, StreamQuery, Term
+from quillring.edge.journaled_stream import JournaledStream
+from quillring.edge.stream_takeover import take_over_stream
 from quillring.kernel.effects import Sleep
 from quillring.kernel.errors import Fenced, NotFound, QuillringError, Refused
 from quillring.nifty.graph import score
 
-KEPT_STREAMS = 20_000
-KEPT_WEIGHT = 256 << 20
-HANDED_AGE, HANDED_AT_ONCE = 5, 50
+if TYPE_CHECKING:
+    from collections.abc import Callable, Collection, Sequence
+
+    from quillring.kernel.node import Node
+    from quillring.kernel.types import Coroutine
+
+MAX_STREAMS = 20_000
+MAX_BYTES = 256 << 20
+HANDOVER_AGE_FACTOR = 5
+"""Streams touched within so many recovery bounds are handed over before a planned stop."""
+HANDOVER_BATCH = 50
+HANDOVER_ATTEMPTS = 2
+HOLDER_ROLES = ("edge", "core")
 
 
 class Journal:
-    """The streams this node runs or holds for another."""
+    """The streams this node runs, or holds the second copy of."""
 
-    __slots__ = ("node", "streams", "weight")
+    __slots__ = ("node", "streams", "size")
 
-    def __init__(self, node):
+    def __init__(self, node: Node) -> None:
         self.node = node
-        self.streams = {}
-        self.weight = 0
+        self.streams: dict[str, JournaledStream] = {}
+        self.size = 0
         node.handle("journal.append", self.on_append)
         node.handle("journal.find", self.on_find)
         node.handle("journal.claim", self.on_claim)
 
-    def run(self, kept_seconds):
-        """Coroutine: drop streams that nobody touched for long; those running here are kept."""
+    def run(self, kept_seconds: float) -> Coroutine:
+        """Drop streams that nobody touched for so long; those running here are kept."""
         while True:
             yield Sleep(self.node.bounds.propagation)
-            edge_time = self.node.now() - kept_seconds
+            oldest = self.node.now() - kept_seconds
             self.streams = {
-                n: s for n, s in self.streams.items() if s.is_running or s.touched_at > edge_time
+                name: stream
+                for name, stream in self.streams.items()
+                if stream.is_running or stream.touched_at > oldest
             }
-            self.weight = sum(stream.weight for stream in self.streams.values())
+            self.size = sum(stream.size for stream in self.streams.values())
 
-    def _make_room(self):
+    def _make_room(self) -> None:
         """Drop ended streams, the oldest first, until one more fits; refuse it otherwise.
 
         A stream that has not ended is never dropped for want of room.
@@ -42,8 +59,8 @@
         if not self._is_full():
             return
         ended_streams = sorted(
-            (s for s in self.streams.values() if s.ended and not s.is_running),
-            key=lambda s: s.touched_at,
+            (s for s in self.streams.values() if s.has_ended and not s.is_running),
+            key=lambda stream: stream.touched_at,
         )
         for stream in ended_streams[: max(1, len(ended_streams) // 4)]:
             self.forget(stream)
@@ -52,167 +69,187 @@
             self.node.count("journal_refusals")
             raise Refused(reason="the journal is full")
 
-    def _is_full(self):
-        return len(self.streams) >= KEPT_STREAMS or self.weight >= KEPT_WEIGHT
+    def _is_full(self) -> bool:
+        return len(self.streams) >= MAX_STREAMS or self.size >= MAX_BYTES
 
-    def enter(self, stream):
+    def add(self, stream: JournaledStream) -> None:
         """Take a stream in, in the place of any former copy."""
         former = self.streams.get(stream.name)
-        self.weight += stream.weight - (former.weight if former is not None else 0)
+        self.size += stream.size - (former.size if former is not None else 0)
         self.streams[stream.name] = stream
 
-    def _put(self, stream, start, pieces):
-        former_weight = stream.weight
-        stream.put(start, pieces)
-        self.weight += stream.weight - former_weight
+    def _replace_from(self, stream: JournaledStream, start: int, pieces: Sequence[str]) -> None:
+        former_size = stream.size
+        stream.replace_from(start, pieces)
+        self.size += stream.size - former_size
 
-    def open(self, name, request, client_name):
-        """Begin the journal of a stream here."""
+    def open(self, name: str, request: dict[str, Any], client_name: str) -> JournaledStream:
+        """Begin the journal of a stream here; Refused when the journal is full."""
         self._make_room()
-        stream = Stream(name, request, client_name, self.node.now(), (1, self.node.me.name))
-        self.enter(stream)
+        term = Term(1, self.node.me.name)
+        stream = JournaledStream(name, request, client_name, self.node.now(), term)
+        self.add(stream)
         return stream
 
-    def forget(self, stream):
-        """Drop a stream of which no sender holds a token."""
+    def forget(self, stream: JournaledStream) -> None:
+        """Drop a stream of which no client holds a token."""
         if self.streams.get(stream.name) is stream:
             del self.streams[stream.name]
-            self.weight -= stream.weight
+            self.size -= stream.size
 
-    def holders(self, name, avoided=()):
-        """Return the reachable nodes in other domains that may hold it, edges first.
+    def backup_candidates(self, name: str, avoided_names: Collection[str] = ()) -> list[str]:
+        """Return the reachable nodes in other zones that may hold it, edges first.
 
-        Nodes that drain or stand in an emptied domain come last: better there than nowhere.
+        Nodes that drain or stand in a drained zone come last: better there than nowhere.
         """
         is_leaving = self.node.find("ownership").is_leaving
         me, nifty = self.node.me, self.node.find("nifty")
         members = [
-            m
-            for m in nifty.roster.members.values()
-            if m.role in ("edge", "core")
-            and m.zone != me.zone
-            and nifty.reaches(m.name)
-            and m.name not in avoided
-        ]
-        return [
-            m.name
-            for m in sorted(
-                members,
-                reverse=True,
-                key=lambda m: (not is_leaving(m.name), m.role == "edge", score(name, m.name)),
-            )
+            member
+            for member in nifty.roster.members.values()
+            if member.role in HOLDER_ROLES
+            and member.zone != me.zone
+            and nifty.reaches(member.name)
+            and member.name not in avoided_names
         ]
+        members.sort(
+            reverse=True,
+            key=lambda m: (not is_leaving(m.name), m.role == "edge", score(name, m.name)),
+        )
+        return [member.name for member in members]
 
-    def _leave_leaving(self, stream):
-        """Let go of a holder that is to be left alone, if another node can take its place."""
+    def _drop_leaving_backup(self, stream: JournaledStream) -> None:
+        """Let go of a backup that is about to leave, if another node can take its place."""
         is_leaving = self.node.find("ownership").is_leaving
-        if stream.holder is not None and is_leaving(stream.holder):
-            candidates = self.holders(stream.name)
+        if stream.backup is not None and is_leaving(stream.backup):
+            candidates = self.backup_candidates(stream.name)
             if candidates and not is_leaving(candidates[0]):
-                stream.holder = None
-
-    def hand_over(self):
-        """Coroutine: before a planned stop, give every stream touched lately to another node."""
-        edge_time = self.node.now() - self.node.bounds.recovery * HANDED_AGE
-        late_streams = [s for s in self.streams.values() if s.touched_at > edge_time]
-        for start in range(0, len(late_streams), HANDED_AT_ONCE):
-            for stream in late_streams[start : start + HANDED_AT_ONCE]:
-                self.node.spawn(self._hand_one(stream))
+                stream.backup = None
+
+    def hand_over(self) -> Coroutine:
+        """Before a planned stop, give every stream touched lately to another node."""
+        oldest = self.node.now() - self.node.bounds.recovery * HANDOVER_AGE_FACTOR
+        streams = [s for s in self.streams.values() if s.touched_at > oldest]
+        for start in range(0, len(streams), HANDOVER_BATCH):
+            for stream in streams[start : start + HANDOVER_BATCH]:
+                self.node.spawn(self._hand_over_stream(stream))
             yield Sleep(self.node.bounds.gossip_interval)
-        self.node.count("streams_handed", len(late_streams))
+        self.node.count("streams_handed", len(streams))
 
-    def _hand_one(self, stream):
-        for holder in self.holders(stream.name, {stream.holder})[:2]:
+    def _hand_over_stream(self, stream: JournaledStream) -> Coroutine:
+        candidates = self.backup_candidates(stream.name, {stream.backup} if stream.backup else ())
+        for name in candidates[:HANDOVER_ATTEMPTS]:
             try:
-                yield from self.node.call(holder, "journal.append", append_body(stream, 0))
+                body = stream.append_request(0).to_wire()
+                yield from self.node.call(name, "journal.append", body)
                 return
             except QuillringError as error:
-                self.node.log("warning", "hand over %s: %s", stream.name, error)
+                self.node.log("warning", "handover of stream %s: %s", stream.name, error)
 
-    def keepers(self):
+    def possible_holders(self) -> list[str]:
         """Return the names of all nodes that may hold streams."""
         members = self.node.find("nifty").roster.members.values()
-        return [m.name for m in members if m.role in ("edge", "core")]
-
-    def keep(self, stream, new_pieces, ended=False):
-        """Coroutine: add pieces here and at a second holder; return once both have them."""
+        return [member.name for member in members if member.role in HOLDER_ROLES]
+
+    def append(
+        self, stream: JournaledStream, new_pieces: Sequence[str], has_ended: bool = False
+    ) -> Coroutine:
+        """Add pieces here and at the backup; return once both have them.
+
+        Raises
+        ------
+        Fenced
+            The stream runs elsewhere under a later term.
+        Refused
+            No node in another zone can hold the second copy.
+        """
         self._check_term(stream)
-        old_count = len(stream.pieces)
-        self._put(stream, old_count, new_pieces)
-        stream.ended = ended or stream.ended
+        start = len(stream.pieces)
+        self._replace_from(stream, start, new_pieces)
+        stream.has_ended = has_ended or stream.has_ended
         stream.touched_at = self.node.now()
-        self._leave_leaving(stream)
-        avoided_names = set()
+        self._drop_leaving_backup(stream)
+        avoided_names: set[str] = set()
         while True:
-            if stream.holder is None:
-                candidates = self.holders(stream.name, avoided_names)
+            if stream.backup is None:
+                candidates = self.backup_candidates(stream.name, avoided_names)
                 if not candidates:
                     raise Refused(reason="no second holder in another domain")
-                stream.holder, old_count = candidates[0], 0
+                stream.backup, start = candidates[0], 0
             try:
-                body = append_body(stream, old_count)
-                yield from self.node.call(stream.holder, "journal.append", body)
+                body = stream.append_request(start).to_wire()
+                yield from self.node.call(stream.backup, "journal.append", body)
                 return
             except Fenced:
                 self.streams.pop(stream.name, None)
                 raise
             except QuillringError as error:
                 self.node.count("holder_changes")
-                self.node.log("warning", "holder %s: %s", stream.holder, error)
-                avoided_names.add(stream.holder)
-                stream.holder = None
+                self.node.log("warning", "stream backup %s: %s", stream.backup, error)
+                avoided_names.add(stream.backup)
+                stream.backup = None
 
-    def _check_term(self, stream):
+    def _check_term(self, stream: JournaledStream) -> None:
         if self.streams.get(stream.name) is not stream:
             raise Fenced(stream=stream.name)
 
-    def on_append(self, body, origin):
-        """Hold pieces for another node."""
-        return self.hold(body)
-
-    def hold(self, body):
-        """Hold pieces; a lower round is fenced off, a gap refused."""
-        known = self.streams.get(body["stream"])
-        stream_term = tuple(body["round"])
-        if known is not None and known.term > stream_term:
-            raise Fenced(stream=body["stream"])
-        stream = known
+    def on_append(self, body: dict[str, Any], origin: str) -> int:
+        """Hold pieces for another node; return how many there are."""
+        return self.hold(AppendRequest.from_wire(body))
+
+    def hold(self, request: AppendRequest) -> int:
+        """Hold pieces; an earlier term is fenced off, a gap refused with NotFound."""
+        known = self.streams.get(request.stream_name)
+        if known is not None and known.term > request.term:
+            raise Fenced(stream=request.stream_name)
         if known is None:
             self._make_room()
-            stream = Stream(
-                body["stream"], body["inquiry"], body["sender"], self.node.now(), stream_term
+            stream = JournaledStream(
+                request.stream_name,
+                request.request,
+                request.client_name,
+                self.node.now(),
+                request.term,
             )
-        elif known.term < stream_term:
-            stream = known.claimed(self.node.now(), stream_term)
-            stream.ended = False
-        start = body["from"]
-        if start > len(stream.pieces):
-            raise NotFound(stream=body["stream"], held=len(stream.pieces))
+        elif known.term < request.term:
+            stream = known.copy_with_term(self.node.now(), request.term)
+            stream.has_ended = False
+        else:
+            stream = known
+        if request.start > len(stream.pieces):
+            raise NotFound(stream=request.stream_name, held=len(stream.pieces))
         if stream is not known:
-            self.enter(stream)
-        if start + len(body["pieces"]) >= len(stream.pieces):
-            self._put(stream, start, body["pieces"])
-        stream.ended, stream.touched_at = body["ended"] or stream.ended, self.node.now()
+            self.add(stream)
+        if request.start + len(request.pieces) >= len(stream.pieces):
+            self._replace_from(stream, request.start, request.pieces)
+        stream.has_ended = request.has_ended or stream.has_ended
+        stream.touched_at = self.node.now()
         return len(stream.pieces)
 
-    def on_find(self, body, origin):
-        """Tell the round, length and entry of a stream held here for this sender."""
-        stream = self.streams.get(body["stream"])
-        if stream is None or stream.client_name != body["sender"]:
+    def _find(self, query: StreamQuery) -> JournaledStream:
+        """Return a stream held here for this client, or raise NotFound."""
+        stream = self.streams.get(query.stream_name)
+        if stream is None or stream.client_name != query.client_name:
             raise NotFound(field="stream")
-        return [list(stream.term), len(stream.pieces), stream.request["entry"]]
+        return stream
 
-    def on_claim(self, body, origin):
-        """Hand a stream over to a higher round; the former round can add no more."""
-        stream = self.streams.get(body["stream"])
-        if stream is None or stream.client_name != body["sender"]:
-            raise NotFound(field="stream")
-        claim_term = tuple(body["round"])
-        if stream.term >= claim_term:
-            raise Fenced(stream=stream.name)
-        self.enter(stream.claimed(self.node.now(), claim_term))
-        return [stream.request, list(stream.pieces), stream.ended, list(stream.term)]
+    def on_find(self, body: dict[str, Any], origin: str) -> list[Any]:
+        """Tell the term, length and route of a stream held here for this client."""
+        stream = self._find(StreamQuery.from_wire(body))
+        return FindReply(stream.term, len(stream.pieces), stream.request["entry"]).to_wire()
 
-    def claim(self, name, client_name, served_term, check):
-        """Coroutine: find a stream wherever it is held, and run it here from now on."""
-        return claim_stream(self, name, client_name, served_term, check)
+    def on_claim(self, body: dict[str, Any], origin: str) -> list[Any]:
+        """Hand a stream over to a later term; the former term can add no more."""
+        query = StreamQuery.from_wire(body)
+        stream = self._find(query)
+        if query.term is None or stream.term >= query.term:
+            raise Fenced(stream=stream.name)
+        self.add(stream.copy_with_term(self.node.now(), query.term))
+        pieces = list(stream.pieces)
+        return ClaimReply(stream.request, pieces, stream.has_ended, stream.term).to_wire()
+
+    def take_over(
+        self, name: str, client_name: str, served_term: Term, check: Callable[[FindReply], None]
+    ) -> Coroutine:
+        """Find a stream wherever it is held, and run it here from now on."""
+        return take_over_stream(self, name, client_name, served_term, check)
--- /dev/null
+++ b/quillring/edge/journal_messages.py
@@ -0,0 +1,116 @@
+"""The messages of the stream journal: their fields by name, written and read in this one place."""
+
+from __future__ import annotations
+
+from typing import Any, NamedTuple
+
+
+class Term(NamedTuple):
+    """Who may add to a stream: a later term fences off the earlier ones.
+
+    Terms compare by number, then by the name of the node that runs the stream.
+    """
+
+    number: int
+    node_name: str
+
+    @classmethod
+    def from_wire(cls, row: list[Any]) -> Term:
+        """Return the term of a row [number, node name]."""
+        number, node_name = row
+        return cls(number, node_name)
+
+
+class AppendRequest(NamedTuple):
+    """Pieces of a stream, from a position on, for the node that holds its second copy."""
+
+    stream_name: str
+    request: dict[str, Any]
+    client_name: str
+    start: int
+    pieces: list[str]
+    has_ended: bool
+    term: Term
+
+    def to_wire(self) -> dict[str, Any]:
+        """Return the body of `journal.append`."""
+        return {
+            "stream": self.stream_name,
+            "inquiry": self.request,
+            "sender": self.client_name,
+            "from": self.start,
+            "pieces": self.pieces,
+            "ended": self.has_ended,
+            "round": list(self.term),
+        }
+
+    @classmethod
+    def from_wire(cls, body: dict[str, Any]) -> AppendRequest:
+        """Return the request of a body of `journal.append`."""
+        return cls(
+            body["stream"],
+            body["inquiry"],
+            body["sender"],
+            body["from"],
+            body["pieces"],
+            body["ended"],
+            Term.from_wire(body["round"]),
+        )
+
+
+class StreamQuery(NamedTuple):
+    """A stream that a client asks for; with a term it is claimed under that term."""
+
+    stream_name: str
+    client_name: str
+    term: Term | None = None
+
+    def to_wire(self) -> dict[str, Any]:
+        """Return the body of `journal.find`, or of `journal.claim` where there is a term."""
+        body: dict[str, Any] = {"stream": self.stream_name, "sender": self.client_name}
+        if self.term is not None:
+            body["round"] = list(self.term)
+        return body
+
+    @classmethod
+    def from_wire(cls, body: dict[str, Any]) -> StreamQuery:
+        """Return the query of a body of `journal.find` or `journal.claim`."""
+        term = Term.from_wire(body["round"]) if "round" in body else None
+        return cls(body["stream"], body["sender"], term)
+
+
+class FindReply(NamedTuple):
+    """What a holder tells of a stream; a node of the former version tells no route."""
+
+    term: Term
+    piece_count: int
+    route_name: str | None
+
+    def to_wire(self) -> list[Any]:
+        """Return the reply to `journal.find`."""
+        return [list(self.term), self.piece_count, self.route_name]
+
+    @classmethod
+    def from_wire(cls, row: list[Any]) -> FindReply:
+        """Return the reply of a row with or without a route."""
+        term, piece_count, *routes = row
+        return cls(Term.from_wire(term), piece_count, routes[0] if routes else None)
+
+
+class ClaimReply(NamedTuple):
+    """A holder's copy of a claimed stream, under the term that it had before."""
+
+    request: dict[str, Any]
+    pieces: list[str]
+    has_ended: bool
+    term: Term
+
+    def to_wire(self) -> list[Any]:
+        """Return the reply to `journal.claim`."""
+        return [self.request, self.pieces, self.has_ended, list(self.term)]
+
+    @classmethod
+    def from_wire(cls, row: list[Any]) -> ClaimReply:
+        """Return the reply of a row [request, pieces, has ended, term]."""
+        request, pieces, has_ended, term = row
+        return cls(request, pieces, has_ended, Term.from_wire(term))
--- a/quillring/edge/journaled_stream.py
+++ b/quillring/edge/journaled_stream.py
@@ -1,58 +1,76 @@
-"""One stream as a journal holds it: the inquiry, its pieces so far, the round that may add."""
+"""One stream as a journal holds it: the request, its pieces so far, the term that may add."""
 
-OVERHEAD = 512
+from __future__ import annotations
 
+from typing import TYPE_CHECKING, Any
 
-class Stream:
-    """The pieces of one answer; what it weighs is kept beside them."""
+from quillring.edge.journal_messages import AppendRequest, Term
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable, Sequence
+
+OVERHEAD_BYTES = 512
+
+
+class JournaledStream:
+    """The pieces of one answer; `size` is their rough size in memory, kept beside them.
+
+    `backup` is the name of the node with the second copy, or None while there is none.
+    """
 
     __slots__ = (
         "name",
         "request",
         "client_name",
         "pieces",
-        "ended",
+        "has_ended",
         "term",
         "touched_at",
-        "holder",
-        "weight",
+        "backup",
+        "size",
         "is_running",
     )
 
-    def __init__(self, name, request, client_name, now, term=(1, "")):
+    def __init__(
+        self,
+        name: str,
+        request: dict[str, Any],
+        client_name: str,
+        now: float,
+        term: Iterable[Any] = (1, ""),
+    ) -> None:
         self.name = name
         self.request = request
         self.client_name = client_name
-        self.pieces = []
-        self.ended = False
-        self.term = tuple(term)
+        self.pieces: list[str] = []
+        self.has_ended = False
+        self.term = Term(*term)
         self.touched_at = now
-        self.holder = None
-        self.weight = OVERHEAD + len(request.get("prompt", ""))
+        self.backup: str | None = None
+        self.size: int = OVERHEAD_BYTES + len(request.get("prompt", ""))
         self.is_running = False
 
-    def put(self, start, pieces):
-        """Put pieces from a place on; what stood there before goes."""
-        self.weight -= sum(map(len, self.pieces[start:]))
+    def replace_from(self, start: int, pieces: Sequence[str]) -> None:
+        """Put pieces from a position on; what stood there before goes."""
+        self.size -= sum(map(len, self.pieces[start:]))
         self.pieces[start:] = pieces
-        self.weight += sum(map(len, pieces))
+        self.size += sum(map(len, pieces))
 
-    def claimed(self, now, claim_term):
-        """Return the stream under a higher round; this one can add no more to it."""
-        stream = Stream(self.name, self.request, self.client_name, now, claim_term)
-        stream.put(0, self.pieces)
-        stream.ended = self.ended
+    def copy_with_term(self, now: float, term: Term) -> JournaledStream:
+        """Return the stream under a later term; this one can add no more to it."""
+        stream = JournaledStream(self.name, self.request, self.client_name, now, term)
+        stream.replace_from(0, self.pieces)
+        stream.has_ended = self.has_ended
         return stream
 
-
-def append_body(stream, start):
-    """Return the message that makes another node hold the stream from a piece on."""
-    return {
-        "stream": stream.name,
-        "inquiry": stream.request,
-        "sender": stream.client_name,
-        "from": start,
-        "pieces": stream.pieces[start:],
-        "ended": stream.ended,
-        "round": list(stream.term),
-    }
+    def append_request(self, start: int) -> AppendRequest:
+        """Return the message that makes another node hold the stream from a position on."""
+        return AppendRequest(
+            self.name,
+            self.request,
+            self.client_name,
+            start,
+            self.pieces[start:],
+            self.has_ended,
+            self.term,
+        )
--- a/quillring/edge/short_requests.py
+++ b/quillring/edge/short_requests.py
@@ -1,4 +1,12 @@
-"""Short inquiries: map tiles and seat confirmations."""
+"""Short requests with one whole answer: an idempotent read, and a write that may not repeat.
+
+What a class of the layout promises decides whether a request may run again; the two handlers are
+the paths, under the names of their first users, by which clients reach such services.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
 
 from quillring.classes.class_terms import may_repeat
 from quillring.edge.admission import check_admission
@@ -15,7 +23,13 @@
 )
 from quillring.kernel.wsgi import check_body, route
 
-SEAT = StrictValidator(
+if TYPE_CHECKING:
+    from quillring.edge.slot_lease import SlotLease
+    from quillring.kernel.node import Node
+    from quillring.kernel.types import Coroutine
+    from quillring.kernel.wsgi import Request
+
+KEYED_WRITE = StrictValidator(
     {
         "type": "object",
         "additionalProperties": False,
@@ -30,36 +44,63 @@
 
 
 @route("GET", "/v1/tiles/{entry}/{zoom}/{column}/{row}")
-def serve_tile(node, request):
-    """Serve one map tile."""
+def serve_idempotent_read(node: Node, request: Request) -> Coroutine:
+    """Serve one read, which may run again at another replica."""
     words = request.words
     zoom, column, row = (read_count(words[name], name) for name in ("zoom", "column", "row"))
     path = f"/v1/tiles/{zoom}/{column}/{row}"
-    answer = yield from ask_replica(node, words["entry"], "map", "GET", path, None, path)
+    answer = yield from send_short_request(node, words["entry"], "map", "GET", path, None, path)
     return {"tile": answer["tile"]}
 
 
 @route("POST", "/v1/seats")
-def serve_seat(node, request):
-    """Confirm one seat; the checkout app may repeat the call under the same key."""
-    check_body(SEAT, request.body)
+def serve_keyed_write(node: Node, request: Request) -> Coroutine:
+    """Serve one write, which is sent once; the client may repeat the call under the same key."""
+    check_body(KEYED_WRITE, request.body)
     body = {"key": request.body["key"], "seat": request.body["seat"], "sender": request.client_name}
-    answer = yield from ask_replica(
+    answer = yield from send_short_request(
         node, request.body["entry"], "checkout", "POST", "/v1/seats", body, body["key"]
     )
     return {"key": body["key"], "seat": body["seat"], "confirmed": answer["confirmed"]}
 
 
-def ask_replica(node, route_name, kind, method, path, body, affinity):
-    """Coroutine: ask one replica; another only when that is allowed or the first got nothing."""
+def send_short_request(
+    node: Node,
+    route_name: str,
+    kind: str,
+    method: str,
+    path: str,
+    body: dict[str, Any] | None,
+    affinity: str,
+) -> Coroutine:
+    """Ask one replica; another only when that is allowed or the first got nothing.
+
+    Parameters
+    ----------
+    kind
+        The kind of service that the route must lead to.
+    affinity
+        Requests of the same key go to the same replica while it has free slots.
+
+    Raises
+    ------
+    NotFound
+        The route leads to a service of another kind.
+    OutcomeUnknown
+        A replica broke off, and the request may not run again.
+    Refused
+        No slot came free in time.
+    """
     check_admission(node)
     route, service, promise = node.find("layout").route(route_name)
     if service["kind"] != kind:
         raise NotFound(field="entry", entry=route_name)
     end_time = node.now() + promise["time_left_ms"] / 1000
-    first_end, answered_at = node.now() + promise["first_piece_ms"] / 1000, None
-    name = f"{node.me.name}-{node.runtime.random.getrandbits(64):016x}"
-    avoided_names, last_error = set(), None
+    first_piece_deadline = node.now() + promise["first_piece_ms"] / 1000
+    answered_at: float | None = None
+    request_name = f"{node.me.name}-{node.runtime.random.getrandbits(64):016x}"
+    avoided_names: set[str] = set()
+    last_error: OutcomeUnknown | None = None
     try:
         while True:
             try:
@@ -70,22 +111,11 @@
                 raise last_error or refusal from refusal
             try:
                 check_before_sending(node, lease.replica, end_time)
-                lease.may_still_run = True
-                status, answer = yield FetchJson(
-                    lease.replica.address,
-                    method,
-                    lease.replica.path(path, inquiry=name),
-                    body and {**body, "inquiry": name},
-                    end_time - node.now(),
-                    may_repeat(promise),
+                answer = yield from _fetch_answer(
+                    node, lease, method, path, body, request_name, end_time, may_repeat(promise)
                 )
-                lease.may_still_run = False
-                if status == 503:
-                    raise Busy(replica=lease.replica.name)
-                if status == 200 and isinstance(answer, dict) and answer.get("inquiry") == name:
-                    answered_at = node.now()
-                    return answer
-                raise BackendError(reason="strange answer", status=status)
+                answered_at = node.now()
+                return answer
             except Busy:
                 node.find("replicas").note_full(lease.replica)
             except BackendError as error:
@@ -99,4 +129,32 @@
             finally:
                 lease.release()
     finally:
-        node.find("meter").record(route["class"], answered_at, first_end)
+        node.find("meter").record(route["class"], answered_at, first_piece_deadline)
+
+
+def _fetch_answer(
+    node: Node,
+    lease: SlotLease,
+    method: str,
+    path: str,
+    body: dict[str, Any] | None,
+    request_name: str,
+    end_time: float,
+    is_repeatable: bool,
+) -> Coroutine:
+    """Return the answer of the lease's replica; Busy or BackendError where it gives none."""
+    lease.may_still_run = True
+    status, answer = yield FetchJson(
+        lease.replica.address,
+        method,
+        lease.replica.path(path, inquiry=request_name),
+        body and {**body, "inquiry": request_name},
+        end_time - node.now(),
+        is_repeatable,
+    )
+    lease.may_still_run = False
+    if status == 503:
+        raise Busy(replica=lease.replica.name)
+    if status == 200 and isinstance(answer, dict) and answer.get("inquiry") == request_name:
+        return answer
+    raise BackendError(reason="strange answer", status=status)
--- a/quillring/edge/slot_lease.py
+++ b/quillring/edge/slot_lease.py
@@ -89,6 +89,6 @@
         self.prefix = prefix
         self.avoided_names = frozenset(avoided_names)
         self.class_name = class_name
-        self.is_preemptible = is_preemptible and may_run_on(promise, True)
+        self.is_preemptible: bool = is_preemptible and may_run_on(promise, True)
         self.end_time = end_time
         self.signal = Signal()
--- a/quillring/edge/stream_handlers.py
+++ b/quillring/edge/stream_handlers.py
@@ -1,4 +1,8 @@
-"""Model inquiries: streamed, numbered, journalled, resumed."""
+"""Streamed requests to models: numbered pieces, journaled before they are sent, resumable."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
 
 from quillring.classes.class_terms import may_resume, may_run_on
 from quillring.edge.admission import check_admission, check_open
@@ -19,6 +23,17 @@
 )
 from quillring.kernel.wsgi import check_body, need_client_name, route
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from quillring.edge.journal_messages import FindReply
+    from quillring.edge.journaled_stream import JournaledStream
+    from quillring.edge.replicas import Replica
+    from quillring.edge.slot_lease import SlotLease
+    from quillring.kernel.node import Node
+    from quillring.kernel.types import Coroutine
+    from quillring.kernel.wsgi import Request
+
 MODEL_REQUEST = StrictValidator(
     {
         "type": "object",
@@ -33,51 +48,57 @@
     }
 )
 STALL_MS = 4000
+UNLIMITED_MS = 1 << 40
+DEFAULT_MAX_PIECES = 64
+MIN_TIMEOUT_SECONDS = 0.001
 
 
 @route("POST", "/v1/inquiries")
-def serve_model(node, request):
-    """Serve one streamed model inquiry."""
+def serve_model(node: Node, request: Request) -> Coroutine:
+    """Serve one streamed request to a model."""
     need_client_name(request)
     check_body(MODEL_REQUEST, request.body)
     check_admission(node)
     _, service, promise = node.find("layout").route(request.body["entry"])
     if service["kind"] != "model":
         raise BadRequest(field="entry", faults=[{"field": "entry", "fault": "not a model"}])
-    time_left = min(request.body.get("time_left_ms", 1 << 40), promise["time_left_ms"]) / 1000
+    asked_ms = request.body.get("time_left_ms", UNLIMITED_MS)
+    seconds = min(asked_ms, promise["time_left_ms"]) / 1000
     stream_name = f"{node.me.name}-{node.runtime.random.getrandbits(96):024x}"
     stream = node.find("journal").open(stream_name, request.body, request.client_name)
-    yield from run_stream(node, stream, 0, node.now() + time_left)
+    yield from run_stream(node, stream, 0, node.now() + seconds)
 
 
 @route("GET", "/v1/streams/{token}", query_words=("after",))
-def resume_stream(node, request):
-    """Serve what follows the last piece the sender has."""
+def resume_stream(node: Node, request: Request) -> Coroutine:
+    """Serve what follows the last piece that the client has."""
     check_open(node)
     secret = node.find("ownership").founding()["secret"]
-    stream_name, token_term = read_token(
+    token = read_token(
         secret, request.words["token"], request.client_name, node.runtime.wall_time()
     )
     sent_count = read_count(request.query.get("after", ["0"])[0], "after")
-    stream = yield from node.find("journal").claim(
-        stream_name,
-        request.client_name,
-        token_term,
-        lambda found: len(found) > 2 and check_resumable(node, found[2]),
+
+    def check(found: FindReply) -> None:
+        if found.route_name is not None:
+            check_resumable(node, found.route_name)
+
+    stream = yield from node.find("journal").take_over(
+        token.stream_name, request.client_name, token.term, check
     )
     check_resumable(node, stream.request["entry"])
     if len(stream.pieces) < sent_count:
         raise Conflict(field="after", held=len(stream.pieces))
     node.count("resumes")
     _, _, promise = node.find("layout").route(stream.request["entry"])
-    if not stream.ended:
+    if not stream.has_ended:
         node.find("freshness").check()
         if not may_run_on(promise, stream.pieces):
             raise OutcomeUnknown(stream=stream.name)
     yield from run_stream(node, stream, sent_count, node.now() + promise["time_left_ms"] / 1000)
 
 
-def check_resumable(node, route_name):
+def check_resumable(node: Node, route_name: str) -> None:
     """Refuse to resume where the class forbids it, before anything about the stream changes."""
     route, _, promise = node.find("layout").route(route_name)
     if not may_resume(promise):
@@ -91,73 +112,99 @@
     status = 410
 
 
-class Sending:
-    """How far one answer has gone out to its sender."""
+class ClientProgress:
+    """How far one response has gone out to its client."""
 
     __slots__ = (
-        "count",
-        "head_line",
+        "sent_count",
+        "head",
         "has_head",
         "was_preempted",
-        "first_end",
-        "first_at",
+        "first_piece_deadline",
+        "first_piece_at",
         "clock",
     )
 
-    def __init__(self, count, head_line, first_end, clock):
-        self.count = count
-        self.first_end = first_end
-        self.head_line = head_line
+    def __init__(
+        self,
+        sent_count: int,
+        head: dict[str, Any],
+        first_piece_deadline: float,
+        clock: Callable[[], float],
+    ) -> None:
+        self.sent_count = sent_count
+        self.first_piece_deadline = first_piece_deadline
+        self.head = head
         self.has_head = False
         self.was_preempted = False
-        self.first_at = None
+        self.first_piece_at: float | None = None
         self.clock = clock
 
 
-def run_stream(node, stream, sent_count, end_time):
-    """Coroutine: emit what the journal holds, then go on at replicas until the end."""
+def run_stream(node: Node, stream: JournaledStream, sent_count: int, end_time: float) -> Coroutine:
+    """Send what the journal holds, then go on at replicas until the end.
+
+    Before the head is out an error is raised; after that it is the last line of the stream.
+    """
     secret = node.find("ownership").founding()["secret"]
     token = make_token(secret, stream, node.runtime.wall_time())
-    head_line = {"stream": stream.name, "resume": token, "after": sent_count}
+    head = {"stream": stream.name, "resume": token, "after": sent_count}
     route, _, promise = node.find("layout").route(stream.request["entry"])
-    first_end = node.now() + promise["first_piece_ms"] / 1000
-    sending = Sending(sent_count, head_line, first_end, node.now)
-    avoided_names = set()
+    first_piece_deadline = node.now() + promise["first_piece_ms"] / 1000
+    progress = ClientProgress(sent_count, head, first_piece_deadline, node.now)
+    avoided_names: set[str] = set()
     stream.is_running = True
     try:
-        yield from emit_held(stream, sending)
-        while not stream.ended:
-            yield from one_attempt(node, stream, sending, end_time, avoided_names)
+        yield from send_journaled(stream, progress)
+        while not stream.has_ended:
+            yield from try_replica(node, stream, progress, end_time, avoided_names)
     except QuillringError as error:
-        if not sending.has_head:
+        if not progress.has_head:
             raise
         node.count("broken_streams")
-        yield SendToClient({"end": False, **error.to_json(), "pieces": sending.count})
+        yield SendToClient({"end": False, **error.to_json(), "pieces": progress.sent_count})
         return
     finally:
         stream.is_running = False
-        if stream.term[0] == 1:
-            node.find("meter").record(route["class"], sending.first_at, first_end)
-        if not stream.pieces and not sending.has_head:
+        if stream.term.number == 1:
+            node.find("meter").record(route["class"], progress.first_piece_at, first_piece_deadline)
+        if not stream.pieces and not progress.has_head:
             node.find("journal").forget(stream)
     yield SendToClient({"end": True, "pieces": len(stream.pieces)})
 
 
-def emit_held(stream, sending):
-    """Coroutine: emit the pieces that two nodes hold and the sender lacks."""
-    if not sending.has_head and (stream.ended or sending.count < len(stream.pieces)):
-        sending.has_head, sending.first_at = True, sending.clock()
-        yield SendToClient(sending.head_line)
-    while sending.count < len(stream.pieces):
-        sending.count += 1
-        yield SendToClient({"n": sending.count, "piece": stream.pieces[sending.count - 1]})
+def send_journaled(stream: JournaledStream, progress: ClientProgress) -> Coroutine:
+    """Send the pieces that two nodes hold and the client lacks."""
+    if not progress.has_head and (stream.has_ended or progress.sent_count < len(stream.pieces)):
+        progress.has_head, progress.first_piece_at = True, progress.clock()
+        yield SendToClient(progress.head)
+    while progress.sent_count < len(stream.pieces):
+        progress.sent_count += 1
+        piece = stream.pieces[progress.sent_count - 1]
+        yield SendToClient({"n": progress.sent_count, "piece": piece})
 
 
-def one_attempt(node, stream, sending, end_time, avoided_names):
-    """Coroutine: run or continue the stream on one replica until it ends or breaks."""
+def try_replica(
+    node: Node,
+    stream: JournaledStream,
+    progress: ClientProgress,
+    end_time: float,
+    avoided_names: set[str],
+) -> Coroutine:
+    """Run or continue the stream on one replica until it ends or breaks.
+
+    Raises
+    ------
+    Refused
+        No slot came free in time.
+    OutcomeUnknown
+        The replica broke off, and the class forbids another attempt.
+    TimedOut
+        The replica broke off, and no time is left.
+    """
     route, service, promise = node.find("layout").route(stream.request["entry"])
     prefix = route.get("prefix", "")
-    wait_end = end_time if stream.pieces else min(end_time, sending.first_end)
+    wait_end = end_time if stream.pieces else min(end_time, progress.first_piece_deadline)
     lease = yield from node.find("dispatch").acquire(
         route["service"],
         route["class"],
@@ -165,11 +212,12 @@
         prefix_key(prefix),
         wait_end,
         avoided_names,
-        sending.was_preempted,
+        progress.was_preempted,
         True,
     )
-    sending.was_preempted = False
+    progress.was_preempted = False
     replica, handle = lease.replica, None
+    stall_seconds = service.get("stall_ms", STALL_MS) / 1000
     try:
         check_before_sending(node, replica, end_time)
         lease.may_still_run = True
@@ -181,14 +229,14 @@
                 "prefix": prefix,
                 "prompt": stream.request["prompt"],
                 "from": len(stream.pieces),
-                "max_pieces": stream.request.get("max_pieces", 64),
+                "max_pieces": stream.request.get("max_pieces", DEFAULT_MAX_PIECES),
             },
-            min(end_time - node.now(), service.get("stall_ms", STALL_MS) / 1000),
+            min(end_time - node.now(), stall_seconds),
         )
         if handle.status == 503:
             lease.may_still_run = False
             raise Busy(replica=replica.name)
-        yield from read_pieces(node, stream, sending, handle, lease, service, end_time)
+        yield from relay_pieces(node, stream, progress, handle, lease, stall_seconds, end_time)
     except Busy:
         node.count("busy_replicas")
         node.find("replicas").note_full(replica)
@@ -208,8 +256,8 @@
             handle.close()
 
 
-def check_before_sending(node, replica, end_time):
-    """Refuse when this node slept or the runtime moved on since the replica was chosen."""
+def check_before_sending(node: Node, replica: Replica, end_time: float) -> None:
+    """Refuse when this node slept, or things changed, since the replica was chosen."""
     node.find("freshness").check()
     if node.now() >= end_time:
         raise Refused(reason="no time left")
@@ -217,8 +265,8 @@
         raise NotSent(replica=replica.name, reason="left")
 
 
-def check_line(line, request_name, count):
-    """Refuse a replica's line unless it is the very next one of this inquiry."""
+def check_line(line: Any, request_name: str, count: int) -> None:
+    """Refuse a replica's line unless it is the very next one of this request."""
     if not isinstance(line, dict) or line.get("inquiry") != request_name:
         raise BackendError(reason="broken off" if line is None else "strange line")
     if line.get("end"):
@@ -228,22 +276,31 @@
         raise BackendError(reason="strange piece")
 
 
-def read_pieces(node, stream, sending, handle, lease, service, end_time):
-    """Coroutine: take the replica's numbered pieces, each one kept twice before it is emitted.
+def relay_pieces(
+    node: Node,
+    stream: JournaledStream,
+    progress: ClientProgress,
+    handle: Any,
+    lease: SlotLease,
+    stall_seconds: float,
+    end_time: float,
+) -> Coroutine:
+    """Take the replica's numbered pieces, each one held by two nodes before it is sent.
 
-    Returns at the stream's end, or between two pieces when its room is wanted back.
+    Returns at the stream's end, or between two pieces when its slot is preempted.
     """
-    journal, stall_seconds = node.find("journal"), service.get("stall_ms", STALL_MS) / 1000
+    journal = node.find("journal")
     while True:
-        line = yield ReadLine(handle, max(0.001, min(end_time - node.now(), stall_seconds)))
+        seconds = max(MIN_TIMEOUT_SECONDS, min(end_time - node.now(), stall_seconds))
+        line = yield ReadLine(handle, seconds)
         check_line(line, stream.name, len(stream.pieces))
         if line.get("end"):
             lease.may_still_run = False
-            yield from journal.keep(stream, (), ended=True)
-            yield from emit_held(stream, sending)
+            yield from journal.append(stream, (), has_ended=True)
+            yield from send_journaled(stream, progress)
             return
-        yield from journal.keep(stream, (line["piece"],))
-        yield from emit_held(stream, sending)
+        yield from journal.append(stream, (line["piece"],))
+        yield from send_journaled(stream, progress)
         if lease.is_preempted:
-            sending.was_preempted = True
+            progress.was_preempted = True
             return
--- a/quillring/edge/stream_takeover.py
+++ b/quillring/edge/stream_takeover.py
@@ -1,57 +1,100 @@
-"""Claiming a stream: the newest copy is found, its former round fenced, a second copy ensured."""
+"""Takeover of a stream: the newest copy is found, its former term fenced, a second copy ensured."""
 
-from quillring.edge.journaled_stream import Stream
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from quillring.edge.journal_messages import ClaimReply, FindReply, StreamQuery, Term
+from quillring.edge.journaled_stream import JournaledStream
 from quillring.kernel.errors import NotFound, QuillringError, Refused
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Collection
+
+    from quillring.edge.journal import Journal
+    from quillring.kernel.types import Coroutine
+
 
-def claim_stream(journal, name, client_name, served_term, check):
-    """Coroutine: find a stream wherever it is held, fence its former round, run it here.
+def take_over_stream(
+    journal: Journal,
+    name: str,
+    client_name: str,
+    served_term: Term,
+    check: Callable[[FindReply], None],
+) -> Coroutine:
+    """Find a stream wherever it is held, fence its former term, and return it to be run here.
 
-    It is given back once a second node holds all of it: what a former runner could not hand
-    on before its error was never seen, and may not be seen before it is held twice.
+    It is returned once a second node holds all of it: what a former runner could not replicate
+    before its error was never seen, and may not be seen before it is held twice.
 
-    `check(found)` may refuse before anything is fenced.
+    A holder may be left with an older term that went its own way; the newest term counts, and one
+    older than `served_term`, in which the client was served, is as good as none.
 
-    A holder may be left with an older round that went its own way; the newest round counts,
-    and one older than the sender was served in is as good as none.
+    Parameters
+    ----------
+    check
+        May raise, before anything is fenced, by what one holder tells.
+
+    Raises
+    ------
+    NotFound
+        No node holds the stream for this client.
+    Refused
+        A node that may hold it, or its newest copy, is out of reach.
     """
+    found = yield from _find_holders(journal, StreamQuery(name, client_name))
+    check(next(iter(found.values())))
+    highest_number = max(reply.term.number for reply in found.values())
+    term = Term(highest_number + 1, journal.node.me.name)
+    copies = yield from _claim_copies(journal, found, StreamQuery(name, client_name, term))
+    current = {holder: copy for holder, copy in copies.items() if copy.term >= served_term}
+    if not current:
+        raise Refused(reason="the stream's newest holders are out of reach")
+    newest = max(current.values(), key=lambda copy: (copy.term, len(copy.pieces)))
+    stream = JournaledStream(name, newest.request, client_name, journal.node.now(), term)
+    stream.replace_from(0, newest.pieces)
+    stream.has_ended = newest.has_ended
+    journal.add(stream)
+    candidates = journal.backup_candidates(name)
+    stream.backup = next((n for n in candidates if current.get(n) == newest), None)
+    yield from ensure_backup(journal, stream)
+    return stream
+
+
+def _find_holders(journal: Journal, query: StreamQuery) -> Coroutine:
+    """Return {node: FindReply} of all nodes that hold the stream; there is at least one."""
     nifty = journal.node.find("nifty")
-    names = [name for name in journal.keepers() if nifty.reaches(name)]
-    question = {"stream": name, "sender": client_name}
-    found = yield from journal.node.gather(
-        [(n, "journal.find", question) for n in names], len(names)
-    )
-    holders = {n: reply for n, reply in found.items() if not isinstance(reply, QuillringError)}
-    if not holders:
-        missed = any(not isinstance(reply, NotFound) for reply in found.values())
-        if missed or len(names) < len(journal.keepers()):
+    possible_holders = journal.possible_holders()
+    names = [name for name in possible_holders if nifty.reaches(name)]
+    body = query.to_wire()
+    replies = yield from journal.node.gather([(n, "journal.find", body) for n in names], len(names))
+    found = {
+        name: FindReply.from_wire(reply)
+        for name, reply in replies.items()
+        if not isinstance(reply, QuillringError)
+    }
+    if not found:
+        has_missed_one = any(not isinstance(reply, NotFound) for reply in replies.values())
+        if has_missed_one or len(names) < len(possible_holders):
             raise Refused(reason="the stream's holders are out of reach")
         raise NotFound(field="stream")
-    check(next(iter(holders.values())))
-    claim_term = (max(reply[0][0] for reply in holders.values()) + 1, journal.node.me.name)
-    claims = yield from journal.node.gather(
-        [(n, "journal.claim", {**question, "round": list(claim_term)}) for n in holders],
-        len(holders),
+    return found
+
+
+def _claim_copies(journal: Journal, holders: Collection[str], query: StreamQuery) -> Coroutine:
+    """Fence the stream at its holders; return {node: ClaimReply} of those that answered."""
+    body = query.to_wire()
+    replies = yield from journal.node.gather(
+        [(name, "journal.claim", body) for name in holders], len(holders)
     )
-    good_claims = {
-        holder: reply
-        for holder, reply in claims.items()
-        if not isinstance(reply, QuillringError) and tuple(reply[3]) >= served_term
+    return {
+        name: ClaimReply.from_wire(reply)
+        for name, reply in replies.items()
+        if not isinstance(reply, QuillringError)
     }
-    if not good_claims:
-        raise Refused(reason="the stream's newest holders are out of reach")
-    best = max(good_claims.values(), key=lambda reply: (tuple(reply[3]), len(reply[1])))
-    request, pieces, ended, _ = best
-    stream = Stream(name, request, client_name, journal.node.now(), claim_term)
-    stream.put(0, pieces)
-    stream.ended = ended
-    journal.enter(stream)
-    stream.holder = next((n for n in journal.holders(name) if good_claims.get(n) == best), None)
-    yield from ensure_held(journal, stream)
-    return stream
 
 
-def ensure_held(journal, stream):
-    """Coroutine: return once a second node holds the whole stream."""
-    if stream.holder is None:
-        yield from journal.keep(stream, ())
+def ensure_backup(journal: Journal, stream: JournaledStream) -> Coroutine:
+    """Return once a second node holds the whole stream."""
+    if stream.backup is None:
+        yield from journal.append(stream, ())
--- a/tests/mixed_fleet.py
+++ b/tests/mixed_fleet.py
@@ -34,7 +34,7 @@
 LANDED_TWINS = {
     present.serve_model: landed("quillring.edge.streams", "serve_model"),
     present.resume_stream: landed("quillring.edge.streams", "resume_stream"),
-    present.serve_tile: landed("quillring.edge.short", "serve_tile"),
+    present.serve_idempotent_read: landed("quillring.edge.short", "serve_tile"),
     present.submit_lot: landed("quillring.lots.front", "submit_lot"),
     present.show_results: landed("quillring.lots.front", "show_results"),
     present.cancel_lot: landed("quillring.lots.front", "cancel_lot"),
