--- a/quillring/ownership/ownership.py
+++ b/quillring/ownership/ownership.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 from quillring.kernel.errors import Fenced, NotFounded, NotOwner
 from quillring.ownership.candidates import order_candidates
@@ -36,12 +36,19 @@
     from quillring.kernel.errors import QuillringError
     from quillring.kernel.node import Node
     from quillring.kernel.types import Coroutine, WireMap
-    from quillring.quorum.values import Group
+    from quillring.quorum.values import Group, WireGroup
 
     LeaderListener = Callable[[PartLeader, list[WireMap]], None]
     SubmitCheck = Callable[[PartLeader, WireMap], None]
 
 
+class DecodedGroup(NamedTuple):
+    """A group as it was heard, and what it reads as: each call for a part asks for it."""
+
+    wire_group: WireGroup
+    group: Group
+
+
 class Ownership:
     """The directory of parts, the client that reaches their leaders, and this core's own terms.
 
@@ -58,6 +65,7 @@
         "backoff",
         "elections",
         "leadership_transfer",
+        "decoded_groups",
     )
 
     def __init__(self, node: Node) -> None:
@@ -69,6 +77,7 @@
         self.backoff = LeadershipBackoff(node)
         self.elections = Elections(node, self)
         self.leadership_transfer = LeadershipTransfer(node, self)
+        self.decoded_groups: dict[str, DecodedGroup] = {}
         if node.me.role == "core":
             node.handle(SUBMIT, self.on_submit)
             node.handle(READ, self.on_read)
@@ -114,7 +123,12 @@
     def group(self, part: str) -> Group:
         """Return the stores of a part as last heard."""
         heard_group = self.node.find("gossip").get(f"group/{part}")
-        return group_from_wire(heard_group or self.founding()["groups"][part])
+        wire_group = heard_group or self.founding()["groups"][part]
+        decoded = self.decoded_groups.get(part)
+        if decoded is None or decoded.wire_group is not wire_group:
+            decoded = DecodedGroup(wire_group, group_from_wire(wire_group))
+            self.decoded_groups[part] = decoded
+        return decoded.group
 
     def size(self) -> int:
         """Return how many stores a full group has."""
--- a/quillring/plans/api.py
+++ b/quillring/plans/api.py
@@ -60,7 +60,7 @@
         [
             ReplicaLoad.from_heartbeat(fields)
             for fields in heartbeats
-            if replicas.is_heard(fields["name"])
+            if replicas.is_alive(fields["name"])
         ],
         {member.name: NodePlace(member.role, member.zone) for member in members},
     )
