--- a/tests/test_takeover_view.py
+++ b/tests/test_election_progress.py
@@ -4,7 +4,7 @@
 from quillring.quorum.leader.election_progress import ENDED, OWNED, STATE
 from quillring.verbs.part_routes import show_parts
 from tests.http_lot_stage import HttpLotStage
-from tests.test_takeover import LINK, filled, lose_all_power
+from tests.test_elections import LINK, filled, lose_all_power
 
 
 def parts_seen(stage, node):
--- a/tests/test_first_start.py
+++ b/tests/test_first_start.py
@@ -4,7 +4,7 @@
 
 from tests.fleet_stage import SelfFounded
 from tests.test_founding_bootstrap import all_owned
-from tests.test_repair import ordered_zones, zone_order
+from tests.test_membership_repair import ordered_zones, zone_order
 
 SIZES = {"sizes": {"edge": 2, "core": 4, "store": 4}}
 LARGE = {"sizes": {"edge": 2, "core": 4, "store": 8}}
--- a/tests/test_catchup.py
+++ b/tests/test_follower_catch_up.py
@@ -1,7 +1,7 @@
 import pytest
 
 from tests.fleet_stage import SelfFounded
-from tests.test_repair import is_whole, members, owners, zone_order
+from tests.test_membership_repair import is_whole, members, owners, zone_order
 
 
 def total(stage, name):
--- a/tests/test_late_retirements.py
+++ b/tests/test_late_retirements.py
@@ -4,7 +4,7 @@
 
 from quillring.rollout.operator_orders import is_retired
 from tests.fleet_stage import SelfFounded
-from tests.test_repair import is_whole, members
+from tests.test_membership_repair import is_whole, members
 
 LARGE = {"sizes": {"edge": 2, "core": 5, "store": 14}}
 FIVE = {"sizes": {"edge": 1, "core": 4, "store": 5}}
--- a/tests/test_removed_members.py
+++ b/tests/test_removed_members.py
@@ -8,7 +8,7 @@
 from quillring.quorum.leader.follower_read import read_from_majority
 from quillring.quorum.parts import CONFIG, majority
 from tests.fleet_stage import SelfFounded
-from tests.test_repair import members, zone_order
+from tests.test_membership_repair import members, zone_order
 
 SIX = {"sizes": {"edge": 2, "core": 4, "store": 6}}
 ASKED = {"ask": "edition"}
--- a/tests/test_retirement.py
+++ b/tests/test_retirement.py
@@ -10,7 +10,7 @@
 from quillring.quorum.leader.membership_repair import MembershipRepair
 from quillring.rollout.operator_orders import is_retired
 from tests.fleet_stage import SelfFounded
-from tests.test_repair import PARTS, is_whole, members, owners, zone_order
+from tests.test_membership_repair import PARTS, is_whole, members, owners, zone_order
 
 FIVE = {"sizes": {"edge": 1, "core": 4, "store": 5}}
 
--- a/tests/test_second_loss.py
+++ b/tests/test_second_loss.py
@@ -7,7 +7,7 @@
 from proving.sim import repair_time
 from quillring.quorum.leader import catch_up
 from tests.fleet_stage import SelfFounded
-from tests.test_repair import is_whole, members, owners, zone_order
+from tests.test_membership_repair import is_whole, members, owners, zone_order
 
 PART = "config"
 
--- a/tests/test_transfer.py
+++ b/tests/test_transfer.py
@@ -21,7 +21,7 @@
 )
 from quillring.quorum.values import GroupMember
 from tests.fleet_stage import SelfFounded
-from tests.test_repair import is_whole, members, owners, zone_order
+from tests.test_membership_repair import is_whole, members, owners, zone_order
 
 NEWS = SimpleNamespace(propagation=2.0, read_timeout=1.0)
 ROSTER = SimpleNamespace(members={})
