--- /dev/null
+++ b/tests/test_registered_commands.py
@@ -0,0 +1,58 @@
+"""A process that loads the fleet knows every command and query that may stand in a log."""
+
+import json
+import subprocess
+import sys
+
+LIST = """
+import json
+import quillring.fleet
+from quillring.quorum.commands import COMMANDS, QUERIES
+print(json.dumps([COMMANDS.names(), QUERIES.names()]))
+"""
+COMMANDS = [
+    "domain.mark",
+    "edition.adopt",
+    "group.change",
+    "layout.adopt",
+    "lot.accept",
+    "lot.cancel",
+    "lot.drop",
+    "lot.release",
+    "lot.result",
+    "lot.start",
+    "plan.confirm",
+    "plan.propose",
+    "plan.step",
+    "plan.stop",
+    "raw.accept",
+    "raw.drop",
+    "raw.end",
+    "raw.expire",
+    "raw.failed",
+    "raw.fence",
+    "raw.release",
+    "raw.reserve",
+    "raw.result",
+    "store.mark",
+]
+QUERIES = [
+    "edition",
+    "layout",
+    "lot.fence",
+    "lot.results",
+    "lot.status",
+    "plan",
+    "plans",
+    "raw.body",
+    "raw.known",
+    "raw.results",
+    "version",
+]
+
+
+def test_loading_the_fleet_registers_all_commands_and_queries():
+    listed = subprocess.run(
+        [sys.executable, "-c", LIST], capture_output=True, text=True, check=True
+    )
+    assert json.loads(listed.stdout) == [COMMANDS, QUERIES]
