--- a/proving/points/callers.py
+++ b/proving/points/callers.py
@@ -9,10 +9,10 @@
 from quillring.forward.request_handler import forward_request
 from quillring.forward.route_table import ForwardRoute
 from quillring.kernel.bounds import Bounds
-from quillring.kernel.connections import Pool
+from quillring.kernel.connection_pool import ConnectionPool
 from quillring.kernel.effects import SendRequest
 from quillring.kernel.errors import BackendError, OutcomeUnknown, QuillringError, Refused
-from quillring.kernel.http_client import Answer, send_request
+from quillring.kernel.http_client import ClientExchange, send_request
 from quillring.nifty import Member
 
 ADDRESS = ("10.0.0.1", 9000)
@@ -212,7 +212,10 @@
     (
         "an answer never reaches another caller",
         surplus_answers,
-        [(Answer, "_bears_our_id", lambda answer: True), (Pool, "take", take_any)],
+        [
+            (ClientExchange, "_bears_our_id", lambda answer: True),
+            (ConnectionPool, "take", take_any),
+        ],
     ),
     (
         "what may not repeat is sent once through resets and silences",
--- a/proving/tools/scripted_connection.py
+++ b/proving/tools/scripted_connection.py
@@ -2,8 +2,8 @@
 
 from itertools import pairwise
 
-from quillring.kernel import connections, http_client
-from quillring.kernel.connections import Connection, Pool
+from quillring.kernel import connection_pool, http_client
+from quillring.kernel.connection_pool import ConnectionPool, ReplicaConnection
 from quillring.kernel.errors import BackendError
 
 END, RESET = "end", "reset"
@@ -52,20 +52,20 @@
 
     def __init__(self):
         self.sockets = []
-        self.pool = Pool()
+        self.pool = ConnectionPool()
         self.old = {}
 
     def connect(self, address, seconds):
         """Return a new connection over a fake socket."""
         self.sockets.append(FakeSocket())
-        return Connection(tuple(address), self.sockets[-1])
+        return ReplicaConnection(tuple(address), self.sockets[-1])
 
     def start(self):
         """Take the place of the real connections."""
         self.old = {
             (http_client, "connect"): self.connect,
             (http_client, "POOL"): self.pool,
-            (connections, "is_readable"): lambda sock: bool(sock.arrived),
+            (connection_pool, "is_readable"): lambda sock: bool(sock.arrived),
         }
         for (module, name), stand_in in list(self.old.items()):
             self.old[module, name] = getattr(module, name)
--- a/proving/tools/standin.py
+++ b/proving/tools/standin.py
@@ -13,8 +13,8 @@
 from quillring.kernel import backend
 from quillring.kernel.effects import FetchJson
 from quillring.kernel.errors import QuillringError
-from quillring.kernel.http_server import start_server
 from quillring.kernel.settings import split_address
+from quillring.kernel.wsgi_server import start_wsgi_server
 
 PIECE_SECONDS = 0.004
 BEAT_SECONDS = 0.4
@@ -111,7 +111,7 @@
     """Run a stand-in replica that beats to whichever node takes it."""
     stand_in = StandIn(name, slots, warm_seconds, time.monotonic())
     stand_in.incarnation = time.time_ns() // 1000
-    server = start_server(split_address(address), Server(stand_in).app)
+    server = start_wsgi_server(split_address(address), Server(stand_in).app)
     stop_event = gevent.event.Event()
     gevent.signal_handler(signal.SIGTERM, stop_event.set)
     sequence, turn = 0, hash(name)
--- a/quillring/kernel/raw_connection.py
+++ b/quillring/kernel/client_connection.py
@@ -1,4 +1,4 @@
-"""One client connection of HTTP/1.1 where bytes pass unchanged; parsing is httptools'.
+"""One client's connection of HTTP/1.1 whose requests pass unchanged; parsing is httptools'.
 
 gevent's WSGI server stays for the product's own interface. It can't be used here: an answer has to
 be broken off without looking complete, a client's going away ends the replica's work, and the
@@ -15,16 +15,22 @@
 import gevent.socket
 import httptools
 
-from quillring.kernel.connections import is_readable
+from quillring.kernel.connection_pool import is_readable
 from quillring.kernel.errors import QuillringError
-from quillring.kernel.raw_http import BadClient, ClientGone, RawRequest, chunk, head_bytes
-from quillring.kernel.raw_reader import RequestReader
+from quillring.kernel.http_messages import (
+    ClientGone,
+    HttpRequest,
+    RequestRejected,
+    encode_chunk,
+    encode_head,
+)
+from quillring.kernel.http_request_reader import RequestReader
 
 if TYPE_CHECKING:
     from collections.abc import Generator
     from typing import Any
 
-    from quillring.kernel.raw_server import RawServer
+    from quillring.kernel.http_server import HttpServer
     from quillring.kernel.types import HeaderLines
 
 READ_SIZE = 65536
@@ -35,7 +41,7 @@
 CLIENT_GONE, NO_UPGRADE = "client gone", "no upgrade"
 
 
-class RawConnection:
+class ClientConnection:
     """One client's connection; requests on it are answered one after the other."""
 
     __slots__ = (
@@ -49,7 +55,7 @@
         "rests_since",
     )
 
-    def __init__(self, server: RawServer, sock: Any) -> None:
+    def __init__(self, server: HttpServer, sock: Any) -> None:
         self.server = server
         self.sock = sock
         self.reader = RequestReader(server, self._take, self._offer_to_go_on)
@@ -60,7 +66,7 @@
         self.can_read.set()
         self.rests_since = server.now()
 
-    def _take(self, request: RawRequest) -> None:
+    def _take(self, request: HttpRequest) -> None:
         self.requests.put(request)
         if self.requests.qsize() >= PIPELINED:
             self.can_read.clear()
@@ -83,7 +89,7 @@
         except OSError:
             return
 
-    def _read_to_end(self) -> BadClient | str:
+    def _read_to_end(self) -> RequestRejected | str:
         """Return why nothing more is read: CLIENT_GONE, NO_UPGRADE or what the client did wrong."""
         try:
             while True:
@@ -103,7 +109,7 @@
             cause = error.__context__
             if isinstance(cause, OSError):
                 return CLIENT_GONE
-            return cause if isinstance(cause, BadClient) else BadClient(status=400)
+            return cause if isinstance(cause, RequestRejected) else RequestRejected(status=400)
 
     def _receive(self) -> bytes | None:
         """Return the next bytes, b"" at the client's end, or None when the time for them is over.
@@ -123,12 +129,12 @@
             return data
         return None
 
-    def _end_of_time(self) -> BadClient | str | None:
+    def _end_of_time(self) -> RequestRejected | str | None:
         """Return why nothing more is waited for, or None while the client has time left."""
         if self._is_busy() or is_readable(self.sock):
             return None
         if self.reader.is_reading:
-            return BadClient(status=408)
+            return RequestRejected(status=408)
         return CLIENT_GONE if self._rest_left() <= 0 else None
 
     def _is_busy(self) -> bool:
@@ -155,7 +161,7 @@
                 self.can_read.set()
                 if self.is_gone:
                     return
-                if not isinstance(request, RawRequest):
+                if not isinstance(request, HttpRequest):
                     self._send_refusal(request)
                     return
                 self.handler = gevent.spawn(self._answer, request)
@@ -170,10 +176,10 @@
             reading.kill(block=False)
             self.sock.close()
 
-    def _send_refusal(self, end: BadClient | str) -> None:
-        if isinstance(end, BadClient):
+    def _send_refusal(self, end: RequestRejected | str) -> None:
+        if isinstance(end, RequestRejected):
             headers = [("Content-Length", "0"), ("Connection", "close")]
-            self._send(head_bytes(end.detail["status"], headers))
+            self._send(encode_head(end.detail["status"], headers))
 
     def _send(self, data: bytes) -> None:
         try:
@@ -181,7 +187,7 @@
         except OSError as error:
             raise ClientGone() from error
 
-    def _answer(self, request: RawRequest) -> bool:
+    def _answer(self, request: HttpRequest) -> bool:
         """Answer one request; return True when the connection may serve another."""
         node = self.server.node
         node.under_way += 1
@@ -199,7 +205,7 @@
             if lines is not None:
                 lines.close()
 
-    def _send_lines(self, request: RawRequest, lines: Generator[Any, None, Any]) -> bool:
+    def _send_lines(self, request: HttpRequest, lines: Generator[Any, None, Any]) -> bool:
         """Send what the handler emits as a stream, or its value as a whole answer."""
         has_head = False
         while True:
@@ -213,28 +219,28 @@
                 self._send(LAST_CHUNK)
                 return self._is_kept(request)
             if has_head:
-                self._send(chunk(line) if line else b"")
+                self._send(encode_chunk(line) if line else b"")
             else:
                 has_head = True
                 self._send_head(request, *line)
 
     def _send_head(
-        self, request: RawRequest, status: int, headers: HeaderLines, body: bytes
+        self, request: HttpRequest, status: int, headers: HeaderLines, body: bytes
     ) -> None:
         keeping = self._keeping(self._is_kept(request))
-        head = head_bytes(status, [*headers, ("Transfer-Encoding", "chunked"), *keeping])
-        self._send(head + (chunk(body) if body else b""))
+        head = encode_head(status, [*headers, ("Transfer-Encoding", "chunked"), *keeping])
+        self._send(head + (encode_chunk(body) if body else b""))
 
     def _send_whole(
-        self, request: RawRequest, status: int, headers: HeaderLines, body: bytes
+        self, request: HttpRequest, status: int, headers: HeaderLines, body: bytes
     ) -> bool:
         is_kept = self._is_kept(request)
         length = ("Content-Length", str(len(body)))
-        head = head_bytes(status, [*headers, length, *self._keeping(is_kept)])
+        head = encode_head(status, [*headers, length, *self._keeping(is_kept)])
         self._send(head + (b"" if request.method == "HEAD" else body))
         return is_kept
 
-    def _is_kept(self, request: RawRequest) -> bool:
+    def _is_kept(self, request: HttpRequest) -> bool:
         return request.is_kept and not self.server.node.is_draining
 
     def _keeping(self, is_kept: bool) -> HeaderLines:
--- a/quillring/kernel/connections.py
+++ b/quillring/kernel/connection_pool.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from typing import Any
 
-    from quillring.kernel.http_client import Answer
+    from quillring.kernel.http_client import ClientExchange
     from quillring.kernel.types import Address
 
     AnswerId = tuple[str, str | None]
@@ -25,7 +25,7 @@
 CARRIED_LIMIT = 1000
 
 
-class Connection:
+class ReplicaConnection:
     """A connection to a replica and the parser of what comes back on it."""
 
     __slots__ = ("address", "sock", "parser", "answer", "idle_until", "was_used", "carried_ids")
@@ -34,7 +34,7 @@
         self.address = address
         self.sock = sock
         self.parser = httptools.HttpResponseParser(self)
-        self.answer: Answer
+        self.answer: ClientExchange
         self.idle_until: float = 0
         self.was_used = False
         self.carried_ids: set[AnswerId] = set()
@@ -64,15 +64,15 @@
         self.sock.close()
 
 
-class Pool:
+class ConnectionPool:
     """Connections kept open by address, the latest used again first."""
 
     __slots__ = ("idle",)
 
     def __init__(self) -> None:
-        self.idle: dict[Address, list[Connection]] = {}
+        self.idle: dict[Address, list[ReplicaConnection]] = {}
 
-    def take(self, address: Address, answer_id: AnswerId | None = None) -> Connection | None:
+    def take(self, address: Address, answer_id: AnswerId | None = None) -> ReplicaConnection | None:
         """Return a kept connection that is sound by all that can be seen, or None.
 
         One that has carried the id before is closed: a late copy of that answer would be taken for
@@ -91,7 +91,7 @@
             connection.close()
         return None
 
-    def put(self, connection: Connection, keep_seconds: float) -> None:
+    def put(self, connection: ReplicaConnection, keep_seconds: float) -> None:
         """Keep a connection whose last answer was read whole, up to CARRIED_LIMIT requests."""
         if len(connection.carried_ids) >= CARRIED_LIMIT:
             connection.close()
@@ -114,7 +114,7 @@
         self.idle = {address: kept for address, kept in self.idle.items() if kept}
 
 
-POOL = Pool()
+POOL = ConnectionPool()
 
 
 def is_readable(sock: Any) -> bool:
@@ -128,7 +128,7 @@
     return bool(may_read), bool(may_write)
 
 
-def connect(address: Address, seconds: float) -> Connection:
+def connect(address: Address, seconds: float) -> ReplicaConnection:
     """Return a new connection to an address, or raise NotSent."""
     try:
         sock = gevent.socket.create_connection(
@@ -138,4 +138,4 @@
         raise NotSent(address=list(address), reason=type(error).__name__) from error
     sock.settimeout(None)
     sock.setsockopt(gevent.socket.IPPROTO_TCP, gevent.socket.TCP_NODELAY, 1)
-    return Connection((address[0], address[1]), sock)
+    return ReplicaConnection((address[0], address[1]), sock)
--- a/quillring/kernel/effects.py
+++ b/quillring/kernel/effects.py
@@ -14,7 +14,7 @@
     from typing import Any
 
     from quillring.kernel.backend import Handle
-    from quillring.kernel.http_client import Answer
+    from quillring.kernel.http_client import ClientExchange
     from quillring.kernel.types import Address
 
 
@@ -119,7 +119,7 @@
 
     __slots__ = ("handle", "seconds")
 
-    def __init__(self, handle: Answer, seconds: float) -> None:
+    def __init__(self, handle: ClientExchange, seconds: float) -> None:
         self.handle = handle
         self.seconds = seconds
 
@@ -129,7 +129,7 @@
 
     __slots__ = ("handle", "seconds")
 
-    def __init__(self, handle: Answer, seconds: float) -> None:
+    def __init__(self, handle: ClientExchange, seconds: float) -> None:
         self.handle = handle
         self.seconds = seconds
 
--- a/quillring/kernel/gevent_runtime.py
+++ b/quillring/kernel/gevent_runtime.py
@@ -28,7 +28,7 @@
 )
 from quillring.kernel.errors import QuillringError
 from quillring.kernel.lazy import lazy_module
-from quillring.kernel.steps import Steps
+from quillring.kernel.timer_coalescing import TimerCoalescer
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Generator
@@ -56,7 +56,7 @@
         "report",
         "frame_timeout",
         "on_refused",
-        "steps",
+        "timers",
     )
 
     def __init__(self, report: Callable[[Exception], object], frame_timeout: float) -> None:
@@ -66,7 +66,7 @@
         self.report = report
         self.frame_timeout = frame_timeout
         self.on_refused: Callable[[Address], object] = lambda address: None
-        self.steps = Steps(time.monotonic(), REST_SECONDS)
+        self.timers = TimerCoalescer(time.monotonic(), REST_SECONDS)
 
     def now(self) -> float:
         """Return monotonic seconds."""
@@ -86,7 +86,7 @@
         gevent.spawn(
             self.datagrams.run,
             lambda data: self._guard(on_datagram, data),
-            lambda: self.sleep(self.steps.seconds),
+            lambda: self.sleep(self.timers.seconds),
         )
         server = gevent.server.StreamServer(
             (host, port), lambda conn, _: self._read_frames(conn, on_frame)
@@ -202,7 +202,7 @@
 
     def sleep(self, seconds: float) -> None:
         """Sleep until a step near to then: what wakes together costs one wake."""
-        gevent.sleep(self.steps.seconds_to(time.monotonic(), seconds))
+        gevent.sleep(self.timers.aligned_seconds(time.monotonic(), seconds))
 
     def _wait(self, signal: Signal, seconds: float) -> bool:
         if signal.is_set:
--- a/quillring/kernel/http_client.py
+++ b/quillring/kernel/http_client.py
@@ -14,11 +14,11 @@
 import gevent
 import httptools
 
-from quillring.kernel.connections import POOL, connect, wait_for_either
+from quillring.kernel.connection_pool import POOL, connect, wait_for_either
 from quillring.kernel.errors import BackendError, NotSent, StaleConnection
 
 if TYPE_CHECKING:
-    from quillring.kernel.connections import Connection
+    from quillring.kernel.connection_pool import ReplicaConnection
     from quillring.kernel.effects import SendRequest
 
 READ_SIZE = 65536
@@ -27,7 +27,7 @@
 HEAD_METHOD = b"HEAD "
 
 
-class Answer:
+class ClientExchange:
     """One answer under way: its head, and its body part by part."""
 
     __slots__ = (
@@ -49,7 +49,7 @@
         "is_written",
     )
 
-    def __init__(self, connection: Connection, effect: SendRequest) -> None:
+    def __init__(self, connection: ReplicaConnection, effect: SendRequest) -> None:
         self.connection = connection
         self.effect = effect
         self.answer_id = effect.answer_id
@@ -201,7 +201,7 @@
             self.connection.close()
 
 
-def send_request(effect: SendRequest) -> Answer:
+def send_request(effect: SendRequest) -> ClientExchange:
     """Send a request on a kept or a new connection and return the handle of its answer.
 
     Without an id no answer could be told from a surplus one, so that such a request gets a new
@@ -214,7 +214,7 @@
         POOL.take((effect.address[0], effect.address[1]), effect.answer_id) if may_reuse else None
     )
     if kept is not None:
-        answer = Answer(kept, effect)
+        answer = ClientExchange(kept, effect)
         try:
             answer.write_until(end_time)
             return answer
@@ -225,7 +225,7 @@
         except BaseException:
             kept.close()
             raise
-    answer = Answer(connect(effect.address, end_time - time.monotonic()), effect)
+    answer = ClientExchange(connect(effect.address, end_time - time.monotonic()), effect)
     try:
         answer.write_until(end_time)
     except BaseException:
--- a/quillring/kernel/raw_http.py
+++ b/quillring/kernel/http_messages.py
@@ -1,4 +1,4 @@
-"""Requests and answers as bytes: what a client sent, within which limits, and what goes back."""
+"""HTTP/1.1 requests as a client sent them, their limits, and the encoding of responses."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
     from quillring.kernel.types import HeaderLines
 
-WORDS = {
+REASON_PHRASES = {
     200: "OK",
     202: "Accepted",
     400: "Bad Request",
@@ -31,8 +31,15 @@
 }
 
 
-class RawLimits:
-    """What a client may send, and how long it may take, in bytes and seconds."""
+class HttpLimits:
+    """What a client may send, and how long it may take.
+
+    Attributes
+    ----------
+    head_bytes, body_bytes : longest head and body of a request
+    head_seconds : longest time for the rest of a request that has begun
+    idle_seconds : longest rest between two requests on one connection
+    """
 
     __slots__ = ("head_bytes", "body_bytes", "head_seconds", "idle_seconds")
 
@@ -49,7 +56,7 @@
         self.idle_seconds = idle_seconds
 
 
-class RawRequest:
+class HttpRequest:
     """One request as it came: method, target, header lines, body and when its end was read."""
 
     __slots__ = ("method", "target", "lines", "headers", "body", "is_kept", "arrived_at")
@@ -72,22 +79,22 @@
         self.arrived_at = arrived_at
 
 
-class BadClient(QuillringError):
-    """The client sent what is no request within the limits."""
+class RequestRejected(QuillringError):
+    """The client sent what is no HTTP request within the limits; it gets the status and a close."""
 
     kind = "bad_client"
     status = 400
 
 
-def head_bytes(status: int, headers: Iterable[tuple[str, str]]) -> bytes:
-    """Return the head of an answer."""
-    lines = [f"HTTP/1.1 {status} {WORDS.get(status, 'Status')}"]
+def encode_head(status: int, headers: Iterable[tuple[str, str]]) -> bytes:
+    """Return the status line and headers of a response, with the empty line after them."""
+    lines = [f"HTTP/1.1 {status} {REASON_PHRASES.get(status, 'Status')}"]
     lines.extend(f"{name}: {value}" for name, value in headers)
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
 
 
-def chunk(data: bytes) -> bytes:
-    """Return the bytes of one chunk."""
+def encode_chunk(data: bytes) -> bytes:
+    """Return one chunk of a body in chunked transfer coding (RFC 9112, section 7.1)."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
--- a/quillring/kernel/raw_reader.py
+++ b/quillring/kernel/http_request_reader.py
@@ -6,12 +6,12 @@
 
 import httptools
 
-from quillring.kernel.raw_http import BadClient, RawRequest
+from quillring.kernel.http_messages import HttpRequest, RequestRejected
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from quillring.kernel.raw_server import RawServer
+    from quillring.kernel.http_server import HttpServer
     from quillring.kernel.types import HeaderLines
 
 
@@ -38,8 +38,8 @@
 
     def __init__(
         self,
-        server: RawServer,
-        take: Callable[[RawRequest], object],
+        server: HttpServer,
+        take: Callable[[HttpRequest], object],
         offer_to_go_on: Callable[[], object],
     ) -> None:
         self.server = server
@@ -78,7 +78,7 @@
     def _grow_head(self, size: int) -> None:
         self.head_size += size
         if self.head_size > self.server.limits().head_bytes:
-            raise BadClient(status=431)
+            raise RequestRejected(status=431)
 
     def on_headers_complete(self) -> None:
         """Take the end of the head; ask for the body where the client waits for that."""
@@ -92,16 +92,16 @@
         self.owes_interim = False
         self.body_size += len(data)
         if self.body_size > self.server.limits().body_bytes:
-            raise BadClient(status=413)
+            raise RequestRejected(status=413)
         self.body.append(data)
 
     def on_message_complete(self) -> None:
         """Take the end of a request; no upgrade is made, and a tunnel is refused."""
         method = self.parser.get_method().decode("latin-1")
         if method == "CONNECT":
-            raise BadClient(status=400)
+            raise RequestRejected(status=400)
         self.take(
-            RawRequest(
+            HttpRequest(
                 method,
                 self.target.decode("latin-1"),
                 self.lines,
--- a/quillring/kernel/http_server.py
+++ b/quillring/kernel/http_server.py
@@ -1,26 +1,67 @@
-"""The listening side of HTTP/1.1, by gevent's WSGI server."""
+"""The server side of HTTP/1.1 that passes requests on unchanged."""
 
 from __future__ import annotations
 
-import socket
 from typing import TYPE_CHECKING
 
-from gevent.pywsgi import WSGIServer
+import gevent.server
+import gevent.socket
+
+from quillring.kernel.client_connection import ClientConnection
+from quillring.kernel.errors import QuillringError
 
 if TYPE_CHECKING:
+    from collections.abc import Callable
     from typing import Any
 
-    from quillring.kernel.types import Address
+    from quillring.kernel.http_messages import HttpLimits, HttpRequest
+    from quillring.kernel.node import Node
+    from quillring.kernel.types import Address, Coroutine
+
+    RequestHandler = Callable[[Node, HttpRequest], Coroutine]
 
 
-def start_server(address: Address, app: Any, error_log: Any = None) -> Any:
-    """Start serving the application at an address.
+class HttpServer:
+    """A listening address whose requests a coroutine answers.
 
-    The server sends head and body apart; accepted connections inherit that neither waits for the
-    other's acknowledgement.
+    `handle(node, request)` is a coroutine: it emits (status, headers, first bytes) and then body
+    bytes, or returns (status, headers, body) at once; an error, or an answer that is returned
+    after a head went out, closes the connection.
     """
-    server = WSGIServer(address, app, log=None, error_log=error_log)
-    server.init_socket()
-    server.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    server.start()
-    return server
+
+    __slots__ = ("node", "handle", "limits", "report", "server")
+
+    def __init__(
+        self,
+        node: Node,
+        handle: RequestHandler,
+        limits: Callable[[], HttpLimits],
+        report: Callable[[Exception], object],
+    ) -> None:
+        self.node = node
+        self.handle = handle
+        self.limits = limits
+        self.report = report
+        self.server: Any = None
+
+    def now(self) -> float:
+        """Return the node's time."""
+        return self.node.now()
+
+    def start(self, address: Address) -> HttpServer:
+        """Listen at an address."""
+        self.server = gevent.server.StreamServer(tuple(address), self._serve, backlog=1024)
+        self.server.init_socket()
+        self.server.socket.setsockopt(gevent.socket.IPPROTO_TCP, gevent.socket.TCP_NODELAY, 1)
+        self.server.start()
+        return self
+
+    def _serve(self, sock: Any, _: Address) -> None:
+        try:
+            ClientConnection(self, sock).run()
+        except (OSError, QuillringError):
+            return
+
+    def stop(self) -> None:
+        """Listen no more."""
+        self.server.stop(timeout=0)
--- a/quillring/verbs/process.py
+++ b/quillring/verbs/process.py
@@ -10,10 +10,10 @@
 from quillring.fleet import make_node, open_store, start_node
 from quillring.kernel.errors import QuillringError
 from quillring.kernel.gevent_runtime import GeventRuntime
-from quillring.kernel.http_server import start_server
 from quillring.kernel.ringlog import ring_log
-from quillring.kernel.steps import Steps
+from quillring.kernel.timer_coalescing import TimerCoalescer
 from quillring.kernel.wsgi import make_app
+from quillring.kernel.wsgi_server import start_wsgi_server
 from quillring.nifty import Member
 from quillring.quorum.founding.bootstrap import found_at_first_start
 from quillring.store import FolderDisk
@@ -86,14 +86,15 @@
         acceptors.identity if acceptors else "",
     )
     runtime = make_world(lambda error: node_logger.error("failure", exc_info=error), 1.0)
-    runtime.steps = Steps(runtime.now(), settings.bounds.gossip_interval / STEPS_A_CHATTER)
+    step_seconds = settings.bounds.gossip_interval / STEPS_A_CHATTER
+    runtime.timers = TimerCoalescer(runtime.now(), step_seconds)
     node = make_node(me, runtime, settings.seeds, settings.bounds, log)
     node.offer("ring", ring_handler)
     start_node(node, acceptors)
     nifty = node.find("nifty")
     runtime.on_refused = nifty.on_refused
     runtime.listen(*settings.address, nifty.on_datagram, nifty.on_frame)
-    server = start_server(settings.http_address, make_app(node), node_logger)
+    server = start_wsgi_server(settings.http_address, make_app(node), node_logger)
     servers = [*open_more(node, runtime.report), server]
     elector = node.find("elector")
     elector.is_first_start, elector.witness = settings.bootstrap, settings.witness
--- a/tests/test_backend.py
+++ b/tests/test_backend.py
@@ -9,7 +9,7 @@
 from quillring.kernel import backend
 from quillring.kernel.effects import FetchJson, OpenStream
 from quillring.kernel.errors import BackendError, NotSent
-from quillring.kernel.http_server import start_server
+from quillring.kernel.wsgi_server import start_wsgi_server
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ntrue"
 
@@ -77,7 +77,7 @@
 
 
 def test_answers_do_not_wait_for_acknowledgements():
-    server = start_server(("127.0.0.1", 0), lambda environ, start: [])
+    server = start_wsgi_server(("127.0.0.1", 0), lambda environ, start: [])
     assert server.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
     server.stop()
 
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -6,8 +6,8 @@
 import gevent.socket
 import pytest
 
-from quillring.kernel.raw_connection import RawConnection
-from quillring.kernel.raw_http import RawLimits
+from quillring.kernel.client_connection import ClientConnection
+from quillring.kernel.http_messages import HttpLimits
 
 ORDER = b"POST /orders/1 HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"
 
@@ -22,7 +22,7 @@
         self.is_draining = False
 
     def limits(self):
-        return RawLimits()
+        return HttpLimits()
 
     def now(self):
         return 0.0
@@ -48,7 +48,7 @@
         far.close()
     server = StandInServer()
     sock = gevent.socket.socket(near.family, near.type, fileno=near.detach())
-    connection = gevent.spawn(RawConnection(server, sock).run)
+    connection = gevent.spawn(ClientConnection(server, sock).run)
     while not has_gone and len(server.asked) < count:
         gevent.idle()
     far.close()
--- a/tests/test_connection_machine.py
+++ b/tests/test_connection_machine.py
@@ -10,10 +10,10 @@
 
 from proving.tools.scripted_connection import END, RESET, FakeWire
 from quillring.kernel import http_client
-from quillring.kernel.connections import Pool
+from quillring.kernel.connection_pool import ConnectionPool
 from quillring.kernel.effects import SendRequest
 from quillring.kernel.errors import BackendError
-from quillring.kernel.http_client import Answer, send_request
+from quillring.kernel.http_client import ClientExchange, send_request
 from tests.profiles import profile
 from tests.scripted_peer import ID_HEADER, request
 
@@ -185,9 +185,9 @@
 @pytest.mark.parametrize(
     "guards",
     [
-        [(Answer, "_bears_our_id", lambda answer: True)],
-        [(Pool, "take", take_any)],
-        [(Pool, "take", take_any), (Answer, "close", keep_always)],
+        [(ClientExchange, "_bears_our_id", lambda answer: True)],
+        [(ConnectionPool, "take", take_any)],
+        [(ConnectionPool, "take", take_any), (ClientExchange, "close", keep_always)],
     ],
     ids=["ids of answers", "ids of connections", "unread answers"],
 )
--- a/tests/test_newer_calls.py
+++ b/tests/test_newer_calls.py
@@ -8,7 +8,7 @@
 from quillring.fleet import make_node
 from quillring.forward import HeaderNames
 from quillring.kernel.bounds import Bounds
-from quillring.kernel.raw_http import RawRequest
+from quillring.kernel.http_messages import HttpRequest
 from quillring.nifty import Member
 from tests.fleet_stage import SelfFounded
 from tests.system_calls import WHOLE, handle_ctl, replace
@@ -33,7 +33,7 @@
         Member("e", 1, "edge", "north", "10.0.0.9", 7000, 7001, ""), runtime, [], Bounds()
     )
     node.offer("dialect", HeaderNames())
-    raw = RawRequest(method, target, [("Host", "h"), ("X-Inquiry", "1")], b"{}", True, node.now())
+    raw = HttpRequest(method, target, [("Host", "h"), ("X-Inquiry", "1")], b"{}", True, node.now())
     status, headers, _ = runtime.run(handle_client(node, raw))
     assert status == 503 and "Retry-After" in dict(headers)
     assert runtime.run(handle_ready(node, raw))[0] == 503
--- a/tests/test_pipelining_machine.py
+++ b/tests/test_pipelining_machine.py
@@ -10,14 +10,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from quillring.kernel import raw_connection
+from quillring.kernel import client_connection
+from quillring.kernel.client_connection import ClientConnection
 from quillring.kernel.effects import SendToClient
 from quillring.kernel.errors import QuillringError
 from quillring.kernel.gevent_runtime import GeventRuntime
+from quillring.kernel.http_messages import HttpLimits
+from quillring.kernel.http_request_reader import RequestReader
 from quillring.kernel.node import Node
-from quillring.kernel.raw_connection import RawConnection
-from quillring.kernel.raw_http import RawLimits
-from quillring.kernel.raw_reader import RequestReader
 from quillring.nifty import Member
 from tests.profiles import profile
 
@@ -38,7 +38,7 @@
         )
 
     def limits(self):
-        return RawLimits(idle_seconds=30, head_seconds=30)
+        return HttpLimits(idle_seconds=30, head_seconds=30)
 
     def now(self):
         return 0.0
@@ -113,7 +113,7 @@
     """
     server = Server()
     ours, theirs = gevent.socket.socketpair()
-    connection = gevent.spawn(RawConnection(server, theirs).run)
+    connection = gevent.spawn(ClientConnection(server, theirs).run)
     pieces = [request_bytes(n, way, form) for n, (way, form) in enumerate(requests)]
     data = b"".join(pieces)
     sent = data[:length]
@@ -208,18 +208,18 @@
     """Stand-in for the guard: a stream that fails late ends like a whole one."""
     result = REAL_SEND_LINES(connection, request, lines)
     if not result:
-        connection._send(raw_connection.LAST_CHUNK)
+        connection._send(client_connection.LAST_CHUNK)
     return True
 
 
-REAL_SEND_LINES = RawConnection._send_lines
+REAL_SEND_LINES = ClientConnection._send_lines
 
 
 @pytest.mark.parametrize(
     "target, name, stand_in",
     [
         (RequestReader, "on_headers_complete", hand_on_early),
-        (RawConnection, "_send_lines", never_unsound),
+        (ClientConnection, "_send_lines", never_unsound),
     ],
 )
 def test_each_guard_taken_out_is_found(target, name, stand_in):
--- a/tests/test_raw_clients.py
+++ b/tests/test_raw_clients.py
@@ -8,10 +8,10 @@
 import pytest
 from gevent import select
 
+from quillring.kernel.client_connection import ClientConnection
 from quillring.kernel.effects import SendToClient, Signal, Wait
 from quillring.kernel.errors import QuillringError
-from quillring.kernel.raw_connection import RawConnection
-from quillring.kernel.raw_server import RawServer
+from quillring.kernel.http_server import HttpServer
 from tests.test_raw_server import Client, echo, serve  # noqa: F401
 
 GET = b"GET /%s HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -149,7 +149,7 @@
 
 def test_a_request_that_came_while_the_process_was_frozen_is_served(serve):  # noqa: F811
     clock, has_slept = [100.0], []
-    receive = RawConnection._receive
+    receive = ClientConnection._receive
 
     def sleep_through(connection):
         if has_slept:
@@ -160,8 +160,8 @@
         return None
 
     with (
-        mock.patch.object(RawServer, "now", lambda server: clock[0]),
-        mock.patch.object(RawConnection, "_receive", sleep_through),
+        mock.patch.object(HttpServer, "now", lambda server: clock[0]),
+        mock.patch.object(ClientConnection, "_receive", sleep_through),
     ):
         client = Client(serve(echo, idle_seconds=10))
         client.send(GET % b"a")
@@ -170,7 +170,7 @@
 
 def test_a_rest_counts_from_the_end_of_the_last_answer(serve):  # noqa: F811
     clock = [100.0]
-    with mock.patch.object(RawServer, "now", lambda server: clock[0]):
+    with mock.patch.object(HttpServer, "now", lambda server: clock[0]):
         stream = Stream()
         client = Client(serve(stream.handle, idle_seconds=0.02))
         client.send(GET % b"stream")
--- a/tests/test_raw_server.py
+++ b/tests/test_raw_server.py
@@ -7,9 +7,9 @@
 from quillring.kernel.errors import BackendError, QuillringError
 from quillring.kernel.gevent_runtime import GeventRuntime
 from quillring.kernel.http_client import send_request
+from quillring.kernel.http_messages import HttpLimits
+from quillring.kernel.http_server import HttpServer
 from quillring.kernel.node import Node
-from quillring.kernel.raw_http import RawLimits
-from quillring.kernel.raw_server import RawServer
 from quillring.nifty import Member
 
 
@@ -40,7 +40,7 @@
         faults = []
         runtime = GeventRuntime(faults.append, 1.0)
         node = Node(Member("n", 1, "edge", "north", "127.0.0.1", 1, 2, ""), runtime)
-        server = RawServer(node, handle, lambda: RawLimits(**limits), faults.append)
+        server = HttpServer(node, handle, lambda: HttpLimits(**limits), faults.append)
         servers.append(server.start(("127.0.0.1", 0)))
         return server
 
--- a/tests/test_steps.py
+++ b/tests/test_steps.py
@@ -5,7 +5,7 @@
 import pytest
 
 from quillring.kernel.bounds import Bounds
-from quillring.kernel.steps import EARLY_SHARE, Steps
+from quillring.kernel.timer_coalescing import EARLY_SHARE, TimerCoalescer
 from quillring.verbs.process import STEPS_A_CHATTER
 
 BOUNDS = Bounds(propagation=2.5)
@@ -21,9 +21,9 @@
 
 def wakes(period, count, chance, latest):
     """Return the moments at which a coroutine wakes that sleeps for a period again and again."""
-    steps, now, moments = Steps(7.25, STEP), 100.0 + chance.random(), []
+    steps, now, moments = TimerCoalescer(7.25, STEP), 100.0 + chance.random(), []
     for _ in range(count):
-        now += steps.seconds_to(now, period) + chance.uniform(0, latest)
+        now += steps.aligned_seconds(now, period) + chance.uniform(0, latest)
         moments.append(now)
     return moments
 
@@ -36,7 +36,7 @@
 
 
 def test_all_periods_wake_at_the_same_moments():
-    steps = Steps(7.25, STEP)
+    steps = TimerCoalescer(7.25, STEP)
     for period in PERIODS:
         for moment in wakes(period, 50, random.Random(4), 0):
             place = (moment - steps.start) / STEP
@@ -44,16 +44,16 @@
 
 
 def test_no_sleep_ends_more_than_a_quarter_of_a_step_early_or_a_step_late():
-    chance, steps = random.Random(5), Steps(3.5, STEP)
+    chance, steps = random.Random(5), TimerCoalescer(3.5, STEP)
     for _ in range(2000):
         now, seconds = chance.uniform(10, 1000), chance.uniform(STEP, 5)
-        over = steps.seconds_to(now, seconds) - seconds
+        over = steps.aligned_seconds(now, seconds) - seconds
         assert -STEP * EARLY_SHARE - 1e-9 <= over <= STEP
 
 
 @pytest.mark.parametrize("seconds", [0, 0.001, STEP * 0.99])
 def test_a_sleep_shorter_than_a_step_stays_as_it_is(seconds):
-    assert Steps(0, STEP).seconds_to(12.3, seconds) == seconds
+    assert TimerCoalescer(0, STEP).aligned_seconds(12.3, seconds) == seconds
 
 
 def test_a_step_is_a_small_share_of_the_heartbeat_period():
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -7,7 +7,7 @@
 from proving.sim.scripted_runtime import END
 from quillring.forward import HeaderNames
 from quillring.kernel.bounds import Bounds
-from quillring.kernel.raw_http import RawRequest
+from quillring.kernel.http_messages import HttpRequest
 from quillring.verbs import process
 from tests import platform_path  # noqa: F401
 from tests.forward_stage import PLAIN_HEAD, both, make
@@ -20,7 +20,7 @@
 
 def status_of(runtime, node, handle, method="POST", target="/a/x", **more):
     lines = [("Host", "h"), ("X-Inquiry", "q1"), *more.items()]
-    raw = RawRequest(method, target, lines, b"", True, node.now())
+    raw = HttpRequest(method, target, lines, b"", True, node.now())
     status, headers, _ = runtime.run(handle(node, raw))
     return status, dict(headers)
 
--- a/tests/test_wrong_caller.py
+++ b/tests/test_wrong_caller.py
@@ -6,7 +6,7 @@
 import pytest
 
 from quillring.kernel import http_client
-from quillring.kernel.connections import Connection, Pool
+from quillring.kernel.connection_pool import ConnectionPool, ReplicaConnection
 from quillring.kernel.effects import SendRequest
 from quillring.kernel.errors import BackendError, NotSent
 from quillring.kernel.http_client import send_request
@@ -106,8 +106,8 @@
 @pytest.mark.parametrize("unread", [answer(b"b", b"surplus"), b"x", None])
 def test_a_kept_connection_with_anything_unread_on_it_is_closed(unread):
     ours, theirs = gevent.socket.socketpair()
-    pool, address = Pool(), ("10.0.0.1", 9000)
-    pool.put(Connection(address, ours), 60)
+    pool, address = ConnectionPool(), ("10.0.0.1", 9000)
+    pool.put(ReplicaConnection(address, ours), 60)
     if unread is None:
         theirs.close()
     else:
