--- a/tests/mixed_fleet.py
+++ b/tests/mixed_fleet.py
@@ -86,9 +86,8 @@
         )
         acceptors = None
         if row["role"] == "store":
-            disk = self.disks.setdefault(name, SimDisk(random.Random(f"{self.seed} {name}")))
             acceptors = landed("quillring.fleet", "open_store")(
-                disk, name, lambda: f"{self.starts:04d}"
+                self.landed_disk(name), name, lambda: f"{self.starts:04d}"
             )
         identity = acceptors.identity if acceptors else ""
         me = landed("quillring.nifty", "Member")(
@@ -103,6 +102,13 @@
         self.nodes[name] = node
         return node
 
+    def landed_disk(self, name):
+        """Return the disk of a store with the steps it had in the landed version; one content."""
+        disk = self.disks.setdefault(name, SimDisk(random.Random(f"{self.seed} {name}")))
+        same_disk = landed("proving.sim.disk", "SimDisk")(disk.chance)
+        same_disk.durable, same_disk.pending = disk.durable, disk.pending
+        return same_disk
+
     def run_script(self, node, coroutine, sink=None):
         """Process: run a coroutine on a node; a landed error is returned as the present's."""
         try:
