--- a/quillring/verbs/checks.py
+++ b/quillring/verbs/checks.py
@@ -1,6 +1,9 @@
 """The verb that checks an operator's files before any process reads them."""
 
+from __future__ import annotations
+
 import sys
+from typing import TYPE_CHECKING, NamedTuple
 
 import click
 
@@ -10,8 +13,11 @@
 from quillring.rollout.configuration_versions import cross_faults
 from quillring.rollout.schema import EMPTY, find_faults
 
-FAULTY = 2
-COUNTED = ("classes", "services", "entries", "domains", "forwards")
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+EXIT_FAULTY = 2
+SUMMARY_SECTIONS = ("classes", "services", "entries", "domains", "forwards")
 OPERATOR_SECTIONS = ("edition", "forwards")
 
 
@@ -24,45 +30,55 @@
     type=click.Path(),
     help="Check a whole layout or an edition of it, too.",
 )
-def check_settings(path, layout_path):
+def check_settings(path: str | None, layout_path: str | None) -> None:
     """Check a settings file; every fault is told, and the exit code is 2 if there is one."""
     if path is None and layout_path is None:
         raise click.UsageError("name a settings file, a layout file with --layout, or both")
     checks = ((path, settings_report), (layout_path, configuration_report))
-    reports = [(name, *check(name)) for name, check in checks if name is not None]
-    for name, summary, faults in reports:
-        for fault in faults:
-            click.echo(f"{name}: {fault}", err=True)
-        if not faults:
-            click.echo(f"{name}: {summary}: no fault")
-    if any(faults for _, _, faults in reports):
-        sys.exit(FAULTY)
+    reports = [check(path) for path, check in checks if path is not None]
+    for report in reports:
+        for fault in report.faults:
+            click.echo(f"{report.path}: {fault}", err=True)
+        if not report.faults:
+            click.echo(f"{report.path}: {report.summary}: no fault")
+    if any(report.faults for report in reports):
+        sys.exit(EXIT_FAULTY)
+
+
+class FileReport(NamedTuple):
+    """What a file holds, in a few words, and its faults."""
+
+    path: str
+    summary: str
+    faults: Sequence[str]
 
 
-def settings_report(path):
-    """Return (summary, faults) of a settings file."""
-    summary, faults = "", []
+def settings_report(path: str) -> FileReport:
+    """Return the report on a settings file."""
+    summary: str = ""
+    faults: list[str] = []
     try:
         settings = read_settings(path, {})
         host, port = settings.address
         summary = f"{settings.role} {settings.name} in {settings.zone} at {host}:{port}"
     except* BadSetting as group:
-        faults = [error.detail["fault"] for error in group.exceptions]
-    return summary, faults
+        faults = [e.detail["fault"] for e in group.exceptions if isinstance(e, BadSetting)]
+    return FileReport(path, summary, faults)
 
 
-def configuration_report(path):
-    """Return (summary, faults) of a layout file; an edition may leave the other sections out."""
+def configuration_report(path: str) -> FileReport:
+    """Return the report on a layout file; an edition may leave the other sections out."""
     try:
         with open(path, encoding="utf-8") as configuration_file:
             configuration = parse_json(configuration_file.read())
     except (OSError, ValueError) as error:
-        return "", [f"layout: {error}"]
+        return FileReport(path, "", [f"layout: {error}"])
     if isinstance(configuration, dict) and any(name in configuration for name in OPERATOR_SECTIONS):
         configuration = {**EMPTY, "forwards": {}, **configuration}
     faults = find_faults(configuration)
     if not faults and "forwards" in configuration:
         faults = cross_faults(configuration)
     if faults:
-        return "", [f"{fault.field}: {fault.reason}" for fault in faults]
-    return ", ".join(f"{len(configuration.get(name, {}))} {name}" for name in COUNTED), []
+        return FileReport(path, "", [f"{fault.field}: {fault.reason}" for fault in faults])
+    counts = [f"{len(configuration.get(name, {}))} {name}" for name in SUMMARY_SECTIONS]
+    return FileReport(path, ", ".join(counts), [])
--- a/quillring/verbs/cli.py
+++ b/quillring/verbs/cli.py
@@ -1,31 +1,37 @@
 """The program: roles as subcommands, and the operator's verbs."""
 
+from __future__ import annotations
+
 import json
 import os
 import sys
+from typing import TYPE_CHECKING, Any
 
 import click
 
 from quillring.kernel.errors import BadSetting, QuillringError
-from quillring.kernel.settings import read_settings
+from quillring.kernel.settings import Settings, read_settings
 from quillring.verbs.checks import check_settings
 from quillring.verbs.client import ask
 from quillring.verbs.process import run_process
 from quillring.verbs.show import show_table
 
-USAGE_FAULT, REFUSED_FAULT, UNREACHABLE_FAULT = 2, 3, 4
+if TYPE_CHECKING:
+    from collections.abc import Callable, Sequence
+
+EXIT_USAGE, EXIT_REFUSED, EXIT_UNREACHABLE = 2, 3, 4
 
 
 @click.group()
 @click.version_option(package_name="quillring")
-def main():
+def main() -> None:
     """quillring: a serving tier with a batch interface."""
 
 
 main.add_command(check_settings)
 
 
-def role_command(role, text):
+def role_command(role: str, text: str) -> None:
     """Make the subcommand that runs a role."""
 
     @click.option("--settings", "path", type=click.Path(), help="Settings file (JSON).")
@@ -36,24 +42,22 @@
     @click.option("--seed", "seeds", multiple=True, help="IP:port of another process; up to 3.")
     @click.option("--folder", help="Data folder (store only).")
     @click.option("--log-file", "log_file", help="Where the ring log is written out.")
-    def run_role(path, **flags):
+    def run_role(path: str | None, **flags: Any) -> None:
         flags = {**flags, "role": role, "seeds": list(flags["seeds"])}
-        settings, faults = None, ()
+        settings: Settings | None = None
+        faults: Sequence[str] = ()
         try:
             settings = read_settings(path, flags)
         except* BadSetting as group:
-            faults = [error.detail["fault"] for error in group.exceptions]
-        if faults:
+            faults = [e.detail["fault"] for e in group.exceptions if isinstance(e, BadSetting)]
+        if faults or settings is None:
             click.echo("\n".join(f"quillring {role}: {fault}" for fault in faults), err=True)
-            sys.exit(USAGE_FAULT)
+            sys.exit(EXIT_USAGE)
         try:
             run_process(settings, lambda: read_settings(path, flags))
-        except QuillringError as error:
-            click.echo(f"quillring {role}: {error}", err=True)
-            sys.exit(REFUSED_FAULT)
-        except OSError as error:
+        except (QuillringError, OSError) as error:
             click.echo(f"quillring {role}: {error}", err=True)
-            sys.exit(REFUSED_FAULT)
+            sys.exit(EXIT_REFUSED)
 
     main.command(role, help=text)(run_role)
 
@@ -63,7 +67,7 @@
 role_command("store", "Run a store: it keeps lots, results and layouts on disk.")
 
 
-def node_options(function):
+def node_options(function: Callable[..., None]) -> Callable[..., None]:
     """Add the options every operator's verb has."""
     function = click.option("--json", "as_json", is_flag=True, help="Print JSON.")(function)
     return click.option(
@@ -74,21 +78,21 @@
     )(function)
 
 
-def run_verb(node, method, path, body, as_json):
+def run_verb(node: str, method: str, path: str, body: Any, as_json: bool) -> None:
     """Ask a node and print its answer; exit 3 on a refusal, 4 when it can't be reached."""
     try:
         answer = ask(node, method, path, body)
     except QuillringError as error:
         click.echo(json.dumps(error.to_json()) if as_json else str(error), err=True)
-        sys.exit(UNREACHABLE_FAULT if error.kind == "not_sent" else REFUSED_FAULT)
+        sys.exit(EXIT_UNREACHABLE if error.kind == "not_sent" else EXIT_REFUSED)
     click.echo(json.dumps(answer) if as_json else show_table(answer))
 
 
-def show_command(name, path, text):
+def show_command(name: str, path: str, text: str) -> None:
     """Make a verb that shows one view of the fleet."""
 
     @node_options
-    def run_show(node, as_json):
+    def run_show(node: str, as_json: bool) -> None:
         run_verb(node, "GET", path, None, as_json)
 
     main.command(name, help=text)(run_show)
@@ -105,19 +109,19 @@
 @main.command()
 @node_options
 @click.option("--parts", default=4, show_default=True, help="Parts beside the config part.")
-def found(node, as_json, parts):
+def found(node: str, as_json: bool, parts: int) -> None:
     """Found the fleet on the stores now known; safe to repeat."""
     run_verb(node, "POST", "/v1/found", {"parts": parts}, as_json)
 
 
 @main.group()
-def layout():
+def layout() -> None:
     """Show and change the layout."""
 
 
 @layout.command("show")
 @node_options
-def show_configuration(node, as_json):
+def show_configuration(node: str, as_json: bool) -> None:
     """Show the layout a node acts on."""
     run_verb(node, "GET", "/v1/layout", None, as_json)
 
@@ -127,7 +131,9 @@
 @click.argument("path", type=click.Path(exists=True))
 @click.option("--base-version", type=int, required=True, help="Version it was made against.")
 @click.option("--whole", is_flag=True, help="Replace the layout instead of merging into it.")
-def apply_configuration(node, as_json, path, base_version, whole):
+def apply_configuration(
+    node: str, as_json: bool, path: str, base_version: int, whole: bool
+) -> None:
     """Apply a layout file."""
     try:
         with open(path, encoding="utf-8") as configuration_file:
@@ -147,7 +153,7 @@
 @node_options
 @click.argument("domain")
 @click.option("--undo", is_flag=True, help="Let the domain get work again.")
-def empty(node, as_json, domain, undo):
+def empty(node: str, as_json: bool, domain: str, undo: bool) -> None:
     """Empty a domain: its replicas get nothing new."""
     method = "DELETE" if undo else "POST"
     run_verb(node, method, f"/v1/domains/{domain}/emptying", {}, as_json)
--- a/quillring/verbs/client.py
+++ b/quillring/verbs/client.py
@@ -1,19 +1,38 @@
 """The verbs' side of the HTTP interface."""
 
+from __future__ import annotations
+
+from typing import Any
+
 from quillring.kernel import backend
 from quillring.kernel.effects import FetchJson
 from quillring.kernel.errors import BadRequest, rebuild
 from quillring.kernel.settings import is_real_address, split_address
 
-PATIENCE_SECONDS = 15
+TIMEOUT_SECONDS = 15
+
+
+def ask(node: str, method: str, path: str, body: Any = None) -> Any:
+    """Return a node's JSON answer, or raise the error it reports.
 
+    Parameters
+    ----------
+    node
+        HTTP address of the node, as IP:PORT.
 
-def ask(node, method, path, body=None):
-    """Return a node's JSON answer, or raise the error it reports."""
+    Raises
+    ------
+    BadRequest
+        The address is malformed.
+    NotSent
+        The node can't be reached.
+    QuillringError
+        The error that the node reports, as its own type.
+    """
     if not is_real_address(node):
         raise BadRequest(field="--node", reason="not an IP:PORT")
     status, answer = backend.fetch(
-        FetchJson(split_address(node), method, path, body, PATIENCE_SECONDS, False)
+        FetchJson(split_address(node), method, path, body, TIMEOUT_SECONDS, False)
     )
     if status >= 400:
         detail = {n: v for n, v in (answer or {}).items() if n != "trouble"}
--- a/quillring/verbs/part_routes.py
+++ b/quillring/verbs/part_routes.py
@@ -1,12 +1,21 @@
 """HTTP routes that show parts, their owners and stores."""
 
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
 from quillring.kernel.errors import QuillringError
 from quillring.kernel.wsgi import route
 from quillring.ownership.status import list_parts
 
+if TYPE_CHECKING:
+    from quillring.kernel.node import Node
+    from quillring.kernel.types import Coroutine
+    from quillring.kernel.wsgi import Request
+
 
 @route("GET", "/v1/parts")
-def show_parts(node, request):
+def show_parts(node: Node, request: Request) -> Coroutine:
     """Return each part with its group, owner and ballot as last heard, and the newest takeover.
 
     The takeovers are asked of the cores in reach, and are None where none of them knows of one.
@@ -16,9 +25,10 @@
 
 
 @route("GET", "/v1/whole")
-def show_whole(node, request):
+def show_whole(node: Node, request: Request) -> Coroutine:
     """Tell whether every part has an owner and a full group of stores that hold everything."""
-    ownership, rows = node.find("ownership"), []
+    ownership = node.find("ownership")
+    rows: list[dict[str, Any]] = []
     for part in ownership.parts():
         try:
             answer = yield from ownership.call_leader(
--- a/quillring/verbs/process.py
+++ b/quillring/verbs/process.py
@@ -1,9 +1,12 @@
 """Running one process: settings to node, sockets, HTTP server, signals."""
 
+from __future__ import annotations
+
 import logging
 import os
 import signal
 import time
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 import gevent
 
@@ -19,6 +22,12 @@
 from quillring.store import FolderDisk
 from quillring.verbs import routes
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable
+
+    from quillring.kernel.node import Node
+    from quillring.kernel.settings import Settings
+
 PLUGINS = (routes,)
 
 
@@ -28,29 +37,41 @@
     kind = "name_taken"
 
 
-DRAIN_PATIENCE = 50
+DRAIN_TIMEOUT_FACTOR = 50
+"""Without a grace period, a drain lasts at most so many recovery bounds."""
 GRACE_SHARE = 0.9
-TAKING_SHARE, MOST_TAKING_SECONDS = 0.4, 3.0
-STEPS_A_CHATTER = 2
-LEVELS = {"debug": logging.DEBUG, "warning": logging.WARNING, "error": logging.ERROR}
+ADMISSION_SHARE = 0.4
+MAX_ADMISSION_SECONDS = 3.0
+"""Share of the grace period, and most seconds, for which clients' requests are still taken."""
+STEPS_PER_GOSSIP_INTERVAL = 2
+LOG_LEVELS = {"debug": logging.DEBUG, "warning": logging.WARNING, "error": logging.ERROR}
+
+
+class NameClash(NamedTuple):
+    """Another member of this name was heard of: who told it, and when."""
 
+    told_by: str
+    at: float
 
-def drain(node, servers):
-    """Take nothing new, finish what is under way, hand the journal over, end.
 
-    Where the platform gives a grace, all of that ends within it, and clients' requests are still
-    taken at first, until the platform has surely sent them elsewhere; one that comes later might be
-    cut at the end, and is refused.
+def drain(node: Node, servers: Iterable[Any]) -> None:
+    """Take nothing new, finish what is under way, hand the journal over, stop the servers.
+
+    Where the platform gives a grace period, all of that ends within it, and clients' requests are
+    still taken at first, until the platform has surely sent them elsewhere; one that comes later
+    might be cut at the end, and is refused.
     """
     node.is_draining = True
     node.find("ownership").announce_drain()
     grace = node.bounds.grace_period
-    patience = node.bounds.recovery * DRAIN_PATIENCE if grace is None else grace * GRACE_SHARE
-    deadline = node.now() + patience
-    taking_seconds = node.bounds.heartbeat_interval
-    if grace is not None:
-        taking_seconds = min(grace * TAKING_SHARE, MOST_TAKING_SECONDS)
-    gevent.sleep(taking_seconds)
+    if grace is None:
+        timeout = node.bounds.recovery * DRAIN_TIMEOUT_FACTOR
+        admission_seconds = node.bounds.heartbeat_interval
+    else:
+        timeout = grace * GRACE_SHARE
+        admission_seconds = min(grace * ADMISSION_SHARE, MAX_ADMISSION_SECONDS)
+    deadline = node.now() + timeout
+    gevent.sleep(admission_seconds)
     node.is_closing = True
     while node.under_way and node.now() < deadline:
         gevent.sleep(node.bounds.gossip_interval)
@@ -61,32 +82,45 @@
         server.stop()
 
 
-def run_process(settings, reread, make_world=GeventRuntime, open_more=lambda node, report: ()):
+def open_nothing_more(node: Node, report: Callable[..., None]) -> Iterable[Any]:
+    """Open no further listening address."""
+    return ()
+
+
+def run_process(
+    settings: Settings,
+    reread: Callable[[], Settings],
+    make_runtime: Callable[..., Any] = GeventRuntime,
+    open_more: Callable[[Node, Callable[..., None]], Iterable[Any]] = open_nothing_more,
+) -> None:
     """Run a node until the platform stops it; a planned stop finishes what is under way.
 
-    `open_more(node, report)` opens further listening addresses and returns their servers.
+    Parameters
+    ----------
+    reread
+        Reads the settings anew; called at SIGHUP.
+    open_more
+        Opens further listening addresses and returns their servers.
+
+    Raises
+    ------
+    NameTaken
+        Another live member bears this node's name.
     """
     node_logger, ring_handler = ring_log(settings.name, settings.log_file)
 
-    def log(level, text, *fields):
-        node_logger.log(LEVELS[level], text, *fields)
+    def log(level: str, text: str, *fields: object) -> None:
+        node_logger.log(LOG_LEVELS[level], text, *fields)
 
     acceptors = None
     if settings.role == "store":
+        assert settings.folder is not None, "the settings of a store name its data folder"
         acceptors = open_store(
             FolderDisk(settings.folder), settings.name, lambda: os.urandom(6).hex()
         )
-    me = Member(
-        settings.name,
-        time.time_ns() // 1000,
-        settings.role,
-        settings.zone,
-        *settings.address,
-        settings.http_address[1],
-        acceptors.identity if acceptors else "",
-    )
-    runtime = make_world(lambda error: node_logger.error("failure", exc_info=error), 1.0)
-    step_seconds = settings.bounds.gossip_interval / STEPS_A_CHATTER
+    me = own_member(settings, acceptors.identity if acceptors else "")
+    runtime = make_runtime(lambda error: node_logger.error("failure", exc_info=error), 1.0)
+    step_seconds = settings.bounds.gossip_interval / STEPS_PER_GOSSIP_INTERVAL
     runtime.timers = TimerCoalescer(runtime.now(), step_seconds)
     node = make_node(me, runtime, settings.seeds, settings.bounds, log)
     node.offer("ring", ring_handler)
@@ -96,32 +130,63 @@
     runtime.listen(*settings.address, nifty.on_datagram, nifty.on_frame)
     server = start_wsgi_server(settings.http_address, make_app(node), node_logger)
     servers = [*open_more(node, runtime.report), server]
+    prepare_founding(node, settings)
+    clash = wait_for_stop(node, settings.bounds.propagation, reread)
+    if clash is not None:
+        server.stop(timeout=0)
+        raise NameTaken(name=settings.name, told_by=clash.told_by)
+    drain(node, servers)
+
+
+def own_member(settings: Settings, identity: str) -> Member:
+    """Return this process as a member; the start time is its incarnation."""
+    host, port = settings.address
+    return Member(
+        settings.name,
+        time.time_ns() // 1000,
+        settings.role,
+        settings.zone,
+        host,
+        port,
+        settings.http_address[1],
+        identity,
+    )
+
+
+def prepare_founding(node: Node, settings: Settings) -> None:
+    """Tell the node what it may do at the first start of a fleet."""
     elector = node.find("elector")
     elector.is_first_start, elector.witness = settings.bootstrap, settings.witness
     if settings.role == "core":
-        node.spawn(
-            found_at_first_start(node, settings.bootstrap, settings.parts, settings.losses * 2 + 1)
-        )
-    stop_event, clashes = gevent.event.Event(), []
-    node.offer("stop", stop_event.set)
+        store_count = settings.losses * 2 + 1
+        node.spawn(found_at_first_start(node, settings.bootstrap, settings.parts, store_count))
+
+
+def wait_for_stop(
+    node: Node, clash_seconds: float, reread: Callable[[], Settings]
+) -> NameClash | None:
+    """Wait for a signal, an operator's drain or a lasting name clash; return the last clash."""
+    stop_event = gevent.event.Event()
+    clashes: list[NameClash] = []
 
-    def on_clash(body, origin):
-        clashes.append((origin, node.now()))
-        if clashes[-1][1] - clashes[0][1] > settings.bounds.propagation:
+    def is_lasting_clash() -> bool:
+        return bool(clashes) and clashes[-1].at - clashes[0].at > clash_seconds
+
+    def on_clash(body: object, origin: str) -> None:
+        clashes.append(NameClash(origin, node.now()))
+        if is_lasting_clash():
             stop_event.set()
 
+    node.offer("stop", stop_event.set)
     node.handle("member.clash", on_clash)
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         gevent.signal_handler(signal_number, stop_event.set)
     gevent.signal_handler(signal.SIGHUP, change_settings, node, reread)
     stop_event.wait()
-    if clashes and clashes[-1][1] - clashes[0][1] > settings.bounds.propagation:
-        server.stop(timeout=0)
-        raise NameTaken(name=settings.name, told_by=clashes[-1][0])
-    drain(node, servers)
+    return clashes[-1] if is_lasting_clash() else None
 
 
-def change_settings(node, reread):
+def change_settings(node: Node, reread: Callable[[], Settings]) -> None:
     """Take changed seeds; everything else needs a restart, and faulty settings change nothing."""
     try:
         node.find("nifty").seeds = reread().seeds
--- a/quillring/verbs/restart.py
+++ b/quillring/verbs/restart.py
@@ -1,16 +1,23 @@
 """The rolling restart: one node at a time, each whole again before the next; it starts nothing."""
 
+from __future__ import annotations
+
 import json
 import sys
 import time
+from functools import partial
+from typing import TYPE_CHECKING, Any
 
 import click
 import gevent
 
 from quillring.kernel.errors import QuillringError
-from quillring.verbs.cli import REFUSED_FAULT, main, node_options
+from quillring.verbs.cli import EXIT_REFUSED, main, node_options
 from quillring.verbs.client import ask
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Collection, Sequence
+
 ROLES = ("store", "core", "edge")
 POLL_SECONDS = 0.25
 
@@ -21,31 +28,31 @@
     kind = "not_back"
 
 
-def http_of(member):
+def http_address(member: dict[str, Any]) -> str:
     """Return the HTTP address of a member."""
     return f"{member['host']}:{member['http_port']}"
 
 
-def is_back(member):
+def is_back(member: dict[str, Any]) -> bool:
     """Tell whether the node runs under a new start and is ready."""
-    alive = ask(http_of(member), "GET", "/v1/alive")
-    return (
-        alive["incarnation"] != member["incarnation"]
-        and ask(http_of(member), "GET", "/v1/ready")["ready"]
-    )
+    alive = ask(http_address(member), "GET", "/v1/alive")
+    if alive["incarnation"] == member["incarnation"]:
+        return False
+    return bool(ask(http_address(member), "GET", "/v1/ready")["ready"])
 
 
-def is_fleet_whole(members, names):
+def is_fleet_whole(members: Sequence[dict[str, Any]], names: Collection[str]) -> bool:
     """Tell whether every named node is ready and every part whole."""
     others = [member for member in members if member["name"] in names]
-    return ask(http_of(others[0]), "GET", "/v1/whole")["is_whole"] and all(
-        ask(http_of(member), "GET", "/v1/ready")["ready"] for member in others
+    return ask(http_address(others[0]), "GET", "/v1/whole")["is_whole"] and all(
+        ask(http_address(member), "GET", "/v1/ready")["ready"] for member in others
     )
 
 
-def wait_until(name, what, is_done, seconds):
+def wait_until(name: str, what: str, is_done: Callable[[], bool], seconds: float) -> None:
     """Wait until a condition holds; what a node can't answer yet counts as not yet."""
-    end_time, last_error = time.monotonic() + seconds, None
+    end_time = time.monotonic() + seconds
+    last_error: str | None = None
     while time.monotonic() < end_time:
         try:
             if is_done():
@@ -56,7 +63,13 @@
     raise NotBack(name=name, waited_for=what, trouble=last_error)
 
 
-def rolling_restart(members, roles, names, seconds, tell):
+def rolling_restart(
+    members: Sequence[dict[str, Any]],
+    roles: Collection[str],
+    names: Collection[str],
+    seconds: float,
+    tell: Callable[[str], None],
+) -> list[str]:
     """Drain the chosen members one after another; the platform starts each of them again."""
     chosen = sorted(
         (m for m in members if m["role"] in roles and (not names or m["name"] in names)),
@@ -65,12 +78,10 @@
     everyone = {member["name"] for member in members}
     for member in chosen:
         name, others = member["name"], everyone - {member["name"]}
-        wait_until(
-            name, "a whole fleet before", lambda o=others: is_fleet_whole(members, o), seconds
-        )
-        ask(http_of(member), "POST", "/v1/drain", {})
-        wait_until(name, "its new start", lambda m=member: is_back(m), seconds)
-        wait_until(name, "a whole fleet after", lambda: is_fleet_whole(members, everyone), seconds)
+        wait_until(name, "a whole fleet before", partial(is_fleet_whole, members, others), seconds)
+        ask(http_address(member), "POST", "/v1/drain", {})
+        wait_until(name, "its new start", partial(is_back, member), seconds)
+        wait_until(name, "a whole fleet after", partial(is_fleet_whole, members, everyone), seconds)
         tell(name)
     return [member["name"] for member in chosen]
 
@@ -80,9 +91,11 @@
 @click.option("--role", "roles", multiple=True, type=click.Choice(ROLES), help="Only this role.")
 @click.option("--name", "names", multiple=True, help="Only this node.")
 @click.option("--patience", default=120.0, show_default=True, help="Seconds to wait for a node.")
-def restart(node, as_json, roles, names, patience):
+def restart(
+    node: str, as_json: bool, roles: Collection[str], names: Collection[str], patience: float
+) -> None:
     """Restart nodes one at a time; the platform must start each ended process again."""
-    done = []
+    done: list[str] = []
     try:
         members = ask(node, "GET", "/v1/members")["members"]
         rolling_restart(members, roles or ROLES, names, patience, done.append)
@@ -93,5 +106,5 @@
             else f"{error}; restarted before: {', '.join(done) or 'none'}",
             err=True,
         )
-        sys.exit(REFUSED_FAULT)
+        sys.exit(EXIT_REFUSED)
     click.echo(json.dumps({"restarted": done}) if as_json else "\n".join(done))
--- a/quillring/verbs/routes.py
+++ b/quillring/verbs/routes.py
@@ -1,5 +1,9 @@
 """HTTP routes for operators, back ends and the platform."""
 
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
 from quillring.edge import short_requests, stream_handlers
 from quillring.edge.admission import check_admission
 from quillring.kernel.checks import StrictValidator
@@ -17,6 +21,11 @@
 )
 from quillring.verbs import part_routes, status_routes
 
+if TYPE_CHECKING:
+    from quillring.kernel.node import Node
+    from quillring.kernel.types import Coroutine
+    from quillring.kernel.wsgi import Request
+
 PLUGINS = (
     part_routes,
     status_routes,
@@ -25,7 +34,7 @@
     prompt_lots_api,
     plans_api,
 )
-CHANGE = StrictValidator(
+CONFIGURATION_CHANGE = StrictValidator(
     {
         "type": "object",
         "additionalProperties": False,
@@ -38,7 +47,7 @@
         },
     }
 )
-FOUND = StrictValidator(
+FOUNDING = StrictValidator(
     {
         "type": "object",
         "additionalProperties": False,
@@ -49,19 +58,20 @@
 
 
 @route("POST", "/v1/replicas/beats")
-def take_beat(node, request):
-    """Take a replica's beat at any node."""
-    return node.find("replicas").on_heartbeat(request.body)
+def take_heartbeat(node: Node, request: Request) -> dict[str, Any]:
+    """Take a replica's heartbeat at any node."""
+    taken: dict[str, Any] = node.find("replicas").on_heartbeat(request.body)
+    return taken
 
 
 @route("GET", "/v1/alive")
-def show_alive(node, request):
+def show_alive(node: Node, request: Request) -> dict[str, Any]:
     """Tell that the process lives."""
     return {"name": node.me.name, "incarnation": node.me.incarnation}
 
 
 @route("GET", "/v1/ready")
-def show_ready(node, request):
+def show_ready(node: Node, request: Request) -> dict[str, Any]:
     """Tell whether the platform may hand new connections to this node."""
     if node.me.role == "edge":
         check_admission(node)
@@ -73,14 +83,14 @@
 
 
 @route("POST", "/v1/found")
-def found(node, request):
+def found(node: Node, request: Request) -> Coroutine:
     """Found the fleet on the stores now known."""
-    check_body(FOUND, request.body)
+    check_body(FOUNDING, request.body)
     return (yield from found_fleet(node, request.body["parts"]))
 
 
 @route("GET", "/v1/members")
-def show_members(node, request):
+def show_members(node: Node, request: Request) -> dict[str, Any]:
     """Return the peers as this node sees them."""
     nifty = node.find("nifty")
     return {
@@ -92,7 +102,7 @@
 
 
 @route("DELETE", "/v1/members/{name}")
-def forget_member(node, request):
+def forget_member(node: Node, request: Request) -> dict[str, Any]:
     """Forget a member that is gone for good; a living one is not forgotten."""
     nifty, name = node.find("nifty"), request.words["name"]
     member = nifty.roster.members.get(name)
@@ -105,13 +115,14 @@
 
 
 @route("GET", "/v1/graph")
-def show_graph(node, request):
+def show_graph(node: Node, request: Request) -> dict[str, Any]:
     """Return graph, routes, sides and bridges."""
-    return node.find("nifty").graph.to_json()
+    graph: dict[str, Any] = node.find("nifty").graph.to_json()
+    return graph
 
 
 @route("POST", "/v1/drain")
-def drain(node, request):
+def drain(node: Node, request: Request) -> dict[str, Any]:
     """End the process as planned: nothing new, what is under way ends, the platform restarts."""
     stop = node.find("stop")
     if stop is None:
@@ -121,7 +132,7 @@
 
 
 @route("GET", "/v1/replicas")
-def show_replicas(node, request):
+def show_replicas(node: Node, request: Request) -> dict[str, Any]:
     """Return the replicas as this node sees them."""
     replicas = node.find("replicas")
     return {
@@ -133,7 +144,7 @@
 
 
 @route("GET", "/v1/layout")
-def show_configuration(node, request):
+def show_configuration(node: Node, request: Request) -> dict[str, Any]:
     """Return the layout this node knows, and whether a majority lately said that it is current."""
     snapshot = node.find("layout")
     return {
@@ -145,9 +156,9 @@
 
 
 @route("PUT", "/v1/layout")
-def change_configuration(node, request):
+def change_configuration(node: Node, request: Request) -> Coroutine:
     """Adopt a whole or partial layout made against a version."""
-    check_body(CHANGE, request.body)
+    check_body(CONFIGURATION_CHANGE, request.body)
     own_id = f"{node.runtime.random.getrandbits(96):024x}"
     return (
         yield from node.find("ownership").submit(
@@ -163,18 +174,18 @@
 
 
 @route("POST", "/v1/domains/{domain}/emptying")
-def empty_zone(node, request):
+def empty_zone(node: Node, request: Request) -> Coroutine:
     """Empty a domain: no replica in it gets anything new."""
     return (yield from _order_zone(node, request, True))
 
 
 @route("DELETE", "/v1/domains/{domain}/emptying")
-def refill_zone(node, request):
+def refill_zone(node: Node, request: Request) -> Coroutine:
     """Let a domain get work again."""
     return (yield from _order_zone(node, request, False))
 
 
-def _order_zone(node, request, is_emptied):
+def _order_zone(node: Node, request: Request, is_emptied: bool) -> Coroutine:
     ownership, zone = node.find("ownership"), request.words["domain"]
     answer = yield from ownership.read(CONFIG, READ_CONFIGURATION)
     current = CurrentConfiguration.from_wire(answer)
--- a/quillring/verbs/show.py
+++ b/quillring/verbs/show.py
@@ -1,26 +1,32 @@
 """Answers for human eyes: lists of objects as tables, the rest as lines."""
 
+from __future__ import annotations
+
 import json
+from typing import TYPE_CHECKING, Any
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
 
 
-def show_table(answer):
+def show_table(answer: dict[str, Any]) -> str:
     """Return an answer as text."""
-    lines = []
+    lines: list[str] = []
     for name, value in answer.items():
         if isinstance(value, list) and value and all(isinstance(row, dict) for row in value):
             lines.extend(table_lines(value))
         elif isinstance(value, dict):
             lines.append(f"{name}:")
-            lines.extend(f"  {n}: {plain(v)}" for n, v in value.items())
+            lines.extend(f"  {n}: {to_cell(v)}" for n, v in value.items())
         else:
-            lines.append(f"{name}: {plain(value)}")
+            lines.append(f"{name}: {to_cell(value)}")
     return "\n".join(lines)
 
 
-def table_lines(rows):
+def table_lines(rows: Sequence[dict[str, Any]]) -> list[str]:
     """Return the lines of an aligned table."""
     columns = list(rows[0])
-    cells = [columns, *([plain(row.get(column)) for column in columns] for row in rows)]
+    cells = [columns, *([to_cell(row.get(column)) for column in columns] for row in rows)]
     widths = [max(len(row[i]) for row in cells) for i in range(len(columns))]
     return [
         "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip()
@@ -28,7 +34,7 @@
     ]
 
 
-def plain(value):
+def to_cell(value: Any) -> str:
     """Return a value as a short text."""
     if value is None:
         return "-"
--- a/quillring/verbs/status_routes.py
+++ b/quillring/verbs/status_routes.py
@@ -1,16 +1,24 @@
 """HTTP routes that show how a node is: promises kept, status, log and counters."""
 
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
 from quillring.kernel.wsgi import route
 
+if TYPE_CHECKING:
+    from quillring.kernel.node import Node
+    from quillring.kernel.wsgi import Request
+
 
 @route("GET", "/v1/promises")
-def show_promises(node, request):
+def show_promises(node: Node, request: Request) -> dict[str, Any]:
     """Return how the promises of each class were kept on this node in the last quarter hour."""
     return {"name": node.me.name, "classes": node.find("meter").rows()}
 
 
 @route("GET", "/v1/status")
-def show_status(node, request):
+def show_status(node: Node, request: Request) -> dict[str, Any]:
     """Return what this node is and how it does."""
     snapshot, acceptors = node.find("layout"), node.find("acceptors")
     disk_error = None if acceptors is None else acceptors.log.error
@@ -29,13 +37,13 @@
 
 
 @route("GET", "/v1/log")
-def show_log(node, request):
+def show_log(node: Node, request: Request) -> dict[str, Any]:
     """Return the ring log of this node."""
     ring = node.find("ring")
     return {"name": node.me.name, "log": list(ring.ring) if ring else []}
 
 
 @route("GET", "/v1/counts")
-def show_counts(node, request):
+def show_counts(node: Node, request: Request) -> dict[str, Any]:
     """Return the node's counters."""
     return {"name": node.me.name, "counts": dict(sorted(node.counts.items()))}
--- a/tests/test_steps.py
+++ b/tests/test_steps.py
@@ -6,10 +6,10 @@
 
 from quillring.kernel.bounds import Bounds
 from quillring.kernel.timer_coalescing import EARLY_SHARE, TimerCoalescer
-from quillring.verbs.process import STEPS_A_CHATTER
+from quillring.verbs.process import STEPS_PER_GOSSIP_INTERVAL
 
 BOUNDS = Bounds(propagation=2.5)
-STEP = BOUNDS.gossip_interval / STEPS_A_CHATTER
+STEP = BOUNDS.gossip_interval / STEPS_PER_GOSSIP_INTERVAL
 PERIODS = [
     BOUNDS.gossip_interval / 2,
     BOUNDS.gossip_interval,
