--- a/proving/tools/day.py
+++ b/proving/tools/day.py
@@ -1,4 +1,4 @@
-"""Runs a deployment's mixed traffic over a local fleet while things fail; prints the report."""
+"""Runs a deployment's mixed traffic over a local fleet while things fail; prints a summary."""
 
 import json
 import random
@@ -76,6 +76,30 @@
         step()
 
 
+def summary(report):
+    """Return the report as a short table for a person; its last line is the verdict."""
+    outcomes = report["outcomes"]
+    rows = [("call", "outcome", "count")]
+    rows += [(*key.rsplit("/", 1), str(count)) for key, count in outcomes.items()]
+    widths = [max(len(row[column]) for row in rows) for column in range(2)]
+    lines = [
+        f"{call:<{widths[0]}}  {outcome:<{widths[1]}}  {count:>7}" for call, outcome, count in rows
+    ]
+    median = report["first_piece_median_ms"]
+    lines += [
+        "",
+        f"first piece, median: {'-' if median is None else f'{median} ms'}",
+        f"streams resumed: {report['resumes']}",
+        "faults: " + ("; ".join(f"{text} at {at} s" for at, text in report["steps"]) or "none"),
+        "",
+    ]
+    violations = report["violations"]
+    lines += [f"violation: {text}" for text in violations]
+    calls = sum(outcomes.values())
+    verdict = f"FAILED: {len(violations)} violations" if violations else "OK: no violation"
+    return "\n".join([*lines, f"{verdict} in {calls} calls"])
+
+
 @click.command()
 @click.argument("name", type=click.Choice(sorted(MIXES)))
 @click.option("--run-folder", default="run/fleet", show_default=True)
@@ -83,8 +107,13 @@
 @click.option("--scale", default=1.0, show_default=True, help="Traffic against today's sizes.")
 @click.option("--seed", default=1, show_default=True)
 @click.option("--calm", is_flag=True, help="Let nothing fail.")
-def main(name, run_folder, seconds, scale, seed, calm):
-    """Run NAME's traffic on a full local fleet and report what callers saw."""
+@click.option("--json", "as_json", is_flag=True, help="Print the whole report as JSON.")
+def main(name, run_folder, seconds, scale, seed, calm, as_json):
+    """Run NAME's traffic on a full local fleet and report what callers saw.
+
+    The whole report is also written to report.json in the run folder. Exit code 1 means a
+    violation.
+    """
     fleet = LocalFleet(f"examples/{name}", run_folder)
     record, log = callers.Record(), []
     try:
@@ -105,8 +134,9 @@
                 for n, s in states.items()
             },
         }
-        click.echo(json.dumps(report, indent=1))
-        (fleet.run_folder / "report.json").write_text(json.dumps(report, indent=1))
+        text = json.dumps(report, indent=1)
+        (fleet.run_folder / "report.json").write_text(text)
+        click.echo(text if as_json else summary(report))
     finally:
         fleet.stop_all()
     raise SystemExit(1 if record.violations else 0)
