--- a/proving/model/core_machine.py
+++ b/proving/model/core_machine.py
@@ -175,7 +175,7 @@
     def facts(self):
         """Return what may be chosen here."""
         is_leader = self.owner is not None and self.owner.is_leader
-        calls = frozenset(self.node.pending)
+        calls = frozenset(self.node.pending_calls)
         return CoreFacts(is_leader, frozenset(self.busy), self.runtime.timers(), calls)
 
     def form(self):
--- a/proving/model/machines.py
+++ b/proving/model/machines.py
@@ -120,5 +120,5 @@
             (task.label, getattr(task.effect, "signal", None), task.coroutine)
             for task in self.runtime.tasks
         ]
-        memory = (self.node.pending, self.node.next_call, tasks, *more)
+        memory = (self.node.pending_calls, self.node.last_call_id, tasks, *more)
         return digest_of((self.runtime.secrets, freezer.freeze(memory)))
--- a/proving/model/network.py
+++ b/proving/model/network.py
@@ -4,9 +4,9 @@
 
 import cbor2
 
-from quillring.kernel.node import CALL_BITS
+from quillring.kernel.node import CALL_NUMBER_BITS
 
-CALL_MASK = (1 << CALL_BITS) - 1
+CALL_MASK = (1 << CALL_NUMBER_BITS) - 1
 REQUEST, CAST, ANSWER = "request", "cast", "answer"
 TOLD_FIELDS = ("ballot", "index", "committed")
 
--- a/quillring/kernel/node.py
+++ b/quillring/kernel/node.py
@@ -1,7 +1,7 @@
 """A node: services that find each other by name, and calls between nodes over nifty.
 
-A reply settles a call only if it comes from the node that was asked, under an id of this life of
-the process: ids begin at a place that name and incarnation give. Whoever answers returns the id as
+A reply completes a call only if it comes from the node that was asked, under an id of this
+incarnation: ids begin at a number that name and incarnation give. Whoever answers returns the id as
 it came, whatever version it speaks.
 """
 
@@ -15,6 +15,7 @@
 from quillring.kernel.bounds import Bounds
 from quillring.kernel.effects import Signal, Wait
 from quillring.kernel.errors import QuillringError, TimedOut, UnknownService, Unreachable, rebuild
+from quillring.kernel.messages import CallReply, CallRequest, is_reply
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
@@ -22,12 +23,12 @@
 
     from quillring.kernel.member import Member
     from quillring.kernel.runtime import Runtime
-    from quillring.kernel.types import CallHandler, Coroutine, LogWriter, RoutingGraph
+    from quillring.kernel.types import CallHandler, Coroutine, LogWriter, RoutingGraph, WireMap
 
     Call = tuple[str, str, Any]
 
-CALL_BITS = 31
-LIFE_BYTES = 4
+CALL_NUMBER_BITS = 31
+INCARNATION_HASH_BYTES = 4
 
 
 class PendingCall(NamedTuple):
@@ -38,9 +39,13 @@
 
 
 def first_call_id(me: Member) -> int:
-    """Return the id below the first call of a life: 32 bits for the life, 31 for its calls."""
-    life = hashlib.blake2b(f"{me.name}/{me.incarnation}".encode(), digest_size=LIFE_BYTES)
-    return int.from_bytes(life.digest(), "big") << CALL_BITS
+    """Return the id below the first call of an incarnation.
+
+    Its upper 32 bits are a hash of name and incarnation, the lower 31 number the calls.
+    """
+    text = f"{me.name}/{me.incarnation}".encode()
+    digest = hashlib.blake2b(text, digest_size=INCARNATION_HASH_BYTES).digest()
+    return int.from_bytes(digest, "big") << CALL_NUMBER_BITS
 
 
 class Node:
@@ -52,8 +57,8 @@
         "bounds",
         "services",
         "handlers",
-        "pending",
-        "next_call",
+        "pending_calls",
+        "last_call_id",
         "log",
         "counts",
         "is_draining",
@@ -73,8 +78,8 @@
         self.bounds = bounds or Bounds()
         self.services: dict[str, Any] = {}
         self.handlers: dict[str, CallHandler] = {}
-        self.pending: dict[int, PendingCall] = {}
-        self.next_call = first_call_id(me)
+        self.pending_calls: dict[int, PendingCall] = {}
+        self.last_call_id = first_call_id(me)
         self.log: LogWriter = log or (lambda level, text, *fields: None)
         self.counts: dict[str, int] = {}
         self.is_draining = False
@@ -109,15 +114,19 @@
 
     def send_oneway(self, target: str, service: str, body: Any) -> None:
         """Send a message that wants no answer; it may be lost."""
-        self._send(target, {"s": service, "b": body})
+        self._send(target, CallRequest(service, body).to_wire())
 
     def call(self, target: str, service: str, body: Any, seconds: float | None = None) -> Coroutine:
-        """Coroutine: call a service of another node and return its answer, or raise its error."""
-        call_id, reply_signal = self._begin(target, service, body)
+        """Call a service of another node and return its answer, or raise its error.
+
+        Raises TimedOut where no reply came within the seconds (the call time-out of the bounds
+        unless given): whether it ran is unknown. Raises Unreachable where no route is known.
+        """
+        call_id, reply_signal = self._start_call(target, service, body)
         try:
             yield Wait(reply_signal, self.bounds.call_timeout if seconds is None else seconds)
         finally:
-            self.pending.pop(call_id, None)
+            self.pending_calls.pop(call_id, None)
         if not reply_signal.is_set:
             raise TimedOut(target=target, service=service)
         if isinstance(reply_signal.value, QuillringError):
@@ -131,7 +140,7 @@
         seconds: float | None = None,
         repeats: bool = False,
     ) -> Coroutine:
-        """Coroutine: make all calls at once; return {target: answer or error}.
+        """Make all calls at once; return {target: answer or error}.
 
         Returns as soon as `need` of them went well, or all have ended, or the time is over. Calls
         that may run twice can be repeated: those without an answer are sent again at half time.
@@ -141,83 +150,90 @@
         begun_calls: dict[str, tuple[int, Signal]] = {}
         done_signal = Signal()
 
-        def settle(target: str, signal: Signal) -> None:
+        def take_reply(target: str, signal: Signal) -> None:
             gathered_replies[target] = signal.value
             good_count = sum(not isinstance(r, QuillringError) for r in gathered_replies.values())
             if good_count >= need or len(gathered_replies) == len(calls):
                 done_signal.set()
 
         for target, service, body in calls:
-            begun_calls[target] = self._begin(target, service, body)
+            begun_calls[target] = self._start_call(target, service, body)
         for target, (_, signal) in begun_calls.items():
-            signal.watchers.append(partial(settle, target, signal))
+            signal.watchers.append(partial(take_reply, target, signal))
             if signal.is_set:
-                settle(target, signal)
+                take_reply(target, signal)
         if calls and not (yield Wait(done_signal, seconds / 2)):
             for target, service, body in calls if repeats else ():
                 call_id = begun_calls[target][0]
-                if call_id in self.pending:
-                    self._send(target, {"s": service, "b": body, "c": call_id})
+                if call_id in self.pending_calls:
+                    self._send(target, CallRequest(service, body, call_id).to_wire())
             yield Wait(done_signal, seconds / 2)
         for call_id, _ in begun_calls.values():
-            self.pending.pop(call_id, None)
+            self.pending_calls.pop(call_id, None)
         return {
             target: gathered_replies.get(target, TimedOut(target=target)) for target, _, _ in calls
         }
 
-    def _begin(self, target: str, service: str, body: Any) -> tuple[int, Signal]:
-        self.next_call += 1
-        call_id, reply_signal = self.next_call, Signal()
+    def _start_call(self, target: str, service: str, body: Any) -> tuple[int, Signal]:
+        self.last_call_id += 1
+        call_id, reply_signal = self.last_call_id, Signal()
         if target == self.me.name:
-            self.spawn(self._answer(service, body, target, reply_signal.set))
+            self.spawn(self._run_handler(service, body, target, reply_signal.set))
             return call_id, reply_signal
-        self.pending[call_id] = PendingCall(reply_signal, target)
-        if not self._send(target, {"s": service, "b": body, "c": call_id}):
+        self.pending_calls[call_id] = PendingCall(reply_signal, target)
+        if not self._send(target, CallRequest(service, body, call_id).to_wire()):
             reply_signal.set(Unreachable(target=target))
         return call_id, reply_signal
 
     def on_graph(self, graph: RoutingGraph) -> None:
         """End the calls to nodes that no route leads to any more; whether they ran is unknown."""
-        for call in list(self.pending.values()):
+        for call in list(self.pending_calls.values()):
             if call.target not in graph.routes:
                 call.reply_signal.set(TimedOut(target=call.target))
 
-    def _send(self, target: str, message: dict[str, Any]) -> bool:
+    def _send(self, target: str, message: WireMap) -> bool:
         is_routed: bool = self.find("nifty").send(target, message)
         return is_routed
 
-    def on_message(self, origin: str, message: dict[str, Any]) -> None:
-        """Take a message that nifty delivered once."""
-        if "r" in message:
-            self._settle(origin, message)
-            return
-        call_id = message.get("c")
-        if call_id is None:
-            self.spawn(self._answer(message["s"], message["b"], origin, lambda reply: None))
+    def on_message(self, origin: str, message: WireMap) -> None:
+        """Take a message that nifty delivered once: complete a call, or run the handler of one."""
+        if is_reply(message):
+            self._complete_call(origin, CallReply.from_wire(message))
             return
+        request = CallRequest.from_wire(message)
+        call_id = request.call_id
 
-        def send_reply(reply: Any) -> None:
-            if isinstance(reply, QuillringError):
-                self._send(origin, {"r": call_id, "t": reply.kind, "b": reply.detail})
-            else:
-                self._send(origin, {"r": call_id, "b": reply})
+        def send_reply(outcome: Any) -> None:
+            self._send_reply(origin, call_id, outcome)
 
-        self.spawn(self._answer(message["s"], message["b"], origin, send_reply))
+        self.spawn(self._run_handler(request.service, request.body, origin, send_reply))
 
-    def _settle(self, origin: str, message: dict[str, Any]) -> None:
-        """Settle the call that a reply is due to; one that nobody waits for changes nothing."""
-        call_id = message["r"]
-        call = self.pending.get(call_id) if isinstance(call_id, int) else None
+    def _send_reply(self, target: str, call_id: Any, outcome: Any) -> None:
+        """Send what a handler returned or raised, unless no reply is wanted."""
+        if call_id is None:
+            return
+        if isinstance(outcome, QuillringError):
+            reply = CallReply(call_id, outcome.detail, outcome.kind)
+        else:
+            reply = CallReply(call_id, outcome)
+        self._send(target, reply.to_wire())
+
+    def _complete_call(self, origin: str, reply: CallReply) -> None:
+        """Complete the call that a reply is due to; one that nobody waits for changes nothing."""
+        call_id = reply.call_id
+        call = self.pending_calls.get(call_id) if isinstance(call_id, int) else None
         if call is None:
             return
         if call.target != origin:
             self.count("replies_of_others")
             return
-        del self.pending[call_id]
-        kind = message.get("t")
-        call.reply_signal.set(rebuild(kind, message["b"]) if kind else message["b"])
+        del self.pending_calls[call_id]
+        if reply.error_kind:
+            call.reply_signal.set(rebuild(reply.error_kind, reply.body))
+        else:
+            call.reply_signal.set(reply.body)
 
-    def _answer(
+    def _run_handler(
         self, service: str, body: Any, origin: str, send_reply: Callable[[Any], object]
     ) -> Coroutine:
         handler = self.handlers.get(service)
