--- a/quillring/plans/runner.py
+++ b/quillring/plans/runner.py
@@ -24,13 +24,13 @@
 
     A node out of reach counts once it was silent for as long as service may be away.
     """
-    beats = node.find("gossip").values_with_prefix("replica/").values()
+    heartbeats = node.find("gossip").values_with_prefix("replica/").values()
     if any(
-        beat["domain"] == zone
-        and beat.get("busy")
-        and beat["state"] != "gone"
-        and node.find("replicas").is_alive(beat["name"])
-        for beat in beats
+        heartbeat["domain"] == zone
+        and heartbeat.get("busy")
+        and heartbeat["state"] != "gone"
+        and node.find("replicas").is_alive(heartbeat["name"])
+        for heartbeat in heartbeats
     ):
         return False
     nifty = node.find("nifty")
