--- a/proving/model/core_machine.py
+++ b/proving/model/core_machine.py
@@ -7,7 +7,7 @@
 from proving.model.watched_owner import WatchedOwner
 from quillring.kernel.errors import NotOwner, QuillringError
 from quillring.quorum.founding.founding import found_fleet
-from quillring.quorum.founding.founding_vote import FoundingVoter, agree
+from quillring.quorum.founding.founding_vote import FoundingVoter, agree_on_founding
 from quillring.quorum.leader.follower_read import read_from_majority, value_of
 from quillring.quorum.values import GroupMember, group_from_wire
 
@@ -156,7 +156,7 @@
 
     def _choose(self, node, founding):
         """Coroutine: have the seeds agree on a record; what they chose is founded for good."""
-        chosen = yield from agree(node, founding)
+        chosen = yield from agree_on_founding(node, founding)
         self.events.append(Founded(chosen["fleet"]))
         return chosen
 
@@ -181,5 +181,5 @@
     def form(self):
         """Return the digest of the owner, its coroutines and calls under way."""
         known = self.node.find("gossip").known
-        attempt = self.node.find("elector").attempt
-        return super().form(self.starts, self.owner, self.busy, known, self.told, attempt)
+        ballot_number = self.node.find("elector").ballot_number
+        return super().form(self.starts, self.owner, self.busy, known, self.told, ballot_number)
--- a/proving/model/store_machine.py
+++ b/proving/model/store_machine.py
@@ -59,7 +59,7 @@
         self.node.offer("witness", Witness(self.node, self.disk))
         self.elector.witness = self.name
         self.elector.is_first_start = self.starts == 1
-        self.node.spawn(self.elector.begin())
+        self.node.spawn(self.elector.register_first_start())
 
     def _watched(self, service, handler):
         """Return the handler with an event for an answer under another's identity."""
@@ -132,7 +132,7 @@
         log_caches = [record.log_cache for record in self.acceptors.parts.values()]
         elector = self.elector
         kept = [self.disk.durable.get(name) for name in FILES]
-        votes = (list(elector.vote), elector.is_first_start, kept)
+        votes = (elector.vote.to_wire(), elector.is_first_start, kept)
         durable = self._durable_form()
         return super().form(memory, log_caches, durable, self.disk.is_held, self.disks, votes)
 
--- a/proving/model/vote_bugs.py
+++ b/proving/model/vote_bugs.py
@@ -3,7 +3,8 @@
 from unittest import mock
 
 from proving.model.patches import all_of
-from quillring.quorum.founding.founding_vote import NO_BALLOT, FoundingVoter
+from quillring.quorum.founding.founding_vote import FoundingVoter
+from quillring.quorum.values import NO_BALLOT
 
 
 def vote_in_memory():
--- a/proving/points/removed_members.py
+++ b/proving/points/removed_members.py
@@ -122,6 +122,6 @@
     (
         "a first start in a cut founds one fleet",
         first_start_apart,
-        [(bootstrap, "agree", choose_alone)],
+        [(bootstrap, "agree_on_founding", choose_alone)],
     ),
 ]
--- a/quillring/quorum/acceptor/acceptor.py
+++ b/quillring/quorum/acceptor/acceptor.py
@@ -133,7 +133,7 @@
             kept = self.hints.get(record.target, ())
             self.hints = {**self.hints, record.target: [*kept, record.request]}
         elif isinstance(record, HintsHandedRecord):
-            self._drop_hints(record.target, record.count)
+            self._drop_hints(record.target, record.handed_count)
         else:
             self._apply_to_part(record)
 
@@ -154,15 +154,15 @@
         acceptor = self.parts.setdefault(record.part, AcceptorState())
         acceptor.promise(record.ballot)
         if isinstance(record, AcceptRecord):
-            acceptor.accept(record.ballot, record.index, record.batch)
+            acceptor.accept(record.ballot, record.log_index, record.batch)
         elif isinstance(record, CommitRecord):
             acceptor.apply_committed(record.ballot, record.committed)
         elif isinstance(record, InstallRecord):
-            acceptor.install(record.index, record.state)
+            acceptor.install(record.log_index, record.state)
         elif isinstance(record, InstallChunkRecord):
             state = self.snapshot_transfer.take_chunk(record)
             if state is not None:
-                acceptor.install(record.index, state)
+                acceptor.install(record.log_index, state)
         self.snapshot_transfer.drop_outdated(record.part, acceptor)
 
     def persist(self, *records: LogRecord) -> Coroutine:
@@ -200,7 +200,7 @@
             yield from self.persist(FoundRecord(request.founding))
         elif self.founding["fleet"] != request.founding["fleet"]:
             raise Conflict(founding=self.founding)
-        return self.founding["fleet"]
+        return (self.founding or request.founding)["fleet"]
 
     def on_founding(self, body: Any, origin: str) -> WireMap | None:
         """Tell which founding this store holds, or None."""
@@ -233,7 +233,7 @@
         request = AcceptRequest.from_wire(body)
         self.check_ballot(request)
         yield from self.persist(
-            AcceptRecord(request.part, request.ballot, request.index, request.batch),
+            AcceptRecord(request.part, request.ballot, request.log_index, request.batch),
             CommitRecord(request.part, request.ballot, request.committed),
         )
         return self.notify_listeners(request.part)
@@ -253,7 +253,7 @@
         request = InstallRequest.from_wire(body)
         self.check_ballot(request)
         yield from self.persist(
-            InstallRecord(request.part, request.ballot, request.index, request.state)
+            InstallRecord(request.part, request.ballot, request.log_index, request.state)
         )
         return self.notify_listeners(request.part)
 
--- a/quillring/quorum/acceptor/hint_store.py
+++ b/quillring/quorum/acceptor/hint_store.py
@@ -88,7 +88,7 @@
         for request in requests:
             entry = HintedEntry.from_wire(request)
             log = (entry.part, entry.identity)
-            if entry.index <= applied.get(log, 0):
+            if entry.log_index <= applied.get(log, 0):
                 continue
             try:
                 applied[log] = yield from self.node.call(target, "quorum.accept", request)
--- a/quillring/quorum/acceptor/log_records.py
+++ b/quillring/quorum/acceptor/log_records.py
@@ -62,10 +62,10 @@
 
 
 class HintsHandedRecord(NamedTuple):
-    """The oldest `count` hints for an acceptor were handed over or are needed no more."""
+    """The oldest `handed_count` hints for an acceptor were handed over or are needed no more."""
 
     target: str
-    count: int
+    handed_count: int
 
     @classmethod
     def from_disk(cls, fields: Sequence[Any]) -> HintsHandedRecord:
@@ -75,7 +75,7 @@
 
     def to_disk(self) -> list[Any]:
         """Return the record as it stands on disk."""
-        return [HINTS_HANDED, self.target, self.count]
+        return [HINTS_HANDED, self.target, self.handed_count]
 
 
 class PromiseRecord(NamedTuple):
@@ -100,7 +100,7 @@
 
     part: str
     ballot: Ballot
-    index: int
+    log_index: int
     batch: Batch
 
     @classmethod
@@ -111,7 +111,7 @@
 
     def to_disk(self) -> list[Any]:
         """Return the record as it stands on disk."""
-        return [ACCEPT, self.part, self.ballot.to_wire(), self.index, self.batch]
+        return [ACCEPT, self.part, self.ballot.to_wire(), self.log_index, self.batch]
 
 
 class CommitRecord(NamedTuple):
@@ -133,11 +133,11 @@
 
 
 class InstallRecord(NamedTuple):
-    """The whole state after the entry `index`, in place of missed entries."""
+    """The whole state after the entry `log_index`, in place of missed entries."""
 
     part: str
     ballot: Ballot
-    index: int
+    log_index: int
     state: PartState
 
     @classmethod
@@ -148,18 +148,18 @@
 
     def to_disk(self) -> list[Any]:
         """Return the record as it stands on disk."""
-        return [INSTALL, self.part, self.ballot.to_wire(), self.index, self.state]
+        return [INSTALL, self.part, self.ballot.to_wire(), self.log_index, self.state]
 
 
 class InstallChunkRecord(NamedTuple):
-    """A chunk of the state after the entry `index`, from `offset` up to `next_offset`.
+    """A chunk of the state after the entry `log_index`, from `offset` up to `next_offset`.
 
     `next_offset` is None in the last one, which puts the state in place.
     """
 
     part: str
     ballot: Ballot
-    index: int
+    log_index: int
     offset: ChunkOffset
     data: bytes
     next_offset: ChunkOffset | None
@@ -183,7 +183,7 @@
             INSTALL_CHUNK,
             self.part,
             self.ballot.to_wire(),
-            self.index,
+            self.log_index,
             self.offset.to_wire(),
             self.data,
             None if self.next_offset is None else self.next_offset.to_wire(),
--- a/quillring/quorum/acceptor/snapshot_rows.py
+++ b/quillring/quorum/acceptor/snapshot_rows.py
@@ -71,7 +71,7 @@
 
     part: str
     ballot: Ballot
-    index: int
+    log_index: int
     rest: bytes
     offset: ChunkOffset
 
@@ -84,7 +84,7 @@
     def to_disk(self) -> list[Any]:
         """Return the row as it stands on disk."""
         partial = [{}, self.rest, self.offset.to_wire()]
-        return [INCOMING, self.part, [self.ballot.to_wire(), self.index, partial]]
+        return [INCOMING, self.part, [self.ballot.to_wire(), self.log_index, partial]]
 
 
 def to_rows(acceptors: Acceptors) -> list[list[Any]]:
@@ -152,7 +152,7 @@
         return {
             part: IncomingSnapshot(
                 row.ballot,
-                row.index,
+                row.log_index,
                 StateBuilder.from_partial(PartialState(self.sections[part], row.rest, row.offset)),
             )
             for part, row in self.incoming.items()
--- a/quillring/quorum/acceptor/snapshot_transfer.py
+++ b/quillring/quorum/acceptor/snapshot_transfer.py
@@ -58,9 +58,9 @@
         """
         if record.offset == SNAPSHOT_START:
             self.incoming[record.part] = IncomingSnapshot(
-                record.ballot, record.index, StateBuilder()
+                record.ballot, record.log_index, StateBuilder()
             )
-        builder = self._builder_of(record.part, record.ballot, record.index)
+        builder = self._builder_of(record.part, record.ballot, record.log_index)
         if builder is None or builder.offset != record.offset:
             return None
         builder.add(record.data, record.next_offset)
@@ -88,7 +88,7 @@
         """Give a chunk of the state applied at an index; Conflict when another one is."""
         request = StateChunkRequest.from_wire(body)
         acceptor, state = self._founded(request.part)
-        if acceptor.applied != request.index:
+        if acceptor.applied != request.log_index:
             raise Conflict(part=request.part, applied=acceptor.applied)
         return cut_chunk(state, request.offset).to_wire()
 
@@ -102,9 +102,9 @@
         """Give the entry accepted at an index, with its ballot."""
         request = AcceptedEntryRequest.from_wire(body)
         acceptor = self.acceptors.parts.get(request.part)
-        if acceptor is None or request.index not in acceptor.entries:
+        if acceptor is None or request.log_index not in acceptor.entries:
             raise NotFounded(part=request.part, store=self.acceptors.node.me.name)
-        entry = acceptor.entries[request.index]
+        entry = acceptor.entries[request.log_index]
         return AcceptedEntryReply(entry.ballot, entry.batch).to_wire()
 
     def _founded(self, part: str) -> tuple[AcceptorState, PartState]:
@@ -121,7 +121,7 @@
         """
         request = InstallChunkRequest.from_wire(body)
         self.acceptors.check_ballot(request)
-        builder = self._builder_of(request.part, request.ballot, request.index)
+        builder = self._builder_of(request.part, request.ballot, request.log_index)
         wanted_offset = SNAPSHOT_START if builder is None else builder.offset
         if request.offset not in (wanted_offset, SNAPSHOT_START):
             raise Conflict(part=request.part, place=wanted_offset.to_wire())
@@ -129,7 +129,7 @@
             InstallChunkRecord(
                 request.part,
                 request.ballot,
-                request.index,
+                request.log_index,
                 request.offset,
                 request.data,
                 request.next_offset,
--- a/quillring/quorum/acceptor/state.py
+++ b/quillring/quorum/acceptor/state.py
@@ -65,7 +65,7 @@
     def from_promise(cls, promise: Promise) -> AcceptorState:
         """Return the state that a snapshot holds in the form of a promise."""
         entries = {
-            proposal.index: AcceptedEntry(proposal.ballot, proposal.batch or [])
+            proposal.log_index: AcceptedEntry(proposal.ballot, proposal.batch or [])
             for proposal in promise.accepted
         }
         return cls(promise.promised, promise.applied, promise.state, entries, promise.committed)
--- a/quillring/quorum/commands.py
+++ b/quillring/quorum/commands.py
@@ -8,25 +8,31 @@
 from quillring.kernel.registry import Registry
 
 if TYPE_CHECKING:
-    from quillring.quorum.values import Group
+    from typing import Any
+
+    from quillring.kernel.types import WireMap
+    from quillring.quorum.messages import Batch
+    from quillring.quorum.snapshot_chunks import PartState
+    from quillring.quorum.values import WireGroup
 
 COMMANDS = Registry("command")
 QUERIES = Registry("query")
 
 
-def first_state(group: Group) -> dict:
+def first_state(group: WireGroup) -> PartState:
     """Return the state of a part that was just founded."""
     return {"group": group, "lots": {}, "layout": None, "version": 0}
 
 
-def apply_batch(state: dict, batch: list[dict]) -> tuple[dict, list]:
+def apply_batch(state: PartState, batch: Batch) -> tuple[PartState, list[Any]]:
     """Return (new state, answers); a refused command changes nothing and answers an error.
 
     One batch is one entry of the log: in it one store may join the group and one may leave, so
     that a member is replaced in one step, and no more; `quorum.leader.membership_change` tells why
     that is safe.
     """
-    answers, first_group = [], state.get("group")
+    answers: list[Any] = []
+    first_group: Any = state.get("group")
     for command in batch:
         try:
             new_state, answer = COMMANDS.find(command["do"])(state, command)
@@ -41,7 +47,7 @@
     return state, answers
 
 
-def is_one_swap(group: Group | None, next_group: Group | None) -> bool:
+def is_one_swap(group: WireGroup, next_group: WireGroup) -> bool:
     """Tell whether at most one store joins and at most one leaves from one group to the next."""
     if group == next_group:
         return True
@@ -49,7 +55,7 @@
     return len(new_members - old_members) <= 1 and len(old_members - new_members) <= 1
 
 
-def answer_query(state: dict, query: dict) -> list:
+def answer_query(state: PartState, query: WireMap) -> list[Any]:
     """Return [None, answer] of a query, or [error's kind, its detail]."""
     try:
         return [None, QUERIES.find(query["ask"])(state, query)]
@@ -64,7 +70,7 @@
 
 
 @COMMANDS.entry("group.change")
-def change_group(state: dict, command: dict) -> tuple[dict, dict]:
+def change_group(state: PartState, command: WireMap) -> tuple[PartState, WireMap]:
     """Change the part's stores by one member at a time."""
     old_names = {tuple(store) for store in state["group"]}
     new_names = {tuple(store) for store in command["group"]}
--- a/quillring/quorum/founding/bootstrap.py
+++ b/quillring/quorum/founding/bootstrap.py
@@ -7,7 +7,7 @@
 from quillring.kernel.effects import Sleep
 from quillring.kernel.errors import QuillringError
 from quillring.quorum.founding.founding import found_fleet, roster_stores
-from quillring.quorum.founding.founding_vote import agree
+from quillring.quorum.founding.founding_vote import agree_on_founding
 from quillring.quorum.parts import GROUP_SIZE, is_enough
 
 if TYPE_CHECKING:
@@ -15,8 +15,8 @@
     from quillring.kernel.types import Coroutine
     from quillring.quorum.values import GroupMember
 
-STEADY_BEATS = 2
-TURN_BEATS = 8
+STEADY_HEARTBEATS = 2
+TURN_HEARTBEATS = 8
 
 
 def found_at_first_start(
@@ -29,33 +29,39 @@
     the sides of a cut cannot both found. With too few stores for the size, the largest odd number
     that there is must do, after a turn.
     """
-    node.find("elector").is_first_start = is_first_start
+    voter = node.find("elector")
+    voter.is_first_start = is_first_start
     if not is_first_start:
         return
-    node.spawn(node.find("elector").begin())
-    gossip, bounds, start_time = node.find("gossip"), node.bounds, node.now()
-    turn, names, steady_since = bounds.heartbeat_interval * TURN_BEATS, (), node.now()
-    own_time = start_time + turn * place_of(node)
+    node.spawn(voter.register_first_start())
+    gossip, bounds = node.find("gossip"), node.bounds
+    turn_seconds = bounds.heartbeat_interval * TURN_HEARTBEATS
+    steady_seconds = bounds.heartbeat_interval * STEADY_HEARTBEATS
+    own_time = node.now() + turn_seconds * seed_position(node)
+    names: tuple[str, ...] = ()
+    steady_since = node.now()
     while gossip.get("founding") is None:
         yield Sleep(bounds.gossip_interval * 2)
-        stores, now = reached_stores(node), node.now()
-        if tuple(store.name for store in stores) != names:
-            names, steady_since = tuple(store.name for store in stores), now
-        if (
-            now < own_time
-            or now - steady_since < bounds.heartbeat_interval * STEADY_BEATS
-            or not stores
-        ):
+        stores, now = reachable_stores(node), node.now()
+        known_names = tuple(store.name for store in stores)
+        if known_names != names:
+            names, steady_since = known_names, now
+        if now < own_time or now - steady_since < steady_seconds or not stores:
             continue
-        if is_enough([store.zone for store in stores], size) or now >= own_time + turn:
-            wanted_size = min(size, (len(stores) + 1) // 2 * 2 - 1)
+        if is_enough([store.zone for store in stores], size) or now >= own_time + turn_seconds:
+            wanted_size = min(size, _largest_odd(len(stores)))
             try:
-                yield from found_fleet(node, part_count, wanted_size, stores, agree)
+                yield from found_fleet(node, part_count, wanted_size, stores, agree_on_founding)
             except QuillringError as error:
                 node.log("warning", "founding: %s", error)
 
 
-def place_of(node: Node) -> int:
+def _largest_odd(count: int) -> int:
+    """Return the largest odd number up to a count of one or more."""
+    return (count + 1) // 2 * 2 - 1
+
+
+def seed_position(node: Node) -> int:
     """Return the place of this node among its seeds by address; whoever is none comes last.
 
     By address, as the seeds may be told to each node in another order.
@@ -64,7 +70,7 @@
     return seeds.index(node.me.address) if node.me.address in seeds else len(seeds)
 
 
-def reached_stores(node: Node) -> list[GroupMember]:
+def reachable_stores(node: Node) -> list[GroupMember]:
     """Return the stores that are heard, by name."""
     nifty = node.find("nifty")
     return [store for store in roster_stores(node) if nifty.reaches(store.name)]
--- a/quillring/quorum/founding/founding.py
+++ b/quillring/quorum/founding/founding.py
@@ -5,6 +5,7 @@
 from typing import TYPE_CHECKING
 
 from quillring.kernel.errors import Conflict, NoMajority, QuillringError, Refused
+from quillring.quorum.messages import FoundRequest
 from quillring.quorum.parts import GROUP_SIZE, choose_group, is_enough, part_names
 from quillring.quorum.values import GroupMember, group_to_wire
 
@@ -12,7 +13,7 @@
     from collections.abc import Callable
 
     from quillring.kernel.node import Node
-    from quillring.kernel.types import Coroutine
+    from quillring.kernel.types import Coroutine, WireMap
 
 
 def found_fleet(
@@ -20,9 +21,9 @@
     part_count: int,
     size: int = GROUP_SIZE,
     stores: list[GroupMember] | None = None,
-    choose: Callable[[Node, dict], Coroutine] | None = None,
+    choose: Callable[[Node, WireMap], Coroutine] | None = None,
 ) -> Coroutine:
-    """Coroutine: found the fleet on the stores of the roster, or finish a founding begun before.
+    """Found the fleet on the stores of the roster, or finish a founding begun before.
 
     A store that holds a founding already is found by asking all first. Then the first store by
     name is asked alone: of two racing founders the one whose record it keeps has won, and the
@@ -46,7 +47,7 @@
         arbiter, *other_stores = founders
         founding = yield from _found_at(node, arbiter, founding)
     calls = [
-        (store.name, "quorum.found", {"identity": store.identity, "founding": founding})
+        (store.name, "quorum.found", FoundRequest(store.identity, founding).to_wire())
         for store in other_stores
     ]
     replies = yield from node.gather(calls, len(calls), node.bounds.propagation)
@@ -63,7 +64,7 @@
     return [GroupMember(m.name, m.identity, m.zone) for m in members if m.role == "store"]
 
 
-def make_founding(node: Node, part_count: int, size: int, stores: list[GroupMember]) -> dict:
+def make_founding(node: Node, part_count: int, size: int, stores: list[GroupMember]) -> WireMap:
     """Return a new founding record: the groups of all parts, and the fleet's secret."""
     chosen_groups = {part: choose_group(part, stores, size) for part in part_names(part_count)}
     secret_bytes = node.runtime.secret(32)
@@ -79,15 +80,17 @@
 
 
 def _held_founding(node: Node, stores: list[GroupMember]) -> Coroutine:
+    """Return a founding record that one of the stores holds, or None."""
     calls = [(store.name, "quorum.founding", None) for store in stores]
     replies = yield from node.gather(calls, len(calls), node.bounds.call_timeout)
     held = [reply for reply in replies.values() if isinstance(reply, dict)]
     return held[0] if held else None
 
 
-def _found_at(node: Node, store: GroupMember, founding: dict) -> Coroutine:
+def _found_at(node: Node, store: GroupMember, founding: WireMap) -> Coroutine:
+    """Have one store take the record; return the one that it holds by then."""
     try:
-        body = {"identity": store.identity, "founding": founding}
+        body = FoundRequest(store.identity, founding).to_wire()
         yield from node.call(store.name, "quorum.found", body, node.bounds.propagation)
     except Conflict as conflict:
         return conflict.detail["founding"]
--- a/quillring/quorum/founding/founding_vote.py
+++ b/quillring/quorum/founding/founding_vote.py
@@ -13,72 +13,70 @@
 from __future__ import annotations
 
 import zlib
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING
 
 import cbor2
 
 from quillring.kernel.effects import Sleep
 from quillring.kernel.errors import Conflict, Fenced, NoMajority, QuillringError, Refused
+from quillring.quorum.founding.messages import (
+    Vote,
+    VoteAcceptRequest,
+    VotePrepareRequest,
+    VotePromise,
+)
+from quillring.quorum.values import NO_BALLOT, Ballot
 
 if TYPE_CHECKING:
+    from collections.abc import Sequence
     from typing import Any
 
     from quillring.kernel.node import Node
-    from quillring.kernel.types import Coroutine
-    from quillring.store import FolderDisk
+    from quillring.kernel.types import Coroutine, WireMap
+    from quillring.store.disk import Disk
 
 FILES = ("founding.0", "founding.1")
-NO_BALLOT = (0, "")
-
-
-class Vote(NamedTuple):
-    """What one seed promised and accepted; `number` counts its changes."""
-
-    number: int = 0
-    promised: tuple = NO_BALLOT
-    accepted: tuple = NO_BALLOT
-    founding: dict | None = None
-
-    @classmethod
-    def from_list(cls, fields: list) -> Vote:
-        """Read a vote from a message or a file."""
-        number, promised, accepted, founding = fields
-        return cls(number, tuple(promised), tuple(accepted), founding)
+CHECKSUM_BYTES = 4
 
 
 class FoundingVoter:
-    """A seed's side: promises and accepts, each kept before it is answered."""
+    """A seed's side: promises and accepts, each kept before it is answered.
 
-    __slots__ = ("node", "witness", "is_first_start", "vote", "attempt")
+    `witness` is the name of the store that keeps the vote, None where it is held in memory.
+    `ballot_number` is the highest one that this node used or heard of.
+    """
+
+    __slots__ = ("node", "witness", "is_first_start", "vote", "ballot_number")
 
     def __init__(self, node: Node) -> None:
         self.node = node
-        self.witness = None
+        self.witness: str | None = None
         self.is_first_start = False
         self.vote = Vote()
-        self.attempt = 0
+        self.ballot_number = 0
         node.handle("founding.prepare", self.on_prepare)
         node.handle("founding.accept", self.on_accept)
 
-    def on_prepare(self, body: dict, origin: str) -> Coroutine:
-        """Coroutine: promise a ballot; return the ballot and the record accepted before, if any."""
-        vote, ballot = (yield from self._recall()), tuple(body["ballot"])
-        if ballot < vote.promised:
-            raise Fenced(part="founding", ballot=list(vote.promised))
-        yield from self._keep(vote, vote._replace(promised=ballot))
-        return [list(vote.accepted), vote.founding]
-
-    def on_accept(self, body: dict, origin: str) -> Coroutine:
-        """Coroutine: accept a record unless a higher ballot was promised."""
-        vote, ballot = (yield from self._recall()), tuple(body["ballot"])
-        if ballot < vote.promised:
-            raise Fenced(part="founding", ballot=list(vote.promised))
+    def on_prepare(self, body: WireMap, origin: str) -> Coroutine:
+        """Promise a ballot; return the ballot and the record accepted before, if any."""
+        request = VotePrepareRequest.from_wire(body)
+        vote = yield from self._recall()
+        _check_ballot(vote, request.ballot)
+        yield from self._keep(vote, vote._replace(promised=request.ballot))
+        return VotePromise(vote.accepted, vote.founding).to_wire()
+
+    def on_accept(self, body: WireMap, origin: str) -> Coroutine:
+        """Accept a record unless a higher ballot was promised."""
+        request = VoteAcceptRequest.from_wire(body)
+        vote = yield from self._recall()
+        ballot = request.ballot
+        _check_ballot(vote, ballot)
         yield from self._keep(
-            vote, vote._replace(promised=ballot, accepted=ballot, founding=body["founding"])
+            vote, vote._replace(promised=ballot, accepted=ballot, founding=request.founding)
         )
         return True
 
-    def begin(self) -> Coroutine:
+    def register_first_start(self) -> Coroutine:
         """At the first start, have the witness know of it, so that later lives may vote."""
         if not self.is_first_start or self.witness is None:
             return
@@ -93,84 +91,112 @@
             yield Sleep(self.node.bounds.heartbeat_interval / 4)
 
     def _recall(self) -> Coroutine:
-        """Coroutine: return this seed's vote; Refused when a former life's may be lost."""
+        """Return this seed's vote; Refused when a former life's may be lost."""
         vote = self.vote
         if self.witness is not None:
             kept = yield from self.node.call(self.witness, "founding.recall", None)
-            vote = Vote() if kept is None else Vote.from_list(kept)
+            vote = Vote() if kept is None else Vote.from_wire(kept)
         if not vote.number and not self.is_first_start:
             raise Refused(reason="a former vote may be lost")
         return vote
 
     def _keep(self, former: Vote, vote: Vote) -> Coroutine:
-        """Coroutine: keep a vote in place of the former one; Conflict when another came between."""
+        """Keep a vote in place of the former one; Conflict when another came between."""
         vote = vote._replace(number=former.number + 1)
         if self.witness is not None:
-            yield from self.node.call(self.witness, "founding.keep", list(vote))
+            yield from self.node.call(self.witness, "founding.keep", vote.to_wire())
         elif self.vote.number != former.number:
             raise Conflict(reason="the vote has changed")
         self.vote = vote
 
+    def next_ballot(self) -> Ballot:
+        """Return a ballot of this node that is higher than all it used or heard of."""
+        self.ballot_number += 1
+        return Ballot(self.ballot_number, f"{self.node.me.name}#{self.node.me.incarnation}")
+
+    def note_ballots(self, ballots: list[Ballot]) -> None:
+        """Take note of ballots that other founders use."""
+        self.ballot_number = max(self.ballot_number, *(int(ballot.number) for ballot in ballots))
+
+
+def _check_ballot(vote: Vote, ballot: Ballot) -> None:
+    """Raise Fenced when a higher ballot was promised."""
+    if ballot < vote.promised:
+        raise Fenced(part="founding", ballot=vote.promised.to_wire())
+
 
 class Witness:
-    """A store's side: it keeps the vote of the seed on its machine, in two files in turn."""
+    """A store's side: it keeps the vote of the seed on its machine, in two alternating files.
+
+    A file is the CRC-32 of the vote in four bytes, then the vote in CBOR.
+    """
 
     __slots__ = ("node", "disk")
 
-    def __init__(self, node: Node, disk: FolderDisk) -> None:
+    def __init__(self, node: Node, disk: Disk) -> None:
         self.node = node
         self.disk = disk
         node.handle("founding.recall", self.on_recall)
         node.handle("founding.keep", self.on_keep)
 
-    def on_recall(self, body: Any, origin: str) -> list | None:
+    def on_recall(self, body: Any, origin: str) -> list[Any] | None:
         """Return the newest vote that is kept, or None."""
-        return max(filter(None, map(self._read, FILES)), default=None, key=lambda vote: vote[0])
+        vote = self._newest()
+        return None if vote is None else vote.to_wire()
 
-    def on_keep(self, body: list, origin: str) -> bool:
+    def on_keep(self, body: Sequence[Any], origin: str) -> bool:
         """Keep a vote durably if it is the next one; a torn file leaves the former vote."""
-        kept = self.on_recall(None, origin)
-        if body[0] != (kept[0] if kept else 0) + 1:
+        vote, kept = Vote.from_wire(body), self._newest()
+        if vote.number != (0 if kept is None else kept.number) + 1:
             raise Conflict(reason="the vote has changed")
-        data = cbor2.dumps(body)
-        self.disk.write(FILES[body[0] % 2], zlib.crc32(data).to_bytes(4, "big") + data)
+        data = cbor2.dumps(vote.to_wire())
+        checksum = zlib.crc32(data).to_bytes(CHECKSUM_BYTES, "big")
+        self.disk.write(FILES[vote.number % 2], checksum + data)
         return True
 
-    def _read(self, name: str):
+    def _newest(self) -> Vote | None:
+        votes = [vote for vote in map(self._read, FILES) if vote is not None]
+        return max(votes, key=lambda vote: vote.number, default=None)
+
+    def _read(self, name: str) -> Vote | None:
+        """Return the vote in a file, or None when it is missing or torn."""
         data = self.disk.read(name)
-        if not data or len(data) < 4 or zlib.crc32(data[4:]) != int.from_bytes(data[:4], "big"):
+        if not data or len(data) < CHECKSUM_BYTES:
+            return None
+        checksum, body = data[:CHECKSUM_BYTES], data[CHECKSUM_BYTES:]
+        if zlib.crc32(body) != int.from_bytes(checksum, "big"):
             return None
-        return cbor2.loads(data[4:])
+        return Vote.from_wire(cbor2.loads(body))
 
 
-def agree(node: Node, founding: dict) -> Coroutine:
-    """Coroutine: have a majority of the seeds choose a founding record; return the one chosen.
+def agree_on_founding(node: Node, founding: WireMap) -> Coroutine:
+    """Have a majority of the seeds choose a founding record; return the one chosen.
 
     Raises Fenced or NoMajority; then nothing, this record or another one may come to be chosen.
     """
-    elector = node.find("elector")
-    elector.attempt += 1
-    ballot = [elector.attempt, f"{node.me.name}#{node.me.incarnation}"]
-    promises = yield from _ask_seeds(node, "founding.prepare", {"ballot": ballot})
-    accepted, record = max(promises, key=lambda promise: tuple(promise[0]))
-    if tuple(accepted) > NO_BALLOT:
-        founding = record
-    yield from _ask_seeds(node, "founding.accept", {"ballot": ballot, "founding": founding})
+    ballot = node.find("elector").next_ballot()
+    request = VotePrepareRequest(ballot)
+    answers = yield from _ask_seeds(node, "founding.prepare", request.to_wire())
+    promises = [VotePromise.from_wire(answer) for answer in answers]
+    highest = max(promises, key=lambda promise: promise.accepted)
+    if highest.accepted > NO_BALLOT and highest.founding is not None:
+        founding = highest.founding
+    yield from _ask_seeds(node, "founding.accept", VoteAcceptRequest(ballot, founding).to_wire())
     return founding
 
 
-def _ask_seeds(node: Node, service: str, body: dict) -> Coroutine:
-    """Coroutine: ask all seeds; return the answers of a majority of them."""
+def _ask_seeds(node: Node, service: str, body: WireMap) -> Coroutine:
+    """Ask all seeds; return the answers of a majority of them."""
     addresses, roster = set(node.find("nifty").seeds), node.find("nifty").roster
     names = {name for at in addresses for name in roster.addresses.get(tuple(at), ())[-1:]}
     need = len(addresses) // 2 + 1
     calls = [(name, service, body) for name in sorted(names)]
     replies = yield from node.gather(calls, need, node.bounds.propagation)
     answers = [r for r in replies.values() if not isinstance(r, QuillringError)]
-    fences = [r.detail["ballot"] for r in replies.values() if isinstance(r, Fenced)]
+    fences = [r for r in replies.values() if isinstance(r, Fenced)]
     if fences:
-        elector = node.find("elector")
-        elector.attempt = max(elector.attempt, *(int(ballot[0]) for ballot in fences))
+        ballots = [Ballot.from_wire(fence.detail["ballot"]) for fence in fences]
+        node.find("elector").note_ballots(ballots)
     if len(answers) < need:
         raise NoMajority(part="founding", heard=len(answers), needed=need)
     return answers
--- a/quillring/quorum/leader/catch_up.py
+++ b/quillring/quorum/leader/catch_up.py
@@ -89,7 +89,7 @@
         caller, machine = self.caller, self.machine
         if machine.log_cache.since(applied) is None:
             yield from self._learn_entries(member, applied)
-        if is_state_smaller(machine.known_state(), machine.log_cache.weight_since(applied)):
+        if is_state_smaller(machine.known_state(), machine.log_cache.bytes_since(applied)):
             return False
         while applied < machine.last_applied:
             entries = machine.log_cache.since(applied, CHUNK_BYTES)
@@ -129,7 +129,7 @@
             call = caller.call_to(
                 member,
                 InstallChunkRequest,
-                index=index,
+                log_index=index,
                 offset=offset,
                 data=data,
                 next_offset=next_offset,
@@ -143,7 +143,7 @@
                 offset = ChunkOffset.from_wire(error.detail["place"])
                 continue
             except UnknownService:
-                whole = caller.call_to(member, InstallRequest, index=index, state=state)
+                whole = caller.call_to(member, InstallRequest, log_index=index, state=state)
                 yield from caller.node.call(*whole, seconds)
                 return
             caller.node.count("pieces_sent")
--- a/quillring/quorum/leader/follower_read.py
+++ b/quillring/quorum/leader/follower_read.py
@@ -69,7 +69,7 @@
     applied, answer = newest.applied, newest.answer
     chosen = _chosen_beyond(replies, applied, majority(group))
     if chosen:
-        applied, answer = chosen[-1].index, chosen[-1].answer
+        applied, answer = chosen[-1].log_index, chosen[-1].answer
     unsure_lots = {
         lot for reply in replies for index, lot in reply.uncommitted_lots if index > applied
     }
@@ -84,11 +84,11 @@
 ) -> list[UncommittedAnswer]:
     """Return the longest run of entries beyond an applied index that so many stores accepted."""
     votes: Counter[tuple[int, Ballot]] = Counter(
-        (entry.index, entry.ballot) for reply in replies for entry in reply.uncommitted or ()
+        (entry.log_index, entry.ballot) for reply in replies for entry in reply.uncommitted or ()
     )
 
     def is_chosen(entry: UncommittedAnswer) -> bool:
-        return votes[entry.index, entry.ballot] >= needed
+        return votes[entry.log_index, entry.ballot] >= needed
 
     runs = [
         list(takewhile(is_chosen, reply.uncommitted or ()))
--- a/quillring/quorum/leader/part_leader.py
+++ b/quillring/quorum/leader/part_leader.py
@@ -217,7 +217,7 @@
     def replicate(self, batch: Batch) -> Coroutine:
         """Have a majority accept the next entry; apply it; return the answers of its commands."""
         asked_at, index = self.node.now(), self.index + 1
-        fields: dict[str, Any] = {"index": index, "batch": batch, "committed": index - 1}
+        fields: dict[str, Any] = {"log_index": index, "batch": batch, "committed": index - 1}
         send_hints(self.caller, AcceptRequest, **fields)
         self.in_flight.begin(batch)
         try:
--- a/quillring/quorum/leader/uncommitted.py
+++ b/quillring/quorum/leader/uncommitted.py
@@ -43,7 +43,7 @@
 def highest_ballot_beyond(promises: dict[str, Promise], index: int) -> Ballot | None:
     """Return the highest ballot of the entries accepted beyond an index, or None."""
     rows = [row for promise in promises.values() for row in promise.accepted]
-    return max((row.ballot for row in rows if row.index > index), default=None)
+    return max((row.ballot for row in rows if row.log_index > index), default=None)
 
 
 def fetch_batch(node: Node, part: str, index: int, entry: UncommittedEntry) -> Coroutine:
--- a/quillring/quorum/log_cache.py
+++ b/quillring/quorum/log_cache.py
@@ -3,88 +3,100 @@
 from __future__ import annotations
 
 from collections import deque
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 import cbor2
 
-KEPT_ENTRIES = 4096
-KEPT_WEIGHT = 12 << 20
+if TYPE_CHECKING:
+    from quillring.quorum.messages import Batch, WireEntry
+
+MAX_ENTRIES = 4096
+MAX_BYTES = 12 << 20
 
 
 class AppliedEntry(NamedTuple):
-    """An applied entry of the log and its bytes on the wire."""
+    """An applied entry of the log, and the bytes of its batch on the wire."""
+
+    log_index: int
+    batch: Batch
+    size: int
 
-    index: int
-    batch: list
-    weight: int
+    @classmethod
+    def of(cls, log_index: int, batch: Batch) -> AppliedEntry:
+        """Return the entry with its size."""
+        return cls(log_index, batch, len(cbor2.dumps(batch)))
 
 
 class LogCache:
-    """Consecutive applied entries, in bounded number and weight (bytes)."""
+    """Consecutive applied entries, in bounded number and bytes."""
 
-    __slots__ = ("entries", "weight", "most_weight")
+    __slots__ = ("entries", "size", "max_bytes")
 
-    def __init__(self, most_weight: int = KEPT_WEIGHT) -> None:
-        self.entries = deque()
-        self.weight = 0
-        self.most_weight = most_weight
+    def __init__(self, max_bytes: int = MAX_BYTES) -> None:
+        self.entries: deque[AppliedEntry] = deque()
+        self.size = 0
+        self.max_bytes = max_bytes
 
     def copy(self) -> LogCache:
         """Return the same entries for another term, which adds its own."""
-        other = LogCache(self.most_weight)
-        other.entries, other.weight = self.entries.copy(), self.weight
+        other = LogCache(self.max_bytes)
+        other.entries, other.size = self.entries.copy(), self.size
         return other
 
     @property
     def first(self) -> int | None:
         """The index of the oldest entry kept, or None."""
-        return self.entries[0].index if self.entries else None
+        return self.entries[0].log_index if self.entries else None
 
-    def add(self, index: int, batch: list[dict]) -> None:
+    def add(self, log_index: int, batch: Batch) -> None:
         """Remember an applied entry; the oldest ones go when there are too many."""
-        if self.entries and self.entries[-1].index != index - 1:
+        if self.entries and self.entries[-1].log_index != log_index - 1:
             self.clear()
-        weight = len(cbor2.dumps(batch))
-        self.entries.append(AppliedEntry(index, batch, weight))
-        self.weight += weight
+        entry = AppliedEntry.of(log_index, batch)
+        self.entries.append(entry)
+        self.size += entry.size
         self._trim()
 
-    def put_before(self, entries: list) -> None:
+    def put_before(self, entries: list[WireEntry]) -> None:
         """Take [[index, batch], ...] that end where the entries kept begin; else change nothing."""
-        if self.entries and entries and entries[-1][0] != self.first - 1:
+        if not entries:
+            return
+        last_index, _ = entries[-1]
+        if self.first is not None and last_index != self.first - 1:
             return
-        for index, batch in reversed(entries):
-            weight = len(cbor2.dumps(batch))
-            self.entries.appendleft(AppliedEntry(index, batch, weight))
-            self.weight += weight
+        for log_index, batch in reversed(entries):
+            entry = AppliedEntry.of(log_index, batch)
+            self.entries.appendleft(entry)
+            self.size += entry.size
         self._trim()
 
-    def weight_since(self, applied: int) -> int:
+    def bytes_since(self, applied: int) -> int:
         """Return the bytes of the entries kept after an index."""
-        return sum(entry.weight for entry in self.entries if entry.index > applied)
+        return sum(entry.size for entry in self.entries if entry.log_index > applied)
 
-    def _trim(self):
-        while len(self.entries) > KEPT_ENTRIES or self.weight > self.most_weight:
-            self.weight -= self.entries.popleft().weight
+    def _trim(self) -> None:
+        while len(self.entries) > MAX_ENTRIES or self.size > self.max_bytes:
+            self.size -= self.entries.popleft().size
 
     def clear(self) -> None:
         """Forget all entries."""
         self.entries.clear()
-        self.weight = 0
+        self.size = 0
 
-    def since(self, applied: int, limit: int | None = None) -> list | None:
+    def since(self, applied: int, limit: int | None = None) -> list[WireEntry] | None:
         """Return [[index, batch], ...] after an index, or None when some are gone.
 
         With a limit, in bytes, no more than it allows, but one at least.
         """
-        if not self.entries or self.entries[0].index > applied + 1:
+        if not self.entries or self.entries[0].log_index > applied + 1:
             return None
-        chosen, weight = [], 0
-        for index, batch, entry_weight in self.entries:
-            if index <= applied:
+        chosen: list[WireEntry] = []
+        size = 0
+        for entry in self.entries:
+            if entry.log_index <= applied:
                 continue
-            weight += entry_weight
-            if chosen and limit is not None and weight > limit:
+            size += entry.size
+            if chosen and limit is not None and size > limit:
                 break
-            chosen.append([index, batch])
+            chosen.append([entry.log_index, entry.batch])
         return chosen
--- a/quillring/quorum/messages.py
+++ b/quillring/quorum/messages.py
@@ -84,7 +84,7 @@
     part: str
     ballot: Ballot
     identity: str
-    index: int
+    log_index: int
     batch: Batch
     committed: int
 
@@ -103,7 +103,7 @@
     def to_wire(self) -> WireMap:
         """Return the request as it stands on the wire."""
         body = _header_to_wire(self)
-        body["index"] = self.index
+        body["index"] = self.log_index
         body["batch"] = self.batch
         body["committed"] = self.committed
         return body
@@ -160,12 +160,12 @@
 
 
 class InstallRequest(NamedTuple):
-    """`quorum.install`, of former versions: the whole state after the entry `index`."""
+    """`quorum.install`, of former versions: the whole state after the entry `log_index`."""
 
     part: str
     ballot: Ballot
     identity: str
-    index: int
+    log_index: int
     state: PartState
 
     @classmethod
@@ -182,13 +182,13 @@
     def to_wire(self) -> WireMap:
         """Return the request as it stands on the wire."""
         body = _header_to_wire(self)
-        body["index"] = self.index
+        body["index"] = self.log_index
         body["state"] = self.state
         return body
 
 
 class InstallChunkRequest(NamedTuple):
-    """`quorum.install_piece`: a chunk of the state after the entry `index`.
+    """`quorum.install_piece`: a chunk of the state after the entry `log_index`.
 
     `offset` is where the chunk begins, `next_offset` where the next one does; None at the end.
     """
@@ -196,7 +196,7 @@
     part: str
     ballot: Ballot
     identity: str
-    index: int
+    log_index: int
     offset: ChunkOffset
     data: bytes
     next_offset: ChunkOffset | None
@@ -218,7 +218,7 @@
     def to_wire(self) -> WireMap:
         """Return the request as it stands on the wire."""
         body = _header_to_wire(self)
-        body["index"] = self.index
+        body["index"] = self.log_index
         body["place"] = self.offset.to_wire()
         body["data"] = self.data
         body["following"] = None if self.next_offset is None else self.next_offset.to_wire()
@@ -245,7 +245,7 @@
 class AcceptedProposal(NamedTuple):
     """An entry that a store accepted and has not applied; a brief answer leaves the batch out."""
 
-    index: int
+    log_index: int
     ballot: Ballot
     batch: Batch | None
 
@@ -257,7 +257,7 @@
 
     def to_wire(self) -> list[Any]:
         """Return the entry as a promise and a snapshot hold it."""
-        return [self.index, self.ballot.to_wire(), self.batch]
+        return [self.log_index, self.ballot.to_wire(), self.batch]
 
 
 class Promise(NamedTuple):
@@ -298,7 +298,7 @@
     """`quorum.piece`: give the chunk at an offset of the state applied at an index."""
 
     part: str
-    index: int
+    log_index: int
     offset: ChunkOffset
 
     @classmethod
@@ -308,7 +308,7 @@
 
     def to_wire(self) -> WireMap:
         """Return the request as it stands on the wire."""
-        return {"part": self.part, "index": self.index, "place": self.offset.to_wire()}
+        return {"part": self.part, "index": self.log_index, "place": self.offset.to_wire()}
 
 
 class EntriesRequest(NamedTuple):
@@ -331,7 +331,7 @@
     """`quorum.accepted`: give the entry accepted at an index."""
 
     part: str
-    index: int
+    log_index: int
 
     @classmethod
     def from_wire(cls, body: WireMap) -> AcceptedEntryRequest:
@@ -340,7 +340,7 @@
 
     def to_wire(self) -> WireMap:
         """Return the request as it stands on the wire."""
-        return {"part": self.part, "index": self.index}
+        return {"part": self.part, "index": self.log_index}
 
 
 class AcceptedEntryReply(NamedTuple):
@@ -400,9 +400,9 @@
 
 
 class UncommittedAnswer(NamedTuple):
-    """What the query would come to after the entry `index`, accepted under `ballot`, too."""
+    """What the query would come to after the entry `log_index`, accepted under `ballot`, too."""
 
-    index: int
+    log_index: int
     ballot: Ballot
     answer: QueryAnswer
 
@@ -414,7 +414,7 @@
 
     def to_wire(self) -> list[Any]:
         """Return the answer as it stands on the wire."""
-        return [self.index, self.ballot.to_wire(), self.answer.error_kind, self.answer.answer]
+        return [self.log_index, self.ballot.to_wire(), self.answer.error_kind, self.answer.answer]
 
 
 class FollowerReadRequest(NamedTuple):
@@ -493,7 +493,7 @@
 
     part: str
     identity: str
-    index: int
+    log_index: int
 
     @classmethod
     def from_wire(cls, body: WireMap) -> HintedEntry:
--- a/quillring/quorum/parts.py
+++ b/quillring/quorum/parts.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import hashlib
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Any
 
 from quillring.nifty.graph import score
 
@@ -14,7 +14,7 @@
 
 CONFIG = "config"
 
-Call = tuple[str, str, dict]
+Call = tuple[str, str, dict[str, Any]]
 """A call to one node: (name, service, body)."""
 
 GROUP_SIZE = 3
--- a/quillring/quorum/values.py
+++ b/quillring/quorum/values.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Iterable, Sequence
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 WireMember = Sequence[str]
 """A group member on the wire and in a part's state: [name, identity, zone]."""
@@ -48,12 +48,12 @@
     leader: str
 
     @classmethod
-    def from_wire(cls, fields: Sequence) -> Ballot:
+    def from_wire(cls, fields: Sequence[Any]) -> Ballot:
         """Read a ballot as it stands on the wire and on disk."""
         number, leader = fields
         return cls(number, leader)
 
-    def to_wire(self) -> list:
+    def to_wire(self) -> list[Any]:
         """Return the ballot as it stands on the wire and on disk."""
         return [self.number, self.leader]
 
--- a/tests/test_follower_read.py
+++ b/tests/test_follower_read.py
@@ -35,7 +35,7 @@
         None,
         applied,
         [
-            [later.index, later.ballot.to_wire(), None, later.index]
+            [later.log_index, later.ballot.to_wire(), None, later.log_index]
             for later in record.uncommitted_answers(ASKED)
         ],
     ]
--- a/tests/test_founding_bootstrap.py
+++ b/tests/test_founding_bootstrap.py
@@ -1,6 +1,6 @@
 import pytest
 
-from quillring.quorum.founding.bootstrap import place_of, reached_stores
+from quillring.quorum.founding.bootstrap import reachable_stores, seed_position
 from quillring.quorum.founding.founding import found_fleet, make_founding, roster_stores
 from quillring.quorum.parts import choose_group, is_enough
 from quillring.quorum.values import GroupMember
@@ -44,7 +44,7 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_the_second_seed_founds_when_the_first_one_dies(seed):
     stage = SelfFounded(seed, ready_at=0.3)
-    first = next(n for n in stage.sim.up_nodes("core") if place_of(n) == 0)
+    first = next(n for n in stage.sim.up_nodes("core") if seed_position(n) == 0)
     stage.sim.kill(first.me.name)
     stage.run(3)
     assert stage.fleets() == set()
@@ -56,7 +56,7 @@
 @pytest.mark.parametrize("frozen_at", [1.0, 1.7, 1.76, 1.8])
 def test_a_first_seed_that_freezes_amid_its_founding_makes_no_second_fleet(seed, frozen_at):
     stage = SelfFounded(seed, ready_at=frozen_at)
-    first = next(n for n in stage.sim.up_nodes("core") if place_of(n) == 0)
+    first = next(n for n in stage.sim.up_nodes("core") if seed_position(n) == 0)
     stage.sim.freeze(first.me.name, 7)
     stage.run(20)
     assert len(stage.fleets()) == 1
@@ -67,7 +67,7 @@
 def test_a_founding_begun_by_one_who_died_is_carried_on_by_the_next():
     stage = SelfFounded(5, ready_at=1.0, is_first=lambda name: name != "core-1")
     first = stage.sim.nodes["core-1"]
-    stage.wait_for(lambda: len(reached_stores(first)) == 4, 3)
+    stage.wait_for(lambda: len(reachable_stores(first)) == 4, 3)
     stores = roster_stores(first)
     founding = make_founding(first, 2, 3, stores)
     body = {"identity": stores[3].identity, "founding": founding}
@@ -144,12 +144,12 @@
     assert stage.read("core-3", {"ask": "edition"})[0]["layout"]["domains"]["north"]["emptied"]
 
 
-def test_the_place_of_a_seed_does_not_hang_on_the_order_it_was_told_in():
+def test_the_seed_position_a_seed_does_not_hang_on_the_order_it_was_told_in():
     stage = SelfFounded(1, ready_at=0.1)
     node = stage.sim.nodes["core-1"]
     seeds = [stage.sim.nodes[name].me.address for name in ("core-1", "core-2", "core-3")]
     places = set()
     for order in (seeds, seeds[::-1], seeds[1:] + seeds[:1]):
         node.find("nifty").seeds = tuple(order)
-        places.add(place_of(node))
+        places.add(seed_position(node))
     assert len(places) == 1
--- a/tests/test_founding_vote.py
+++ b/tests/test_founding_vote.py
@@ -9,12 +9,12 @@
 from quillring.kernel.errors import Conflict, Fenced, NoMajority, QuillringError, Refused, TimedOut
 from quillring.quorum.founding.founding_vote import (
     FILES,
-    NO_BALLOT,
     FoundingVoter,
-    Vote,
     Witness,
-    agree,
+    agree_on_founding,
 )
+from quillring.quorum.founding.messages import Vote
+from quillring.quorum.values import NO_BALLOT
 
 
 class LoneNode:
@@ -82,7 +82,7 @@
     prepare(make(disk), 1)
     prepare(make(disk), 2)
     disk.durable[FILES[0]] = disk.durable[FILES[0]][:-1]
-    assert Vote.from_list(Witness(LoneNode(), disk).on_recall(None, "")).promised[0] == 1
+    assert Vote.from_wire(Witness(LoneNode(), disk).on_recall(None, "")).promised.number == 1
 
 
 def test_a_vote_that_is_not_the_next_one_is_not_kept():
@@ -127,7 +127,7 @@
         """Propose a record to the seeds reached; return the one chosen, None where none is."""
         self.reached = {"founding.prepare": prepared, "founding.accept": accepted}
         try:
-            return finish(agree(self, {"fleet": fleet}))["fleet"]
+            return finish(agree_on_founding(self, {"fleet": fleet}))["fleet"]
         except (Fenced, NoMajority):
             return None
 
