--- a/quillring/lots/http_requests/api.py
+++ b/quillring/lots/http_requests/api.py
@@ -40,8 +40,8 @@
     HELD,
     MOVED,
     HeldTooMuch,
-    Item,
     QuotaExceeded,
+    stored_tokens,
 )
 from quillring.lots.http_requests.messages import READ, HeldRead
 from quillring.quorum.leader.follower_read import read_from_majority, value_of
@@ -179,7 +179,7 @@
     return ReserveTokens(
         lot_part=place.own,
         host_part=place.home,
-        tokens=sum(Item.from_stored(fields).tokens for fields in command.items),
+        tokens=sum(map(stored_tokens, command.items)),
         fenced_ticket=None,
         lot=command.lot,
         forward=command.forward,
--- a/quillring/lots/http_requests/lot_table.py
+++ b/quillring/lots/http_requests/lot_table.py
@@ -7,7 +7,8 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Mapping, Sequence
+from collections.abc import Collection, Mapping, Sequence
+from operator import itemgetter
 from typing import Any, Literal, NamedTuple, NotRequired, TypedDict
 
 from quillring.kernel.errors import NotFound, QuillringError
@@ -61,6 +62,13 @@
         return cls(item_id, target, headers, body, tokens)
 
 
+stored_body = itemgetter(Item._fields.index("body"))
+"""Returns the body of a stored item; for sums over many, where a record each costs too much."""
+
+stored_tokens = itemgetter(Item._fields.index("tokens"))
+"""Returns the tokens of a stored item."""
+
+
 class ItemResult(NamedTuple):
     """A listed result; `state` is FINISHED or ERRORED, `text` the whole stream of events."""
 
@@ -73,6 +81,10 @@
         return [self.item_id, self.state, self.text]
 
 
+stored_text = itemgetter(ItemResult._fields.index("text"))
+"""Returns the text of a stored result."""
+
+
 class LotRecord(TypedDict):
     """A lot in the state.
 
@@ -117,9 +129,9 @@
     return sum(lot["tokens"] for lot in lot_records(state).values() if lot["forward"] == forward)
 
 
-def bytes_of_items(items: Iterable[Sequence[Any]]) -> int:
+def bytes_of_items(items: Collection[Sequence[Any]]) -> int:
     """Return about how many bytes stored items take."""
-    return sum(len(Item.from_stored(fields).body) + ITEM_OVERHEAD_BYTES for fields in items)
+    return sum(map(len, map(stored_body, items))) + ITEM_OVERHEAD_BYTES * len(items)
 
 
 def held_bytes(state: State) -> int:
--- a/quillring/lots/http_requests/state_machine.py
+++ b/quillring/lots/http_requests/state_machine.py
@@ -44,6 +44,8 @@
     held_bytes,
     lot_records,
     refusals,
+    stored_text,
+    stored_tokens,
     waiting_tokens,
     with_fence,
     with_lot,
@@ -103,7 +105,7 @@
     kept_refusals = refusals(state)
     if command.attempt in kept_refusals:
         return state, {"refused": kept_refusals[command.attempt]}
-    tokens = sum(Item.from_stored(fields).tokens for fields in command.items)
+    tokens = sum(map(stored_tokens, command.items))
     weight = bytes_of_items(command.items)
     reason = refusal_reason(state, command, tokens, weight)
     if reason in (FENCED, MOVED):
@@ -161,7 +163,10 @@
 
 
 def _without(table: Mapping[int, Any], numbers: Mapping[int, Any]) -> dict[int, Any]:
-    return {number: value for number, value in table.items() if number not in numbers}
+    left = dict(table)
+    for number in numbers:
+        left.pop(number, None)
+    return left
 
 
 @COMMANDS.entry(commands.LIST_RESULT)
@@ -241,14 +246,7 @@
     """Return the results from a position on, as many as the limit takes, one at least."""
     query = QueryResults.from_wire(wire)
     lot = find_lot(state, query.lot)
-    chosen_results: list[list[Any]] = []
-    weight = 0
-    for result in lot["results"][query.start :]:
-        _item_id, _state, text = result
-        weight += len(text) + RESULT_OVERHEAD_BYTES
-        if chosen_results and weight > query.limit_bytes:
-            break
-        chosen_results.append(result)
+    chosen_results = first_within(lot["results"][query.start :], query.limit_bytes)
     return {
         "items": lot["count"],
         "results": chosen_results,
@@ -257,6 +255,19 @@
     }
 
 
+def first_within(results: list[list[Any]], limit_bytes: int) -> list[list[Any]]:
+    """Return the first stored results that fit into the limit, one at least if there is one."""
+    text_bytes = sum(map(len, map(stored_text, results)))
+    if text_bytes + RESULT_OVERHEAD_BYTES * len(results) <= limit_bytes:
+        return results
+    weight = 0
+    for count, text in enumerate(map(stored_text, results)):
+        weight += len(text) + RESULT_OVERHEAD_BYTES
+        if count and weight > limit_bytes:
+            return results[:count]
+    return results
+
+
 @QUERIES.entry(commands.KNOWN)
 def query_known_lot(state: State, wire: Wire) -> Answer:
     """Return the answer to a lot that is submitted again; NotFound where it is not known here."""
