--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -2,6 +2,8 @@
 import pathlib
 import re
 
+import pytest
+
 from proving.model.bugs import BUGS
 from proving.points.catalog import POINTS
 from proving.tools.deployments import DEPLOYMENTS, configuration_of, replicas_of, settings_of
@@ -56,3 +58,13 @@
     named = {name for cell in rows for name in re.findall(r"`([a-z]+(?:_[a-z]+)+)`", cell)}
     points = {scenario.__name__ for _, scenario, _ in POINTS}
     assert len(named & points) > 10 and {n for n in named - points if n != "stale_order"} == set()
+
+
+PACKAGES = sorted(path.parent.name for path in pathlib.Path("quillring").glob("*/__init__.py"))
+MODULE_PATH = re.compile(rf"(?:quillring/)?((?:{'|'.join(PACKAGES)})/[\w/]+\.py)\b")
+
+
+@pytest.mark.parametrize("page", sorted(pathlib.Path("docs").glob("*.md")), ids=lambda p: p.stem)
+def test_the_modules_that_a_page_names_exist(page):
+    named = set(MODULE_PATH.findall(page.read_text()))
+    assert {path for path in named if not pathlib.Path("quillring", path).exists()} == set()
