--- a/proving/points/scenario_fleet.py
+++ b/proving/points/scenario_fleet.py
@@ -16,7 +16,7 @@
 
 
 class Stage:
-    """A small founded fleet with callers and monitor, at second 8 of its life."""
+    """A small bootstrapped fleet with callers and a monitor, run until `ready_at` seconds."""
 
     def __init__(self, seed, deployment="ferrowa", sizes=SMALL, ready_at=8, versions=None):
         self.sim = SimFleet(deployment, seed, sizes)
@@ -54,11 +54,11 @@
         return self.sim.nodes[name]
 
     def only_edge(self, name):
-        """Let the platform hand new connections to this edge alone."""
+        """Have the load balancer give new connections to this edge only."""
         self.callers.edge = lambda: self.node(name)
 
     def any_edge(self):
-        """Let the platform use every live edge again."""
+        """Have the load balancer use every live edge again."""
         del self.callers.edge
 
     def request(self, method, words, query, body, client_name):
@@ -71,7 +71,7 @@
 
 
 def no_check(*words):
-    """Stand-in for a check that is taken out."""
+    """Replacement for a check that is taken out: it does nothing."""
 
 
 def always_hopeful(self, waiter):
@@ -79,7 +79,7 @@
 
 
 def without(guards, run):
-    """Run a scenario with its guards taken out; `guards` are (object, name, stand-in)."""
+    """Run a scenario with its guards taken out; `guards` are (object, name, replacement)."""
     with ExitStack() as stack:
         for target, name, replacement in guards:
             stack.enter_context(mock.patch.object(target, name, replacement))
--- a/proving/sim/connection_resets.py
+++ b/proving/sim/connection_resets.py
@@ -1,4 +1,4 @@
-"""Cuts that reset or refuse connections, drawn by a chance of their own."""
+"""Partitions that reset or refuse connections, drawn by a random generator of their own."""
 
 import random
 
@@ -11,7 +11,7 @@
 
 
 class DrawnConnectionResets:
-    """Brings loud cuts about at random times; other faults are drawn as without them."""
+    """Starts such partitions at random times; other faults are drawn as without them."""
 
     def __init__(self, sim, cut_seconds=CUT_SECONDS):
         self.sim = sim
@@ -30,7 +30,7 @@
         ]
 
     def run(self, start_time, end_time, count):
-        """Process: bring about `count` loud cuts; none outlasts the end."""
+        """Process: start `count` partitions; none outlasts the end."""
         self.end_time = end_time
         times = sorted(self.chance.uniform(start_time, end_time) for _ in range(count))
         for at in times:
--- a/proving/sim/history.py
+++ b/proving/sim/history.py
@@ -2,7 +2,7 @@
 
 
 class History:
-    """Everything that happened and matters, with the violations found."""
+    """What happened in a run, with the violations of invariants found so far."""
 
     def __init__(self, env):
         self.env = env
--- a/proving/sim/monitor.py
+++ b/proving/sim/monitor.py
@@ -1,4 +1,4 @@
-"""Looks at the whole fleet all the time: layouts, parts, queues."""
+"""Invariants checked over the whole fleet ten times a second: configurations, parts, queues."""
 
 import hashlib
 
@@ -6,7 +6,12 @@
 
 
 class Monitor:
-    """Checks what no single caller can see."""
+    """Checks the invariants that no single caller can see; violations go to the history.
+
+    An edge with a fresh configuration serves an accepted version within 2 s, never an older one
+    again; a version has one content; replicas of a part agree at each index; no queue grows beyond
+    bounds.
+    """
 
     def __init__(self, sim):
         self.sim = sim
--- a/proving/sim/operators.py
+++ b/proving/sim/operators.py
@@ -1,14 +1,14 @@
-"""Operators of a simulated run: they change layouts, race, hand in invalid ones."""
+"""Operators of a simulated run: they change the configuration, race, and submit invalid ones."""
 
 from quillring.kernel.errors import Conflict
 from quillring.quorum.parts import CONFIG
 
 
 class Operators:
-    """What operators do at random times; `sim` and `monitor` come from the heir."""
+    """What operators do at random times; `sim` and `monitor` come from the subclass."""
 
     def adopt(self, change, label):
-        """Process: an operator changes the layout; return (answer, error)."""
+        """Process: an operator changes the configuration; return (answer, error)."""
         sim = self.sim
         node = sim.chance.choice(sim.up_nodes("core") or sim.up_nodes("edge"))
         command = {
@@ -26,7 +26,7 @@
         return answer, error
 
     def race_operators(self):
-        """Two operators change the layout at once."""
+        """Two operators change the configuration concurrently; at most one may win a version."""
         changes = [
             {
                 "classes": {},
@@ -49,7 +49,7 @@
             self.sim.history.count("operator conflicts")
 
     def bad_configuration(self):
-        """An operator hands in a layout with a dangling entry."""
+        """An operator submits a configuration with a dangling entry; it must be refused."""
         change = {"entries": {"dangling": {"service": "none", "class": "none"}}}
         answer, _ = yield from self.adopt(change, "bad")
         if answer:
