--- a/quillring/quorum/leader/catch_up.py
+++ b/quillring/quorum/leader/catch_up.py
@@ -95,7 +95,8 @@
             entries = machine.log_cache.since(applied, CHUNK_BYTES)
             if not entries:
                 return False
-            call = caller.call_to(member, CatchUpRequest, entries=entries, committed=entries[-1][0])
+            last_index, _ = entries[-1]
+            call = caller.call_to(member, CatchUpRequest, entries=entries, committed=last_index)
             now_applied = yield from caller.node.call(*call, caller.node.bounds.propagation)
             if now_applied <= applied:
                 return False
--- a/quillring/quorum/leader/state_fetch.py
+++ b/quillring/quorum/leader/state_fetch.py
@@ -14,13 +14,11 @@
 from quillring.quorum.snapshot_chunks import SNAPSHOT_START, Chunk, ChunkOffset, StateBuilder
 
 if TYPE_CHECKING:
-    from typing import Any
-
     from quillring.kernel.node import Node
     from quillring.kernel.types import Coroutine
     from quillring.quorum.leader.election_progress import ElectionProgress
     from quillring.quorum.leader.state_machine import StateMachine
-    from quillring.quorum.messages import Promise
+    from quillring.quorum.messages import Promise, WireEntry
 
 
 class StateFetcher:
@@ -113,7 +111,7 @@
 
 def fetch_entries(node: Node, part: str, store: str, after: int, last: int) -> Coroutine:
     """Return [[index, batch], ...] after one index up to another, or None if some are gone."""
-    entries: list[list[Any]] = []
+    entries: list[WireEntry] = []
     while after < last:
         body = EntriesRequest(part, after).to_wire()
         try:
@@ -122,6 +120,8 @@
             return None
         if not rows:
             return None
-        entries.extend(row for row in rows if row[0] <= last)
-        after = rows[-1][0]
+        for log_index, batch in rows:
+            if log_index <= last:
+                entries.append([log_index, batch])
+            after = log_index
     return entries
--- a/tests/test_leader_classes.py
+++ b/tests/test_leader_classes.py
@@ -39,7 +39,7 @@
 
 
 def test_each_member_is_called_under_the_ballot_and_its_own_identity():
-    calls = caller_with({}).calls(AcceptRequest, index=7, batch=[], committed=6)
+    calls = caller_with({}).calls(AcceptRequest, log_index=7, batch=[], committed=6)
     assert calls == [
         (
             name,
