--- a/proving/model/core_machine.py
+++ b/proving/model/core_machine.py
@@ -5,7 +5,7 @@
 from proving.model.events import Acknowledged, Established, Founded, ReadBegan, ReadEnded
 from proving.model.machines import Machine, applied_event, digest_state
 from proving.model.watched_owner import WatchedOwner
-from quillring.kernel.errors import NotOwner, QuillringError
+from quillring.kernel.errors import NotLeader, QuillringError
 from quillring.quorum.founding.founding import found_fleet
 from quillring.quorum.founding.founding_vote import FoundingVoter, agree_on_founding
 from quillring.quorum.leader.follower_read import read_from_majority, value_of
@@ -74,7 +74,7 @@
 
     def on_resign(self, step_input):
         """Hand the part over, as ownership does when another core ranks first."""
-        self.owner.step_down(NotOwner(part=self.model.part))
+        self.owner.step_down(NotLeader(part=self.model.part))
 
     def on_submit(self, step_input):
         """Commit an operator's command in the part owned here; `subject` is (operator, place).
--- a/proving/points/isolated_cores_and_slow_disks.py
+++ b/proving/points/isolated_cores_and_slow_disks.py
@@ -34,7 +34,7 @@
         self.slowest[kind] = max(seconds, self.slowest.get(kind, 0))
         if error is not None and error.status < 500:
             stage.sim.history.violate(f"{kind} at {self.name} got the final refusal {error}")
-        if isinstance(error, Refused) and not error.comes_back:
+        if isinstance(error, Refused) and not error.may_retry_later:
             stage.sim.history.violate(f"{kind} at {self.name} is not told to come back")
         if seconds > (ANSWER_BOUND if begun_at < self.settled_at else SETTLED_BOUND):
             stage.sim.history.violate(f"{kind} at {self.name} took {seconds:.2f} s")
--- a/proving/points/orders.py
+++ b/proving/points/orders.py
@@ -4,7 +4,7 @@
 
 from proving.points.configuration import adopt
 from proving.points.scenario_fleet import Stage, no_check
-from quillring.kernel.errors import Conflict, NotOwner
+from quillring.kernel.errors import Conflict, NotLeader
 from quillring.ownership import Ownership
 from quillring.ownership.part_client import PartClient
 from quillring.quorum.leader.part_leader import PartLeader
@@ -163,7 +163,7 @@
 def former_owner(self, part):
     """Stand-in for the guard: whoever owned the part once answers for it."""
     if part not in self.leaders:
-        raise NotOwner(part=part)
+        raise NotLeader(part=part)
     return self.leaders[part]
 
 
--- a/quillring/classes/quota_server.py
+++ b/quillring/classes/quota_server.py
@@ -9,7 +9,7 @@
 
 from quillring.classes.fair_share import allocate, apportion, slow_start_slots
 from quillring.classes.messages import REQUEST_QUOTA, Quota, QuotaRequest
-from quillring.kernel.errors import NotOwner
+from quillring.kernel.errors import NotLeader
 from quillring.nifty.graph import score
 from quillring.quorum.parts import part_of
 
@@ -70,7 +70,7 @@
     def on_request(self, body: WireMap, origin: str) -> WireMap:
         """Grant a client its limits by class and cold slots for one service.
 
-        Raises NotOwner unless this core leads the service's part and holds the lease.
+        Raises NotLeader unless this core leads the service's part and holds the lease.
         """
         request = QuotaRequest.from_wire(body)
         service, held_slots = request.service, dict(request.held_cold_slots)
@@ -78,7 +78,7 @@
         part = part_of(service, len(ownership.parts()) - 1)
         leader = ownership.leaders.get(part)
         if leader is None or not leader.has_lease():
-            raise NotOwner(part=part)
+            raise NotLeader(part=part)
         now = self.node.now()
         demand = ClientDemand(now, request.demands, held_slots, now + self.lease_seconds)
         demands = self.demands.setdefault(service, {})
--- a/quillring/kernel/node.py
+++ b/quillring/kernel/node.py
@@ -14,7 +14,13 @@
 
 from quillring.kernel.bounds import Bounds
 from quillring.kernel.effects import Signal, Wait
-from quillring.kernel.errors import QuillringError, TimedOut, UnknownService, Unreachable, rebuild
+from quillring.kernel.errors import (
+    QuillringError,
+    TimedOut,
+    UnknownService,
+    Unreachable,
+    error_from_wire,
+)
 from quillring.kernel.messages import CallReply, CallRequest, is_reply
 
 if TYPE_CHECKING:
@@ -229,7 +235,7 @@
             return
         del self.pending_calls[call_id]
         if reply.error_kind:
-            call.reply_signal.set(rebuild(reply.error_kind, reply.body))
+            call.reply_signal.set(error_from_wire(reply.error_kind, reply.body))
         else:
             call.reply_signal.set(reply.body)
 
--- a/quillring/kernel/wsgi.py
+++ b/quillring/kernel/wsgi.py
@@ -222,7 +222,7 @@
     """Send an error at once; a refusal says when to come back, spread so crowds do not."""
     headers = []
     body = error.to_json()
-    if error.comes_back:
+    if error.may_retry_later:
         seconds = error.detail.get("come_back_s") or node.bounds.propagation
         spread_seconds = max(1, round(seconds * (0.5 + node.runtime.random.random())))
         headers = [("Retry-After", str(spread_seconds))]
--- a/quillring/lots/http_requests/lot_table.py
+++ b/quillring/lots/http_requests/lot_table.py
@@ -35,7 +35,7 @@
 
     kind = "quota_exceeded"
     status = 429
-    comes_back = True
+    may_retry_later = True
 
 
 class HeldTooMuch(QuillringError):
@@ -43,7 +43,7 @@
 
     kind = "held_too_much"
     status = 503
-    comes_back = True
+    may_retry_later = True
 
 
 class Item(NamedTuple):
--- a/quillring/lots/http_requests/quota_reconciler.py
+++ b/quillring/lots/http_requests/quota_reconciler.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Any
 
 from quillring.kernel.effects import Sleep
-from quillring.kernel.errors import NotOwner, QuillringError
+from quillring.kernel.errors import NotLeader, QuillringError
 from quillring.lots.http_requests import messages
 from quillring.lots.http_requests.commands import FenceTickets, PendingTokens, ReleaseTokens
 from quillring.lots.http_requests.token_reservations import (
@@ -59,7 +59,7 @@
         question = messages.TokensLeft.from_wire(body)
         leader = self.node.find("ownership").leaders.get(question.part)
         if leader is None or not leader.is_leader:
-            raise NotOwner(part=question.part)
+            raise NotLeader(part=question.part)
         return {"left": tokens_left(leader.state, question.lots)}
 
     def run(self) -> Coroutine:
--- a/quillring/lots/http_requests/result_reads.py
+++ b/quillring/lots/http_requests/result_reads.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Any
 
 from quillring.kernel.effects import Signal, Wait
-from quillring.kernel.errors import NotFound, NotOwner
+from quillring.kernel.errors import NotFound, NotLeader
 from quillring.lots.http_requests import messages
 from quillring.lots.http_requests.commands import Wire, lot_in
 from quillring.quorum.commands import QUERIES
@@ -53,7 +53,7 @@
             yield from leader.in_flight.wait(lot)
         while True:
             if leader is None or not leader.is_leader:
-                raise NotOwner(part=read.part)
+                raise NotLeader(part=read.part)
             answer = self._find_answer(leader.state, read.query)
             seconds_left = end_time - self.node.now()
             if answer is not None and (answer["results"] or answer["is_over"]):
--- a/quillring/lots/http_requests/scheduler.py
+++ b/quillring/lots/http_requests/scheduler.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any, NamedTuple
 
 from quillring.kernel.effects import Sleep
-from quillring.kernel.errors import NotOwner, NotSent, QuillringError, TimedOut
+from quillring.kernel.errors import NotLeader, NotSent, QuillringError, TimedOut
 from quillring.lots.http_requests import messages
 from quillring.lots.http_requests.backlog import Backlog, SlotShare
 from quillring.lots.http_requests.commands import (
@@ -378,7 +378,7 @@
         report = RunReport.from_wire(body)
         item_table = self.item_tables.get(report.part or "")
         if item_table is None or not item_table.leader.is_leader:
-            raise NotOwner(part=report.part)
+            raise NotLeader(part=report.part)
         item = item_table.find(report.lot, report.number)
         if item is None:
             return {"taken": False}
--- a/quillring/lots/prompts/acceptance_fence.py
+++ b/quillring/lots/prompts/acceptance_fence.py
@@ -31,7 +31,7 @@
 
     kind = "stale_lot"
     status = 503
-    comes_back = True
+    may_retry_later = True
 
 
 def drop_table(state: State) -> DropTable:
--- a/quillring/lots/prompts/state_machine.py
+++ b/quillring/lots/prompts/state_machine.py
@@ -44,7 +44,7 @@
 
     kind = "too_many_lots"
     status = 503
-    comes_back = True
+    may_retry_later = True
 
 
 @COMMANDS.entry(commands.ACCEPT)
--- a/quillring/ownership/leadership_transfer.py
+++ b/quillring/ownership/leadership_transfer.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from quillring.kernel.errors import Conflict, NotOwner, QuillringError, UnknownService
+from quillring.kernel.errors import Conflict, NotLeader, QuillringError, UnknownService
 from quillring.ownership.messages import (
     LEADERSHIP_OFFER,
     PREPARE_TRANSFER,
@@ -66,7 +66,7 @@
         finally:
             del self.offered[part]
         if leader.is_leader and self.ownership.candidates(part)[:1] == [successor]:
-            leader.step_down(NotOwner(part=part))
+            leader.step_down(NotLeader(part=part))
             self.node.send_oneway(successor, LEADERSHIP_OFFER, LeadershipOffer(part).to_wire())
 
     def on_state_chunk(self, body: WireMap, origin: str) -> list[Any]:
--- a/quillring/ownership/ownership.py
+++ b/quillring/ownership/ownership.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from quillring.kernel.errors import Fenced, NotFounded, NotOwner
+from quillring.kernel.errors import Fenced, NotFounded, NotLeader
 from quillring.ownership.candidates import order_candidates
 from quillring.ownership.elections import Elections
 from quillring.ownership.leadership_backoff import LeadershipBackoff
@@ -228,5 +228,5 @@
     def _leader(self, part: str) -> PartLeader:
         leader = self.leaders.get(part)
         if leader is None or not leader.is_leader:
-            raise NotOwner(part=part)
+            raise NotLeader(part=part)
         return leader
--- a/quillring/ownership/part_client.py
+++ b/quillring/ownership/part_client.py
@@ -7,7 +7,7 @@
 from quillring.kernel.errors import (
     Fenced,
     NoMajority,
-    NotOwner,
+    NotLeader,
     OutcomeUnknown,
     QuillringError,
     Refused,
@@ -39,7 +39,7 @@
             """Return the reachable cores in the order of their claim to the part."""
 
 
-TRY_ANOTHER_CORE = (Fenced, NoMajority, NotOwner, TimedOut, Unreachable)
+TRY_ANOTHER_CORE = (Fenced, NoMajority, NotLeader, TimedOut, Unreachable)
 MAY_HAVE_RUN = (NoMajority, TimedOut)
 
 
@@ -67,7 +67,7 @@
         Raises Refused when the time is over or nobody can answer, or the query's own error.
         """
         bounds = self.node.bounds
-        last_error: QuillringError = NotOwner(part=part)
+        last_error: QuillringError = NotLeader(part=part)
         end_time = self.node.now() + (bounds.propagation * 2 if seconds is None else seconds)
         while self.node.now() < end_time:
             unavailability = self.why_unavailable(part)
@@ -103,7 +103,7 @@
         end_time = self.node.now() + (bounds.propagation * 2 if seconds is None else seconds)
         self.directory.founding()
         request = {"part": part, **body}
-        last_error: QuillringError = NotOwner(part=part)
+        last_error: QuillringError = NotLeader(part=part)
         attempts, may_have_run = 0, False
         while self.node.now() < end_time:
             unavailability = self.why_unavailable(part)
--- a/quillring/quorum/leader/command_queue.py
+++ b/quillring/quorum/leader/command_queue.py
@@ -7,7 +7,7 @@
 import cbor2
 
 from quillring.kernel.effects import Signal, Wait
-from quillring.kernel.errors import NoMajority, NotOwner, QuillringError
+from quillring.kernel.errors import NoMajority, NotLeader, QuillringError
 
 if TYPE_CHECKING:
     from typing import Any
@@ -60,10 +60,10 @@
         return batch
 
     def reject_all(self, reason: str) -> None:
-        """End all that waits with NotOwner, and whoever waits for the next command."""
+        """End all that waits with NotLeader, and whoever waits for the next command."""
         rejected, self.pending = self.pending, []
         for pending in rejected:
-            pending.answer_signal.set(NotOwner(part=self.part, reason=reason))
+            pending.answer_signal.set(NotLeader(part=self.part, reason=reason))
         self.arrival_signal.set()
 
     def answers_of(self, pending: list[PendingCommand], seconds: float) -> Coroutine:
--- a/quillring/quorum/leader/follower_read.py
+++ b/quillring/quorum/leader/follower_read.py
@@ -6,7 +6,7 @@
 from itertools import takewhile
 from typing import TYPE_CHECKING
 
-from quillring.kernel.errors import QuillringError, rebuild
+from quillring.kernel.errors import QuillringError, error_from_wire
 from quillring.quorum.messages import FollowerReadReply, FollowerReadRequest
 from quillring.quorum.parts import majority
 from quillring.quorum.values import group_from_wire
@@ -101,5 +101,5 @@
 def value_of(answer: QueryAnswer) -> Any:
     """Return what the query came to, or raise the error that it came to."""
     if answer.error_kind is not None:
-        raise rebuild(answer.error_kind, answer.answer)
+        raise error_from_wire(answer.error_kind, answer.answer)
     return answer.answer
--- a/quillring/quorum/leader/part_leader.py
+++ b/quillring/quorum/leader/part_leader.py
@@ -9,7 +9,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from quillring.kernel.errors import Fenced, NoMajority, NotFounded, NotOwner, QuillringError
+from quillring.kernel.errors import Fenced, NoMajority, NotFounded, NotLeader, QuillringError
 from quillring.quorum.leader.anti_entropy import AntiEntropy
 from quillring.quorum.leader.catch_up import FollowerCatchUp
 from quillring.quorum.leader.command_queue import CommandQueue
@@ -185,10 +185,10 @@
     def submit(self, command: dict[str, Any]) -> Coroutine:
         """Commit one command and return its answer.
 
-        Raises NotOwner where the term is over, NoMajority when no answer came in time.
+        Raises NotLeader where the term is over, NoMajority when no answer came in time.
         """
         if not self.is_leader:
-            raise NotOwner(part=self.part)
+            raise NotLeader(part=self.part)
         pending = [self.queue.append(command)]
         (answer,) = yield from self.queue.answers_of(pending, self.node.bounds.propagation)
         return answer
@@ -267,7 +267,7 @@
         return self.caller.call_majority(request_type, **fields)
 
     def step_down(self, error: QuillringError) -> None:
-        """End the term: nothing more is replicated; all that is queued ends with NotOwner."""
+        """End the term: nothing more is replicated; all that is queued ends with NotLeader."""
         self.is_leader = False
         self.election_progress.end(error)
         self.queue.reject_all(error.kind)
@@ -282,12 +282,12 @@
     def linearizable_state(self) -> Coroutine:
         """Return the state after a majority confirmed that the ballot still holds.
 
-        Raises NotOwner, Fenced, or NoMajority, also for a confirmation that is no longer recent.
+        Raises NotLeader, Fenced, or NoMajority, also for a confirmation that is no longer recent.
         """
         asked_at = self.node.now()
         yield from self.in_flight.wait()
         if not self.is_leader:
-            raise NotOwner(part=self.part)
+            raise NotLeader(part=self.part)
         read_state = self.state
         yield from self._confirm()
         if self.node.now() - asked_at > self.node.bounds.read_timeout:
--- a/quillring/rollout/orders.py
+++ b/quillring/rollout/orders.py
@@ -29,7 +29,7 @@
 
     kind = "stale_order"
     status = 503
-    comes_back = True
+    may_retry_later = True
 
 
 @QUERIES.entry("version")
--- a/quillring/verbs/client.py
+++ b/quillring/verbs/client.py
@@ -6,7 +6,7 @@
 
 from quillring.kernel import backend
 from quillring.kernel.effects import FetchJson
-from quillring.kernel.errors import BadRequest, rebuild
+from quillring.kernel.errors import BadRequest, error_from_wire
 from quillring.kernel.settings import is_real_address, split_address
 
 TIMEOUT_SECONDS = 15
@@ -36,5 +36,5 @@
     )
     if status >= 400:
         detail = {n: v for n, v in (answer or {}).items() if n != "trouble"}
-        raise rebuild((answer or {}).get("trouble", "trouble"), detail)
+        raise error_from_wire((answer or {}).get("trouble", "trouble"), detail)
     return answer
--- a/tests/mixed_fleet.py
+++ b/tests/mixed_fleet.py
@@ -12,7 +12,7 @@
 from proving.sim.disk import SimDisk
 from proving.sim.fleet import SimFleet
 from proving.sim.seeded_run import SMALL
-from quillring.kernel.errors import rebuild
+from quillring.kernel.errors import error_from_wire
 from quillring.kernel.settings import split_address
 from quillring.kernel.wsgi import Request
 from quillring.quorum.founding import found_fleet
@@ -114,7 +114,7 @@
         try:
             return (yield from super().run_script(node, coroutine, sink))
         except LandedError as error:
-            return None, rebuild(error.kind, error.detail)
+            return None, error_from_wire(error.kind, error.detail)
 
     def found(self):
         """Process: found the fleet from its first core and adopt the example's configuration."""
--- a/tests/test_election_attempts.py
+++ b/tests/test_election_attempts.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from quillring.kernel.errors import NotOwner
+from quillring.kernel.errors import NotLeader
 from tests.fleet_stage import SelfFounded
 
 SIZES = {"sizes": {"edge": 2, "core": 9, "store": 5}}
@@ -58,5 +58,5 @@
 def test_an_owner_that_gave_up_is_not_waited_for():
     stage = SelfFounded(7, SIZES)
     name = stage.owner("part-0")
-    stage.sim.nodes[name].find("ownership").leaders["part-0"].step_down(NotOwner(part="part-0"))
+    stage.sim.nodes[name].find("ownership").leaders["part-0"].step_down(NotLeader(part="part-0"))
     assert stage.wait_for(lambda: stage.owner("part-0"), 2) is not None
--- a/tests/test_election_progress.py
+++ b/tests/test_election_progress.py
@@ -1,6 +1,6 @@
 """What operators see of parts that change hands: `parts`, and the log of the core."""
 
-from quillring.kernel.errors import NotOwner
+from quillring.kernel.errors import NotLeader
 from quillring.quorum.leader.election_progress import ENDED, OWNED, STATE
 from quillring.verbs.part_routes import show_parts
 from tests.http_lot_stage import HttpLotStage
@@ -44,7 +44,7 @@
         node.log = lambda level, text, *fields: lines.append(text % fields)
         ownership = node.find("ownership")
         part = next(name for name, owner in ownership.leaders.items() if owner.is_leader)
-        ownership.leaders[part].step_down(NotOwner(part=part))
+        ownership.leaders[part].step_down(NotLeader(part=part))
         assert ownership.leaders[part].election_progress.phase == ENDED
         assert any(line.startswith(f"end of term for {part}, ballot") for line in lines)
         stage.run(3)
--- a/tests/test_leader_classes.py
+++ b/tests/test_leader_classes.py
@@ -5,7 +5,7 @@
 import pytest
 
 from quillring.kernel.bounds import Bounds
-from quillring.kernel.errors import Fenced, NoMajority, NotOwner, TimedOut
+from quillring.kernel.errors import Fenced, NoMajority, NotLeader, TimedOut
 from quillring.quorum.commands import first_state
 from quillring.quorum.leader.command_queue import CommandQueue
 from quillring.quorum.leader.quorum_call import QuorumCaller
@@ -99,7 +99,7 @@
     queue = CommandQueue("part-1")
     pending = queue.append({"n": 1})
     queue.reject_all("fenced")
-    with pytest.raises(NotOwner):
+    with pytest.raises(NotLeader):
         finish(queue.answers_of([pending], 1))
     assert queue.pending == [] and queue.arrival_signal.is_set
 
--- a/tests/test_part_client.py
+++ b/tests/test_part_client.py
@@ -9,7 +9,7 @@
     Fenced,
     NoMajority,
     NotFound,
-    NotOwner,
+    NotLeader,
     OutcomeUnknown,
     Refused,
     TimedOut,
@@ -59,11 +59,11 @@
     "ends, service, error",
     [
         ([Conflict()], "part.submit", Conflict),
-        ([NotOwner(), Fenced(), Unreachable(), Conflict()], "part.submit", Conflict),
+        ([NotLeader(), Fenced(), Unreachable(), Conflict()], "part.submit", Conflict),
         ([TimedOut(), Conflict()], "part.submit", OutcomeUnknown),
-        ([NoMajority(), NotOwner(), NotFound()], "part.submit", OutcomeUnknown),
-        ([TimedOut(), NotOwner()], "part.submit", OutcomeUnknown),
-        ([NotOwner(), Unreachable()], "part.submit", Refused),
+        ([NoMajority(), NotLeader(), NotFound()], "part.submit", OutcomeUnknown),
+        ([TimedOut(), NotLeader()], "part.submit", OutcomeUnknown),
+        ([NotLeader(), Unreachable()], "part.submit", Refused),
         ([TimedOut(), NotFound()], "part.whole", NotFound),
         ([TimedOut()], "part.whole", Refused),
     ],
@@ -90,7 +90,7 @@
 def test_a_part_is_whole_when_its_group_has_the_size_of_the_founding(count, late, is_whole):
     def ask(part, service, body, seconds):
         if not count:
-            raise NotOwner(part=part)
+            raise NotLeader(part=part)
         return {"group": [f"store-{n}" for n in range(count)], "late": late}
         yield
 
--- a/tests/test_prompt_lot_acceptance_fence.py
+++ b/tests/test_prompt_lot_acceptance_fence.py
@@ -31,7 +31,7 @@
     first = accept("x", lot_fence(first_state([]), {})["drops"])
     state, _ = apply_batch(first_state([]), [first, *forgets(verb, "x")])
     after, (answer,) = apply_batch(state, [first])
-    assert isinstance(answer, StaleLot) and answer.comes_back
+    assert isinstance(answer, StaleLot) and answer.may_retry_later
     assert after == state
 
 
--- a/tests/test_quorum.py
+++ b/tests/test_quorum.py
@@ -2,7 +2,7 @@
 
 from proving.points.scenario_fleet import Stage
 from proving.sim.quorum_fuzz import Fuzz
-from quillring.kernel.errors import NotOwner
+from quillring.kernel.errors import NotLeader
 
 ONCE_FAILED = [12, 19]
 
@@ -23,7 +23,7 @@
     for store in stores[1:]:
         stage.sim.freeze(store, 0.4)
     stage.run(0.05)
-    former.step_down(NotOwner(part="part-1"))
+    former.step_down(NotLeader(part="part-1"))
     stage.run(6)
     assert ownership.leaders["part-1"].is_leader
     assert ownership.leaders["part-1"] is not former and not former.is_leader
@@ -34,7 +34,7 @@
     name = stage.node("edge-1").find("gossip").get("owner/part-1")["owner"]
     ownership, granter = stage.node(name).find("ownership"), stage.node(name).find("granter")
     former = ownership.leaders["part-1"]
-    former.step_down(NotOwner(part="part-1"))
+    former.step_down(NotLeader(part="part-1"))
     stage.run(6)
-    former.step_down(NotOwner(part="part-1"))
+    former.step_down(NotLeader(part="part-1"))
     assert ownership.leaders["part-1"].is_leader and "part-1" in granter.terms
