--- a/quillring/quorum/acceptor/acceptor.py
+++ b/quillring/quorum/acceptor/acceptor.py
@@ -151,7 +151,9 @@
         self.hints = {**others, target: left_hints} if left_hints else others
 
     def _apply_to_part(self, record: PartRecord) -> None:
-        acceptor = self.parts.setdefault(record.part, AcceptorState())
+        acceptor = self.parts.get(record.part)
+        if acceptor is None:
+            acceptor = self.parts[record.part] = AcceptorState()
         acceptor.promise(record.ballot)
         if isinstance(record, AcceptRecord):
             acceptor.accept(record.ballot, record.log_index, record.batch)
--- a/quillring/quorum/acceptor/state.py
+++ b/quillring/quorum/acceptor/state.py
@@ -77,7 +77,8 @@
 
     def promise(self, ballot: Ballot) -> None:
         """Promise a ballot, unless a higher one was promised."""
-        self.promised = max(self.promised, ballot)
+        if ballot > self.promised:
+            self.promised = ballot
 
     def accept(self, ballot: Ballot, index: int, batch: Batch) -> None:
         """Hold an entry until it is committed, unless the entry of that index is applied."""
--- a/quillring/quorum/values.py
+++ b/quillring/quorum/values.py
@@ -25,8 +25,7 @@
     @classmethod
     def from_wire(cls, fields: WireMember) -> GroupMember:
         """Read a member as it stands on the wire and in a part's state."""
-        name, identity, zone = fields
-        return cls(name, identity, zone)
+        return cls(*fields)
 
     def to_wire(self) -> list[str]:
         """Return the member as it stands on the wire and in a part's state."""
@@ -50,12 +49,11 @@
     @classmethod
     def from_wire(cls, fields: Sequence[Any]) -> Ballot:
         """Read a ballot as it stands on the wire and on disk."""
-        number, leader = fields
-        return cls(number, leader)
+        return cls(*fields)
 
     def to_wire(self) -> list[Any]:
         """Return the ballot as it stands on the wire and on disk."""
-        return [self.number, self.leader]
+        return list(self)
 
 
 NO_BALLOT = Ballot(0, "")
