--- a/quillring/edge/journal.py
+++ b/quillring/edge/journal.py
@@ -4,7 +4,14 @@
 
 from typing import TYPE_CHECKING, Any
 
-from quillring.edge.journal_messages import AppendRequest, ClaimReply, FindReply, StreamQuery, Term
+from quillring.edge.journal_messages import (
+    AppendRequest,
+    ClaimReply,
+    FindReply,
+    StreamQuery,
+    Term,
+    append_body,
+)
 from quillring.edge.journaled_stream import JournaledStream
 from quillring.edge.stream_takeover import take_over_stream
 from quillring.kernel.effects import Sleep
@@ -140,7 +147,7 @@
         candidates = self.backup_candidates(stream.name, {stream.backup} if stream.backup else ())
         for name in candidates[:HANDOVER_ATTEMPTS]:
             try:
-                body = stream.append_request(0).to_wire()
+                body = append_body(stream, 0)
                 yield from self.node.call(name, "journal.append", body)
                 return
             except QuillringError as error:
@@ -177,7 +184,7 @@
                     raise Refused(reason="no second holder in another domain")
                 stream.backup, start = candidates[0], 0
             try:
-                body = stream.append_request(start).to_wire()
+                body = append_body(stream, start)
                 yield from self.node.call(stream.backup, "journal.append", body)
                 return
             except Fenced:
--- a/quillring/edge/journal_messages.py
+++ b/quillring/edge/journal_messages.py
@@ -2,7 +2,10 @@
 
 from __future__ import annotations
 
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+if TYPE_CHECKING:
+    from quillring.edge.journaled_stream import JournaledStream
 
 
 class Term(NamedTuple):
@@ -22,7 +25,10 @@
 
 
 class AppendRequest(NamedTuple):
-    """Pieces of a stream, from a position on, for the node that holds its second copy."""
+    """Pieces of a stream, from a position on, for the node that holds its second copy.
+
+    One goes out for each piece, so that `append_body` writes the body without a tuple between.
+    """
 
     stream_name: str
     request: dict[str, Any]
@@ -32,18 +38,6 @@
     has_ended: bool
     term: Term
 
-    def to_wire(self) -> dict[str, Any]:
-        """Return the body of `journal.append`."""
-        return {
-            "stream": self.stream_name,
-            "inquiry": self.request,
-            "sender": self.client_name,
-            "from": self.start,
-            "pieces": self.pieces,
-            "ended": self.has_ended,
-            "round": list(self.term),
-        }
-
     @classmethod
     def from_wire(cls, body: dict[str, Any]) -> AppendRequest:
         """Return the request of a body of `journal.append`."""
@@ -54,10 +48,23 @@
             body["from"],
             body["pieces"],
             body["ended"],
-            Term.from_wire(body["round"]),
+            Term(*body["round"]),
         )
 
 
+def append_body(stream: JournaledStream, start: int) -> dict[str, Any]:
+    """Return the body of `journal.append` that has a stream's pieces from a position on."""
+    return {
+        "stream": stream.name,
+        "inquiry": stream.request,
+        "sender": stream.client_name,
+        "from": start,
+        "pieces": stream.pieces[start:],
+        "ended": stream.has_ended,
+        "round": list(stream.term),
+    }
+
+
 class StreamQuery(NamedTuple):
     """A stream that a client asks for; with a term it is claimed under that term."""
 
--- a/quillring/edge/journaled_stream.py
+++ b/quillring/edge/journaled_stream.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from quillring.edge.journal_messages import AppendRequest, Term
+from quillring.edge.journal_messages import Term
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
@@ -52,9 +52,11 @@
 
     def replace_from(self, start: int, pieces: Sequence[str]) -> None:
         """Put pieces from a position on; what stood there before goes."""
-        self.size -= sum(map(len, self.pieces[start:]))
+        if start < len(self.pieces):
+            self.size -= sum(map(len, self.pieces[start:]))
         self.pieces[start:] = pieces
-        self.size += sum(map(len, pieces))
+        for piece in pieces:
+            self.size += len(piece)
 
     def copy_with_term(self, now: float, term: Term) -> JournaledStream:
         """Return the stream under a later term; this one can add no more to it."""
@@ -62,15 +64,3 @@
         stream.replace_from(0, self.pieces)
         stream.has_ended = self.has_ended
         return stream
-
-    def append_request(self, start: int) -> AppendRequest:
-        """Return the message that makes another node hold the stream from a position on."""
-        return AppendRequest(
-            self.name,
-            self.request,
-            self.client_name,
-            start,
-            self.pieces[start:],
-            self.has_ended,
-            self.term,
-        )
