--- a/quillring/lots/http_requests/lot_table.py
+++ b/quillring/lots/http_requests/lot_table.py
@@ -61,6 +61,10 @@
         item_id, target, headers, body, tokens = fields
         return cls(item_id, target, headers, body, tokens)
 
+    def to_stored(self) -> list[Any]:
+        """Return the item as it stands in the state and in `raw.accept`."""
+        return [self.item_id, self.target, self.headers, self.body, self.tokens]
+
 
 stored_body = itemgetter(Item._fields.index("body"))
 """Returns the body of a stored item; for sums over many, where a record each costs too much."""
@@ -76,6 +80,12 @@
     state: str
     text: bytes
 
+    @classmethod
+    def from_stored(cls, fields: Sequence[Any]) -> ItemResult:
+        """Read a result as it stands in the state and in answers."""
+        item_id, state, text = fields
+        return cls(item_id, state, text)
+
     def to_stored(self) -> list[Any]:
         """Return the result as it stands in the state and in answers."""
         return [self.item_id, self.state, self.text]
--- a/tests/http_lot_stage.py
+++ b/tests/http_lot_stage.py
@@ -25,7 +25,7 @@
 
 
 def accepted(stage, name, count, **words):
-    answer, error = stage.hand_in(name, count, **words)
+    answer, error = stage.submit(name, count, **words)
     assert error is None, error
     return answer
 
@@ -122,7 +122,7 @@
             [f"{name}-{n}", f"/bulk/{n}?q=1", [["Model", "m"]], body, tokens] for n in range(count)
         ]
 
-    def hand_in(self, name, count, node=None, tokens=10):
+    def submit(self, name, count, node=None, tokens=10):
         """Hand a lot in at an edge; return (answer, error)."""
         items = self.items(name, count, tokens)
         return self.do(
--- a/tests/test_elections.py
+++ b/tests/test_elections.py
@@ -14,7 +14,7 @@
     """A stage whose part of lots holds more than a link carries in a second."""
     stage = HttpLotStage(seed, replicas=0)
     for number in range(LOTS):
-        answer, error = hand_in(stage, lot_names(stage)[number], ITEMS)
+        answer, error = submit(stage, lot_names(stage)[number], ITEMS)
         assert error is None, error
     stage.sim.net.link_bytes_per_second = LINK
     return stage
@@ -26,7 +26,7 @@
     return [name for name in names if stage.part(name) == stage.part("lot-0")][:LOTS]
 
 
-def hand_in(stage, name, count):
+def submit(stage, name, count):
     """Hand in a lot of large bodies; return (answer, error)."""
     items = stage.items(name, count, body=BODY)
     return stage.do(stage.up("edge"), lambda node: api.submit_lot(node, FORWARD, name, items))
@@ -58,7 +58,7 @@
     with filled(1) as stage:
         lose_all_power(stage)
         stage.run(stage.sim.bounds.recovery)
-        answer, error = stage.hand_in("afterwards", 2)
+        answer, error = stage.submit("afterwards", 2)
         assert error is None, error
         assert readable(stage, 4) is not None
 
@@ -101,7 +101,7 @@
         owner = stage.owner("late").find("ownership").leaders[stage.part("late")]
         for node in stage.sim.up_nodes("store"):
             node.handlers["quorum.commit"] = refuse
-        answer, error = hand_in(stage, "late", 40)
+        answer, error = submit(stage, "late", 40)
         assert error is None, error
         stage.run(0.1)
         stage.sim.kill(owner.node.me.name)
--- a/tests/test_histories_found.py
+++ b/tests/test_histories_found.py
@@ -20,7 +20,7 @@
 }
 
 
-def hand_in(stage, name, count):
+def submit(stage, name, count):
     """Hand in a lot under one name; another count makes another lot."""
     items = stage.items("x", count)
     return stage.do(stage.up("edge"), lambda node: api.submit_lot(node, FORWARD, name, items))
@@ -29,15 +29,15 @@
 def test_a_lot_that_is_handed_in_again_is_acknowledged_after_another_of_its_name_was_refused():
     """Seed 1015: the loser's reservation stood in the way of the accepted lot's repeat."""
     with HttpLotStage(7, most_tokens=MOST_TOKENS) as stage:
-        first, error = hand_in(stage, "a", 3)
+        first, error = submit(stage, "a", 3)
         assert error is None and first["items"] == 3
         stage.read_all("a")
         stage.run(2)
-        _, error = hand_in(stage, "a", 4)
+        _, error = submit(stage, "a", 4)
         assert isinstance(error, Conflict)
-        again, error = hand_in(stage, "a", 3)
+        again, error = submit(stage, "a", 3)
         assert error is None and again["items"] == 3
-        _, error = hand_in(stage, "a", 4)
+        _, error = submit(stage, "a", 4)
         assert isinstance(error, Conflict)
 
 
@@ -106,7 +106,7 @@
     with HttpLotStage(10) as stage:
         for replica in stage.replicas.values():
             replica.is_silent = True
-        assert stage.hand_in("a", 2)[1] is None
+        assert stage.submit("a", 2)[1] is None
         stage.run(0.3)
         edge = stage.up("edge")
         place = place_of_lot(edge, HOST, "a")
--- a/tests/test_http_lot_attempts.py
+++ b/tests/test_http_lot_attempts.py
@@ -42,7 +42,7 @@
     with HttpLotStage(310, hold_ms=HOLD_SECONDS * 1000, most_tokens=tokens) as stage:
         stage.sim.freeze(stage.owner().me.name, 20)
         start_time = stage.env.now
-        _, error = stage.hand_in("a", 4)
+        _, error = stage.submit("a", 4)
         assert isinstance(error, (OutcomeUnknown, Refused))
         assert stage.env.now - start_time < HOLD_SECONDS + MARGIN
 
--- a/tests/test_http_lot_failures.py
+++ b/tests/test_http_lot_failures.py
@@ -185,7 +185,7 @@
     with HttpLotStage(70 + seed) as stage:
         stage.sim.freeze(stage.owner().me.name, 20)
         start_time = stage.env.now
-        _, error = stage.hand_in("a", 4)
+        _, error = stage.submit("a", 4)
         assert stage.env.now - start_time < 1.9
         assert isinstance(error, OutcomeUnknown) and error.status == 502
         stage.run(1.5)
--- a/tests/test_http_lot_placement.py
+++ b/tests/test_http_lot_placement.py
@@ -16,7 +16,7 @@
 def accept_as_before(stage, name, count, tokens=10):
     """Commit a lot in its host's part, with the command of the former version."""
     with stage.former_version():
-        answer, error = stage.hand_in(name, count, tokens=tokens)
+        answer, error = stage.submit(name, count, tokens=tokens)
     assert error is None, error
     assert lot_key(HOST, name) in lot_records(stage.state_of(stage.home()))
     return answer
@@ -98,7 +98,7 @@
             replica.is_silent = True
         name = name_outside_home(stage)
         accept_as_before(stage, name, 20)
-        assert isinstance(stage.hand_in("b", 11)[1], QuotaExceeded)
+        assert isinstance(stage.submit("b", 11)[1], QuotaExceeded)
         accepted(stage, "c", 10)
         for replica in stage.replicas.values():
             replica.is_silent = False
@@ -113,7 +113,7 @@
             replica.is_silent = True
         accepted(stage, "a", 20)
         with stage.former_version():
-            assert isinstance(stage.hand_in("b", 20)[1], QuotaExceeded)
+            assert isinstance(stage.submit("b", 20)[1], QuotaExceeded)
             accepted(stage, "c", 10)
         assert lot_key(HOST, "c") in lot_records(stage.state_of(stage.part("c")))
 
@@ -162,7 +162,7 @@
     with HttpLotStage(109, slots=8) as stage:
         for replica in stage.replicas.values():
             replica.is_silent = True
-        errors = [stage.hand_in(f"l{number}", 4)[1] for number in range(24)]
+        errors = [stage.submit(f"l{number}", 4)[1] for number in range(24)]
         held = [stage.state_of(part)["raw_held"] for part in stage.parts]
         assert all(8_000 < weight <= 10_000 for weight in held)
         assert {type(error) for error in errors} == {type(None), HeldTooMuch}
--- a/tests/test_http_lot_restarts.py
+++ b/tests/test_http_lot_restarts.py
@@ -35,7 +35,7 @@
             return real(node, part, command, seconds)
 
         with mock.patch.object(api, "submit_until_sure", keep):
-            _, error = stage.hand_in("b", 5)
+            _, error = stage.submit("b", 5)
         assert isinstance(error, QuotaExceeded) and command
         stage.read_all("a")
         part, command = sent[0]
--- a/tests/test_killed_process.py
+++ b/tests/test_killed_process.py
@@ -65,7 +65,7 @@
             node.find("nifty").on_refused(live.me.address)
         most, errors = 0, []
         for number in range(12):
-            errors.append(stage.hand_in(f"x{number}", 7)[1])
+            errors.append(stage.submit(f"x{number}", 7)[1])
             most = max(most, stage.waiting()[0])
         assert most <= 300
         assert all(error is None or isinstance(error, QuillringError) for error in errors)
--- a/tests/test_lot_backlog.py
+++ b/tests/test_lot_backlog.py
@@ -25,7 +25,7 @@
     return [name for name in names if stage.part(name) == part][:count]
 
 
-def hand_in_later(stage, names, count):
+def submit_later(stage, names, count):
     """Hand lots in at once, without waiting for the answers."""
     for name in names:
         items = stage.items(name, count)
@@ -54,7 +54,7 @@
         (first,) = names_in(stage, own, 1, "a")
         later = names_in(stage, other, 12, "b")
         accepted(stage, first, 60)
-        hand_in_later(stage, later, 60)
+        submit_later(stage, later, 60)
         alone, among_all = 60 / 18 * 0.35, 780 / 18 * 0.35
         assert seconds_until_whole(stage, first, 60) < alone * 2 < among_all / 3
         for name in later:
--- a/tests/test_slow_disks.py
+++ b/tests/test_slow_disks.py
@@ -82,7 +82,7 @@
         bring_about(stage.sim, owner.find("ownership").group(part)[place][0])
         for number in range(16):
             begun_at = stage.env.now
-            _, error = stage.hand_in(f"lot-{number}", 1)
+            _, error = stage.submit(f"lot-{number}", 1)
             assert error is None, error
             assert stage.env.now - begun_at < GOAL
             stage.run(0.5)
--- a/tests/test_token_quota.py
+++ b/tests/test_token_quota.py
@@ -67,7 +67,7 @@
 def test_tokens_of_items_that_are_done_are_free_again_within_a_second():
     with HttpLotStage(202, most_tokens=300, slots=32) as stage:
         accepted(stage, "a", 30)
-        assert isinstance(stage.hand_in("b", 1)[1], QuotaExceeded)
+        assert isinstance(stage.submit("b", 1)[1], QuotaExceeded)
         stage.read_all("a")
         stage.run(0.6)
         accepted(stage, "b", 30)
@@ -155,7 +155,7 @@
             return (yield from real(node, part, command, seconds))
 
         with mock.patch.object(api, "submit_until_sure", submit):
-            answer, error = stage.hand_in(name, 20)
+            answer, error = stage.submit(name, 20)
         assert (answer, error, fenced) == ({"items": 20}, None, [{"left": {}}])
         assert stage.counted("raw_accepts_fenced") == 1
         assert reserved_lots(stage.state_of(home))[f"{name}@{HOST.lower()}"]["ticket"] == 2
@@ -167,7 +167,7 @@
 def test_without_the_ledgers_owner_nothing_is_taken_and_that_is_said():
     with HttpLotStage(231, most_tokens=300) as stage:
         stage.sim.freeze(stage.owner_of(stage.home()).me.name, 20)
-        _, error = stage.hand_in(name_outside_home(stage), 4)
+        _, error = stage.submit(name_outside_home(stage), 4)
         assert isinstance(error, Refused) and error.status == 503
         stage.run(4)
         assert stage.waiting()[0] == 0 and not stage.arrivals
