--- a/quillring/nifty/nifty.py
+++ b/quillring/nifty/nifty.py
@@ -173,7 +173,7 @@
     def on_datagram(self, data: bytes) -> None:
         """Take a heartbeat; garbage is counted and dropped."""
         try:
-            heartbeat = Heartbeat.from_wire(data, self.versions, self.known_roster.members)
+            heartbeat = Heartbeat(data, self.versions, self.known_roster.members)
         except BadWire as error:
             self.node.count("bad_datagrams")
             self.node.count("other_versions", error.detail["reason"] == "version")
@@ -220,10 +220,10 @@
         state.is_refused = False
         state.version = max(state.version, heartbeat.version)
         state.reads_terse = heartbeat.reads_terse
-        echo = heartbeat.echo
-        if echo is not None and echo.incarnation == self.node.me.incarnation:
-            state.acked_sequence = echo.sequence
-            state.echoed_at = self.sent_at_by_sequence.get(echo.sequence, state.echoed_at)
+        echoed_sequence = heartbeat.echoed_sequence
+        if echoed_sequence is not None and heartbeat.echoed_incarnation == self.node.me.incarnation:
+            state.acked_sequence = echoed_sequence
+            state.echoed_at = self.sent_at_by_sequence.get(echoed_sequence, state.echoed_at)
         else:
             state.acked_sequence = 0
         if heartbeat.member is not None:
--- a/quillring/nifty/wire.py
+++ b/quillring/nifty/wire.py
@@ -115,27 +115,63 @@
     sequence: int
 
 
-class Heartbeat(NamedTuple):
-    """One heartbeat as it came in.
+class Heartbeat:
+    """One heartbeat as it came in; slotted, as every node reads hundreds of them a second.
 
     A terse one bears neither member record nor roster digest nor bitmap: those stand as they were.
 
     Attributes
     ----------
+    echoed_incarnation, echoed_sequence : those of the echo; None where it bears none
     version : newest version of the format that both sides speak
     reads_terse : whether the sender reads terse heartbeats
     """
 
-    member: Member | None
-    name: str
-    incarnation: int
-    sequence: int
-    digest: bytes | None
-    bitmap: bytes | None
-    stamp: Stamp | None
-    echo: Echo | None
-    version: int
-    reads_terse: bool
+    __slots__ = (
+        "member",
+        "name",
+        "incarnation",
+        "sequence",
+        "digest",
+        "bitmap",
+        "stamp",
+        "echoed_incarnation",
+        "echoed_sequence",
+        "version",
+        "reads_terse",
+    )
+
+    def __init__(
+        self, data: bytes, versions: tuple[int, ...], known_members: dict[str, Member]
+    ) -> None:
+        self.member: Member | None = None
+        self.digest: bytes | None = None
+        self.bitmap: bytes | None = None
+        self.echoed_incarnation: int | None = None
+        self.echoed_sequence: int | None = None
+        self.reads_terse = False
+        try:
+            self.version, fields = unpack(data, versions)
+            if len(fields) == TERSE_FIELDS:
+                self.name, self.incarnation, self.sequence, self.stamp, echo = fields
+            else:
+                record, self.sequence, self.digest, self.bitmap, self.stamp, echo = fields
+                self.member = member = read_member(record, known_members)
+                self.name, self.incarnation = member.name, member.incarnation
+            if echo is not None:
+                self.echoed_incarnation, self.echoed_sequence = int(echo[0]), int(echo[1])
+                if len(echo) > 2:
+                    self.version = max(self.version, min(versions[-1], int(echo[2])))
+                self.reads_terse = len(echo) > 3 and echo[3] == TERSE_FIELDS
+        except (ValueError, TypeError, IndexError, KeyError, OverflowError) as error:
+            raise BadWire(reason="beat") from error
+        if not isinstance(self.sequence, int) or not is_stamp_or_none(self.stamp):
+            raise BadWire(reason="beat")
+        if self.member is None:
+            if not isinstance(self.name, str) or not isinstance(self.incarnation, int):
+                raise BadWire(reason="beat")
+        elif not isinstance(self.bitmap, bytes) or not isinstance(self.digest, bytes):
+            raise BadWire(reason="beat")
 
     @classmethod
     def from_wire(
@@ -148,42 +184,14 @@
         BadWire
             The datagram holds no heartbeat.
         """
-        member = digest = bitmap = echo = None
-        reads_terse = False
-        try:
-            version, fields = unpack(data, versions)
-            if len(fields) == TERSE_FIELDS:
-                name, incarnation, sequence, stamp, told_echo = fields
-            else:
-                record, sequence, digest, bitmap, stamp, told_echo = fields
-                member = read_member(record, known_members or {})
-                name, incarnation = member.name, member.incarnation
-            if told_echo is not None:
-                echo = Echo(int(told_echo[0]), int(told_echo[1]))
-                if len(told_echo) > 2:
-                    version = max(version, min(versions[-1], int(told_echo[2])))
-                reads_terse = len(told_echo) > 3 and told_echo[3] == TERSE_FIELDS
-        except (ValueError, TypeError, IndexError, KeyError, OverflowError) as error:
-            raise BadWire(reason="beat") from error
-        if not isinstance(sequence, int) or not is_stamp_or_none(stamp):
-            raise BadWire(reason="beat")
-        if member is None:
-            if not isinstance(name, str) or not isinstance(incarnation, int):
-                raise BadWire(reason="beat")
-        elif not isinstance(bitmap, bytes) or not isinstance(digest, bytes):
-            raise BadWire(reason="beat")
-        return cls(
-            member,
-            name,
-            incarnation,
-            sequence,
-            digest,
-            bitmap,
-            stamp,
-            echo,
-            version,
-            reads_terse,
-        )
+        return cls(data, versions, known_members or {})
+
+    @property
+    def echo(self) -> Echo | None:
+        """The heartbeat that this one echoes, or None."""
+        if self.echoed_incarnation is None or self.echoed_sequence is None:
+            return None
+        return Echo(self.echoed_incarnation, self.echoed_sequence)
 
 
 def read_member(record: list[Any], known_members: dict[str, Member]) -> Member:
