--- a/proving/model/core_machine.py
+++ b/proving/model/core_machine.py
@@ -4,7 +4,7 @@
 
 from proving.model.events import Acknowledged, Established, Founded, ReadBegan, ReadEnded
 from proving.model.machines import Machine, applied_event, digest_state
-from proving.model.watched_owner import WatchedOwner
+from proving.model.watched_leader import WatchedLeader
 from quillring.kernel.errors import NotLeader, QuillringError
 from quillring.quorum.founding.founding import found_fleet
 from quillring.quorum.founding.founding_vote import FoundingVoter, agree_on_founding
@@ -62,7 +62,7 @@
         """Begin a new term, as ownership does for a part that ranks this core first."""
         former = self.owner
         group = [list(store) for store in self.model.group] if former is None else former.group
-        self.owner = WatchedOwner(self.node, self.model.part, group, former)
+        self.owner = WatchedLeader(self.node, self.model.part, group, former)
         self.busy.add("take")
         self.runtime.spawn(self.owner.run_election(), "take", self._end_take)
 
--- a/proving/model/watched_owner.py
+++ b/proving/model/watched_leader.py
@@ -1,12 +1,12 @@
-"""An owner that notes whether phase one asked a group before an entry is proposed there."""
+"""A leader that notes whether phase one asked a group before an entry is proposed there."""
 
 from proving.model.events import ProposedUnasked
 from quillring.quorum.leader.part_leader import PartLeader
 from quillring.quorum.messages import PrepareRequest
 
 
-class WatchedOwner(PartLeader):
-    """The production owner; `unasked` holds the events of entries that skip phase one."""
+class WatchedLeader(PartLeader):
+    """The production leader; `unasked` holds the events of entries that skip phase one."""
 
     __slots__ = ("asked_ballot", "asked_groups", "unasked")
 
