--- a/proving/points/early_refusals.py
+++ b/proving/points/early_refusals.py
@@ -5,7 +5,7 @@
 from quillring.edge.dispatcher import Dispatcher
 from quillring.edge.stream_handlers import serve_model
 from quillring.kernel.node import Node
-from quillring.kernel.wsgi import Request
+from quillring.kernel.routes import Request
 from quillring.lots.prompts.api import submit_lot
 from quillring.ownership.part_client import PartClient
 
--- a/proving/points/scenario_fleet.py
+++ b/proving/points/scenario_fleet.py
@@ -7,7 +7,7 @@
 from proving.sim.fleet import SimFleet
 from proving.sim.monitor import Monitor
 from proving.sim.seeded_run import ONCE_CLASS
-from quillring.kernel.wsgi import Request
+from quillring.kernel.routes import Request
 
 SMALL = {
     "sizes": {"edge": 4, "core": 3, "store": 4},
--- a/proving/points/stream_resumption.py
+++ b/proving/points/stream_resumption.py
@@ -11,7 +11,7 @@
 from quillring.edge.resume_token import LIFETIME_SECONDS, ResumeToken, make_token
 from quillring.edge.stream_handlers import resume_stream, serve_model
 from quillring.kernel.errors import NotFound, QuillringError
-from quillring.kernel.wsgi import Request
+from quillring.kernel.routes import Request
 from quillring.lots.prompts import state_machine
 from quillring.lots.prompts.api import cancel_lot, show_lot, show_results
 
--- a/proving/sim/callers.py
+++ b/proving/sim/callers.py
@@ -6,7 +6,7 @@
 from quillring.edge.stream_handlers import resume_stream, serve_model
 from quillring.kernel.effects import Signal
 from quillring.kernel.errors import QuillringError, Refused
-from quillring.kernel.wsgi import Request
+from quillring.kernel.routes import Request
 from quillring.lots.prompts.api import cancel_lot, show_results, submit_lot
 
 PATIENCE = 6.0
--- a/quillring/edge/replicas.py
+++ b/quillring/edge/replicas.py
@@ -9,7 +9,7 @@
 from quillring.edge.heartbeat_relay import Heartbeat, HeartbeatRelay
 from quillring.kernel.checks import StrictValidator
 from quillring.kernel.errors import Conflict
-from quillring.kernel.wsgi import check_body
+from quillring.kernel.request_checks import check_body
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/quillring/edge/short_requests.py
+++ b/quillring/edge/short_requests.py
@@ -21,13 +21,14 @@
     OutcomeUnknown,
     Refused,
 )
-from quillring.kernel.wsgi import check_body, route
+from quillring.kernel.request_checks import check_body
+from quillring.kernel.routes import route
 
 if TYPE_CHECKING:
     from quillring.edge.slot_lease import SlotLease
     from quillring.kernel.node import Node
+    from quillring.kernel.routes import Request
     from quillring.kernel.types import Coroutine
-    from quillring.kernel.wsgi import Request
 
 KEYED_WRITE = StrictValidator(
     {
--- a/quillring/edge/stream_handlers.py
+++ b/quillring/edge/stream_handlers.py
@@ -21,7 +21,8 @@
     Refused,
     TimedOut,
 )
-from quillring.kernel.wsgi import check_body, need_client_name, route
+from quillring.kernel.request_checks import check_body, need_client_name
+from quillring.kernel.routes import route
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -31,8 +32,8 @@
     from quillring.edge.replicas import Replica
     from quillring.edge.slot_lease import SlotLease
     from quillring.kernel.node import Node
+    from quillring.kernel.routes import Request
     from quillring.kernel.types import Coroutine
-    from quillring.kernel.wsgi import Request
 
 MODEL_REQUEST = StrictValidator(
     {
--- a/quillring/kernel/wsgi.py
+++ b/quillring/kernel/wsgi.py
@@ -3,30 +3,24 @@
 from __future__ import annotations
 
 import json
-import re
 from types import GeneratorType
 from typing import TYPE_CHECKING
-from urllib.parse import parse_qs
 
-from quillring.kernel.checks import parse_json
-from quillring.kernel.errors import BadRequest, NotFound, QuillringError, TooLarge, WrongMethod
-from quillring.kernel.registry import Registry
+from quillring.kernel.errors import QuillringError
+from quillring.kernel.request_checks import read_body, read_query
+from quillring.kernel.routes import Request, find_route
 
 if TYPE_CHECKING:
-    from collections.abc import Callable, Generator, Iterable, Iterator, Sequence
-    from typing import Any, TypeVar
+    from collections.abc import Callable, Generator, Iterable, Iterator
+    from typing import Any
 
     from quillring.kernel.node import Node
+    from quillring.kernel.request_checks import Environ
     from quillring.kernel.types import Coroutine
 
-    Environ = dict[str, Any]
     StartResponse = Callable[[str, list[tuple[str, str]]], object]
-    Handler = Callable[[Node, Any], Any]
-    H = TypeVar("H", bound=Handler)
 
-ROUTES = Registry("route")
-BODY_LIMIT = 1 << 20
-STATUS_WORDS = {
+REASON_PHRASES = {
     200: "OK",
     201: "Created",
     400: "Bad Request",
@@ -45,126 +39,24 @@
 }
 
 
-class Request:
-    """One inquiry of a sender: path words, query, body and who sent it."""
-
-    __slots__ = ("method", "words", "query", "body", "client_name")
-
-    def __init__(
-        self,
-        method: str,
-        words: dict[str, str],
-        query: dict[str, list[str]],
-        body: Any,
-        client_name: str,
-    ) -> None:
-        self.method = method
-        self.words = words
-        self.query = query
-        self.body = body
-        self.client_name = client_name
-
-
-def route(
-    method: str, pattern: str, limit: int = BODY_LIMIT, query_words: Sequence[str] = ()
-) -> Callable[[H], H]:
-    """Register a function(node, inquiry) for a path such as /v1/lots/{lot}."""
-    names = re.findall(r"{(\w+)}", pattern)
-    matcher = re.compile(re.sub(r"{\w+}", "([^/]+)", pattern))
-
-    def enter(function: H) -> H:
-        ROUTES.entry((method, pattern))((matcher, names, limit, query_words, function))
-        return function
-
-    return enter
-
-
-def check_body(validator: Any, body: Any) -> None:
-    """Refuse a body that breaks its schema, naming every faulty field."""
-    faults = sorted(
-        (".".join(str(step) for step in error.absolute_path) or "body", error.message)
-        for error in validator.iter_errors(body)
-    )
-    if faults:
-        raise BadRequest(
-            field=faults[0][0], faults=[{"field": f, "fault": text[:200]} for f, text in faults]
-        )
-
-
-def need_client_name(request: Request) -> None:
-    """Refuse an inquiry whose answer belongs to a sender that it does not name."""
-    if not request.client_name or len(request.client_name) > 200:
-        raise BadRequest(
-            field="X-Sender",
-            faults=[{"field": "X-Sender", "fault": "a header of 1 to 200 characters is needed"}],
-        )
-
-
-def find_route(method: str, path: str) -> tuple[Handler, dict[str, str], int, Sequence[str]]:
-    """Return (function, path words, body limit, query words), or raise what is wrong."""
-    methods: list[str] = []
-    for (route_method, _), (matcher, names, limit, query_words, function) in ROUTES.entries.items():
-        found = matcher.fullmatch(path)
-        if found and route_method == method:
-            return function, dict(zip(names, found.groups(), strict=True)), limit, query_words
-        methods += [route_method] if found else []
-    if methods:
-        raise WrongMethod(path=path, method=method, allowed=sorted(methods))
-    raise NotFound(path=path, method=method)
-
-
-def read_body(environ: Environ, limit: int) -> Any:
-    """Read and parse the JSON body within the limit."""
-    try:
-        length = int(environ.get("CONTENT_LENGTH") or 0)
-    except ValueError as error:
-        raise BadRequest(field="Content-Length") from error
-    if length < 0:
-        raise BadRequest(field="Content-Length")
-    if length > limit:
-        raise TooLarge(limit=limit, field="body")
-    try:
-        data = environ["wsgi.input"].read(min(length, limit + 1) if length else limit + 1)
-    except OSError as error:
-        raise BadRequest(field="body", faults=[{"field": "body", "fault": "cut off"}]) from error
-    if len(data) < length:
-        raise BadRequest(field="body", faults=[{"field": "body", "fault": "cut off"}])
-    if len(data) > limit:
-        raise TooLarge(limit=limit, field="body")
-    try:
-        return parse_json(data) if data else None
-    except ValueError as error:
-        raise BadRequest(field="body", faults=[{"field": "body", "fault": "not JSON"}]) from error
-
-
-def read_query(environ: Environ, query_words: Sequence[str]) -> dict[str, list[str]]:
-    """Return the query; a word that the route does not know is refused."""
-    query = parse_qs(environ.get("QUERY_STRING", ""), keep_blank_values=True)
-    unknown_words = sorted(set(query) - set(query_words))
-    if unknown_words:
-        faults = [{"field": word[:100], "fault": "unknown query word"} for word in unknown_words]
-        raise BadRequest(field=unknown_words[0][:100], faults=faults[:10])
-    return query
-
-
-def make_app(node: Node) -> Callable[[Environ, StartResponse], UnderWay]:
+def make_app(node: Node) -> Callable[[Environ, StartResponse], InFlightResponse]:
     """Return the WSGI application of a node."""
 
-    def app(environ: Environ, start_response: StartResponse) -> UnderWay:
-        return UnderWay(node, answer(environ, start_response))
+    def app(environ: Environ, start_response: StartResponse) -> InFlightResponse:
+        return InFlightResponse(node, answer(environ, start_response))
 
     def answer(environ: Environ, start_response: StartResponse) -> Iterable[bytes]:
         try:
             method = environ["REQUEST_METHOD"]
-            function, words, limit, query_words = find_route(method, environ["PATH_INFO"])
+            route, words = find_route(method, environ["PATH_INFO"])
             request = Request(
                 method,
                 words,
-                read_query(environ, query_words),
-                read_body(environ, limit),
+                read_query(environ, route.query_words),
+                read_body(environ, route.body_limit),
                 environ.get("HTTP_X_SENDER", ""),
             )
-            outcome = function(node, request)
+            outcome = route.handler(node, request)
             if not isinstance(outcome, GeneratorType):
                 return send_whole(start_response, outcome)
             return send_lines(node, start_response, outcome)
@@ -177,7 +69,7 @@
     return app
 
 
-class UnderWay:
+class InFlightResponse:
     """An answer that counts as under way until the server has sent it or given up."""
 
     def __init__(self, node: Node, chunks: Iterable[bytes]) -> None:
@@ -208,7 +100,7 @@
     """Send one JSON body."""
     body = json.dumps(answer).encode()
     start_response(
-        f"{status} {STATUS_WORDS.get(status, 'Status')}",
+        f"{status} {REASON_PHRASES.get(status, 'Status')}",
         [
             ("Content-Type", "application/json"),
             ("Content-Length", str(len(body))),
--- a/quillring/lots/prompts/api.py
+++ b/quillring/lots/prompts/api.py
@@ -8,7 +8,8 @@
 from quillring.edge.admission import check_admission
 from quillring.kernel.checks import StrictValidator, read_count
 from quillring.kernel.errors import BadRequest, Refused
-from quillring.kernel.wsgi import check_body, need_client_name, route
+from quillring.kernel.request_checks import check_body, need_client_name
+from quillring.kernel.routes import route
 from quillring.lots.prompts.acceptance_fence import submit_fenced
 from quillring.lots.prompts.commands import (
     AcceptLot,
@@ -21,8 +22,8 @@
 
 if TYPE_CHECKING:
     from quillring.kernel.node import Node
+    from quillring.kernel.routes import Request
     from quillring.kernel.types import Coroutine
-    from quillring.kernel.wsgi import Request
 
 LOT_LIMIT_BYTES = 8 << 20
 MOST_RESULTS = 1000
--- a/quillring/plans/api.py
+++ b/quillring/plans/api.py
@@ -6,7 +6,8 @@
 
 from quillring.kernel.checks import StrictValidator
 from quillring.kernel.errors import NotFound
-from quillring.kernel.wsgi import check_body, route
+from quillring.kernel.request_checks import check_body
+from quillring.kernel.routes import route
 from quillring.plans.messages import (
     READ_PLANS,
     ConfirmPlan,
@@ -20,8 +21,8 @@
 
 if TYPE_CHECKING:
     from quillring.kernel.node import Node
+    from quillring.kernel.routes import Request
     from quillring.kernel.types import Coroutine, WireMap
-    from quillring.kernel.wsgi import Request
 
 INTENT = StrictValidator(
     {
--- a/quillring/verbs/part_routes.py
+++ b/quillring/verbs/part_routes.py
@@ -5,13 +5,13 @@
 from typing import TYPE_CHECKING, Any
 
 from quillring.kernel.errors import QuillringError
-from quillring.kernel.wsgi import route
+from quillring.kernel.routes import route
 from quillring.ownership.status import list_parts
 
 if TYPE_CHECKING:
     from quillring.kernel.node import Node
+    from quillring.kernel.routes import Request
     from quillring.kernel.types import Coroutine
-    from quillring.kernel.wsgi import Request
 
 
 @route("GET", "/v1/parts")
--- a/quillring/verbs/routes.py
+++ b/quillring/verbs/routes.py
@@ -8,7 +8,8 @@
 from quillring.edge.admission import check_admission
 from quillring.kernel.checks import StrictValidator
 from quillring.kernel.errors import Conflict, NotFound, NotFounded, Refused
-from quillring.kernel.wsgi import check_body, route
+from quillring.kernel.request_checks import check_body
+from quillring.kernel.routes import route
 from quillring.lots.prompts import api as prompt_lots_api
 from quillring.plans import api as plans_api
 from quillring.quorum.founding.founding import found_fleet
@@ -23,8 +24,8 @@
 
 if TYPE_CHECKING:
     from quillring.kernel.node import Node
+    from quillring.kernel.routes import Request
     from quillring.kernel.types import Coroutine
-    from quillring.kernel.wsgi import Request
 
 PLUGINS = (
     part_routes,
--- a/quillring/verbs/status_routes.py
+++ b/quillring/verbs/status_routes.py
@@ -4,11 +4,11 @@
 
 from typing import TYPE_CHECKING, Any
 
-from quillring.kernel.wsgi import route
+from quillring.kernel.routes import route
 
 if TYPE_CHECKING:
     from quillring.kernel.node import Node
-    from quillring.kernel.wsgi import Request
+    from quillring.kernel.routes import Request
 
 
 @route("GET", "/v1/promises")
--- a/tests/mixed_fleet.py
+++ b/tests/mixed_fleet.py
@@ -13,8 +13,8 @@
 from proving.sim.fleet import SimFleet
 from proving.sim.seeded_run import SMALL
 from quillring.kernel.errors import error_from_wire
+from quillring.kernel.routes import Request
 from quillring.kernel.settings import split_address
-from quillring.kernel.wsgi import Request
 from quillring.quorum.founding import found_fleet
 from tests.landed_code import landed
 
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -8,8 +8,8 @@
 from proving.points.catalog import POINTS
 from proving.tools.deployments import DEPLOYMENTS, configuration_of, replicas_of, settings_of
 from proving.tools.reference import reference
+from quillring.kernel.routes import ROUTES
 from quillring.kernel.settings import find_faults
-from quillring.kernel.wsgi import ROUTES
 from quillring.rollout.schema import find_faults as configuration_faults
 from quillring.verbs.program import main
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -6,7 +6,7 @@
 import pytest
 
 import quillring
-from quillring.kernel.wsgi import ROUTES
+from quillring.kernel.routes import ROUTES
 from quillring.verbs import process
 
 FOLDER = Path(quillring.__file__).parent
--- a/tests/test_wsgi.py
+++ b/tests/test_wsgi.py
@@ -3,7 +3,8 @@
 
 from quillring.kernel.effects import SendToClient
 from quillring.kernel.errors import Refused
-from quillring.kernel.wsgi import ROUTES, make_app, route
+from quillring.kernel.routes import ROUTES, route
+from quillring.kernel.wsgi import make_app
 from quillring.verbs import routes
 from tests.test_nifty import node
 
