--- a/tests/test_quorum_messages.py
+++ b/tests/test_quorum_messages.py
@@ -17,6 +17,13 @@
 )
 from quillring.quorum.acceptor.snapshot_rows import HintRow, IncomingRow, PartRow, StoreRow
 from quillring.quorum.acceptor.state import AcceptedEntry, AcceptorState
+from quillring.quorum.disk_health import DiskReport
+from quillring.quorum.founding.messages import (
+    Vote,
+    VoteAcceptRequest,
+    VotePrepareRequest,
+    VotePromise,
+)
 from quillring.quorum.messages import (
     AcceptedEntryReply,
     AcceptedEntryRequest,
@@ -43,6 +50,7 @@
 )
 from quillring.quorum.snapshot_chunks import Chunk, ChunkOffset
 from quillring.quorum.values import Ballot
+from quillring.store.log_file import LogHead
 
 BALLOT = Ballot(3, "core-1#7")
 GROUP = [["store-1", "store-1.x", "north"]]
@@ -119,6 +127,18 @@
     ),
     (FoundRequest("store-1.x", FOUNDING), {"identity": "store-1.x", "founding": FOUNDING}),
     (HintRequest("store-2", HEADER), {"for": "store-2", "record": HEADER}),
+    (Vote(), [0, [0, ""], [0, ""], None]),
+    (
+        Vote(4, BALLOT, Ballot(2, "core-2#1"), FOUNDING),
+        [4, [3, "core-1#7"], [2, "core-2#1"], FOUNDING],
+    ),
+    (VotePrepareRequest(BALLOT), {"ballot": [3, "core-1#7"]}),
+    (VotePromise(BALLOT, FOUNDING), [[3, "core-1#7"], FOUNDING]),
+    (
+        VoteAcceptRequest(BALLOT, FOUNDING),
+        {"ballot": [3, "core-1#7"], "founding": FOUNDING},
+    ),
+    (DiskReport(7, True), [7, True]),
 ]
 
 LOG_RECORDS = [
@@ -187,6 +207,31 @@
     assert read_log_record(fields) == PromiseRecord("part-0", BALLOT)
 
 
+@pytest.mark.parametrize(
+    "head, disk",
+    [
+        (
+            LogHead(4),
+            {"generation": 4, "follows": None, "former_size": 0, "marked": True},
+        ),
+        (
+            LogHead(5, 4, 900),
+            {"generation": 5, "follows": 4, "former_size": 900, "marked": True},
+        ),
+    ],
+)
+def test_the_head_of_a_log_is_written_and_read_in_the_same_bytes(head, disk):
+    assert cbor2.dumps(head.to_disk()) == cbor2.dumps(disk)
+    assert LogHead.from_disk(disk) == head
+
+
+def test_heads_of_earlier_logs_are_read_as_without_marks():
+    earlier = {"generation": 5, "follows": 4, "former_size": 900}
+    assert LogHead.from_disk(earlier) == LogHead(5, 4, 900, is_marked=False)
+    assert LogHead.from_disk(5) == LogHead(5, is_marked=False)
+    assert LogHead.from_disk(["accept"]) is None
+
+
 def test_a_hint_names_its_entry():
     request = {**HEADER, "index": 5, "batch": BATCH, "committed": 4}
     assert HintedEntry.from_wire(request) == HintedEntry("part-0", "store-1.x", 5)
