--- a/quillring/classes/quota_client.py
+++ b/quillring/classes/quota_client.py
@@ -2,11 +2,12 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING
 
 from quillring.classes.messages import REQUEST_QUOTA, Quota, QuotaRequest
 from quillring.kernel.effects import Sleep
 from quillring.kernel.errors import NotFounded, QuillringError
+from quillring.kernel.records import NamedTuple
 from quillring.quorum.parts import part_of
 
 if TYPE_CHECKING:
--- a/quillring/classes/quota_server.py
+++ b/quillring/classes/quota_server.py
@@ -5,11 +5,12 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, Any
 
 from quillring.classes.fair_share import allocate, apportion, slow_start_slots
 from quillring.classes.messages import REQUEST_QUOTA, Quota, QuotaRequest
 from quillring.kernel.errors import NotLeader
+from quillring.kernel.records import NamedTuple
 from quillring.nifty.graph import score
 from quillring.quorum.parts import part_of
 
--- a/quillring/edge/heartbeat_relay.py
+++ b/quillring/edge/heartbeat_relay.py
@@ -6,9 +6,10 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, Any
 
 from quillring.kernel.effects import Sleep
+from quillring.kernel.records import NamedTuple
 from quillring.ownership.candidates import order_candidates
 
 if TYPE_CHECKING:
--- a/quillring/edge/replica_snapshot.py
+++ b/quillring/edge/replica_snapshot.py
@@ -7,12 +7,13 @@
 from __future__ import annotations
 
 import zlib
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, Any
 
 import cbor2
 
 from quillring.kernel.effects import Sleep
 from quillring.kernel.errors import DiskError, QuillringError
+from quillring.kernel.records import NamedTuple
 
 if TYPE_CHECKING:
     from quillring.kernel.node import Node
--- a/quillring/edge/resume_token.py
+++ b/quillring/edge/resume_token.py
@@ -5,12 +5,13 @@
 import base64
 import hashlib
 import hmac
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING
 
 import cbor2
 
 from quillring.edge.journal_messages import Term
 from quillring.kernel.errors import QuillringError
+from quillring.kernel.records import NamedTuple
 
 if TYPE_CHECKING:
     from quillring.edge.journaled_stream import JournaledStream
--- a/quillring/forward/response.py
+++ b/quillring/forward/response.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, Any
 
 from quillring.forward.attempt import GRACE_SECONDS
 from quillring.forward.events import EventReader
@@ -10,6 +10,7 @@
 from quillring.forward.retry import SILENCE_TIMEOUT_FACTOR, STALL, may_retry
 from quillring.kernel.effects import ReadBody, SendToClient
 from quillring.kernel.errors import BackendError
+from quillring.kernel.records import NamedTuple
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
--- a/quillring/forward/route_table.py
+++ b/quillring/forward/route_table.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, Any
 
+from quillring.kernel.records import NamedTuple
 from quillring.nifty.graph import score
 
 if TYPE_CHECKING:
--- a/quillring/gossip/gossip.py
+++ b/quillring/gossip/gossip.py
@@ -8,7 +8,7 @@
 
 import hashlib
 import math
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, Any
 
 import cbor2
 
@@ -24,6 +24,7 @@
 )
 from quillring.kernel.effects import Sleep
 from quillring.kernel.errors import BadWire
+from quillring.kernel.records import NamedTuple
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
--- a/quillring/kernel/messages.py
+++ b/quillring/kernel/messages.py
@@ -2,7 +2,9 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING
+
+from quillring.kernel.records import NamedTuple
 
 if TYPE_CHECKING:
     from typing import Any
--- a/quillring/kernel/node.py
+++ b/quillring/kernel/node.py
@@ -10,7 +10,7 @@
 import hashlib
 from functools import partial
 from types import GeneratorType
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING
 
 from quillring.kernel.bounds import Bounds
 from quillring.kernel.effects import Signal, Wait
@@ -22,6 +22,7 @@
     error_from_wire,
 )
 from quillring.kernel.messages import CallReply, CallRequest, is_reply
+from quillring.kernel.records import NamedTuple
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
--- a/quillring/kernel/routes.py
+++ b/quillring/kernel/routes.py
@@ -3,9 +3,10 @@
 from __future__ import annotations
 
 import re
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING
 
 from quillring.kernel.errors import NotFound, WrongMethod
+from quillring.kernel.records import NamedTuple
 from quillring.kernel.registry import Registry
 
 if TYPE_CHECKING:
--- a/quillring/lots/http_requests/backlog.py
+++ b/quillring/lots/http_requests/backlog.py
@@ -8,9 +8,10 @@
 from __future__ import annotations
 
 from collections.abc import Mapping, Sequence
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING
 
 from quillring.kernel.effects import Sleep
+from quillring.kernel.records import NamedTuple
 from quillring.lots.http_requests import messages
 from quillring.lots.http_requests.item_table import LEAST_SECONDS_TO_DUE
 from quillring.lots.http_requests.messages import BacklogReport, BacklogRow
--- a/quillring/lots/http_requests/commands.py
+++ b/quillring/lots/http_requests/commands.py
@@ -7,7 +7,9 @@
 from __future__ import annotations
 
 from collections.abc import Mapping, Sequence
-from typing import Any, NamedTuple
+from typing import Any
+
+from quillring.kernel.records import NamedTuple
 
 Wire = Mapping[str, Any]
 """A command or query as it stands in the log and on the wire."""
--- a/quillring/lots/http_requests/concurrency_limits.py
+++ b/quillring/lots/http_requests/concurrency_limits.py
@@ -4,9 +4,10 @@
 
 import math
 from collections.abc import Container, Iterable, Mapping
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, Any
 
 from quillring.forward.replica_health import has_missed_heartbeats
+from quillring.kernel.records import NamedTuple
 from quillring.lots.http_requests.item_executor import BROKEN, NOT_RUN, UNSENT
 
 if TYPE_CHECKING:
--- a/quillring/lots/http_requests/item_table.py
+++ b/quillring/lots/http_requests/item_table.py
@@ -3,8 +3,9 @@
 from __future__ import annotations
 
 import math
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, Any
 
+from quillring.kernel.records import NamedTuple
 from quillring.lots.http_requests.lot_table import LotRecord, lot_records
 
 if TYPE_CHECKING:
--- a/quillring/lots/http_requests/lot_placement.py
+++ b/quillring/lots/http_requests/lot_placement.py
@@ -2,9 +2,10 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING
 
 from quillring.kernel.errors import NotFound
+from quillring.kernel.records import NamedTuple
 from quillring.lots.http_requests.lot_table import HELD_LIMIT_BYTES
 from quillring.quorum.parts import part_of
 
--- a/quillring/lots/http_requests/lot_table.py
+++ b/quillring/lots/http_requests/lot_table.py
@@ -9,9 +9,10 @@
 
 from collections.abc import Collection, Mapping, Sequence
 from operator import itemgetter
-from typing import Any, Literal, NamedTuple, NotRequired, TypedDict
+from typing import Any, Literal, NotRequired, TypedDict
 
 from quillring.kernel.errors import NotFound, QuillringError
+from quillring.kernel.records import NamedTuple
 
 State = dict[str, Any]
 """The whole state of a part; it is copied, never changed."""
--- a/quillring/lots/http_requests/messages.py
+++ b/quillring/lots/http_requests/messages.py
@@ -6,8 +6,9 @@
 from __future__ import annotations
 
 from collections.abc import Mapping, Sequence
-from typing import Any, NamedTuple
+from typing import Any
 
+from quillring.kernel.records import NamedTuple
 from quillring.lots.http_requests.lot_table import Item
 from quillring.quorum.values import Ballot
 
--- a/quillring/lots/http_requests/scheduler.py
+++ b/quillring/lots/http_requests/scheduler.py
@@ -4,10 +4,11 @@
 
 import math
 from collections.abc import Collection, Mapping, Sequence
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, Any
 
 from quillring.kernel.effects import Sleep
 from quillring.kernel.errors import NotLeader, NotSent, QuillringError, TimedOut
+from quillring.kernel.records import NamedTuple
 from quillring.lots.http_requests import messages
 from quillring.lots.http_requests.backlog import Backlog, SlotShare
 from quillring.lots.http_requests.commands import (
--- a/quillring/lots/http_requests/state_machine.py
+++ b/quillring/lots/http_requests/state_machine.py
@@ -9,9 +9,10 @@
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
-from typing import Any, NamedTuple
+from typing import Any
 
 from quillring.kernel.errors import Conflict, NotFound
+from quillring.kernel.records import NamedTuple
 from quillring.lots.http_requests import commands
 from quillring.lots.http_requests.commands import (
     AcceptLot,
--- a/quillring/lots/http_requests/worker_selection.py
+++ b/quillring/lots/http_requests/worker_selection.py
@@ -3,7 +3,9 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING
+
+from quillring.kernel.records import NamedTuple
 
 if TYPE_CHECKING:
     from quillring.forward.types import Replica
--- a/quillring/lots/prompts/commands.py
+++ b/quillring/lots/prompts/commands.py
@@ -6,8 +6,9 @@
 from __future__ import annotations
 
 from collections.abc import Mapping, Sequence
-from typing import Any, NamedTuple
+from typing import Any
 
+from quillring.kernel.records import NamedTuple
 from quillring.quorum.values import Ballot
 
 Wire = Mapping[str, Any]
--- a/quillring/lots/prompts/retention.py
+++ b/quillring/lots/prompts/retention.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, Any
 
+from quillring.kernel.records import NamedTuple
 from quillring.lots.prompts.commands import ACCEPT, AcceptLot, DropLot, Wire
 from quillring.lots.prompts.lot_table import OPEN, LotRecord, lot_records
 from quillring.lots.prompts.state_machine import TooManyLots
--- a/quillring/lots/prompts/scheduler.py
+++ b/quillring/lots/prompts/scheduler.py
@@ -6,13 +6,14 @@
 from collections import Counter
 from collections.abc import Iterator, Sequence
 from itertools import islice
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, Any
 
 from quillring.classes.class_terms import may_repeat
 from quillring.edge.dispatcher import prefix_key
 from quillring.edge.stream_handlers import STALL_MS, check_before_sending, check_line
 from quillring.kernel.effects import FetchJson, OpenStream, ReadLine, Signal, Sleep, Wait
 from quillring.kernel.errors import BackendError, Busy, NotSent, QuillringError
+from quillring.kernel.records import NamedTuple
 from quillring.lots.prompts.commands import CANCEL, CancelLot, StartItem, Wire, WriteResult
 from quillring.lots.prompts.lot_table import OPEN, LotRecord, lot_records
 from quillring.lots.prompts.retention import Retention
--- a/quillring/nifty/wire.py
+++ b/quillring/nifty/wire.py
@@ -15,12 +15,13 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING
 
 import cbor2
 
 from quillring.kernel.errors import BadWire
 from quillring.kernel.member import FIELDS, Member
+from quillring.kernel.records import NamedTuple
 
 if TYPE_CHECKING:
     from typing import Any
--- a/quillring/ownership/election_timing.py
+++ b/quillring/ownership/election_timing.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING
 
+from quillring.kernel.records import NamedTuple
 from quillring.quorum.parts import majority
 
 if TYPE_CHECKING:
--- a/quillring/ownership/elections.py
+++ b/quillring/ownership/elections.py
@@ -2,10 +2,11 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, Any
 
 from quillring.kernel.effects import Signal, Wait
 from quillring.kernel.errors import Fenced, NoMajority, QuillringError
+from quillring.kernel.records import NamedTuple
 from quillring.ownership.election_timing import ElectionTiming
 from quillring.ownership.jitter import sleep_with_jitter
 
--- a/quillring/ownership/leadership_transfer.py
+++ b/quillring/ownership/leadership_transfer.py
@@ -2,9 +2,10 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, Any
 
 from quillring.kernel.errors import Conflict, NotLeader, QuillringError, UnknownService
+from quillring.kernel.records import NamedTuple
 from quillring.ownership.messages import (
     LEADERSHIP_OFFER,
     PREPARE_TRANSFER,
--- a/quillring/ownership/ownership.py
+++ b/quillring/ownership/ownership.py
@@ -2,9 +2,10 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING
 
 from quillring.kernel.errors import Fenced, NotFounded, NotLeader
+from quillring.kernel.records import NamedTuple
 from quillring.ownership.candidates import order_candidates
 from quillring.ownership.elections import Elections
 from quillring.ownership.leadership_backoff import LeadershipBackoff
--- a/quillring/plans/maintenance_windows.py
+++ b/quillring/plans/maintenance_windows.py
@@ -3,12 +3,13 @@
 from __future__ import annotations
 
 import datetime
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, Any
 
 import icalendar
 import recurring_ical_events
 
 from quillring.kernel.errors import QuillringError
+from quillring.kernel.records import NamedTuple
 
 if TYPE_CHECKING:
     from quillring.kernel.types import WireMap
--- a/quillring/plans/messages.py
+++ b/quillring/plans/messages.py
@@ -2,7 +2,9 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, Any
+
+from quillring.kernel.records import NamedTuple
 
 if TYPE_CHECKING:
     from quillring.kernel.types import WireMap
--- a/quillring/plans/planner.py
+++ b/quillring/plans/planner.py
@@ -2,9 +2,10 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING
 
 from quillring.kernel.errors import NotFound
+from quillring.kernel.records import NamedTuple
 from quillring.kernel.registry import Registry
 from quillring.plans.messages import ConfigurationStep, Intent, Obstacle, Plan, Step, WaitStep
 from quillring.quorum.parts import GROUP_SIZE
--- a/quillring/quorum/acceptor/log_records.py
+++ b/quillring/quorum/acceptor/log_records.py
@@ -6,8 +6,9 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, Any
 
+from quillring.kernel.records import NamedTuple
 from quillring.quorum.snapshot_chunks import ChunkOffset
 from quillring.quorum.values import Ballot
 
--- a/quillring/quorum/acceptor/snapshot_rows.py
+++ b/quillring/quorum/acceptor/snapshot_rows.py
@@ -5,8 +5,9 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, Any
 
+from quillring.kernel.records import NamedTuple
 from quillring.quorum.acceptor.snapshot_transfer import IncomingSnapshot
 from quillring.quorum.acceptor.state import AcceptorState
 from quillring.quorum.snapshot_chunks import (
--- a/quillring/quorum/acceptor/state.py
+++ b/quillring/quorum/acceptor/state.py
@@ -3,8 +3,9 @@
 from __future__ import annotations
 
 from itertools import count
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING
 
+from quillring.kernel.records import NamedTuple
 from quillring.quorum.commands import answer_query, apply_batch
 from quillring.quorum.log_cache import LogCache
 from quillring.quorum.messages import AcceptedProposal, Promise, QueryAnswer, UncommittedAnswer
--- a/quillring/quorum/disk_health.py
+++ b/quillring/quorum/disk_health.py
@@ -2,9 +2,10 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING
 
 from quillring.kernel.effects import Sleep
+from quillring.kernel.records import NamedTuple
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
--- a/quillring/quorum/founding/messages.py
+++ b/quillring/quorum/founding/messages.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, Any
 
+from quillring.kernel.records import NamedTuple
 from quillring.quorum.values import NO_BALLOT, Ballot
 
 if TYPE_CHECKING:
--- a/quillring/quorum/leader/anti_entropy.py
+++ b/quillring/quorum/leader/anti_entropy.py
@@ -2,10 +2,11 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING
 
 from quillring.kernel.effects import Sleep
 from quillring.kernel.errors import QuillringError
+from quillring.kernel.records import NamedTuple
 from quillring.quorum.messages import CommitRequest
 
 if TYPE_CHECKING:
--- a/quillring/quorum/leader/command_queue.py
+++ b/quillring/quorum/leader/command_queue.py
@@ -2,12 +2,13 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING
 
 import cbor2
 
 from quillring.kernel.effects import Signal, Wait
 from quillring.kernel.errors import NoMajority, NotLeader, QuillringError
+from quillring.kernel.records import NamedTuple
 
 if TYPE_CHECKING:
     from typing import Any
--- a/quillring/quorum/leader/membership_change.py
+++ b/quillring/quorum/leader/membership_change.py
@@ -12,8 +12,9 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING
 
+from quillring.kernel.records import NamedTuple
 from quillring.quorum.parts import majority
 from quillring.quorum.values import GroupMember, group_to_wire
 
--- a/quillring/quorum/leader/retirement_check.py
+++ b/quillring/quorum/leader/retirement_check.py
@@ -13,10 +13,11 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING
 
 from quillring.kernel.effects import Signal, Wait
 from quillring.kernel.errors import QuillringError, UnknownService
+from quillring.kernel.records import NamedTuple
 
 if TYPE_CHECKING:
     from typing import Any
--- a/quillring/quorum/leader/uncommitted.py
+++ b/quillring/quorum/leader/uncommitted.py
@@ -6,9 +6,10 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING
 
 from quillring.kernel.errors import NoMajority, QuillringError
+from quillring.kernel.records import NamedTuple
 from quillring.quorum.messages import AcceptedEntryReply, AcceptedEntryRequest
 
 if TYPE_CHECKING:
--- a/quillring/quorum/log_cache.py
+++ b/quillring/quorum/log_cache.py
@@ -3,10 +3,12 @@
 from __future__ import annotations
 
 from collections import deque
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING
 
 import cbor2
 
+from quillring.kernel.records import NamedTuple
+
 if TYPE_CHECKING:
     from quillring.quorum.messages import Batch, WireEntry
 
--- a/quillring/quorum/messages.py
+++ b/quillring/quorum/messages.py
@@ -7,8 +7,9 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any, NamedTuple, Protocol
+from typing import TYPE_CHECKING, Any, Protocol
 
+from quillring.kernel.records import NamedTuple
 from quillring.quorum.snapshot_chunks import ChunkOffset, PartState
 from quillring.quorum.values import Ballot
 
--- a/quillring/quorum/snapshot_chunks.py
+++ b/quillring/quorum/snapshot_chunks.py
@@ -12,11 +12,12 @@
 
 import struct
 from itertools import islice
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, Any
 
 import cbor2
 
 from quillring.kernel.errors import QuillringError
+from quillring.kernel.records import NamedTuple
 
 if TYPE_CHECKING:
     from collections.abc import Iterator, Sequence
--- a/quillring/quorum/values.py
+++ b/quillring/quorum/values.py
@@ -3,7 +3,9 @@
 from __future__ import annotations
 
 from collections.abc import Iterable, Sequence
-from typing import Any, NamedTuple
+from typing import Any
+
+from quillring.kernel.records import NamedTuple
 
 WireMember = Sequence[str]
 """A group member on the wire and in a part's state: [name, identity, zone]."""
--- a/quillring/rollout/freshness.py
+++ b/quillring/rollout/freshness.py
@@ -9,10 +9,11 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, Any
 
 from quillring.kernel.effects import Sleep
 from quillring.kernel.errors import NotFounded, QuillringError, Refused
+from quillring.kernel.records import NamedTuple
 from quillring.quorum.parts import CONFIG, majority
 from quillring.rollout.messages import STAMP, STATE_IMAGE, StateImage, StoreStamp
 
--- a/quillring/rollout/messages.py
+++ b/quillring/rollout/messages.py
@@ -8,8 +8,9 @@
 
 import hashlib
 import json
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, Any
 
+from quillring.kernel.records import NamedTuple
 from quillring.quorum.values import group_from_wire, group_to_wire
 
 if TYPE_CHECKING:
--- a/quillring/rollout/schema.py
+++ b/quillring/rollout/schema.py
@@ -3,9 +3,10 @@
 from __future__ import annotations
 
 import re
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING
 
 from quillring.kernel.checks import StrictValidator
+from quillring.kernel.records import NamedTuple
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
--- a/quillring/rollout/snapshot.py
+++ b/quillring/rollout/snapshot.py
@@ -2,9 +2,10 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, Any
 
 from quillring.kernel.errors import NotFound
+from quillring.kernel.records import NamedTuple
 from quillring.quorum.parts import CONFIG
 from quillring.rollout.messages import ANNOUNCEMENT, Announcement, ConfigurationRecord
 
--- a/quillring/store/checkpoint_file.py
+++ b/quillring/store/checkpoint_file.py
@@ -9,10 +9,11 @@
 
 import hashlib
 import struct
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, Any
 
 import cbor2
 
+from quillring.kernel.records import NamedTuple
 from quillring.store.records import decode_records, encode_record
 
 if TYPE_CHECKING:
--- a/quillring/store/checkpointed_log.py
+++ b/quillring/store/checkpointed_log.py
@@ -8,10 +8,11 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any, NamedTuple, Protocol
+from typing import TYPE_CHECKING, Any, Protocol
 
 from quillring.kernel.effects import Signal, Sleep, Wait
 from quillring.kernel.errors import Damaged, DiskError
+from quillring.kernel.records import NamedTuple
 from quillring.store.checkpoint_file import (
     Checkpoint,
     CheckpointWriter,
--- a/quillring/store/log_file.py
+++ b/quillring/store/log_file.py
@@ -2,9 +2,10 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, Any
 
 from quillring.kernel.errors import Damaged
+from quillring.kernel.records import NamedTuple
 from quillring.store.records import BATCH_MARK, decode_records, has_record_after
 
 if TYPE_CHECKING:
--- a/quillring/store/records.py
+++ b/quillring/store/records.py
@@ -8,10 +8,12 @@
 
 import struct
 import zlib
-from typing import Any, NamedTuple
+from typing import Any
 
 import cbor2
 
+from quillring.kernel.records import NamedTuple
+
 RECORD_HEADER = struct.Struct(">II")
 BATCH_MARK = "batch"
 
--- a/quillring/verbs/checks.py
+++ b/quillring/verbs/checks.py
@@ -3,12 +3,13 @@
 from __future__ import annotations
 
 import sys
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING
 
 import click
 
 from quillring.kernel.checks import parse_json
 from quillring.kernel.errors import BadSetting
+from quillring.kernel.records import NamedTuple
 from quillring.kernel.settings import read_settings
 from quillring.rollout.configuration_versions import cross_faults
 from quillring.rollout.schema import EMPTY, find_faults
--- a/quillring/verbs/process.py
+++ b/quillring/verbs/process.py
@@ -6,13 +6,14 @@
 import os
 import signal
 import time
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, Any
 
 import gevent
 
 from quillring.fleet import make_node, open_store, start_node
 from quillring.kernel.errors import QuillringError
 from quillring.kernel.gevent_runtime import GeventRuntime
+from quillring.kernel.records import NamedTuple
 from quillring.kernel.ringlog import ring_log
 from quillring.kernel.timer_coalescing import TimerCoalescer
 from quillring.kernel.wsgi import make_app
