--- a/tests/test_founding_bootstrap.py
+++ b/tests/test_founding_bootstrap.py
@@ -144,7 +144,7 @@
     assert stage.read("core-3", {"ask": "edition"})[0]["layout"]["domains"]["north"]["emptied"]
 
 
-def test_the_seed_position_a_seed_does_not_hang_on_the_order_it_was_told_in():
+def test_the_position_of_a_seed_does_not_depend_on_the_order_of_the_seeds():
     stage = SelfFounded(1, ready_at=0.1)
     node = stage.sim.nodes["core-1"]
     seeds = [stage.sim.nodes[name].me.address for name in ("core-1", "core-2", "core-3")]
