--- a/quillring/kernel/loop_lag.py
+++ b/quillring/kernel/loop_lag.py
@@ -27,7 +27,7 @@
         self.late_at = -math.inf
 
     def run(self) -> Coroutine:
-        """Coroutine: note each time that this process woke late."""
+        """Note each time that this process woke late."""
         while True:
             seconds = self.node.bounds.heartbeat_interval * PROBE_SHARE
             self.due_at = self.node.now() + seconds
