--- a/quillring/fleet.py
+++ b/quillring/fleet.py
@@ -1,4 +1,4 @@
-"""Assembly: which services a node of each role is made of; the same in every runtime."""
+"""Assemble the services of a node by its role; the same in every runtime."""
 
 from quillring.classes import QuotaClient, QuotaServer, ServiceLevelMeter
 from quillring.edge import Dispatcher, Journal, ReplicaTable
@@ -31,7 +31,7 @@
 
 
 def make_node(me, runtime, seeds, bounds, log=None, versions=SPOKEN):
-    """Return a node with the services every role has; nothing runs yet."""
+    """Return a node with the services that every role has; no coroutine is started."""
     node = Node(me, runtime, bounds, log)
     nifty = node.offer("nifty", Nifty(node, seeds, versions))
     gossip = node.offer("gossip", Gossip(node))
@@ -65,7 +65,7 @@
 
 
 def start_node(node, acceptors=None):
-    """Start the coroutines of a node's role; a store brings its recovered acceptors."""
+    """Start the coroutines of a node's role; `acceptors` are the recovered ones of a store."""
     ROLES.find(node.me.role)(node, acceptors)
     for name in ("nifty", "gossip", "freshness"):
         node.spawn(node.find(name).run())
@@ -73,13 +73,13 @@
 
 @ROLES.entry("edge")
 def start_edge(node, acceptors):
-    """An edge serves inquiries."""
+    """Start an edge: it serves clients' requests."""
     _start_serving(node)
 
 
 @ROLES.entry("core")
 def start_core(node, acceptors):
-    """A core owns parts, runs lots and holds journals."""
+    """Start a core: it leads parts, runs lots and keeps journals of streams."""
     _start_serving(node)
     runner = node.offer("lots", PromptLotScheduler(node))
     node.find("ownership").submit_checks.append(runner.retention.check)
@@ -105,7 +105,7 @@
 
 @ROLES.entry("store")
 def start_store(node, acceptors):
-    """A store keeps the parts it is a member of."""
+    """Start a store: it is an acceptor of the parts whose groups it belongs to."""
     acceptors = node.offer("acceptors", acceptors)
     acceptors.attach(node)
     node.find("nifty").stamp_source = acceptors.stamp
@@ -123,7 +123,13 @@
 
 
 def open_store(disk, name, make_identity):
-    """Recover the acceptors of a data folder, or begin it; return them with their identity."""
+    """Recover the acceptors of a data folder, or initialise it under a new identity.
+
+    Raises
+    ------
+    OtherIdentity
+        The folder belongs to a member of another name.
+    """
     acceptors = Acceptors()
     acceptors.log = CheckpointedLog(disk, acceptors)
     if not acceptors.log.recover():
--- a/quillring/lots/__init__.py
+++ b/quillring/lots/__init__.py
@@ -1,4 +1,4 @@
 """Lots (batch jobs): accepted once durable in two zones, every item gets one result.
 
-`prompts` holds the lots of the own interface, `http_requests` those of requests to forward.
+`prompts` has lots submitted over `/v1/lots`, `http_requests` lots of HTTP requests to forward.
 """
--- a/quillring/lots/http_requests/__init__.py
+++ b/quillring/lots/http_requests/__init__.py
@@ -1,4 +1,4 @@
-"""Lots whose items are whole HTTP requests, forwarded to replicas as they came."""
+"""Lots whose items are complete HTTP requests, forwarded to replicas unchanged."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 
 
 def start_http_request_lots(node: Node) -> Coroutine:
-    """Let a core schedule, execute and read these lots; return the scheduler's coroutine.
+    """Register what a core needs to run these lots; return the scheduler's coroutine.
 
-    The node's forward routes, load balancer and header names are there already.
+    The node must already offer forward routes, load balancer and header names.
     """
     node.offer("raw_worker", ItemExecutor(node))
     reader: ResultReader = node.offer("raw_reads", ResultReader(node))
--- a/quillring/lots/http_requests/api.py
+++ b/quillring/lots/http_requests/api.py
@@ -1,6 +1,6 @@
-"""What an edge offers: submit a lot, read results and bodies, end a lot.
+"""Operations of an edge on lots: submit a lot, read results and bodies, end a lot.
 
-An unsure outcome is told as unknown, never as refused.
+An outcome that is not certain is raised as OutcomeUnknown, never as Refused.
 """
 
 from __future__ import annotations
@@ -56,7 +56,7 @@
 DEFAULT_DUE_MS = 60_000
 DEFAULT_RETAIN_MS = 3_600_000
 
-# Shares of the reading bound.
+# Shares of the read timeout.
 KNOWN_LOT_SHARE = 0.4
 LEADER_READ_SHARE = 0.4
 LOG_READ_SHARE = 0.6
@@ -77,11 +77,11 @@
     items
         Stored forms of `lot_table.Item`.
     seconds
-        Bounds the wait; without it the forward's goal does, and a bit. No wait outlasts the
-        forward's hold.
+        Timeout; by default the forward's latency goal and the read timeout together. It is at
+        most the forward's own timeout.
 
-    Raises QuotaExceeded, HeldTooMuch and Refused when none of it will run, OutcomeUnknown when it
-    may.
+    Raises NotFound for an unknown forward; QuotaExceeded, HeldTooMuch and Refused when no item
+    will run; OutcomeUnknown when items may.
     """
     forward = node.find("forwards").find_by_name(forward_name)
     node.find("freshness").check()
@@ -106,7 +106,7 @@
 
 
 def acceptance_of(node: Node, forward: Any, key: str, items: Sequence[Sequence[Any]]) -> AcceptLot:
-    """Return the command that accepts a lot of this forward, under a new attempt's name."""
+    """Return the command that accepts a lot of this forward, with a new random attempt name."""
     fields = forward.fields
     return AcceptLot(
         lot=key,
@@ -124,9 +124,10 @@
 
 
 def submit_until_sure(node: Node, part: str, command: dict[str, Any], seconds: float) -> Coroutine:
-    """Commit a command that may be repeated, asking again until the time is over.
+    """Submit an idempotent command, retrying for `seconds`.
 
-    Raises Refused only when it surely was not taken, OutcomeUnknown when it may still be.
+    Raises Refused only when it certainly was not and will not be applied, OutcomeUnknown when it
+    may be; definite errors such as Conflict pass through.
     """
     ownership, bounds = node.find("ownership"), node.bounds
     end_time, is_unsure = node.now() + seconds, False
@@ -150,9 +151,9 @@
 def accept_reserved(
     node: Node, place: LotPlacement, command: AcceptLot, end_time: float
 ) -> Coroutine:
-    """Reserve the lot's tokens at its home, then have its own part accept it.
+    """Reserve the lot's tokens in its home part, then submit it to its own part.
 
-    A reservation that was taken back meanwhile is made anew. Where there is no room for the lot, it
+    If the ticket was fenced meanwhile, a new one is reserved. Where the quota has no room, the lot
     may still be one that was accepted before.
     """
     command = command._replace(most_held_bytes=held_limit_of_part(node))
@@ -198,7 +199,8 @@
 ) -> Coroutine:
     """Return an answer with a ticket, or the final one: refused, or accepted before.
 
-    Nothing has been submitted to the lot's part yet, so an unsure end of this step is a refusal.
+    Nothing has been submitted to the lot's part yet, so an unknown outcome of this step is raised
+    as Refused.
     """
     try:
         reserved = yield from submit_until_sure(
@@ -221,9 +223,9 @@
 def accept_unreserved(
     node: Node, place: LotPlacement, command: AcceptLot, end_time: float, is_spread: bool
 ) -> Coroutine:
-    """Accept a lot of a forward without limit, or where some member is of a former version.
+    """Accept a lot of a forward without quota, or while some member is of a former version.
 
-    Nothing is reserved then, so the part in which the lot may lie already is asked first.
+    No tokens are reserved, so the other part that may already have the lot is asked first.
     """
     part, other = (place.own, place.home) if is_spread else (place.home, place.own)
     known = None if part == other else (yield from find_accepted(node, other, command))
@@ -237,9 +239,9 @@
 
 
 def find_accepted(node: Node, part: str, command: AcceptLot) -> Coroutine:
-    """Return the answer to a lot that a part accepted before, None where it surely did not.
+    """Return the answer to a lot that a part accepted before, None where it certainly did not.
 
-    Raises Refused where nobody can tell: nothing was submitted then.
+    Raises Refused where the part can't be read.
     """
     query = QueryKnownLot(command.lot, command.digest)
     seconds = node.bounds.read_timeout * KNOWN_LOT_SHARE
@@ -252,9 +254,10 @@
 def read_results(
     node: Node, host: str, lot_name: str, start: int, hold_seconds: float = 0.0
 ) -> Coroutine:
-    """Return {"items", "results", "next", "is_over"} from a position on; held until one exists.
+    """Return {"items", "results", "next", "is_over"} from a position on, by long polling.
 
-    Raises NotFound only where it is sure, Refused otherwise.
+    The call waits up to `hold_seconds`, at most LONGEST_HOLD_SECONDS, for a first result. Raises
+    NotFound only for a lot that certainly does not exist, Refused when it can't be read.
     """
     place = place_of_lot(node, host, lot_name)
     query = QueryResults(place.key, start, RESULT_BYTES).to_wire()
@@ -263,7 +266,7 @@
 
 
 def read_held(node: Node, part: str, read: HeldRead) -> Coroutine:
-    """Ask the part's leader, which may hold the call, else a majority of its stores."""
+    """Long-poll the part's leader; if that fails, read from a majority of its stores."""
     ownership, bounds = node.find("ownership"), node.bounds
     leader_seconds = read.hold_seconds + bounds.read_timeout * LEADER_READ_SHARE
     try:
@@ -280,7 +283,7 @@
 
 
 def read_surely(node: Node, part: str, query: dict[str, Any], seconds: float) -> Coroutine:
-    """Read a part; whatever goes wrong and is no sure answer becomes a refusal."""
+    """Read a part; raise Refused for any failure that is not a definite answer."""
     try:
         return (yield from node.find("ownership").read(part, query, seconds))
     except (Conflict, NotFound, NotFounded, Refused):
@@ -290,7 +293,7 @@
 
 
 def read_item_body(node: Node, host: str, lot_name: str, item_id: str) -> Coroutine:
-    """Return the body of an item that is not listed yet, as bytes."""
+    """Return the body of an item without a result, as bytes."""
     place = place_of_lot(node, host, lot_name)
     query = QueryItemBody(place.key, item_id).to_wire()
     seconds = node.bounds.read_timeout
@@ -299,7 +302,7 @@
 
 
 def end_lot(node: Node, host: str, lot_name: str) -> Coroutine:
-    """End a lot; a second call finds it ended."""
+    """End a lot, idempotently."""
     place = place_of_lot(node, host, lot_name)
     command = EndLot(place.key).to_wire()
     seconds = node.bounds.read_timeout * END_SHARE
--- a/quillring/lots/http_requests/backlog.py
+++ b/quillring/lots/http_requests/backlog.py
@@ -1,8 +1,9 @@
-"""How the parts' leaders share the slots that lots may take: what is due soonest comes first.
+"""Share the slots for lots between the parts' leaders by earliest deadline first.
 
-Each leader runs its own lots in the order in which they are due. Shares by the number of items
-alone would have the lots of all parts end together, at the very end of a burst, so a share counts
-only items among the next ones over all parts.
+Each leader runs its own lots in the order of their due times. Shares in proportion to the number
+of items would let the lots of all parts complete together, at the very end of a burst. So a part's
+share is its number of items among the next ones, by due time, over all parts. (Earliest deadline
+first: Liu and Layland, Scheduling Algorithms for Multiprogramming, 1973.)
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
     from quillring.kernel.types import Coroutine
     from quillring.lots.http_requests.item_table import ItemTable
 
-# Shares of the reading bound.
+# Shares of the read timeout.
 REPORT_PERIOD, REMOTE_LIFETIME = 0.4, 1.5
 
 LEAST_SHARE = 1 / 16
@@ -41,7 +42,7 @@
 
 
 class RemoteBacklog(NamedTuple):
-    """What a part's leader told, and until when that counts."""
+    """The last report about a part, by core `origin`; it expires at `until`."""
 
     origin: str
     until: float
@@ -51,7 +52,7 @@
 class SlotShare(NamedTuple):
     """One part's share of what all parts may have running of a service.
 
-    It is the stretch from `start` to `end` of `total` items, with the parts in their order.
+    It is the interval from `start` to `end` of `total` items, with the parts sorted by name.
     """
 
     start: float
@@ -67,8 +68,8 @@
         """Return how many of a replica's slots are this part's.
 
         The shares of all parts add up to the slots; `offset` (0 to 1, spread evenly over the
-        replicas) lets another part have the odd slot at another replica, so that over all of them
-        a part has as many as its share says.
+        replicas) gives the remainder of the division to different parts at different replicas, so
+        that a part gets its share over all of them.
         """
         if self.end <= self.start:
             return slots
@@ -81,8 +82,8 @@
 ) -> dict[str, float]:
     """Return how many of the `count` items that come first over all parts are each part's.
 
-    The order is that of each part's leader: due soonest first, past hope last. A few items of each
-    part come before, so that it goes on whatever the others are held up by.
+    The order is that of each part's leader: earliest due first; items that can no longer be in time
+    come last. At least LEAST_SHARE of `count` is each part's, so that none starves.
     """
     least = max(1, count * LEAST_SHARE)
     taken: dict[str, float] = {
@@ -109,21 +110,21 @@
 
 
 class Backlog:
-    """What the leaders of all parts have to run, told between cores.
+    """The backlogs of all parts, exchanged between the cores.
 
-    Each core tells what it leads when that begins or ends or has fallen by a fifth, and every 0.4
-    of the reading bound in between; what was not told again for 1.5 of it counts no more, nor does
-    what a core told that is lost. Leaders that differ in what they heard start too much or too
-    little for a moment: a full replica says so, and nothing is lost.
+    Each core reports the parts it leads when one gets or loses its backlog, when one falls by a
+    fifth, and every 0.4 of the read timeout. A report expires after 1.5 of the read timeout, and
+    counts only while its core is reachable. Leaders with differing reports start too many or too
+    few items for a while: a full replica refuses, and the item is dispatched again.
 
     Attributes
     ----------
     local
-        What the parts led here have to run, by part.
+        Backlogs of the parts led here, by part.
     remote
-        What the other cores told of theirs, by part.
+        Reports of the other cores, by part.
     reported_items
-        How many items of each part were told last.
+        Number of items of each part in the last report sent.
     """
 
     __slots__ = ("node", "local", "remote", "reported_items")
@@ -136,9 +137,9 @@
         node.handle(messages.BACKLOG, self.on_report)
 
     def on_report(self, body: messages.Wire, origin: str) -> None:
-        """Take what another core has to run.
+        """Replace the reports of another core by its new one.
 
-        One of a former version tells no due times: what it has counts as due soon.
+        A report of the former version has no due times: its items count as due soon.
         """
         report, now = BacklogReport.from_wire(body), self.node.now()
         until = now + self.node.bounds.read_timeout * REMOTE_LIFETIME
@@ -154,9 +155,9 @@
             self.remote[part] = RemoteBacklog(origin, until, by_service)
 
     def update(self, part: str, item_table: ItemTable | None) -> None:
-        """Note what a part led here has left; tell the others when that matters.
+        """Update the backlog of a part led here; report at once if it changed enough.
 
-        `item_table` is None for a part that is not led here any more.
+        `item_table` is None for a part that is no longer led here.
         """
         by_service = self._due_items(item_table) if item_table is not None else {}
         self.local = {name: rows for name, rows in self.local.items() if name != part}
@@ -183,7 +184,7 @@
         return by_service
 
     def report(self) -> None:
-        """Tell the other cores what waits here."""
+        """Send the local backlogs to all reachable cores."""
         self.reported_items = {part: count_items(rows) for part, rows in self.local.items()}
         body = self._local_report().to_wire()
         ownership, nifty = self.node.find("ownership"), self.node.find("nifty")
@@ -207,16 +208,16 @@
         return BacklogReport(items, rows)
 
     def run(self) -> Coroutine:
-        """Tell again while anything waits."""
+        """Report periodically while there is any local backlog."""
         while True:
             yield Sleep(self.node.bounds.read_timeout * REPORT_PERIOD)
             if self.local:
                 self.report()
 
     def slot_share(self, part: str, service: str, slots: int) -> SlotShare:
-        """Return a part's share of the slots that lots may take of a service.
+        """Return a part's share of the slots of a service that lots may take.
 
-        All of it where no other part has items for it.
+        It is all of them where no other part has items for the service.
         """
         now, nifty = self.node.now(), self.node.find("nifty")
         rows = {
--- a/quillring/lots/http_requests/commands.py
+++ b/quillring/lots/http_requests/commands.py
@@ -1,4 +1,4 @@
-"""Commands and queries of the replicated log, and the one place that reads and writes their form.
+"""Commands and queries of the replicated log; only this module reads and writes their wire form.
 
 The field names on the wire (`do`, `ask`, `n`, `try`, `at` ...) are those of the landed version and
 stay; `to_wire` writes the fields in the order in which that version did.
@@ -36,9 +36,9 @@
     items
         Stored forms of `lot_table.Item`.
     digest
-        Tells whether the same lot is submitted again.
+        Identifies the content, to recognise a repeated submission.
     attempt
-        Random name of this submission; a refusal is remembered under it.
+        Random name of this submission; a refusal is recorded under it.
     most_tokens
         Quota of the forward in tokens, 0 for none.
     submitted_at_ms, due_ms, retain_ms
@@ -46,7 +46,7 @@
     rounds
         How many failed runs make an item errored.
     most_held_bytes
-        What the part may hold; None from the former version.
+        Limit of the part's lots in bytes; None from the former version.
     reserving_part, ticket
         The part and number of the reservation of the lot's tokens, if there is one. The ticket is a
         fencing token: the part refuses one that is not above its fence.
@@ -69,7 +69,7 @@
 
     @classmethod
     def from_wire(cls, wire: Wire) -> AcceptLot:
-        """Read the command; the last three fields may be missing."""
+        """Read the command; the last three fields are optional."""
         return cls(
             wire["lot"],
             wire["forward"],
@@ -155,7 +155,7 @@
 
 
 class EndLot(NamedTuple):
-    """End a lot: what is listed stays, the rest is dropped."""
+    """End a lot: listed results are kept, pending items are dropped."""
 
     lot: str
 
@@ -170,7 +170,7 @@
 
 
 class ExpireLot(NamedTuple):
-    """List whatever is left of a lot as errored."""
+    """List all pending items of a lot as errored."""
 
     lot: str
 
@@ -185,7 +185,7 @@
 
 
 class DropLot(NamedTuple):
-    """Forget a lot of which nothing is pending."""
+    """Delete a lot without pending items."""
 
     lot: str
 
@@ -209,7 +209,7 @@
     tokens
         The sum over the lot's items.
     fenced_ticket
-        A ticket that the lot's part refuses for ever by now: a new one takes its place.
+        A ticket that the lot's part has fenced: it is replaced by a new one.
     """
 
     lot_part: str
@@ -254,7 +254,7 @@
 
 
 class PendingTokens(NamedTuple):
-    """What still waits of a lot with a reservation: stored as [lot, ticket, tokens]."""
+    """The pending tokens of a lot with a reservation, on the wire [lot, ticket, tokens]."""
 
     lot: str
     ticket: int
@@ -272,7 +272,7 @@
 
 
 class ReleaseTokens(NamedTuple):
-    """Lower reservations to what still waits."""
+    """Lower reservations to the tokens still pending."""
 
     pending: Sequence[PendingTokens]
 
@@ -287,7 +287,7 @@
 
 
 class FenceTickets(NamedTuple):
-    """Refuse from now on every unknown lot with a ticket of this part up to the one named."""
+    """Fence a reserving part's tickets: refuse every unknown lot with one up to `ticket`."""
 
     reserving_part: str
     ticket: int
@@ -310,7 +310,7 @@
 
 
 class LotChange(NamedTuple):
-    """What the leader has to know of a committed command that changed a lot's items."""
+    """The fields of a committed command that changed a lot's items."""
 
     kind: str
     lot: str
@@ -331,7 +331,7 @@
 
 
 class QueryResults(NamedTuple):
-    """Ask for results from a position on, up to about so many bytes."""
+    """Ask for results from a position on, up to a limit in bytes but at least one."""
 
     lot: str
     start: int
@@ -364,7 +364,7 @@
 
 
 class QueryItemBody(NamedTuple):
-    """Ask for the body of an item that is not listed yet."""
+    """Ask for the body of a pending item."""
 
     lot: str
     item_id: str
--- a/quillring/lots/http_requests/concurrency_limits.py
+++ b/quillring/lots/http_requests/concurrency_limits.py
@@ -1,4 +1,4 @@
-"""How many items may run at once: a share of the slots, less while replicas are full."""
+"""Limit the items that run at once to a share of the slots, lower while replicas are full."""
 
 from __future__ import annotations
 
@@ -28,18 +28,21 @@
 
 
 class Cut(NamedTuple):
-    """How far a service's share was cut, and when."""
+    """The factor that a service's share was cut to, and the time of the cut."""
 
     factor: float
     at: float
 
     def factor_at(self, now: float) -> float:
-        """Return the factor by now; it recovers with time, up to 1."""
+        """Return the factor now; it recovers by RECOVERY_PER_SECOND, up to 1."""
         return min(1.0, self.factor + RECOVERY_PER_SECOND * (now - self.at))
 
 
 class ConcurrencyLimits:
-    """The share of each service's slots that lots take, and replicas that are backed off from.
+    """The share of each service's slots for lots, and the backoff of each replica.
+
+    The share falls by a factor when a replica is full and recovers linearly: additive increase,
+    multiplicative decrease (Chiu and Jain, 1989).
 
     Attributes
     ----------
@@ -59,7 +62,7 @@
         self.next_starts: dict[str, float] = {}
 
     def share(self, service: str, is_near: bool, now: float) -> float:
-        """Return the share of a service's slots for lots; it recovers with time."""
+        """Return the share of a service's slots for lots, at least LEAST_SHARE."""
         factor = self.cuts.get(service, Cut(1.0, now)).factor_at(now)
         return max(LEAST_SHARE, (NEAR_SHARE if is_near else CALM_SHARE) * factor)
 
@@ -69,7 +72,7 @@
         return sum(slots_for(replica, share) for replica in load_balancer.replicas(service))
 
     def record_failure(self, run: DispatchedRun, outcome: str, now: float) -> None:
-        """Take in how a run ended: a full replica lowers the share, failures in a row back off."""
+        """Record a failed run: cut the share if its replica was full; back off exponentially."""
         known = self.node.find("replicas").table
         self.consecutive_failures = {
             name: count for name, count in self.consecutive_failures.items() if name in known
@@ -86,7 +89,7 @@
             self.cuts[run.service] = Cut(max(LEAST_SHARE, factor * CUT_FACTOR), now)
 
     def record_success(self, run: DispatchedRun) -> None:
-        """Take in that a run came to its end."""
+        """Record a completed run: the replica's consecutive failures start at 0 again."""
         self.consecutive_failures.pop(run.replica, None)
 
     def choose_replica(
@@ -98,7 +101,7 @@
         slot_share: SlotShare,
         now: float,
     ) -> Replica | None:
-        """Return the replica with most room for an item, or None when there is none now.
+        """Return the least loaded replica with room for an item, or None when there is none now.
 
         `slot_share` is what the item table's part may take of the slots that lots take.
         """
@@ -123,7 +126,7 @@
         return least_loaded(candidates, running)
 
     def _may_start(self, replica: Replica, load_balancer: Any, now: float) -> bool:
-        """Tell whether an item may be sent to a replica now, as far as the replica goes."""
+        """Return whether backoff, pacing, health and state let a replica get an item now."""
         return bool(
             self.backoff_until.get(replica.name, 0) <= now
             and self.next_starts.get(replica.name, 0) <= now
@@ -132,7 +135,7 @@
         )
 
     def record_start(self, replica: Replica, slot_share: SlotShare, now: float) -> None:
-        """Note a start: a replica reads one item's prompt after the other, not all at once."""
+        """Pace the starts at a replica: START_INTERVAL_SECONDS, longer for a smaller share."""
         ratio = max(slot_share.ratio, LEAST_START_RATIO)
         self.next_starts[replica.name] = now + START_INTERVAL_SECONDS / ratio
 
--- a/quillring/lots/http_requests/item_executor.py
+++ b/quillring/lots/http_requests/item_executor.py
@@ -1,8 +1,7 @@
-"""Executing items on any core, one sending at a time, as the part's leader asks.
+"""Execute items on any core, one attempt per order of the part's leader.
 
-A worker decides nothing: the leader names the replica and the event to go on from. What it has
-whole it commits itself at whichever core leads the part by then, so a finished run outlives the
-leader that ordered it.
+The leader chooses the replica and the event to resume after. A worker submits a complete result
+itself to whichever core leads the part by then, so a finished run survives a change of leader.
 """
 
 from __future__ import annotations
@@ -52,7 +51,7 @@
 
 
 class ItemRun:
-    """One sending of an item: what it has of the text, and how to stop it."""
+    """One attempt at an item: the text received so far, and the connection to the replica."""
 
     __slots__ = (
         "part",
@@ -80,25 +79,25 @@
         self.is_stopped = False
 
     def stop(self) -> None:
-        """Stop it now; the replica sees its connection close."""
+        """Stop the run and close its connection to the replica."""
         self.is_stopped = True
         if self.handle is not None:
             self.handle.close()
 
     def describe(self) -> ActiveRun:
-        """Return what a leader needs to know of it."""
+        """Return the row that `raw.renew` reports of this run."""
         return ActiveRun(self.lot, self.number, self.id, self.service, self.replica)
 
 
 class ItemExecutor:
-    """The runs under way on this core.
+    """Owns the active runs on this core, and fences orders of former leaders.
 
     Attributes
     ----------
     runs
         By run id.
     ballots
-        The highest ballot heard of, by part: orders under a lower one are fenced.
+        The highest ballot seen, by part: orders under a lower one raise Fenced.
     """
 
     __slots__ = ("node", "runs", "ballots")
@@ -118,7 +117,7 @@
             raise Fenced(part=part, ballot=highest.to_wire())
 
     def on_run(self, body: messages.Wire, origin: str) -> dict[str, Any]:
-        """Begin a run; Refused, NotSent or Fenced when it is not begun here."""
+        """Start a run; raise Refused, NotSent or Fenced if it is not started here."""
         order = RunItem.from_wire(body)
         self._check_ballot(order.part, order.ballot)
         active = self._find_active(order)
@@ -130,7 +129,7 @@
         return StartedRun(run.id).to_wire()
 
     def _find_active(self, order: RunItem) -> ItemRun | None:
-        """Return the run of the same item that is under way here, or None."""
+        """Return the active run of the same item on this core, or None."""
         place = (order.part, order.lot, order.number)
         for run in self.runs.values():
             if (run.part, run.lot, run.number) == place and not run.is_stopped:
@@ -138,7 +137,7 @@
         return None
 
     def _replica_for(self, order: RunItem) -> Replica:
-        """Return the replica of the order; Refused or NotSent where it may not be sent to."""
+        """Return the replica of the order; raise Refused or NotSent where it may get no request."""
         node = self.node
         if node.is_draining:
             raise Refused(reason="draining")
@@ -154,14 +153,14 @@
         return replica
 
     def on_renew(self, body: messages.Wire, origin: str) -> list[list[Any]]:
-        """Tell a part's leader which of its items run here."""
+        """Return the active runs of a part to its leader; raise Fenced for a former one."""
         question = RenewRuns.from_wire(body)
         self._check_ballot(question.part, question.ballot)
         runs = [run for run in self.runs.values() if run.part == question.part]
         return [run.describe().to_wire() for run in runs]
 
     def on_stop(self, body: messages.Wire, origin: str) -> None:
-        """Stop the runs of a lot, or those of the numbers named."""
+        """Stop the runs of a lot, or only those of the given item numbers."""
         order = StopRuns.from_wire(body)
         for run in list(self.runs.values()):
             is_named = order.numbers is None or run.number in order.numbers
@@ -179,7 +178,7 @@
             self.runs.pop(run.id, None)
 
     def _send_item(self, run: ItemRun, replica: Replica, order: RunItem) -> Coroutine:
-        """Send the item once; return its outcome. The run holds what came of its text."""
+        """Send the item once and return the outcome; received text is kept in the run."""
         node, stall_seconds = self.node, self.node.bounds.shutdown
         request = self._request_of(order)
         in_flight = node.find("placement").start_request(replica, request)
@@ -208,7 +207,7 @@
                 run.handle.close()
 
     def _request_of(self, order: RunItem) -> Request:
-        """Return the item's request with its own id and the forward's host."""
+        """Return the item's HTTP request, with the item id as request id and the forward's host."""
         header_names, item = self.node.find("dialect"), order.request
         own_names = {"host", header_names.request_id}
         headers = [("Host", order.host), (header_names.request_id, item.item_id)]
@@ -223,7 +222,7 @@
             self.node.find("placement").record_failure(replica, isinstance(error, NotSent))
 
     def _read_response(self, run: ItemRun, in_flight: InFlightRequest) -> Coroutine:
-        """Read the response's head, then the events in order until the proper end."""
+        """Read the response's status and its events until the stream ends; return the outcome."""
         header_names, handle = self.node.find("dialect"), run.handle
         if is_not_run(header_names, handle):
             return NOT_RUN
@@ -239,7 +238,10 @@
         return WHOLE if is_whole else BROKEN
 
     def _next_part(self, handle: Any, in_flight: InFlightRequest) -> Coroutine:
-        """Wait for bytes; a replica that is silent to all is left at half time."""
+        """Return the next bytes, None at the end; raise BackendError after the shutdown bound.
+
+        Half of that is enough if the replica was unresponsive to all of its requests.
+        """
         seconds = self.node.bounds.shutdown / 2
         try:
             return (yield ReadBody(handle, seconds))
@@ -262,7 +264,7 @@
             raise BackendError(reason="too large")
 
     def _deliver(self, run: ItemRun, outcome: str) -> Coroutine:
-        """Commit or report what became of the run, until it is taken or far too late."""
+        """Submit or report the outcome, retrying for up to three times the recovery bound."""
         end_time = self.node.now() + self.node.bounds.recovery * 3
         text = b"\n".join(run.text)
         command = command_of(run, outcome, text)
@@ -281,7 +283,7 @@
 
 
 def command_of(run: ItemRun, outcome: str, text: bytes) -> dict[str, Any] | None:
-    """Return the command that commits an outcome; None where the leader decides what follows."""
+    """Return the command that commits an outcome; None for one that is only reported."""
     if outcome == WHOLE:
         return ListResult(run.lot, run.number, FINISHED, text, run.id).to_wire()
     if outcome == DEAD:
--- a/quillring/lots/http_requests/item_table.py
+++ b/quillring/lots/http_requests/item_table.py
@@ -1,4 +1,4 @@
-"""What the leader of a part knows of its lots' items: which wait, which run and where."""
+"""A part leader's soft state about its lots' items: which are pending, which run and where."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class DispatchedRun:
-    """A run as its leader sees it; `id` is the worker's."""
+    """A run as its leader sees it; `id` is the worker's id for it."""
 
     __slots__ = ("id", "worker", "service", "replica", "started_at", "heard_at")
 
@@ -32,7 +32,7 @@
 
 
 class PendingItem:
-    """One item without a result: how far its text is, and the run that is under way."""
+    """An item without a result: its partial text, backoff, and the active run if any."""
 
     __slots__ = (
         "lot",
@@ -56,21 +56,21 @@
         self.run: DispatchedRun | None = None
 
     def avoided_at(self, now: float) -> frozenset[str]:
-        """Return the replicas to leave out; none once the item waited in vain for a second."""
+        """Return the replicas to avoid; none once the item has been ready for AVOIDED_SECONDS."""
         if now - self.ready_at < AVOIDED_SECONDS:
             return self.avoided_replicas
         return frozenset()
 
 
 class LeftRun(NamedTuple):
-    """A run whose item needs none any more."""
+    """A run whose item is no longer pending."""
 
     number: int
     run: DispatchedRun
 
 
 class OpenLot:
-    """A lot with items left: when it is due, and since when this leader surely knows it."""
+    """A lot with pending items: when it is due, and since when this leader knows it."""
 
     __slots__ = ("name", "forward", "due_at", "known_at", "retain_seconds", "items")
 
@@ -83,32 +83,33 @@
         self.items = {number: PendingItem(name, number) for number in lot["items"]}
 
     def waiting(self, now: float) -> list[PendingItem]:
-        """Return the items that may start now, in the order they were submitted."""
+        """Return the items that may start now, in order of submission."""
         return [item for item in self.items.values() if item.run is None and item.ready_at <= now]
 
 
 def age_by_wall(lot: LotRecord, wall_seconds: float) -> float:
-    """Return how old a lot was when its part changed hands, in seconds, as wall clocks tell it.
+    """Return the age of a lot in seconds at a change of leader, by wall clocks.
 
-    They may differ between machines, so it is only used for the order in which lots run.
+    Wall clocks may differ between machines, so it is only used for the order in which lots run.
     """
     age_seconds = max(0.0, wall_seconds - lot["at"] / 1000)
     return min(age_seconds, lot["due_ms"] / 1000)
 
 
 class ItemTable:
-    """The items of one term of a part's leadership, kept in step by the batches it commits.
+    """The items of a part during one term of leadership, synced with each committed batch.
 
     Attributes
     ----------
     has_heard_workers
-        The workers have told which runs are under way since the term began.
+        Whether the first request for active runs in this term has been answered or timed out;
+        nothing is started before.
     renewed_at
-        When the workers were last asked; -inf asks at once.
+        When the workers were last asked; -inf makes the next pass ask.
     done_since
-        Since when nothing of a lot waits, by lot.
+        Since when a lot has had no pending items, by lot.
     worker_backoff_until
-        Until when a worker gets nothing, by name.
+        Until when a worker gets no orders, by name.
     """
 
     __slots__ = (
@@ -137,9 +138,9 @@
             self.sync(name, age_by_wall(lot, node.runtime.wall_time()))
 
     def sync(self, name: str, age_seconds: float = 0.0) -> list[LeftRun]:
-        """Bring one lot in step with the state; return the runs of items that need none more.
+        """Sync one lot with the state; return the runs of items that are no longer pending.
 
-        `age_seconds` is that of a lot which this term did not commit itself.
+        `age_seconds` is the age of a lot that an earlier term committed.
         """
         lot, known = lot_records(self.leader.state).get(name), self.lots.get(name)
         if lot is None or not lot["items"]:
@@ -160,41 +161,41 @@
         return left_runs
 
     def lots_done_for(self, seconds: float) -> list[str]:
-        """Return the names of lots of which nothing has waited for so many seconds."""
+        """Return the names of lots that have had no pending items for over `seconds`."""
         now, held = self.node.now(), lot_records(self.leader.state)
         self.done_since = {name: at for name, at in self.done_since.items() if name in held}
         return [name for name, at in self.done_since.items() if now - at > seconds]
 
     def find(self, name: str, number: int | None) -> PendingItem | None:
-        """Return the item without a result of this lot and number, or None."""
+        """Return the pending item of this lot and number, or None."""
         lot = self.lots.get(name)
         if lot is None or number is None:
             return None
         return lot.items.get(number)
 
     def begin_run(self, item: PendingItem, run: DispatchedRun) -> None:
-        """Note that an item runs."""
+        """Record the start of an item's run."""
         item.run = run
         self.runs_by_replica[run.replica] = self.runs_by_replica.get(run.replica, 0) + 1
         self.runs_by_worker[run.worker] = self.runs_by_worker.get(run.worker, 0) + 1
 
     def end_run(self, item: PendingItem) -> None:
-        """Note that an item's run is over, whatever came of it."""
+        """Record the end of an item's run, whatever its outcome."""
         run, item.run = item.run, None
         if run is not None:
             self.runs_by_replica[run.replica] -= 1
             self.runs_by_worker[run.worker] -= 1
 
     def back_off_worker(self, name: str) -> None:
-        """Give a worker nothing for a moment: it refused, or did not answer."""
+        """Back off from a worker that refused an order or did not answer."""
         self.worker_backoff_until[name] = self.node.now() + self.node.bounds.read_timeout
 
     def is_backing_off(self, name: str) -> bool:
-        """Tell whether a worker gets nothing now."""
+        """Return whether a worker gets no orders now."""
         return self.worker_backoff_until.get(name, 0) > self.node.now()
 
     def running(self) -> list[PendingItem]:
-        """Return the items that run."""
+        """Return the items with an active run."""
         return [
             item
             for lot in self.lots.values()
@@ -203,7 +204,7 @@
         ]
 
     def lots_in_order(self, now: float) -> list[OpenLot]:
-        """Return the lots, those due soonest first; those past hope come after the rest."""
+        """Return the lots by due time; those that can no longer be in time come last."""
 
         def order(lot: OpenLot) -> tuple[bool, float, str]:
             return lot.due_at - now < LEAST_SECONDS_TO_DUE, lot.due_at, lot.name
--- a/quillring/lots/http_requests/lot_expiry.py
+++ b/quillring/lots/http_requests/lot_expiry.py
@@ -1,4 +1,4 @@
-"""Which lots are over whatever their items do: ended, past their time, or without a forward."""
+"""Find lots that end whatever their items do: ended, past retention, or without a forward."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def is_lot_ended(node: Node, key: str) -> bool:
-    """Tell whether a lot of a part led here was ended."""
+    """Return whether a lot of a part led here was ended."""
     for leader in node.find("ownership").leaders.values():
         lot = lot_records(leader.state).get(key) if leader.state else None
         if lot is not None and lot["ended"]:
@@ -21,7 +21,10 @@
 
 
 class LotExpiry:
-    """Tells lots past the time they are kept, and those whose forward is gone."""
+    """Finds lots past their retention, and those whose forward was removed.
+
+    It owns the times at which each forward was last present, or the configuration not fresh.
+    """
 
     __slots__ = ("node", "forward_seen_at")
 
@@ -30,9 +33,10 @@
         self.forward_seen_at: dict[str, float] = {}
 
     def expired_lots(self, item_table: ItemTable) -> list[str]:
-        """Return the names of lots past the time they are kept, or whose forward surely is gone.
+        """Return the names of lots past their retention, or whose forward was removed.
 
-        A forward is gone once a fresh configuration has lacked it for the propagation bound.
+        A forward counts as removed once a fresh configuration has lacked it for longer than the
+        propagation bound.
         """
         now, bounds = self.node.now(), self.node.bounds
         self._note_forwards({lot.forward for lot in item_table.lots.values()}, now)
--- a/quillring/lots/http_requests/lot_placement.py
+++ b/quillring/lots/http_requests/lot_placement.py
@@ -1,4 +1,4 @@
-"""In which part a lot lives, and where one lies that a former version accepted."""
+"""Find the part that keeps a lot, also for lots that a former version accepted."""
 
 from __future__ import annotations
 
@@ -44,34 +44,34 @@
 
 
 def lot_key(host: str, lot_name: str) -> str:
-    """Return the name under which a host's lot stands in its part."""
+    """Return the key of a host's lot in its part's state."""
     return f"{lot_name}@{bare_host(host)}"
 
 
 def count_parts(node: Node) -> int:
-    """Return how many parts hold lots; NotFounded while the fleet is not founded."""
+    """Return how many parts keep lots; raise NotFounded while the fleet is not founded."""
     return len(node.find("ownership").parts()) - 1
 
 
 def place_of_lot(node: Node, host: str, lot_name: str) -> LotPlacement:
-    """Return the placement of a host's lot; NotFounded while the fleet is not founded."""
+    """Return the placement of a host's lot; raise NotFounded while the fleet is not founded."""
     count, key = count_parts(node), lot_key(host, lot_name)
     return LotPlacement(key, part_of(key, count), part_of(bare_host(host), count))
 
 
 def held_limit_of_part(node: Node) -> int:
-    """Return the bytes of lots that a part may hold: its equal share of HELD_LIMIT_BYTES."""
+    """Return the bytes of lots that a part may keep: its equal share of HELD_LIMIT_BYTES."""
     return HELD_LIMIT_BYTES // count_parts(node)
 
 
 def are_lots_spread(node: Node) -> bool:
-    """Tell whether every member in reach knows lots that live outside their host's part."""
+    """Return whether every reachable member supports lots outside their host's part."""
     level: int = node.find("nifty").lowest_common_version()
     return level >= SPREAD_LEVEL
 
 
 def in_either_part(place: LotPlacement, ask: Callable[[str], Coroutine]) -> Coroutine:
-    """Run ask(part) at the lot's own part; where it surely is not there, at its home.
+    """Run ask(part) at the lot's own part, and at its home part if that raises NotFound.
 
     Raises NotFound where neither has the lot.
     """
--- a/quillring/lots/http_requests/lot_table.py
+++ b/quillring/lots/http_requests/lot_table.py
@@ -1,6 +1,6 @@
-"""The lots of HTTP requests in a part's state: their stored form, and the submission's errors.
+"""The lots of HTTP requests in a part's state: their stored form, and errors of submission.
 
-The state is what is on disk and what goes to a new replica of the part, so its keys are those of
+The state is written to disk and sent to new members of the part's group, so its keys are those of
 the landed version: `raw` (lots), `raw_held` (bytes), `raw_refusals` (by attempt), `raw_fences` (by
 part), `raw_ledger` (reservations).
 """
@@ -32,7 +32,7 @@
 
 
 class QuotaExceeded(QuillringError):
-    """The tokens that wait on the forward leave no room for the lot; none of it will run."""
+    """The forward's pending tokens leave no room for the lot in its quota; no item will run."""
 
     kind = "quota_exceeded"
     status = 429
@@ -40,7 +40,7 @@
 
 
 class HeldTooMuch(QuillringError):
-    """The part holds as many bodies and results as it may; none of the lot will run."""
+    """The part's bodies and results are at their limit in bytes; no item of the lot will run."""
 
     kind = "held_too_much"
     status = 503
@@ -99,8 +99,9 @@
 class LotRecord(TypedDict):
     """A lot in the state.
 
-    `items` holds the pending items by number, `results` the listed ones in their order; `failed`
-    the runs that failed by item number; `tokens` and `weight` (bytes) are sums kept along.
+    `items` has the pending items by number, `results` the listed results in order, `failed` the
+    number of failed runs by item number; `tokens` (of pending items) and `weight` (bytes) are
+    sums maintained incrementally.
     """
 
     forward: str
@@ -136,7 +137,7 @@
 
 
 def waiting_tokens(state: State, forward: str) -> int:
-    """Return the tokens of the accepted items of a forward that have no result yet."""
+    """Return the tokens of a forward's pending items in this part."""
     return sum(lot["tokens"] for lot in lot_records(state).values() if lot["forward"] == forward)
 
 
@@ -154,14 +155,14 @@
 
 
 def with_lots(state: State, lots: Mapping[str, LotRecord], change_bytes: int) -> State:
-    """Return the state with other lots, whose weight changed by so many bytes."""
+    """Return the state with new lots, whose weight changed by `change_bytes`."""
     if "raw_held" not in state:
         return {**state, "raw": lots}
     return {**state, "raw": lots, "raw_held": state["raw_held"] + change_bytes}
 
 
 def with_lot(state: State, key: str, lot: LotRecord) -> State:
-    """Return the state with a lot's record put in its place."""
+    """Return the state with a lot's record inserted or replaced."""
     lots = lot_records(state)
     former = lots.get(key)
     former_bytes = 0 if former is None else former["weight"]
@@ -169,25 +170,25 @@
 
 
 def refusals(state: State) -> dict[str, RefusalReason]:
-    """Return the refusals that are remembered, by attempt."""
+    """Return the refusals that are kept, by attempt."""
     kept: dict[str, RefusalReason] | None = state.get("raw_refusals")
     return kept or {}
 
 
 def with_refusal(state: State, attempt: str, reason: RefusalReason) -> State:
-    """Return the state that refuses this attempt from now on; the oldest ones are forgotten."""
+    """Return the state that refuses this attempt from now on; the oldest refusals are evicted."""
     kept = [*refusals(state).items(), (attempt, reason)][-KEPT_REFUSALS:]
     return {**state, "raw_refusals": dict(kept)}
 
 
 def fence_of(state: State, reserving_part: str) -> int:
-    """Return the highest ticket of a reserving part that is refused here; 0 when none is."""
+    """Return the highest fenced ticket of a reserving part, 0 if there is none."""
     fences: dict[str, int] = state.get("raw_fences") or {}
     return fences.get(reserving_part, 0)
 
 
 def with_fence(state: State, reserving_part: str, ticket: int) -> State:
-    """Return the state that refuses the tickets of a part up to this one; a fence never falls."""
+    """Return the state that fences a part's tickets up to this one; a fence is never lowered."""
     fences: dict[str, int] = state.get("raw_fences") or {}
     highest = max(ticket, fences.get(reserving_part, 0))
     return {**state, "raw_fences": {**fences, reserving_part: highest}}
--- a/quillring/lots/http_requests/messages.py
+++ b/quillring/lots/http_requests/messages.py
@@ -1,4 +1,4 @@
-"""Calls between nodes about lots, and the one place that reads and writes their form.
+"""Messages between nodes about lots; only this module reads and writes their wire form.
 
 Field names on the wire are those of the landed version and stay.
 """
@@ -20,9 +20,9 @@
 
 
 class HeldRead(NamedTuple):
-    """A query for the leader of a part, which may hold it until there is a further result.
+    """A long-poll query to the leader of a part: answered at a further result or after a time.
 
-    `part` is named by the call to the leader.
+    `hold_seconds` is the longest wait. `part` is filled in by `Ownership.call_leader`.
     """
 
     query: dict[str, Any]
@@ -40,9 +40,9 @@
 
 
 class TokensLeft(NamedTuple):
-    """Ask the leader of a part for the tokens that wait of some lots.
+    """Ask the leader of a part for the tokens of some lots' items without a result.
 
-    `part` is named by the call to the leader.
+    `part` is filled in by `Ownership.call_leader`.
     """
 
     lots: Sequence[str]
@@ -59,7 +59,7 @@
 
 
 class RequestToSend(NamedTuple):
-    """What a worker needs of an item: stored as [id, target, headers, body]."""
+    """The fields of an item that a worker sends; on the wire [id, target, headers, body]."""
 
     item_id: str
     target: str
@@ -89,13 +89,14 @@
     Parameters
     ----------
     ballot
-        The ballot of the leader that orders; a worker that heard of a higher one refuses.
+        The ballot of the leader that orders; a worker that has seen a higher one refuses.
     number
         The item's position in the lot.
     last_event_id, text
-        How far an earlier run came; the replica goes on behind that event.
+        Progress of an earlier run; the replica resumes after that event (Last-Event-ID of
+        server-sent events in the HTML standard).
     urgency
-        Told to the replica; the lower, the more urgent.
+        Passed on to the replica; lower is more urgent.
     """
 
     part: str
@@ -151,7 +152,7 @@
 
 
 class RenewRuns(NamedTuple):
-    """Ask a worker which runs of a part it has, under the leader's ballot."""
+    """Ask a worker for its active runs of a part, under the leader's ballot."""
 
     part: str
     ballot: Ballot
@@ -167,7 +168,7 @@
 
 
 class ActiveRun(NamedTuple):
-    """A run as a worker tells of it: [lot, number, run, service, replica]."""
+    """A run that a worker reports as active: [lot, number, run, service, replica]."""
 
     lot: str
     number: int
@@ -187,7 +188,7 @@
 
 
 class StopRuns(NamedTuple):
-    """Tell workers to stop the runs of a lot; `numbers` is None for all of them."""
+    """Order workers to stop the runs of a lot; `numbers` is None for all of them."""
 
     lot: str
     numbers: Sequence[int] | None
@@ -203,16 +204,16 @@
 
 
 class RunReport(NamedTuple):
-    """Tell the leader of a part that a run ended without a result.
+    """Notify the leader of a part that a run ended without a result.
 
     Parameters
     ----------
     outcome
         `item_executor.NOT_RUN`, `BROKEN` or `UNSENT`.
     last_event_id, text
-        How far the run came.
+        How far the run got.
     part
-        Named by the call to the leader.
+        Filled in by `Ownership.call_leader`.
     """
 
     lot: str
@@ -249,7 +250,7 @@
 
 
 class BacklogRow(NamedTuple):
-    """Items of a service that are due in so many seconds: [seconds, items]."""
+    """How many items of a service are due in a number of seconds: [seconds, items]."""
 
     due_in_seconds: float
     items: float
@@ -266,14 +267,14 @@
 
 
 class BacklogReport(NamedTuple):
-    """What a core's parts have to run.
+    """The backlog of the parts that a core leads.
 
     Parameters
     ----------
     items
-        {part: {service: items}}, which is all that the former version reads and tells.
+        {part: {service: items}}, which is all that the former version reads and sends.
     rows
-        {part: {service: rows}}; without a part that the former version told of.
+        {part: {service: rows}}; empty for a report of the former version.
     """
 
     items: Mapping[str, Mapping[str, float]]
@@ -304,7 +305,7 @@
 
 
 class StartedRun(NamedTuple):
-    """The answer of a worker that has the item running, under this id."""
+    """The answer of a worker that runs the item, with the id of that run."""
 
     run_id: str
 
--- a/quillring/lots/http_requests/quota_reconciler.py
+++ b/quillring/lots/http_requests/quota_reconciler.py
@@ -1,4 +1,4 @@
-"""Keeping the reserved tokens in step with the lots, at the leader of the reservations' part."""
+"""Reconcile reserved tokens with the lots, at the leader of the reservations' part."""
 
 from __future__ import annotations
 
@@ -23,26 +23,26 @@
 CROWDED_SHARE = 0.5
 """A forward is crowded while more than this share of its quota is reserved."""
 
-# Shares of the reading bound.
+# Shares of the read timeout.
 CROWDED_PERIOD, CALM_PERIOD, UNKNOWN_PATIENCE = 0.4, 0.8, 0.5
 
 
 class QuotaReconciler:
-    """Asks the lots' parts what still waits, and releases the reservations of what does not.
+    """Asks the lots' parts for their pending tokens, and releases the rest of the reservations.
 
-    The leader of the reservations asks, so nothing of it has to outlive a leader: a new one asks
-    again. What a part's leader tells is committed, and tokens of a lot only ever fall, so a late
-    answer frees too little and never too much. That a lot is not there counts only after its ticket
-    was fenced in its part.
+    The leader of the reservations asks, so its state here is soft: a new leader asks again. An
+    answer is read from committed state, and the tokens of a lot only ever fall, so a delayed
+    answer releases too little and never too much. A reservation whose lot is unknown in its part
+    is released only after its ticket was fenced there.
 
     Attributes
     ----------
     asked_at
         When the lots' parts were last asked, by reserving part.
     parts_being_asked
-        Pairs (reserving part, lots' part) with a question under way.
+        Pairs (reserving part, lots' part) with a call in flight.
     unknown_since
-        Since when a ticket's lot is not known in its part, by (reserving part, ticket).
+        When a ticket's lot was first found unknown in its part, by (reserving part, ticket).
     """
 
     __slots__ = ("node", "asked_at", "parts_being_asked", "unknown_since")
@@ -55,7 +55,7 @@
         node.handle(messages.TOKENS_LEFT, self.on_tokens_left)
 
     def on_tokens_left(self, body: messages.Wire, origin: str) -> dict[str, Any]:
-        """Tell the tokens that wait of lots of a part led here, as far as they are known."""
+        """Return the pending tokens of the known lots of a part led here; raise NotLeader."""
         question = messages.TokensLeft.from_wire(body)
         leader = self.node.find("ownership").leaders.get(question.part)
         if leader is None or not leader.is_leader:
@@ -63,7 +63,7 @@
         return {"left": tokens_left(leader.state, question.lots)}
 
     def run(self) -> Coroutine:
-        """Look after the reservations of the parts led here."""
+        """Reconcile the reservations of the parts led here, each at its period."""
         while True:
             yield Sleep(self.node.bounds.read_timeout * CROWDED_PERIOD / 4)
             for leader in list(self.node.find("ownership").leaders.values()):
@@ -83,7 +83,7 @@
         return self.node.now() - self.asked_at.get(leader.part, -period) >= period
 
     def _reconcile(self, leader: Any) -> None:
-        """Ask every part that has lots with a reservation, unless it is being asked."""
+        """Reconcile with every part that has reserved lots and no call in flight."""
         reserved = reserved_lots(leader.state)
         by_part: dict[str, dict[str, Reservation]] = {}
         for key, reservation in reserved.items():
@@ -104,7 +104,7 @@
     def _release_done(
         self, leader: Any, part: str, reservations: Mapping[str, Reservation]
     ) -> Coroutine:
-        """Release what one part's lots no longer wait for."""
+        """Release the reserved tokens that one part's lots no longer need."""
         try:
             left = yield from self._find_tokens_left(leader, part, reservations)
             pending = [
@@ -123,7 +123,7 @@
     def _find_tokens_left(
         self, leader: Any, part: str, reservations: Mapping[str, Reservation]
     ) -> Coroutine:
-        """Return {lot: tokens left}; a lot that can never be accepted any more has none."""
+        """Return {lot: tokens left}; 0 for a lot whose ticket was fenced before it arrived."""
         ownership, seconds = self.node.find("ownership"), self.node.bounds.read_timeout
         question = messages.TokensLeft(list(reservations)).to_wire()
         answer = yield from ownership.call_leader(part, messages.TOKENS_LEFT, question, seconds)
@@ -143,7 +143,7 @@
         reservations: Mapping[str, Reservation],
         left: Mapping[str, int],
     ) -> dict[str, int]:
-        """Return the tickets of lots that have not been known in their part for too long."""
+        """Return {lot: ticket} of lots unknown in their part for UNKNOWN_PATIENCE read timeouts."""
         now, patience = self.node.now(), self.node.bounds.read_timeout * UNKNOWN_PATIENCE
         late_tickets = {}
         for key, reservation in reservations.items():
--- a/quillring/lots/http_requests/result_reads.py
+++ b/quillring/lots/http_requests/result_reads.py
@@ -1,4 +1,4 @@
-"""Reads of lots at the leader of their part, held until a result exists."""
+"""Long-poll reads of lots at the leader of their part, pending until a result exists."""
 
 from __future__ import annotations
 
@@ -22,9 +22,10 @@
 class ResultReader:
     """Answers reads, and wakes those that wait for the next result of a lot.
 
-    What is listed is committed and never changes, so it goes out from the state at hand, with the
-    entry in flight about the lot: the stores may have told of it already (`InFlight`). That
-    there is nothing is only said under a fence that is newer than a fraction of the reading bound.
+    A listed result is committed and immutable, so it is answered from the leader's local state,
+    after the log entry in flight about the lot, which stores may have shown already (`InFlight`).
+    An answer without results needs a confirmation by a majority within FRESH_SHARE of the read
+    timeout, else a linearizable read.
     """
 
     __slots__ = ("node", "signals")
@@ -44,7 +45,7 @@
                 self.signals.pop(name).set()
 
     def on_read(self, body: messages.Wire, origin: str) -> Coroutine:
-        """Answer a query, after some seconds at most while the lot has no further result."""
+        """Answer a query, at the next result or after `hold_seconds`; raise NotLeader, NotFound."""
         read = messages.HeldRead.from_wire(body)
         lot: str = read.query["lot"]
         leader = self.node.find("ownership").leaders.get(read.part)
--- a/quillring/lots/http_requests/scheduler.py
+++ b/quillring/lots/http_requests/scheduler.py
@@ -1,4 +1,4 @@
-"""The leader's side: which item runs next, at which replica, sent by which core."""
+"""Schedule items at a part's leader: which runs next, on which replica, sent by which core."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 
 class RemoteRun(NamedTuple):
-    """A run that a worker has under way."""
+    """An active run, as its worker reported it."""
 
     worker: str
     run: ActiveRun
@@ -67,7 +67,7 @@
 
 
 class Dispatch(NamedTuple):
-    """What is decided of an item's next run but its worker."""
+    """The decision on an item's next run, without its worker."""
 
     forward: Any
     replica: Replica
@@ -75,7 +75,7 @@
 
 
 class StartRound:
-    """One look at what waits: the workers, and what was found of each service in it."""
+    """One scheduling pass: its workers, and what it found out about each service so far."""
 
     __slots__ = ("now", "workers", "full_services", "slot_shares")
 
@@ -87,7 +87,10 @@
 
 
 class LotScheduler:
-    """Keeps the items of the led parts' lots running until each has a result."""
+    """Dispatches the items of lots in the parts led here until each has a result.
+
+    It owns an item table for each led part, the concurrency limits and the backlog.
+    """
 
     __slots__ = ("node", "item_tables", "limits", "backlog", "expiry")
 
@@ -101,12 +104,12 @@
         node.find("nifty").listeners.append(self._on_graph)
 
     def _on_graph(self, graph: Any) -> None:
-        """Look after the runs at once: a worker may be lost."""
+        """Make the next pass ask all workers for their runs: one may be lost."""
         for item_table in self.item_tables.values():
             item_table.renewed_at = -math.inf
 
     def on_batch(self, leader: Any, batch: Sequence[Wire]) -> None:
-        """Follow what was committed; stop what needs to run no more."""
+        """Apply a committed batch to the item table; create or remove it with the leadership."""
         item_table = self.item_tables.get(leader.part)
         is_same_term = item_table is not None and item_table.leader is leader
         if not leader.is_leader:
@@ -135,7 +138,7 @@
     def _record_left_runs(
         self, left_runs: Sequence[LeftRun], done_runs: Collection[str | None]
     ) -> list[int]:
-        """Record the runs that came to their end; return the item numbers of the others."""
+        """Record the completed runs as successes; return the item numbers of the others."""
         stray_numbers = []
         for left in left_runs:
             if left.run.id in done_runs:
@@ -145,7 +148,7 @@
         return stray_numbers
 
     def _stop_runs(self, lot_name: str, numbers: Sequence[int]) -> Coroutine:
-        """Have every core stop the runs of a lot, told twice since messages may be lost."""
+        """Order every core to stop runs of a lot, twice since messages may be lost."""
         is_ended = is_lot_ended(self.node, lot_name)
         body = StopRuns(lot_name, None if is_ended else numbers).to_wire()
         calls = [(name, messages.STOP_RUNS, body) for name in self._reachable_cores()]
@@ -156,7 +159,7 @@
         return [name for name in ownership.cores() if nifty.reaches(name)]
 
     def run(self) -> Coroutine:
-        """Start what waits, follow what runs, list what is over."""
+        """Start pending items and run the periodic checks, for every part led here."""
         ownership, me, bounds = self.node.find("ownership"), self.node.me, self.node.bounds
         while True:
             yield Sleep(bounds.gossip_interval / 2)
@@ -173,7 +176,7 @@
                     self._start_items(item_table)
 
     def _run_periodic_checks(self, item_table: ItemTable) -> None:
-        """Look after what only time changes: runs that are lost, lots past their time."""
+        """Find lost runs, and expire or drop lots past their time."""
         leader = item_table.leader
         if item_table.lots:
             self.node.spawn(self._renew_runs(item_table))
@@ -186,7 +189,7 @@
                 self.node.spawn(leader.submit(DropLot(name).to_wire()))
 
     def _renew_runs(self, item_table: ItemTable) -> Coroutine:
-        """Ask all cores what they run; take over, follow, or run anew what is missing."""
+        """Ask all cores for their active runs; adopt unknown ones, requeue items of lost ones."""
         leader, asked_at = item_table.leader, self.node.now()
         body = RenewRuns(leader.part, Ballot.from_wire(leader.ballot)).to_wire()
         calls = [(name, messages.RENEW_RUNS, body) for name in self._reachable_cores()]
@@ -208,7 +211,7 @@
         self._end_lost_runs(item_table, remote_runs, heard, asked_at)
 
     def _follow_remote_runs(self, item_table: ItemTable, remote_runs: RunsByItem) -> None:
-        """Take over runs of a former leader, and have those stopped that nobody needs."""
+        """Adopt runs that a former leader ordered, and stop those that no item needs."""
         now = self.node.now()
         for (lot_name, number), remote in remote_runs.items():
             item, run = item_table.find(lot_name, number), remote.run
@@ -229,7 +232,7 @@
         heard: Collection[str],
         asked_at: float,
     ) -> None:
-        """Let the items wait again whose worker does not know of the run, or is lost."""
+        """Requeue items whose worker does not report their run, or is lost."""
         now, nifty = self.node.now(), self.node.find("nifty")
         for item in item_table.running():
             run = item.run
@@ -242,7 +245,7 @@
                 item_table.end_run(item)
 
     def _start_items(self, item_table: ItemTable) -> None:
-        """Start what has room, lot by lot; a service without room is passed over at once."""
+        """Start items lot by lot, by due time; skip services that were full in this pass."""
         now, forwards = self.node.now(), self.node.find("forwards")
         waiting = [(lot, lot.waiting(now)) for lot in item_table.lots_in_order(now)]
         if not any(items for _lot, items in waiting):
@@ -266,7 +269,7 @@
         is_near: bool,
         start_round: StartRound,
     ) -> None:
-        """Dispatch an item where a replica has room for it."""
+        """Dispatch an item if a replica has room for it."""
         now, service = start_round.now, forward.pick_service(str(item.number))
         if (service, is_near) in start_round.full_services:
             return
@@ -299,7 +302,7 @@
         dispatch: Dispatch,
         workers: Sequence[Worker],
     ) -> None:
-        """Choose the worker and have it told."""
+        """Choose the worker and send it the order."""
         replica = dispatch.replica
         worker, now = choose_worker(item_table, workers, replica), self.node.now()
         if worker is None:
@@ -323,7 +326,7 @@
     def _send_to_worker(
         self, item_table: ItemTable, item: PendingItem, run: DispatchedRun, dispatch: Dispatch
     ) -> Coroutine:
-        """Have the worker run an item; one that was surely not begun waits again."""
+        """Order the worker to run an item; requeue one that certainly was not started."""
         leader = item_table.leader
         lot = lot_records(leader.state).get(item.lot)
         if lot is None or item.number not in lot["items"] or item.run is not run:
@@ -366,7 +369,7 @@
     def _requeue(
         self, item_table: ItemTable, item: PendingItem, run_id: str | None, seconds: float
     ) -> None:
-        """Let an item wait again after its run ended without a result."""
+        """Requeue an item after its run ended without a result."""
         if item.run is None or item.run.id != run_id:
             return
         item.avoided_replicas = item.avoided_replicas | {item.run.replica}
@@ -375,7 +378,7 @@
         item_table.end_run(item)
 
     def on_report(self, body: messages.Wire, origin: str) -> dict[str, bool]:
-        """Take word of a run that ended without a result, with the text it had."""
+        """Record a report of a run that ended without a result, with its partial text."""
         report = RunReport.from_wire(body)
         item_table = self.item_tables.get(report.part or "")
         if item_table is None or not item_table.leader.is_leader:
@@ -390,7 +393,7 @@
         return {"taken": True}
 
     def _keep_text(self, item: PendingItem, report: RunReport) -> None:
-        """Keep the longer text; progress makes up for former failures."""
+        """Keep the longer partial text; progress resets the count of failures."""
         last, known = report.last_event_id, item.last_event_id
         if last is not None and (known is None or last > known):
             item.last_event_id, item.text, item.failures = last, report.text, 0
--- a/quillring/lots/http_requests/state_machine.py
+++ b/quillring/lots/http_requests/state_machine.py
@@ -1,9 +1,9 @@
-"""What commands and queries of these lots do to a part's state.
+"""Apply the commands and queries of HTTP request lots to a part's state.
 
-Items go to replicas unchanged, results have one order. A lot lives in the part that its key (lot
-and host) hashes to; the tokens that wait on a forward are reserved in the part of its host before
-(`token_reservations`). Every change copies the lot's own small tables only; bodies and texts are
-shared, and what the part holds is counted along.
+Items go to replicas unchanged; results get one order. A lot is kept in the part that its key (lot
+and host) hashes to; its tokens are reserved before that in the part of its host
+(`token_reservations`). A change copies only the lot's own small tables; bodies and texts are
+shared, and the bytes kept in the part are summed incrementally.
 """
 
 from __future__ import annotations
@@ -62,7 +62,7 @@
 
 
 class NewResult(NamedTuple):
-    """The result of an item that is about to be listed."""
+    """A result that is to be listed."""
 
     number: int
     state: str
@@ -70,7 +70,7 @@
 
 
 def repeat_answer(lot: LotRecord, digest: bytes) -> Answer:
-    """Return the answer to a lot that is submitted again; Conflict where it is another one."""
+    """Return the answer to a repeated submission; raise Conflict if the digests differ."""
     if lot["digest"] != digest:
         raise Conflict(field="lot")
     return {"items": lot["count"], "repeated": True}
@@ -79,10 +79,11 @@
 def refusal_reason(
     state: State, command: AcceptLot, tokens: int, weight: int
 ) -> RefusalReason | None:
-    """Return why a part does not take a new lot, or None.
+    """Return why a part refuses a new lot, or None.
 
-    A lot with a ticket was counted by the part that gave it. One without is of a former version,
-    or its forward has no limit; in a part that keeps reservations the former way is closed.
+    The tokens of a lot with a ticket were reserved by the part that issued it. A lot without one is
+    of a former version, or its forward has no quota; a part that keeps reservations refuses lots
+    of the former version.
     """
     if command.ticket is not None:
         if command.ticket <= fence_of(state, command.reserving_part or ""):
@@ -98,7 +99,7 @@
 
 @COMMANDS.entry(commands.ACCEPT)
 def accept_lot(state: State, wire: Wire) -> tuple[State, Answer]:
-    """Accept a lot once; an attempt that was refused stays refused, however late it comes again."""
+    """Accept a lot, idempotently; a refused attempt stays refused while its refusal is kept."""
     command = AcceptLot.from_wire(wire)
     known = lot_records(state).get(command.lot)
     if known is not None:
@@ -120,7 +121,7 @@
 
 
 def new_record(command: AcceptLot, tokens: int, weight: int) -> LotRecord:
-    """Return the record of a lot of which nothing has run yet."""
+    """Return the initial record of a lot."""
     lot: LotRecord = {
         "forward": command.forward,
         "host": command.host,
@@ -172,7 +173,7 @@
 
 @COMMANDS.entry(commands.LIST_RESULT)
 def list_result(state: State, wire: Wire) -> tuple[State, Answer]:
-    """List an item's result at the next position; an item that stands already changes nothing."""
+    """List an item's result at the next position; the first result of an item wins."""
     command = ListResult.from_wire(wire)
     lot = lot_records(state).get(command.lot)
     if lot is None or command.number not in lot["items"]:
@@ -183,7 +184,7 @@
 
 @COMMANDS.entry(commands.COUNT_FAILURE)
 def count_failure(state: State, wire: Wire) -> tuple[State, Answer]:
-    """Count a run that a replica answered as failed; the last round's one lists the item."""
+    """Count a failed run; after the lot's number of rounds the item is listed as errored."""
     command = CountFailure.from_wire(wire)
     lot = lot_records(state).get(command.lot)
     if lot is None or command.number not in lot["items"]:
@@ -200,7 +201,7 @@
 
 @COMMANDS.entry(commands.EXPIRE)
 def expire_lot(state: State, wire: Wire) -> tuple[State, Answer]:
-    """List whatever is left of a lot as errored: its time or its forward is over."""
+    """List all pending items as errored, since retention is over or the forward was removed."""
     command = ExpireLot.from_wire(wire)
     lot = lot_records(state).get(command.lot)
     if lot is None or not lot["items"]:
@@ -211,7 +212,7 @@
 
 @COMMANDS.entry(commands.END)
 def end_lot(state: State, wire: Wire) -> tuple[State, Answer]:
-    """End a lot: what is listed stays, the rest is dropped with its bodies."""
+    """End a lot: listed results are kept, pending items are dropped with their bodies."""
     command = EndLot.from_wire(wire)
     lot = find_lot(state, command.lot)
     if lot["ended"]:
@@ -229,7 +230,7 @@
 
 @COMMANDS.entry(commands.DROP)
 def drop_lot(state: State, wire: Wire) -> tuple[State, Answer]:
-    """Forget a lot of which nothing waits any more; its ticket takes no lot again."""
+    """Delete a lot without pending items, and fence its ticket."""
     command = DropLot.from_wire(wire)
     lots = lot_records(state)
     lot = lots.get(command.lot)
@@ -244,7 +245,7 @@
 
 @QUERIES.entry(commands.RESULTS)
 def query_results(state: State, wire: Wire) -> Answer:
-    """Return the results from a position on, as many as the limit takes, one at least."""
+    """Return the results from a position on, as many as fit into the limit but at least one."""
     query = QueryResults.from_wire(wire)
     lot = find_lot(state, query.lot)
     chosen_results = first_within(lot["results"][query.start :], query.limit_bytes)
@@ -257,7 +258,7 @@
 
 
 def first_within(results: list[list[Any]], limit_bytes: int) -> list[list[Any]]:
-    """Return the first stored results that fit into the limit, one at least if there is one."""
+    """Return the first stored results that fit into the limit, at least one if there is any."""
     text_bytes = sum(map(len, map(stored_text, results)))
     if text_bytes + RESULT_OVERHEAD_BYTES * len(results) <= limit_bytes:
         return results
@@ -271,14 +272,14 @@
 
 @QUERIES.entry(commands.KNOWN)
 def query_known_lot(state: State, wire: Wire) -> Answer:
-    """Return the answer to a lot that is submitted again; NotFound where it is not known here."""
+    """Return the answer to a repeated submission; raise NotFound for an unknown lot."""
     query = QueryKnownLot.from_wire(wire)
     return repeat_answer(find_lot(state, query.lot), query.digest)
 
 
 @QUERIES.entry(commands.ITEM_BODY)
 def query_item_body(state: State, wire: Wire) -> Answer:
-    """Return the body of an item that is not listed yet."""
+    """Return the body of a pending item."""
     query = QueryItemBody.from_wire(wire)
     lot = find_lot(state, query.lot)
     for fields in lot["items"].values():
--- a/quillring/lots/http_requests/token_reservations.py
+++ b/quillring/lots/http_requests/token_reservations.py
@@ -1,9 +1,10 @@
 """Commands of the quota: tokens of a forward are reserved in one part before a lot is accepted.
 
-The reservations of a host's forwards live in the part that the host hashes to. One holds the tokens
-of a lot under a ticket, a fencing token: tickets only grow. The lot's own part accepts a lot under
-its ticket, and can be told to refuse for ever all tickets of a reserving part up to one, which is
-what makes it safe to take the reservation of a lot back that did not arrive. See docs/raw-lots.md.
+The reservations of a host's forwards are kept in the part that the host hashes to. A reservation
+has the tokens of a lot and a ticket, which is a fencing token: tickets only grow. The lot's own
+part accepts a lot under its ticket. FenceTickets makes it refuse permanently all unknown lots with
+tickets of a reserving part up to a given one; after that the reservation of a lot that did not
+arrive can be released safely. See docs/raw-lots.md.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 
 
 class Reservation(TypedDict):
-    """The tokens reserved for a lot, in the state; `left` is what may still wait of them."""
+    """The tokens reserved for a lot, in the state; `left` bounds those still pending."""
 
     forward: str
     part: str
@@ -43,7 +44,7 @@
 
 
 class ForwardTokens(TypedDict):
-    """The sum reserved for a forward, in the state, and its quota as last told."""
+    """The sum reserved for a forward, in the state, and its quota as of the last reservation."""
 
     tokens: int
     most: int
@@ -58,7 +59,7 @@
 
 
 def reservation_table(state: State) -> ReservationTable | None:
-    """Return the reservations that a part keeps, None where it never had any."""
+    """Return the reservation table of a part, None where it never had one."""
     table: ReservationTable | None = state.get("raw_ledger")
     return table
 
@@ -78,7 +79,7 @@
 
 
 def first_table(state: State, part: str) -> ReservationTable:
-    """Return the table of a part that had none, with the lots that a former version left there."""
+    """Return the first table of a part, with reservations for lots of a former version."""
     lots: dict[str, Reservation] = {}
     forwards: dict[str, ForwardTokens] = {}
     for key, lot in lot_records(state).items():
@@ -99,7 +100,7 @@
 def with_tokens(
     forwards: Mapping[str, ForwardTokens], forward: str, change: int, most: int | None = None
 ) -> dict[str, ForwardTokens]:
-    """Return the sums with one forward's changed; a forward without tokens is left out."""
+    """Return the sums with one forward's changed by `change`; zero sums are left out."""
     known = forwards.get(forward, {"tokens": 0, "most": 0})
     tokens = known["tokens"] + change
     if not tokens:
@@ -112,10 +113,10 @@
 
 @COMMANDS.entry(commands.RESERVE)
 def reserve_tokens(state: State, wire: Wire) -> tuple[State, Answer]:
-    """Reserve the tokens of a lot, or answer that its forward has no room for them.
+    """Reserve the tokens of a lot, or answer that its forward's quota is exceeded.
 
-    A lot that is reserved already keeps its ticket, unless the caller names it as refused for ever
-    by the lot's own part: then a new one takes its place.
+    A repeated reservation keeps its ticket, unless the caller names that ticket as fenced by the
+    lot's own part: then it gets a new one. Raises Conflict for another lot of this name.
     """
     command = ReserveTokens.from_wire(wire)
     known = lot_records(state).get(command.lot)
@@ -174,10 +175,10 @@
 
 @COMMANDS.entry(commands.RELEASE)
 def release_tokens(state: State, wire: Wire) -> tuple[State, Answer]:
-    """Lower reservations to what still waits.
+    """Lower reservations to the tokens still pending.
 
-    A reservation only ever falls under its ticket and goes when nothing is left, so a row may be
-    repeated, late or out of order.
+    Under one ticket a reservation only ever falls, and it is deleted at 0. So rows may be repeated,
+    delayed or out of order.
     """
     table = reservation_table(state)
     if table is None:
@@ -199,16 +200,16 @@
 
 
 def _lowers(reservation: Reservation, pending: PendingTokens) -> bool:
-    """Tell whether a row is of this reservation and leaves less of it, or nothing."""
+    """Return whether a row has this reservation's ticket and lowers it, or clears it."""
     is_less = not pending.tokens or pending.tokens < reservation["left"]
     return reservation["ticket"] == pending.ticket and is_less
 
 
 @COMMANDS.entry(commands.FENCE)
 def fence_tickets(state: State, wire: Wire) -> tuple[State, Answer]:
-    """Refuse from now on every unknown lot with a ticket of this part up to the one named.
+    """Fence a reserving part's tickets: refuse every unknown lot with one up to `ticket`.
 
-    Answers the tokens that wait of the lots that are known: {lot: tokens}.
+    Answers the pending tokens of the known lots: {lot: tokens}.
     """
     command = FenceTickets.from_wire(wire)
     fenced_state = with_fence(state, command.reserving_part, command.ticket)
--- a/quillring/lots/http_requests/worker_selection.py
+++ b/quillring/lots/http_requests/worker_selection.py
@@ -1,4 +1,4 @@
-"""Which core sends an item of a lot."""
+"""Choose the core that sends an item of a lot to a replica."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 
 
 def choose_worker(item_table: ItemTable, workers: Sequence[Worker], replica: Replica) -> str | None:
-    """Return the core that sends to a replica: one of its zone unless others have far less.
+    """Return the core that sends to a replica: one of its zone unless that is overloaded.
 
-    None where there is no core.
+    Otherwise it is the least loaded core; None where there is none.
     """
     loads = item_table.runs_by_worker
     fewest = min((loads.get(worker.name, 0) for worker in workers), default=0)
--- a/quillring/lots/prompts/__init__.py
+++ b/quillring/lots/prompts/__init__.py
@@ -1,4 +1,4 @@
-"""Lots of the own interface: items are prompts to one entry of the configuration."""
+"""Lots submitted over `/v1/lots`: items are prompts to one entry of the configuration."""
 
 from quillring.lots.prompts.scheduler import PromptLotScheduler
 
--- a/quillring/lots/prompts/acceptance_fence.py
+++ b/quillring/lots/prompts/acceptance_fence.py
@@ -1,9 +1,10 @@
-"""The fence of acceptances: a late copy of an acceptance takes no forgotten lot anew.
+"""Fence delayed duplicates of an acceptance: none may accept a lot again that was dropped.
 
-A part counts the lots that it forgot, and remembers the count at which each of the last ones went.
-An acceptance names the count that its node had read when the request came in. Where the lot's own
-name was forgotten since, or might have been as the memory no longer reaches so far back, it is
-refused; a lot that is there is told as taken before that. No clock takes part in this.
+A part counts the lots that it dropped, and keeps the count at which each of the last KEPT_DROPS
+was dropped. An acceptance carries the count that its node read when the request came in, as a
+fencing token. It is refused where the lot's own name was dropped since, or may have been because
+the table no longer reaches so far back. A lot that still exists is answered as a repetition before
+that check. No clock takes part in this.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 
 class StaleLot(QuillringError):
-    """A lot of this name, or too many others, were forgotten since the request came in."""
+    """A lot of this name, or too many others, were dropped since the request came in."""
 
     kind = "stale_lot"
     status = 503
@@ -35,15 +36,15 @@
 
 
 def drop_table(state: State) -> DropTable:
-    """Return the part's table of forgotten lots."""
+    """Return the part's table of dropped lots."""
     table: DropTable | None = state.get("lot_drops")
     return table or NOTHING_DROPPED
 
 
 def check_fresh(state: State, command: AcceptLot) -> None:
-    """Raise StaleLot for an acceptance from before the lot of its name was forgotten.
+    """Raise StaleLot for an acceptance from before the lot of its name was dropped.
 
-    One of the version before names no count and is not fenced.
+    An acceptance of the former version carries no count and is not fenced.
     """
     if command.seen_drops is None:
         return
@@ -54,7 +55,7 @@
 
 
 def note_drop(state: State, name: str) -> State:
-    """Return the state that remembers when a lot was forgotten, in bounded memory."""
+    """Return the state that records a dropped lot; it keeps the last KEPT_DROPS of them."""
     table = drop_table(state)
     count = table["count"] + 1
     kept = {lot: at for lot, at in table["kept"].items() if lot != name}
@@ -67,15 +68,15 @@
 
 @QUERIES.entry(commands.FENCE)
 def lot_fence(state: State, wire: Wire) -> dict[str, Any]:
-    """Return how many lots the part forgot, which an acceptance has to name."""
+    """Return how many lots the part dropped, the fencing token of an acceptance."""
     return {"drops": drop_table(state)["count"]}
 
 
 def submit_fenced(node: Node, part: str, command: AcceptLot) -> Coroutine:
-    """Commit an acceptance under the fence of what the part had forgotten by now.
+    """Read the part's count of dropped lots, then commit an acceptance that carries it.
 
-    One that is refused as stale is not tried again here: the node may just have woken with an old
-    request in its hands.
+    StaleLot is not retried here: the node may have resumed from a pause with an old request.
+    Both steps together take at most twice the propagation bound.
     """
     ownership = node.find("ownership")
     if node.find("nifty").lowest_common_version() < FENCE_LEVEL:
--- a/quillring/lots/prompts/api.py
+++ b/quillring/lots/prompts/api.py
@@ -50,7 +50,7 @@
 
 @route("POST", "/v1/lots", limit=LOT_LIMIT_BYTES)
 def submit_lot(node: Node, request: Request) -> Coroutine:
-    """Accept a lot; the answer comes once two zones have synced it.
+    """Accept a lot; answer once it is durable in two zones.
 
     Its name is PART.CLIENT_SPACE.KEY, with the key that the client chose or a random one.
     """
@@ -73,12 +73,12 @@
 
 
 def client_space(client_name: str) -> str:
-    """Return the name space of a sender: no other one's keys meet its own."""
+    """Return the namespace of a client's lot keys: 64 bits of the SHA-256 of its name, in hex."""
     return hashlib.sha256(client_name.encode("utf-8", "surrogatepass")).hexdigest()[:16]
 
 
 def part_of_lot(node: Node, lot_name: str) -> str:
-    """Return the part a lot's name points to, or refuse the name."""
+    """Return the part that a lot's name starts with; raise BadRequest for an unknown one."""
     part = lot_name.partition(".")[0]
     if part not in node.find("ownership").parts():
         raise BadRequest(field="lot", faults=[{"field": "lot", "fault": "unknown lot name"}])
@@ -87,7 +87,7 @@
 
 @route("GET", "/v1/lots/{lot}")
 def show_lot(node: Node, request: Request) -> Coroutine:
-    """Tell how far a lot is."""
+    """Return a lot's phase and its counts of items and results."""
     query = QueryStatus(request.words["lot"], request.client_name)
     part = part_of_lot(node, query.lot)
     return (yield from node.find("ownership").read(part, query.to_wire()))
@@ -95,7 +95,7 @@
 
 @route("GET", "/v1/lots/{lot}/results", query_words=("from", "count"))
 def show_results(node: Node, request: Request) -> Coroutine:
-    """Return the results from a position on."""
+    """Return the results from a position on, at most MOST_RESULTS of them."""
     start = read_count(request.query.get("from", ["0"])[0], "from")
     count = read_count(request.query.get("count", [str(MOST_RESULTS)])[0], "count")
     query = QueryResults(request.words["lot"], request.client_name, start, min(count, MOST_RESULTS))
@@ -105,7 +105,7 @@
 
 @route("POST", "/v1/lots/{lot}/release")
 def release_lot(node: Node, request: Request) -> Coroutine:
-    """Forget an ended lot; its results need not be kept any longer."""
+    """Delete an ended lot with its results, before its retention ends."""
     command = ReleaseLot(request.words["lot"], request.client_name)
     if node.find("nifty").lowest_common_version() < RELEASE_LEVEL:
         raise Refused(reason="some nodes are of the former version")
@@ -115,7 +115,7 @@
 
 @route("DELETE", "/v1/lots/{lot}")
 def cancel_lot(node: Node, request: Request) -> Coroutine:
-    """End a lot early."""
+    """Cancel a lot; the results that it has are kept."""
     command = CancelLot(request.words["lot"], request.client_name)
     part = part_of_lot(node, command.lot)
     return (yield from node.find("ownership").submit(part, command.to_wire()))
--- a/quillring/lots/prompts/commands.py
+++ b/quillring/lots/prompts/commands.py
@@ -1,4 +1,4 @@
-"""Commands and queries of the replicated log, and the one place that reads and writes their form.
+"""Commands and queries of the replicated log; only this module reads and writes their wire form.
 
 The field names on the wire (`do`, `ask`, `n`, `by` ...) are those of the landed version and stay.
 """
@@ -31,7 +31,7 @@
     items
         The prompts.
     seen_drops
-        How many lots the part had forgotten when the request came in; None from a former version.
+        How many lots the part had dropped when the request came in; None from a former version.
     """
 
     lot: str
@@ -62,9 +62,9 @@
 
 
 class StartItem(NamedTuple):
-    """Mark an item that may not repeat as begun, under the leader's ballot.
+    """Mark an item that may not be repeated as started, under the leader's ballot.
 
-    `was_unsent` tells that the same leader began it before and nothing reached a replica.
+    `was_unsent` is true where the same leader started it before and nothing reached a replica.
     """
 
     lot: str
@@ -106,7 +106,7 @@
 
 
 class CancelLot(NamedTuple):
-    """End a lot early, on behalf of its sender."""
+    """Cancel a lot on behalf of the client that submitted it."""
 
     lot: str
     sender: str
@@ -122,7 +122,7 @@
 
 
 class DropLot(NamedTuple):
-    """Forget a lot whose end lies long back."""
+    """Delete an ended lot whose retention is over."""
 
     lot: str
 
@@ -137,7 +137,7 @@
 
 
 class ReleaseLot(NamedTuple):
-    """Forget an ended lot, on behalf of its sender."""
+    """Delete an ended lot on behalf of the client that submitted it."""
 
     lot: str
     sender: str
@@ -153,7 +153,7 @@
 
 
 class QueryStatus(NamedTuple):
-    """Ask how far a lot is, on behalf of its sender."""
+    """Ask for a lot's phase and counts, on behalf of the client that submitted it."""
 
     lot: str
     sender: str
@@ -169,7 +169,7 @@
 
 
 class QueryResults(NamedTuple):
-    """Ask for the results of so many items from a position on, on behalf of the sender."""
+    """Ask for the results of `most_items` items from `start` on, on behalf of the client."""
 
     lot: str
     sender: str
@@ -193,7 +193,7 @@
 
 
 class QueryFence(NamedTuple):
-    """Ask how many lots the part has forgotten."""
+    """Ask how many lots the part has dropped."""
 
     def to_wire(self) -> dict[str, Any]:
         """Return the query's form on the wire."""
--- a/quillring/lots/prompts/lot_table.py
+++ b/quillring/lots/prompts/lot_table.py
@@ -31,10 +31,10 @@
 
 
 class DropTable(TypedDict):
-    """The lots that a part forgot, under `lot_drops` in the state.
+    """The lots that a part dropped, under `lot_drops` in the state.
 
-    `count` is how many it were; `kept` tells at which count each of the last ones went, and `floor`
-    the highest count that is not remembered by name.
+    `count` is their number, `kept` the count at which each of the last ones was dropped, by name,
+    and `floor` the highest count no longer in `kept`.
     """
 
     count: int
@@ -49,5 +49,5 @@
 
 
 def with_lot(state: State, name: str, lot: LotRecord) -> State:
-    """Return the state with a lot's record put in its place."""
+    """Return the state with a lot's record inserted or replaced."""
     return {**state, "lots": {**state["lots"], name: lot}}
--- a/quillring/lots/prompts/retention.py
+++ b/quillring/lots/prompts/retention.py
@@ -1,4 +1,4 @@
-"""Retention of ended lots' results: bounded where lots are accepted, never by taking one away."""
+"""Retain the results of ended lots; over the limit new lots are refused, none evicted."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 
 class Retention:
-    """What the lots of the parts led here weigh, and since when they have ended.
+    """The bytes and the ends of the lots of the parts led here, by this node's clock.
 
     Attributes
     ----------
     weights, ended_at
         By part and lot.
     checked_at
-        When a part's lots were last looked at, by part.
+        When `drop_old` last checked a part's lots, by part.
     """
 
     __slots__ = ("node", "weights", "ended_at", "checked_at")
@@ -44,7 +44,7 @@
         self.checked_at: dict[str, float] = {}
 
     def weight(self, part: str, name: str, lot: LotRecord) -> int:
-        """Return what a lot weighs; an ended one is weighed once."""
+        """Return about how many bytes a lot takes; that of an ended lot is cached."""
         if lot["phase"] == OPEN:
             return lot["weight"] + ITEM_OVERHEAD_BYTES * lot["count"]
         known = self.weights.get((part, name))
@@ -54,7 +54,7 @@
         return known.weight
 
     def check(self, leader: Any, wire: Wire) -> None:
-        """Refuse a lot when the part holds as much as it may, until some are released or old."""
+        """Raise TooManyLots for a new lot that would bring its part over HELD_LIMIT_BYTES."""
         if wire["do"] != ACCEPT:
             return
         command, lots = AcceptLot.from_wire(wire), lot_records(leader.state)
@@ -66,7 +66,10 @@
             raise TooManyLots(lot=command.lot, held_weight=held)
 
     def drop_old(self, leader: Any) -> None:
-        """Forget a lot that ended long ago by this leader's own clock; looked at now and then."""
+        """Drop one lot that ended over KEPT_SECONDS ago by this leader's clock.
+
+        A part is checked once per recovery bound.
+        """
         now, bounds = self.node.now(), self.node.bounds
         if now - self.checked_at.get(leader.part, -bounds.recovery) < bounds.recovery:
             return
@@ -81,7 +84,7 @@
                 return
 
     def _follow(self, part: str, lots: dict[str, LotRecord], ended: list[str], now: float) -> None:
-        """Note since when lots have ended, and forget those that are gone."""
+        """Record when lots ended, as first seen here, and remove the entries of deleted ones."""
         ended_at = {key: at for key, at in self.ended_at.items() if key[0] != part}
         for name in ended:
             ended_at[part, name] = self.ended_at.get((part, name), now)
--- a/quillring/lots/prompts/scheduler.py
+++ b/quillring/lots/prompts/scheduler.py
@@ -1,4 +1,4 @@
-"""Running the items of open lots, on the core that leads their part, on room left idle."""
+"""Run the items of open lots from the core that leads their part, ITEMS_AT_ONCE of each lot."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class ItemKey(NamedTuple):
-    """Names an item over all parts."""
+    """The key of an item, unique over all parts."""
 
     part: str
     lot: str
@@ -38,7 +38,7 @@
 
 
 class RunningItem:
-    """One item under way; stopping it closes the replica's stream."""
+    """An item in flight; it owns the replica's stream, which `stop` closes."""
 
     __slots__ = ("stop_signal", "handle")
 
@@ -58,12 +58,12 @@
 
 
 class PromptLotScheduler:
-    """Keeps items of the lots of the led parts running until each has a result.
+    """Runs the items of open lots in the parts led here until each has a result.
 
     Attributes
     ----------
     running
-        The items under way.
+        The items in flight, by key.
     unsent
         Items whose last run reached no replica.
     first_open
@@ -108,7 +108,10 @@
                 self.node.spawn(self._run_item(leader, key, lot))
 
     def _waiting(self, part: str, name: str, lot: LotRecord) -> Iterator[int]:
-        """Yield the numbers that neither have a result nor run; what lies done is passed once."""
+        """Yield the numbers of items that neither have a result nor run.
+
+        The leading items with results are skipped once, by way of `first_open`.
+        """
         first = self.first_open.get((part, name), 0)
         while first in lot["results"]:
             first += 1
@@ -118,9 +121,9 @@
                 yield number
 
     def on_batch(self, leader: Any, batch: Sequence[Wire]) -> None:
-        """Have replicas stop the items of lots that were ended early, whoever runs them.
+        """Have replicas stop the items of cancelled lots, whichever leader sent them.
 
-        A former leader that is frozen holds its connections open and can't close them.
+        A former leader whose process is paused keeps its connections open.
         """
         for wire in batch:
             if wire["do"] != CANCEL:
@@ -176,7 +179,7 @@
             self.running.pop(key, None)
 
     def _item_result(self, leader: Any, key: ItemKey, lot: LotRecord) -> Coroutine:
-        """Run an item on a replica; return its result, None where none is wanted any more."""
+        """Run an item on a replica; return its result, None once its lot no longer wants it."""
         node, item = self.node, self.running[key]
         route, service, promise = node.find("layout").route(lot["entry"])
         end_time = node.now() + promise["time_left_ms"] / 1000
@@ -211,7 +214,7 @@
             item.close()
 
     def _mark_started(self, leader: Any, key: ItemKey) -> Coroutine:
-        """Commit that an item which may not repeat begins; return whether it may."""
+        """Commit the start of an item that may not be repeated; return whether it may run."""
         ballot, was_unsent = Ballot.from_wire(leader.ballot), key in self.unsent
         command = StartItem(key.lot, key.number, ballot, was_unsent)
         answer = yield from leader.submit(command.to_wire())
@@ -234,7 +237,7 @@
         return result
 
     def _read_result(self, item: RunningItem, request_name: str, stall_seconds: float) -> Coroutine:
-        """Read the stream's lines; return the result, None when the item was stopped."""
+        """Read the stream's lines; return the result, None if the item was stopped."""
         pieces: list[str] = []
         length = 0
         while not item.stop_signal.is_set:
--- a/quillring/lots/prompts/state_machine.py
+++ b/quillring/lots/prompts/state_machine.py
@@ -1,4 +1,4 @@
-"""What commands and queries of these lots do to the state of the part of their service."""
+"""Apply the commands and queries of prompt lots to the state of their service's part."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class TooManyLots(QuillringError):
-    """The part holds as much as it may, open or with results kept; the lot was not accepted."""
+    """The part's open lots or kept results are at their limit; the lot was not accepted."""
 
     kind = "too_many_lots"
     status = 503
@@ -49,7 +49,7 @@
 
 @COMMANDS.entry(commands.ACCEPT)
 def accept_lot(state: State, wire: Wire) -> tuple[State, Answer]:
-    """Accept a lot; the same lot again is the same acceptance, a late copy is refused."""
+    """Accept a lot, idempotently by name and digest; raise Conflict, StaleLot or TooManyLots."""
     command, lots = AcceptLot.from_wire(wire), lot_records(state)
     known = lots.get(command.lot)
     if known is not None:
@@ -76,7 +76,7 @@
 
 
 def digest_of(command: AcceptLot) -> bytes:
-    """Return the digest that tells whether the same lot is submitted again."""
+    """Return the digest by which a repeated submission is recognised."""
     fields = [command.sender, command.entry, command.items]
     return hashlib.sha256(cbor2.dumps(fields)).digest()[:16]
 
@@ -96,7 +96,7 @@
 
 @COMMANDS.entry(commands.START)
 def start_item(state: State, wire: Wire) -> tuple[State, Answer]:
-    """Mark an item that may not repeat as begun, before it is sent anywhere."""
+    """Mark an item that may not be repeated as started, before it is sent to a replica."""
     command = StartItem.from_wire(wire)
     lot = _find_open(state, command.lot, command.number)
     if lot is None:
@@ -111,7 +111,7 @@
 
 @COMMANDS.entry(commands.RESULT)
 def write_result(state: State, wire: Wire) -> tuple[State, Answer]:
-    """Write the result at its position, once; a second one changes nothing."""
+    """Write an item's result; the first one wins and later ones change nothing."""
     command = WriteResult.from_wire(wire)
     lot = _find_open(state, command.lot, command.number)
     if lot is None:
@@ -125,7 +125,7 @@
 
 @COMMANDS.entry(commands.CANCEL)
 def cancel_lot(state: State, wire: Wire) -> tuple[State, Answer]:
-    """End a lot early; results that stand keep standing."""
+    """Cancel a lot; the results that it has are kept."""
     command = CancelLot.from_wire(wire)
     lot = lot_records(state).get(command.lot)
     if lot is None or lot["sender"] != command.sender:
@@ -137,7 +137,7 @@
 
 @COMMANDS.entry(commands.DROP)
 def drop_lot(state: State, wire: Wire) -> tuple[State, Answer]:
-    """Forget a lot whose end lies long back."""
+    """Delete an ended lot whose retention is over."""
     command = DropLot.from_wire(wire)
     lot = lot_records(state).get(command.lot)
     if lot is None or lot["phase"] == OPEN:
@@ -147,7 +147,7 @@
 
 @COMMANDS.entry(commands.RELEASE)
 def release_lot(state: State, wire: Wire) -> tuple[State, Answer]:
-    """Forget an ended lot, since its sender has read what it wanted."""
+    """Delete an ended lot for its client; raise Conflict while it is open."""
     command = ReleaseLot.from_wire(wire)
     lot = _find_lot(state, command)
     if lot["phase"] == OPEN:
@@ -161,7 +161,7 @@
 
 
 def _find_lot(state: State, query: QueryStatus | QueryResults | ReleaseLot) -> LotRecord:
-    """Return a lot of the sender who asks; NotFound for another one's lot."""
+    """Return the lot; raise NotFound where there is none or another client submitted it."""
     lot = lot_records(state).get(query.lot)
     if lot is None or lot["sender"] != query.sender:
         raise NotFound(field="lot")
@@ -170,7 +170,7 @@
 
 @QUERIES.entry(commands.STATUS)
 def lot_status(state: State, wire: Wire) -> Answer:
-    """Return how far a lot is."""
+    """Return a lot's phase and its counts of items and results."""
     query = QueryStatus.from_wire(wire)
     lot = _find_lot(state, query)
     return {
--- a/quillring/verbs/__init__.py
+++ b/quillring/verbs/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's command line over the whole fleet, and the HTTP routes it uses."""
+"""The operator's command line over the fleet, and the HTTP routes it uses."""
--- a/quillring/verbs/checks.py
+++ b/quillring/verbs/checks.py
@@ -1,4 +1,4 @@
-"""The verb that checks an operator's files before any process reads them."""
+"""The subcommand that validates settings and configuration files before they are used."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 class FileReport(NamedTuple):
-    """What a file holds, in a few words, and its faults."""
+    """A short summary of a file, and its faults."""
 
     path: str
     summary: str
@@ -68,7 +68,7 @@
 
 
 def configuration_report(path: str) -> FileReport:
-    """Return the report on a layout file; an edition may leave the other sections out."""
+    """Return the report on a configuration file; a partial one may lack sections."""
     try:
         with open(path, encoding="utf-8") as configuration_file:
             configuration = parse_json(configuration_file.read())
--- a/quillring/verbs/cli.py
+++ b/quillring/verbs/cli.py
@@ -1,4 +1,4 @@
-"""The program: roles as subcommands, and the operator's verbs."""
+"""The program: subcommands that run roles, and subcommands for operators."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def role_command(role: str, text: str) -> None:
-    """Make the subcommand that runs a role."""
+    """Register the subcommand that runs a role."""
 
     @click.option("--settings", "path", type=click.Path(), help="Settings file (JSON).")
     @click.option("--name", help="Name of the node.")
@@ -68,7 +68,7 @@
 
 
 def node_options(function: Callable[..., None]) -> Callable[..., None]:
-    """Add the options every operator's verb has."""
+    """Add the options that every operator subcommand has."""
     function = click.option("--json", "as_json", is_flag=True, help="Print JSON.")(function)
     return click.option(
         "--node",
@@ -79,7 +79,7 @@
 
 
 def run_verb(node: str, method: str, path: str, body: Any, as_json: bool) -> None:
-    """Ask a node and print its answer; exit 3 on a refusal, 4 when it can't be reached."""
+    """Send a request to a node and print its answer; exit 3 on an error, 4 if it is unreachable."""
     try:
         answer = ask(node, method, path, body)
     except QuillringError as error:
@@ -89,7 +89,7 @@
 
 
 def show_command(name: str, path: str, text: str) -> None:
-    """Make a verb that shows one view of the fleet."""
+    """Register a subcommand that shows the answer to one GET request."""
 
     @node_options
     def run_show(node: str, as_json: bool) -> None:
--- a/quillring/verbs/client.py
+++ b/quillring/verbs/client.py
@@ -1,4 +1,4 @@
-"""The verbs' side of the HTTP interface."""
+"""The HTTP client of the operator subcommands."""
 
 from __future__ import annotations
 
--- a/quillring/verbs/fleet_verbs.py
+++ b/quillring/verbs/fleet_verbs.py
@@ -1,4 +1,4 @@
-"""Verbs over the whole fleet: status of every node, plans, logs."""
+"""Operator subcommands over the fleet: status of every node, logs, plans, maintenance windows."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def status_of(member: dict[str, Any]) -> dict[str, Any]:
-    """Return one node's row; a node that does not answer is shown as such."""
+    """Return one node's row; for a node that fails, `answer` is the kind of its error."""
     blank = {"name": member["name"], "role": member["role"], "domain": member["domain"]}
     fields = ("layout_version", "is_fresh", "under_way", "is_draining", "is_cut", "disk_error")
     try:
@@ -53,7 +53,7 @@
 
 
 def ask_or_exit(node: str, path: str) -> Any:
-    """Return a GET's answer, or end with the exit code of a refusal."""
+    """Return the answer to a GET request; exit 3 on any error."""
     try:
         return ask(node, "GET", path)
     except QuillringError as error:
@@ -75,7 +75,7 @@
 
 
 def intent_command(name: str, kind: str, text: str, has_service: bool = False) -> None:
-    """Make the verb that proposes one kind of plan."""
+    """Register the subcommand that proposes one kind of plan."""
 
     @node_options
     @click.argument("target")
--- a/quillring/verbs/part_routes.py
+++ b/quillring/verbs/part_routes.py
@@ -1,4 +1,4 @@
-"""HTTP routes that show parts, their owners and stores."""
+"""HTTP routes that show parts, their leaders and stores."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 @route("GET", "/v1/parts")
 def show_parts(node: Node, request: Request) -> Coroutine:
-    """Return each part with its group, owner and ballot as last heard, and the newest takeover.
+    """Return each part with its last known group, leader and ballot, and its newest takeover.
 
-    The takeovers are asked of the cores in reach, and are None where none of them knows of one.
+    Takeovers are collected from the reachable cores, and are None where none knows of one.
     """
     parts = yield from list_parts(node)
     return {"parts": [part.to_json() for part in parts]}
@@ -26,7 +26,7 @@
 
 @route("GET", "/v1/whole")
 def show_whole(node: Node, request: Request) -> Coroutine:
-    """Tell whether every part has an owner and a full group of stores that hold everything."""
+    """Return whether every part has a leader and a full group of stores with complete logs."""
     ownership = node.find("ownership")
     rows: list[dict[str, Any]] = []
     for part in ownership.parts():
--- a/quillring/verbs/process.py
+++ b/quillring/verbs/process.py
@@ -1,4 +1,4 @@
-"""Running one process: settings to node, sockets, HTTP server, signals."""
+"""Run one process: build the node from settings, open sockets and HTTP, handle signals."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class NameTaken(QuillringError):
-    """Another live member bears this name at another address."""
+    """Another live member has this name at another address."""
 
     kind = "name_taken"
 
@@ -49,18 +49,18 @@
 
 
 class NameClash(NamedTuple):
-    """Another member of this name was heard of: who told it, and when."""
+    """A report of another member of this name: which node sent it, and when it arrived."""
 
     told_by: str
     at: float
 
 
 def drain(node: Node, servers: Iterable[Any]) -> None:
-    """Take nothing new, finish what is under way, hand the journal over, stop the servers.
+    """Drain: refuse new requests, finish those in flight, hand over the journal, stop the servers.
 
-    Where the platform gives a grace period, all of that ends within it, and clients' requests are
-    still taken at first, until the platform has surely sent them elsewhere; one that comes later
-    might be cut at the end, and is refused.
+    Requests are still accepted at first, while the platform reroutes clients; later ones could be
+    cut off at the end and are refused. With a grace period, requests in flight get up to
+    GRACE_SHARE of it, else DRAIN_TIMEOUT_FACTOR recovery bounds.
     """
     node.is_draining = True
     node.find("ownership").announce_drain()
@@ -84,7 +84,7 @@
 
 
 def open_nothing_more(node: Node, report: Callable[..., None]) -> Iterable[Any]:
-    """Open no further listening address."""
+    """Open no further listening address: the default of `run_process`."""
     return ()
 
 
@@ -94,7 +94,7 @@
     make_runtime: Callable[..., Any] = GeventRuntime,
     open_more: Callable[[Node, Callable[..., None]], Iterable[Any]] = open_nothing_more,
 ) -> None:
-    """Run a node until the platform stops it; a planned stop finishes what is under way.
+    """Run a node until a signal or an operator stops it, then drain it.
 
     Parameters
     ----------
@@ -106,7 +106,7 @@
     Raises
     ------
     NameTaken
-        Another live member bears this node's name.
+        Another live member has this node's name.
     """
     node_logger, ring_handler = ring_log(settings.name, settings.log_file)
 
@@ -140,7 +140,7 @@
 
 
 def own_member(settings: Settings, identity: str) -> Member:
-    """Return this process as a member; the start time is its incarnation."""
+    """Return this process as a member; its incarnation is the start time in microseconds."""
     host, port = settings.address
     return Member(
         settings.name,
@@ -155,7 +155,7 @@
 
 
 def prepare_founding(node: Node, settings: Settings) -> None:
-    """Tell the node what it may do at the first start of a fleet."""
+    """Configure the node for the first start of a fleet; a core starts the founding task."""
     elector = node.find("elector")
     elector.is_first_start, elector.witness = settings.bootstrap, settings.witness
     if settings.role == "core":
@@ -188,7 +188,7 @@
 
 
 def change_settings(node: Node, reread: Callable[[], Settings]) -> None:
-    """Take changed seeds; everything else needs a restart, and faulty settings change nothing."""
+    """Apply changed seeds; other settings need a restart, and faulty ones are logged."""
     try:
         node.find("nifty").seeds = reread().seeds
     except* QuillringError as group:
--- a/quillring/verbs/restart.py
+++ b/quillring/verbs/restart.py
@@ -1,4 +1,4 @@
-"""The rolling restart: one node at a time, each whole again before the next; it starts nothing."""
+"""Rolling restart: drain one node at a time, and wait until the fleet is complete again."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class NotBack(QuillringError):
-    """A node was not whole again in time; the restart stopped there."""
+    """The fleet was not complete in time; the rolling restart stopped there."""
 
     kind = "not_back"
 
@@ -34,7 +34,7 @@
 
 
 def is_back(member: dict[str, Any]) -> bool:
-    """Tell whether the node runs under a new start and is ready."""
+    """Return whether the node has a new incarnation and is ready."""
     alive = ask(http_address(member), "GET", "/v1/alive")
     if alive["incarnation"] == member["incarnation"]:
         return False
@@ -42,7 +42,7 @@
 
 
 def is_fleet_whole(members: Sequence[dict[str, Any]], names: Collection[str]) -> bool:
-    """Tell whether every named node is ready and every part whole."""
+    """Return whether every named node is ready and every part complete."""
     others = [member for member in members if member["name"] in names]
     return ask(http_address(others[0]), "GET", "/v1/whole")["is_whole"] and all(
         ask(http_address(member), "GET", "/v1/ready")["ready"] for member in others
@@ -50,7 +50,7 @@
 
 
 def wait_until(name: str, what: str, is_done: Callable[[], bool], seconds: float) -> None:
-    """Wait until a condition holds; what a node can't answer yet counts as not yet."""
+    """Poll until a condition holds, errors counting as not yet; raise NotBack after `seconds`."""
     end_time = time.monotonic() + seconds
     last_error: str | None = None
     while time.monotonic() < end_time:
@@ -70,7 +70,15 @@
     seconds: float,
     tell: Callable[[str], None],
 ) -> list[str]:
-    """Drain the chosen members one after another; the platform starts each of them again."""
+    """Drain the chosen members one after another, and return their names.
+
+    The platform has to start each process again. Each wait is bounded by `seconds`.
+
+    Raises
+    ------
+    NotBack
+        The fleet was not complete, or a member not restarted, in time.
+    """
     chosen = sorted(
         (m for m in members if m["role"] in roles and (not names or m["name"] in names)),
         key=lambda m: (ROLES.index(m["role"]), m["name"]),
--- a/quillring/verbs/routes.py
+++ b/quillring/verbs/routes.py
@@ -1,4 +1,4 @@
-"""HTTP routes for operators, back ends and the platform."""
+"""HTTP routes for operators, replicas and the platform."""
 
 from __future__ import annotations
 
@@ -60,20 +60,20 @@
 
 @route("POST", "/v1/replicas/beats")
 def take_heartbeat(node: Node, request: Request) -> dict[str, Any]:
-    """Take a replica's heartbeat at any node."""
+    """Process a replica's heartbeat; any node does."""
     taken: dict[str, Any] = node.find("replicas").on_heartbeat(request.body)
     return taken
 
 
 @route("GET", "/v1/alive")
 def show_alive(node: Node, request: Request) -> dict[str, Any]:
-    """Tell that the process lives."""
+    """Answer a liveness probe with the node's name and incarnation."""
     return {"name": node.me.name, "incarnation": node.me.incarnation}
 
 
 @route("GET", "/v1/ready")
 def show_ready(node: Node, request: Request) -> dict[str, Any]:
-    """Tell whether the platform may hand new connections to this node."""
+    """Answer a readiness probe; raise an error while the node should get no new connections."""
     if node.me.role == "edge":
         check_admission(node)
     elif node.is_draining:
@@ -92,7 +92,7 @@
 
 @route("GET", "/v1/members")
 def show_members(node: Node, request: Request) -> dict[str, Any]:
-    """Return the peers as this node sees them."""
+    """Return the members that this node knows, with the hops to each."""
     nifty = node.find("nifty")
     return {
         "members": [
@@ -104,7 +104,7 @@
 
 @route("DELETE", "/v1/members/{name}")
 def forget_member(node: Node, request: Request) -> dict[str, Any]:
-    """Forget a member that is gone for good; a living one is not forgotten."""
+    """Remove a member permanently; raise Conflict while it is reachable."""
     nifty, name = node.find("nifty"), request.words["name"]
     member = nifty.roster.members.get(name)
     if member is None:
@@ -117,14 +117,14 @@
 
 @route("GET", "/v1/graph")
 def show_graph(node: Node, request: Request) -> dict[str, Any]:
-    """Return graph, routes, sides and bridges."""
+    """Return the connectivity graph: routes, sides and bridges."""
     graph: dict[str, Any] = node.find("nifty").graph.to_json()
     return graph
 
 
 @route("POST", "/v1/drain")
 def drain(node: Node, request: Request) -> dict[str, Any]:
-    """End the process as planned: nothing new, what is under way ends, the platform restarts."""
+    """Start a planned stop of this process, see `process.drain`."""
     stop = node.find("stop")
     if stop is None:
         raise NotFound(field="stop")
@@ -146,7 +146,7 @@
 
 @route("GET", "/v1/layout")
 def show_configuration(node: Node, request: Request) -> dict[str, Any]:
-    """Return the layout this node knows, and whether a majority lately said that it is current."""
+    """Return the configuration this node knows, and whether a majority lately confirmed it."""
     snapshot = node.find("layout")
     return {
         "version": snapshot.version,
@@ -158,7 +158,7 @@
 
 @route("PUT", "/v1/layout")
 def change_configuration(node: Node, request: Request) -> Coroutine:
-    """Adopt a whole or partial layout made against a version."""
+    """Adopt a complete or partial configuration based on a version (compare and set)."""
     check_body(CONFIGURATION_CHANGE, request.body)
     own_id = f"{node.runtime.random.getrandbits(96):024x}"
     return (
@@ -176,13 +176,13 @@
 
 @route("POST", "/v1/domains/{domain}/emptying")
 def empty_zone(node: Node, request: Request) -> Coroutine:
-    """Empty a domain: no replica in it gets anything new."""
+    """Drain a zone: its replicas get no new requests."""
     return (yield from _order_zone(node, request, True))
 
 
 @route("DELETE", "/v1/domains/{domain}/emptying")
 def refill_zone(node: Node, request: Request) -> Coroutine:
-    """Let a domain get work again."""
+    """Undo the draining of a zone."""
     return (yield from _order_zone(node, request, False))
 
 
--- a/quillring/verbs/show.py
+++ b/quillring/verbs/show.py
@@ -1,4 +1,4 @@
-"""Answers for human eyes: lists of objects as tables, the rest as lines."""
+"""Format answers for people: lists of objects as tables, the rest as lines."""
 
 from __future__ import annotations
 
--- a/quillring/verbs/status_routes.py
+++ b/quillring/verbs/status_routes.py
@@ -1,4 +1,4 @@
-"""HTTP routes that show how a node is: promises kept, status, log and counters."""
+"""HTTP routes that show a node's service levels, status, log and counters."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 @route("GET", "/v1/promises")
 def show_promises(node: Node, request: Request) -> dict[str, Any]:
-    """Return how the promises of each class were kept on this node in the last quarter hour."""
+    """Return the service levels of each class on this node over the last 15 minutes."""
     return {"name": node.me.name, "classes": node.find("meter").rows()}
 
 
 @route("GET", "/v1/status")
 def show_status(node: Node, request: Request) -> dict[str, Any]:
-    """Return what this node is and how it does."""
+    """Return this node's identity and health."""
     snapshot, acceptors = node.find("layout"), node.find("acceptors")
     disk_error = None if acceptors is None else acceptors.log.error
     return {
@@ -38,7 +38,7 @@
 
 @route("GET", "/v1/log")
 def show_log(node: Node, request: Request) -> dict[str, Any]:
-    """Return the ring log of this node."""
+    """Return the lines in this node's ring buffer of log messages."""
     ring = node.find("ring")
     return {"name": node.me.name, "log": list(ring.ring) if ring else []}
 
