--- a/quillring/edge/__init__.py
+++ b/quillring/edge/__init__.py
@@ -1,4 +1,4 @@
-"""Serving requests of the own interface: replicas, dispatcher, stream journal, resume tokens."""
+"""Requests of the product's own API: replicas, dispatcher, stream journal, resume tokens."""
 
 from quillring.edge.dispatcher import Dispatcher
 from quillring.edge.journal import Journal
--- a/quillring/edge/admission.py
+++ b/quillring/edge/admission.py
@@ -1,4 +1,4 @@
-"""Admission: whether this node may take new work at all; one rule for every kind of request."""
+"""Admission control: whether this node accepts new requests, of whatever kind."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def check_open(node: Node) -> None:
-    """Refuse new requests while this node or its zone drains."""
+    """Raise Refused while this node or its zone is drained."""
     if node.is_draining:
         raise Refused(reason="draining")
     if node.find("layout").is_zone_draining(node.me.zone):
@@ -19,6 +19,6 @@
 
 
 def check_admission(node: Node) -> None:
-    """Refuse new work here, also while the layout may be out of date."""
+    """Raise Refused while this node is drained or its configuration may be out of date."""
     check_open(node)
     node.find("freshness").check()
--- a/quillring/edge/dispatcher.py
+++ b/quillring/edge/dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher: bounded queues by urgency, prefix affinity, class limits, preemption."""
+"""The dispatcher: bounded priority queues, prefix affinity, class limits, preemption."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Dispatcher:
-    """Chooses replicas for requests on this node, and queues those that find no free slot."""
+    """Chooses replicas for the requests of this node; owns their queue and their slot leases."""
 
     __slots__ = ("node", "queue", "last_order", "leases", "queue_wait")
 
@@ -39,7 +39,7 @@
         node.find("taker").on_quota = self.wake
 
     def run(self) -> Coroutine:
-        """Look for free slots now and then, since warm-ups and ejections end with time."""
+        """Assign free slots every two gossip intervals, as warm-ups and ejections expire."""
         while True:
             yield Sleep(self.node.bounds.gossip_interval * 2)
             self.wake()
@@ -74,23 +74,23 @@
         was_preempted: bool = False,
         is_preemptible: bool = False,
     ) -> Coroutine:
-        """Return a SlotLease as soon as there is one.
+        """Wait for a free slot and return its SlotLease.
 
         Parameters
         ----------
         promise
-            What the class of service promises: urgency, queue length, time to the first piece.
+            Terms of the class of service: urgency, queue length, time to the first piece.
         prefix
             Key of a shared prompt prefix, or the empty string.
         end_time
-            The node's time, in seconds, at which the request is worth nothing more.
+            Deadline of the request, in seconds of the node's clock.
         was_preempted
-            The request ran already and gave its slot back: the queue's bound is not for it.
+            The request ran already and lost its slot, so the queue length does not apply to it.
 
         Raises
         ------
         Refused
-            The queue is full, or waiting is hopeless or over.
+            The queue is full, the expected wait exceeds the deadline, or the deadline passed.
         """
         self.last_order += 1
         request = QueuedRequest(
@@ -124,7 +124,7 @@
             )
 
     def _wait_in_queue(self, request: QueuedRequest) -> Coroutine:
-        """Return the request's lease; one that comes to a cancelled request is released."""
+        """Return the lease of a queued request; release it if the request was cancelled."""
         self.queue.append(request)
         is_over = False
         try:
@@ -143,7 +143,7 @@
         )
 
     def refusal_if_hopeless(self, request: QueuedRequest) -> Refused | None:
-        """Return the refusal of a request that can't get a slot in time any more, or None."""
+        """Return the Refused of a request that can't get a slot before its deadline, or None."""
         replicas = self.node.find("replicas")
         if not any(
             replica.name not in request.avoided_names
@@ -168,7 +168,7 @@
         )
 
     def wake(self) -> None:
-        """Give free slots to queued requests, the urgent first; then preempt where needed."""
+        """Assign free slots to queued requests by priority; then preempt running ones if needed."""
         for request in sorted(self.queue, key=lambda queued: queued.priority):
             replica = self._choose(request)
             if replica is not None:
@@ -178,7 +178,7 @@
             self._preempt_over_limit(service)
 
     def _preempt_over_limit(self, service: str) -> None:
-        """Want slots back from resumable work of the classes that run over their limit."""
+        """Preempt resumable requests of the classes that exceed their limit."""
         quotas = self.node.find("taker")
         if not quotas.has_recent_quota(service):
             self._preempt_by_urgency(service)
@@ -197,7 +197,7 @@
                 self._preempt(lease)
 
     def _preempt_by_urgency(self, service: str) -> None:
-        """While no core decides, queued urgent requests preempt the least urgent running ones."""
+        """Preempt the least urgent requests for queued urgent ones while no core sets limits."""
         running = [lease for lease in self.leases if lease.replica.service == service]
         preempted_count = sum(lease.is_preempted for lease in running)
         candidates = sorted(
@@ -223,7 +223,7 @@
         return lease
 
     def release(self, lease: SlotLease) -> None:
-        """Take back the slot of an ended request."""
+        """Free the slot of a finished request and assign it again."""
         self.leases.pop(lease, None)
         hold_seconds = self.node.now() - lease.acquired_at
         self.queue_wait.record_hold_time(lease.replica.service, hold_seconds)
@@ -233,19 +233,19 @@
         self.wake()
 
     def release_later(self, lease: SlotLease) -> Coroutine:
-        """Take the slot back once a broken off request has surely stopped."""
+        """Free the slot one heartbeat interval after an aborted request, when it has stopped."""
         yield Sleep(self.node.bounds.heartbeat_interval)
         self.release(lease)
 
     def capacity(self, replica: Replica) -> int:
-        """Return how many requests this node may have at the replica; cold ones by grant."""
+        """Return how many requests this node may run at the replica; a grant if it is cold."""
         if replica.state == "cold":
             granted: int = self.node.find("taker").cold_slots(replica)
             return granted
         return replica.slots
 
     def _choose(self, request: QueuedRequest) -> Replica | None:
-        """Return the replica for a request, or None when no slot is free for it."""
+        """Return the replica for a request, or None if no slot is free for it."""
         limit = self.node.find("taker").limit(request.service, request.class_name)
         if limit is not None and self._count_running(request) >= limit:
             return None
@@ -273,5 +273,5 @@
 
 
 def prefix_key(text: str) -> str:
-    """Return the short key of a shared prompt prefix."""
+    """Return the affinity key of a shared prompt prefix (a truncated SHA-256), or ""."""
     return hashlib.sha256(text.encode()).hexdigest()[:PREFIX_KEY_DIGITS] if text else ""
--- a/quillring/edge/heartbeat_relay.py
+++ b/quillring/edge/heartbeat_relay.py
@@ -1,7 +1,7 @@
-"""Replicas' heartbeats passed on in batches: one that brings nothing new is not gossiped.
+"""Batches of replica heartbeats: those that change nothing are aggregated instead of gossiped.
 
-Whoever takes such a heartbeat tells two cores, chosen by rendezvous hashing; these gather what they
-are told and tell all nodes. Two, so that the loss of one makes no replica look silent.
+The node that receives such a heartbeat reports it to two cores, chosen by rendezvous hashing, which
+send batches to all nodes. There are two, so that replicas do not time out when one fails.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class Heartbeat(NamedTuple):
-    """A sign of life of one start of a replica; on the wire a list of the same fields."""
+    """A heartbeat of one incarnation of a replica; on the wire a list of these fields."""
 
     name: str
     incarnation: int
@@ -30,7 +30,7 @@
 
 
 class HeartbeatRelay:
-    """The heartbeats that wait here to be told to all nodes, and who tells them."""
+    """Reports heartbeats to the aggregators; owns the batch pending on this node."""
 
     __slots__ = ("node", "pending", "graph", "roster", "aggregator_names")
 
@@ -43,7 +43,7 @@
         node.handle("replica.alive", self.on_batch)
 
     def aggregators(self) -> tuple[str, ...]:
-        """Return the reachable cores that gather heartbeats and tell all nodes."""
+        """Return the reachable cores that aggregate heartbeats and send them to all nodes."""
         nifty = self.node.find("nifty")
         if nifty.graph is not self.graph or nifty.roster is not self.roster:
             self.graph, self.roster = nifty.graph, nifty.roster
@@ -53,7 +53,7 @@
         return self.aggregator_names
 
     def report(self, heartbeat: Heartbeat) -> bool:
-        """Tell the aggregators of a heartbeat; False when there is none."""
+        """Report a heartbeat to the aggregators; return False if there is none."""
         rows: list[Any] = [list(heartbeat)]
         aggregators = self.aggregators()
         for aggregator in aggregators:
@@ -64,7 +64,7 @@
         return bool(aggregators)
 
     def on_reports(self, rows: Sequence[tuple[str, int, int]], origin: str) -> None:
-        """Keep reported heartbeats until the next batch, which is soon."""
+        """Add reported heartbeats to the next batch, sent after `bounds.report_delay`."""
         if rows and not self.pending:
             self.node.spawn(self._send_batch_soon())
         for row in rows:
@@ -81,7 +81,7 @@
             self.node.send_oneway(name, "replica.alive", rows)
 
     def on_batch(self, rows: Sequence[tuple[str, int, int]], origin: str) -> None:
-        """Take a batch of heartbeats that an aggregator tells."""
+        """Apply a batch of heartbeats from an aggregator."""
         note_heartbeat = self.node.find("replicas").note_heartbeat
         for name, incarnation, sequence in rows:
             note_heartbeat(name, incarnation, sequence)
--- a/quillring/edge/journal.py
+++ b/quillring/edge/journal.py
@@ -1,4 +1,4 @@
-"""The stream journal: each piece is replicated to a second node before a client sees it."""
+"""The stream journal: each piece is replicated to a backup before a client gets it."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class Journal:
-    """The streams this node runs, or holds the second copy of."""
+    """Owns the streams that this node runs or backs up, within MAX_STREAMS and MAX_BYTES."""
 
     __slots__ = ("node", "streams", "size")
 
@@ -47,7 +47,7 @@
         node.handle("journal.claim", self.on_claim)
 
     def run(self, kept_seconds: float) -> Coroutine:
-        """Drop streams that nobody touched for so long; those running here are kept."""
+        """Drop streams unused for `kept_seconds`, except those running here, in an endless loop."""
         while True:
             yield Sleep(self.node.bounds.propagation)
             oldest = self.node.now() - kept_seconds
@@ -59,9 +59,9 @@
             self.size = sum(stream.size for stream in self.streams.values())
 
     def _make_room(self) -> None:
-        """Drop ended streams, the oldest first, until one more fits; refuse it otherwise.
+        """Drop the oldest quarter of the ended streams if full; Refused if that is not enough.
 
-        A stream that has not ended is never dropped for want of room.
+        A stream that has not ended is never dropped for lack of space.
         """
         if not self._is_full():
             return
@@ -80,7 +80,7 @@
         return len(self.streams) >= MAX_STREAMS or self.size >= MAX_BYTES
 
     def add(self, stream: JournaledStream) -> None:
-        """Take a stream in, in the place of any former copy."""
+        """Add a stream, replacing any earlier copy."""
         former = self.streams.get(stream.name)
         self.size += stream.size - (former.size if former is not None else 0)
         self.streams[stream.name] = stream
@@ -91,7 +91,7 @@
         self.size += stream.size - former_size
 
     def open(self, name: str, request: dict[str, Any], client_name: str) -> JournaledStream:
-        """Begin the journal of a stream here; Refused when the journal is full."""
+        """Create a stream that runs on this node; Refused if the journal is full."""
         self._make_room()
         term = Term(1, self.node.me.name)
         stream = JournaledStream(name, request, client_name, self.node.now(), term)
@@ -99,15 +99,15 @@
         return stream
 
     def forget(self, stream: JournaledStream) -> None:
-        """Drop a stream of which no client holds a token."""
+        """Drop a stream for which no client has a resume token."""
         if self.streams.get(stream.name) is stream:
             del self.streams[stream.name]
             self.size -= stream.size
 
     def backup_candidates(self, name: str, avoided_names: Collection[str] = ()) -> list[str]:
-        """Return the reachable nodes in other zones that may hold it, edges first.
+        """Return the reachable nodes in other zones that may back up a stream, edges first.
 
-        Nodes that drain or stand in a drained zone come last: better there than nowhere.
+        Nodes that are drained, or in a drained zone, come last.
         """
         is_leaving = self.node.find("ownership").is_leaving
         me, nifty = self.node.me, self.node.find("nifty")
@@ -126,7 +126,7 @@
         return [member.name for member in members]
 
     def _drop_leaving_backup(self, stream: JournaledStream) -> None:
-        """Let go of a backup that is about to leave, if another node can take its place."""
+        """Unset a backup that is being drained if another node can replace it."""
         is_leaving = self.node.find("ownership").is_leaving
         if stream.backup is not None and is_leaving(stream.backup):
             candidates = self.backup_candidates(stream.name)
@@ -134,7 +134,7 @@
                 stream.backup = None
 
     def hand_over(self) -> Coroutine:
-        """Before a planned stop, give every stream touched lately to another node."""
+        """Copy every recently used stream to another node before a planned stop."""
         oldest = self.node.now() - self.node.bounds.recovery * HANDOVER_AGE_FACTOR
         streams = [s for s in self.streams.values() if s.touched_at > oldest]
         for start in range(0, len(streams), HANDOVER_BATCH):
@@ -154,21 +154,21 @@
                 self.node.log("warning", "handover of stream %s: %s", stream.name, error)
 
     def possible_holders(self) -> list[str]:
-        """Return the names of all nodes that may hold streams."""
+        """Return the names of all members that may store streams, reachable or not."""
         members = self.node.find("nifty").roster.members.values()
         return [member.name for member in members if member.role in HOLDER_ROLES]
 
     def append(
         self, stream: JournaledStream, new_pieces: Sequence[str], has_ended: bool = False
     ) -> Coroutine:
-        """Add pieces here and at the backup; return once both have them.
+        """Append pieces here and at the backup; return once both have stored them.
 
         Raises
         ------
         Fenced
             The stream runs elsewhere under a later term.
         Refused
-            No node in another zone can hold the second copy.
+            No node in another zone can be the backup.
         """
         self._check_term(stream)
         start = len(stream.pieces)
@@ -201,11 +201,11 @@
             raise Fenced(stream=stream.name)
 
     def on_append(self, body: dict[str, Any], origin: str) -> int:
-        """Hold pieces for another node; return how many there are."""
+        """Store pieces as the backup; return the number of pieces stored."""
         return self.hold(AppendRequest.from_wire(body))
 
     def hold(self, request: AppendRequest) -> int:
-        """Hold pieces; an earlier term is fenced off, a gap refused with NotFound."""
+        """Store pieces as the backup; Fenced for an earlier term, NotFound for a gap."""
         known = self.streams.get(request.stream_name)
         if known is not None and known.term > request.term:
             raise Fenced(stream=request.stream_name)
@@ -234,19 +234,19 @@
         return len(stream.pieces)
 
     def _find(self, query: StreamQuery) -> JournaledStream:
-        """Return a stream held here for this client, or raise NotFound."""
+        """Return the stream of this client that is stored here; NotFound otherwise."""
         stream = self.streams.get(query.stream_name)
         if stream is None or stream.client_name != query.client_name:
             raise NotFound(field="stream")
         return stream
 
     def on_find(self, body: dict[str, Any], origin: str) -> list[Any]:
-        """Tell the term, length and route of a stream held here for this client."""
+        """Return the term, length and route of a stream stored here for this client."""
         stream = self._find(StreamQuery.from_wire(body))
         return FindReply(stream.term, len(stream.pieces), stream.request["entry"]).to_wire()
 
     def on_claim(self, body: dict[str, Any], origin: str) -> list[Any]:
-        """Hand a stream over to a later term; the former term can add no more."""
+        """Fence a stream under a later term and return its copy; the earlier term can't append."""
         query = StreamQuery.from_wire(body)
         stream = self._find(query)
         if query.term is None or stream.term >= query.term:
@@ -258,5 +258,5 @@
     def take_over(
         self, name: str, client_name: str, served_term: Term, check: Callable[[FindReply], None]
     ) -> Coroutine:
-        """Find a stream wherever it is held, and run it here from now on."""
+        """Find a stream on the reachable nodes and take it over (see `take_over_stream`)."""
         return take_over_stream(self, name, client_name, served_term, check)
--- a/quillring/edge/journal_messages.py
+++ b/quillring/edge/journal_messages.py
@@ -1,4 +1,4 @@
-"""The messages of the stream journal: their fields by name, written and read in this one place."""
+"""The messages of the stream journal, and their wire format."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Term(NamedTuple):
-    """Who may add to a stream: a later term fences off the earlier ones.
+    """The right to append to a stream: a later term fences earlier ones.
 
     Terms compare by number, then by the name of the node that runs the stream.
     """
@@ -27,9 +27,9 @@
 
 
 class AppendRequest(NamedTuple):
-    """Pieces of a stream, from a position on, for the node that holds its second copy.
+    """Pieces of a stream from position `start` on, for its backup.
 
-    One goes out for each piece, so that `append_body` writes the body without a tuple between.
+    As one is sent for each piece, `append_body` writes the body without an intermediate tuple.
     """
 
     stream_name: str
@@ -55,7 +55,7 @@
 
 
 def append_body(stream: JournaledStream, start: int) -> dict[str, Any]:
-    """Return the body of `journal.append` that has a stream's pieces from a position on."""
+    """Return the body of `journal.append` with the pieces of a stream from `start` on."""
     return {
         "stream": stream.name,
         "inquiry": stream.request,
@@ -68,14 +68,14 @@
 
 
 class StreamQuery(NamedTuple):
-    """A stream that a client asks for; with a term it is claimed under that term."""
+    """The request of `journal.find`, or of `journal.claim` if it has a term."""
 
     stream_name: str
     client_name: str
     term: Term | None = None
 
     def to_wire(self) -> dict[str, Any]:
-        """Return the body of `journal.find`, or of `journal.claim` where there is a term."""
+        """Return the body of `journal.find`, or of `journal.claim` if it has a term."""
         body: dict[str, Any] = {"stream": self.stream_name, "sender": self.client_name}
         if self.term is not None:
             body["round"] = list(self.term)
@@ -89,7 +89,7 @@
 
 
 class FindReply(NamedTuple):
-    """What a holder tells of a stream; a node of the former version tells no route."""
+    """The reply to `journal.find`; a node of the previous version sends no route."""
 
     term: Term
     piece_count: int
@@ -107,7 +107,7 @@
 
 
 class ClaimReply(NamedTuple):
-    """A holder's copy of a claimed stream, under the term that it had before."""
+    """The reply to `journal.claim`: a copy of the stream with its previous term."""
 
     request: dict[str, Any]
     pieces: list[str]
--- a/quillring/edge/journaled_stream.py
+++ b/quillring/edge/journaled_stream.py
@@ -1,4 +1,4 @@
-"""One stream as a journal holds it: the request, its pieces so far, the term that may add."""
+"""One journaled stream: its request, its pieces so far, and the term that may append."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 class JournaledStream:
-    """The pieces of one answer; `size` is their rough size in memory, kept beside them.
+    """One journaled stream; owns its pieces. `size` approximates their bytes, one per character.
 
-    `backup` is the name of the node with the second copy, or None while there is none.
+    `backup` is the name of the node with the second copy, or None.
     """
 
     __slots__ = (
@@ -51,7 +51,7 @@
         self.is_running = False
 
     def replace_from(self, start: int, pieces: Sequence[str]) -> None:
-        """Put pieces from a position on; what stood there before goes."""
+        """Replace the pieces from position `start` on."""
         if start < len(self.pieces):
             self.size -= sum(map(len, self.pieces[start:]))
         self.pieces[start:] = pieces
@@ -59,7 +59,7 @@
             self.size += len(piece)
 
     def copy_with_term(self, now: float, term: Term) -> JournaledStream:
-        """Return the stream under a later term; this one can add no more to it."""
+        """Return a copy of the stream under a later term."""
         stream = JournaledStream(self.name, self.request, self.client_name, now, term)
         stream.replace_from(0, self.pieces)
         stream.has_ended = self.has_ended
--- a/quillring/edge/queue_wait.py
+++ b/quillring/edge/queue_wait.py
@@ -17,7 +17,7 @@
 
 
 class QueueWaitEstimator:
-    """The mean time for which a service's slots were held on this node.
+    """The mean time for which requests of each service occupied a slot on this node.
 
     An exponentially weighted moving average, in seconds, by service.
     """
@@ -29,7 +29,7 @@
         self.sample_counts: dict[str, int] = {}
 
     def record_hold_time(self, service: str, seconds: float) -> None:
-        """Take in how long a slot was held."""
+        """Add a sample: the seconds for which a slot was occupied."""
         mean = self.mean_seconds.get(service, seconds)
         self.mean_seconds = {
             **self.mean_seconds,
@@ -45,11 +45,11 @@
         limit: int | None,
         slots: int,
     ) -> float | None:
-        """Return the least seconds until the request's turn, or None when that is not known.
+        """Return a low estimate of the seconds until the request's turn, or None if unknown.
 
-        Counted are those before it, less the running ones that are preempted for it, over the
-        slots that its class has here; the estimate errs on the side of hope. Free slots count,
-        unless a grant of a core (`limit`) says how many are this class's.
+        The requests ahead of it, minus the running ones it may preempt and the free slots, are
+        divided by the slots of its class on this node. If a core granted the class a `limit`, that
+        replaces `slots`, and free slots do not count. Unknown: fewer than MIN_SAMPLES samples.
         """
         if self.sample_counts.get(request.service, 0) < MIN_SAMPLES:
             return None
--- a/quillring/edge/replica_snapshot.py
+++ b/quillring/edge/replica_snapshot.py
@@ -1,7 +1,7 @@
-"""The replicas as a store had them last, on disk: a fleet that lost all power knows them at once.
+"""A store's snapshot of the replica table on disk, for a fast restart of the complete fleet.
 
-The snapshot gives no guarantee: a restored replica counts as silent until its next heartbeat, and
-every request names the start of the replica that it is meant for.
+It is best effort: a restored replica is not alive until its next heartbeat, and every request names
+the incarnation of the replica that it is meant for.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 
 
 class SnapshotFile(NamedTuple):
-    """What one file holds: its generation, and the last announcement of each replica."""
+    """The content of one file: its generation, and the last announcement of each replica."""
 
     generation: int
     announcements: list[dict[str, Any]]
 
 
 class ReplicaSnapshot:
-    """The table of replicas in two files written in turn, each with a checksum."""
+    """Owns two snapshot files that are written alternately, each with a CRC-32 checksum."""
 
     __slots__ = ("node", "disk", "generation", "written_version")
 
@@ -42,7 +42,7 @@
         self.written_version = node.find("replicas").table_version
 
     def restore(self) -> None:
-        """Take the announcements of the newest readable file as old news."""
+        """Publish the announcements of the newest valid file in gossip."""
         files = [file for file in map(self._read, FILE_NAMES) if file is not None]
         if not files:
             return
@@ -58,7 +58,7 @@
         self.written_version = self.node.find("replicas").table_version
 
     def _read(self, name: str) -> SnapshotFile | None:
-        """Return what a file holds, or None when it is missing or damaged."""
+        """Return the content of a file, or None if it is missing or damaged."""
         data = self.disk.read(name)
         if data is None or len(data) < CHECKSUM_BYTES:
             return None
@@ -68,7 +68,7 @@
         return SnapshotFile._make(cbor2.loads(body))
 
     def run(self) -> Coroutine:
-        """Write the table when it has changed, at most twice a propagation bound."""
+        """Write the table, if it has changed, every half `bounds.propagation`."""
         while True:
             yield Sleep(self.node.bounds.propagation / 2)
             if self.written_version != self.node.find("replicas").table_version:
--- a/quillring/edge/replicas.py
+++ b/quillring/edge/replicas.py
@@ -1,4 +1,4 @@
-"""The table of replicas as this node sees them: their heartbeats, their silence, their ejection."""
+"""This node's table of replicas: heartbeats, failure detection by timeout, and ejection."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     from quillring.kernel.node import Node
 
     class Announcement(TypedDict):
-        """What a replica tells of itself, in the fields of HTTP and gossip."""
+        """The heartbeat of a replica as sent over HTTP and gossip."""
 
         name: str
         service: str
@@ -67,10 +67,10 @@
 
 
 class Replica:
-    """One replica as this node sees it.
+    """The state of one replica as known to this node.
 
-    The first announcement of a replica may be old (a node that just joined gets all news at once);
-    it counts as alive only from the second on.
+    The first announcement of a replica may be old, as a node that joins receives all updates at
+    once; the replica counts as alive only from the second one on.
     """
 
     __slots__ = (
@@ -115,7 +115,7 @@
             self.ejected_until = former.ejected_until
 
     def has_ended_before(self, announcement: Announcement) -> bool:
-        """Tell whether an announcement would bring back a start of the replica that has ended."""
+        """Return whether an announcement would revive an incarnation that has ended."""
         return (
             self.state in ENDED_STATES
             and announcement["state"] not in ENDED_STATES
@@ -123,7 +123,7 @@
         )
 
     def is_mere_heartbeat(self, announcement: Announcement, now: float) -> bool:
-        """Tell whether an announcement is only a sign of life: all else in it is known."""
+        """Return whether an announcement changes nothing but the heartbeat sequence."""
         return (
             self.incarnation == announcement["incarnation"]
             and self.service == announcement["service"]
@@ -136,15 +136,15 @@
         )
 
     def is_cold(self, now: float) -> bool:
-        """Tell whether the replica still warms up by its own last word."""
+        """Return whether the replica still warms up by its last announcement."""
         return now < self.cold_until
 
     def path(self, path: str, **parameters: Any) -> str:
-        """Return the path, with query, of a request meant for this very start of the replica."""
+        """Return a path whose query names this incarnation, which alone runs the request."""
         return f"{path}?{urlencode({**parameters, 'incarnation': self.incarnation})}"
 
     def to_json(self, now: float) -> dict[str, Any]:
-        """Return the replica as operators see it."""
+        """Return the JSON object of the replica for operators."""
         silent_seconds = min(now - self.last_heartbeat_at, MAX_SHOWN_SILENCE_SECONDS)
         return {
             "name": self.name,
@@ -160,7 +160,7 @@
 
 
 class ReplicaTable:
-    """All replicas by name, fed by heartbeats that any node took and gossip passed on."""
+    """All replicas by name; owns their state, updated by heartbeats here and by gossip."""
 
     __slots__ = (
         "node",
@@ -181,12 +181,12 @@
         node.find("gossip").subscribe("replica/", self._on_announcement)
 
     def on_heartbeat(self, announcement: Announcement) -> dict[str, bool]:
-        """Take a heartbeat that reached this node.
+        """Handle a heartbeat that a replica sent to this node.
 
         Raises
         ------
         BadRequest
-            It is malformed.
+            The heartbeat violates its schema.
         Conflict
             A later incarnation of the replica is known.
         """
@@ -210,7 +210,7 @@
         return {"taken": True}
 
     def _spread(self, announcement: Announcement) -> None:
-        """Put an announcement into gossip, and tell all nodes at once where it is new."""
+        """Publish an announcement in gossip; if it is new, also send it to all nodes directly."""
         key = f"replica/{announcement['name']}"
         version = [announcement["incarnation"], announcement["sequence"]]
         if self.node.find("gossip").publish(key, version, announcement):
@@ -218,7 +218,7 @@
                 self.node.send_oneway(name, "gossip.news", [[key, version, announcement]])
 
     def note_heartbeat(self, name: str, incarnation: int, sequence: int) -> None:
-        """Take a sign of life of a known start of a replica; an older one changes nothing."""
+        """Record a heartbeat of the known incarnation of a replica; ignore an older one."""
         known = self.table.get(name)
         if known is None or known.incarnation != incarnation or known.sequence >= sequence:
             return
@@ -250,7 +250,7 @@
         return self.table.get(name)
 
     def is_alive(self, name: str) -> bool:
-        """Tell whether a heartbeat of the replica came within its timeout."""
+        """Return whether a heartbeat of the replica came within `bounds.replica_timeout`."""
         replica = self.table.get(name)
         if replica is None:
             return False
@@ -258,7 +258,7 @@
         return silent_seconds < self.node.bounds.replica_timeout
 
     def is_usable(self, replica: Replica) -> bool:
-        """Tell whether a replica is alive and here to stay, in a zone that is not drained."""
+        """Return whether a replica is alive, not stopping, and in a zone that is not drained."""
         return (
             replica.state not in ENDED_STATES
             and self.is_alive(replica.name)
@@ -266,7 +266,7 @@
         )
 
     def may_receive_requests(self, replica: Replica) -> bool:
-        """Tell whether a request may go out to this start of a replica, silent or not."""
+        """Return whether a replica may be sent a request, whether alive or not."""
         known = self.table.get(replica.name)
         return (
             known is not None
@@ -276,20 +276,20 @@
         )
 
     def note_misdirected(self, replica: Replica) -> None:
-        """Note that another one answered at a replica's address: this one is gone for good."""
+        """Record that another replica answered at its address; it gets no more requests."""
         self.misdirected_names = self.misdirected_names | {replica.name}
         self.table_version += 1
 
     def is_available(self, replica: Replica) -> bool:
-        """Tell whether a replica may get new work: usable and not ejected."""
+        """Return whether a replica may get new requests: usable and not ejected."""
         return self.is_usable(replica) and self.node.now() >= replica.ejected_until
 
     def available(self, service: str) -> list[Replica]:
-        """Return the replicas of a service that may get new work now."""
+        """Return the replicas of a service that may get new requests now."""
         return [r for r in self.available_before(service, math.inf) if self.is_available(r)]
 
     def available_before(self, service: str, end_time: float) -> list[Replica]:
-        """Return the replicas of a service that may get new work now or before a time."""
+        """Return the usable replicas of a service whose ejection ends before `end_time`."""
         return [
             replica
             for replica in self.table.values()
@@ -299,13 +299,13 @@
         ]
 
     def note_full(self, replica: Replica) -> None:
-        """Keep new work for a moment from a replica that had no free slot left."""
+        """Send no new request for one gossip interval to a replica without a free slot."""
         known = self.table.get(replica.name)
         if known is not None:
             known.full_until = self.node.now() + self.node.bounds.gossip_interval
 
     def eject(self, replica: Replica) -> None:
-        """Keep new work from a replica that stalled or broke off, for one propagation bound."""
+        """Send no new request for `bounds.propagation` to a replica that stalled or failed."""
         known = self.table.get(replica.name)
         if known is not None and known.incarnation == replica.incarnation:
             known.ejected_until = self.node.now() + self.node.bounds.propagation
--- a/quillring/edge/resume_token.py
+++ b/quillring/edge/resume_token.py
@@ -1,4 +1,4 @@
-"""Resume tokens: signed with the fleet's secret, bound to one client, ending in time."""
+"""Resume tokens: authenticated with the fleet's secret, bound to one client, expiring."""
 
 from __future__ import annotations
 
@@ -22,28 +22,28 @@
 
 
 class BadToken(QuillringError):
-    """The resume token is not valid for this client; nothing more is disclosed."""
+    """The resume token is not valid for this client; the reason is not disclosed."""
 
     kind = "bad_token"
     status = 403
 
 
 class ResumeToken(NamedTuple):
-    """The stream that a token is for, and the term that it was served in."""
+    """The content of a token: its stream, and the term in which the client was served."""
 
     stream_name: str
     term: Term
 
 
 def make_token(secret: bytes, stream: JournaledStream, now: float) -> str:
-    """Return the token under which the stream's client may resume it."""
+    """Return a token with which the client of a stream may resume it."""
     body = cbor2.dumps([stream.name, list(stream.term), int(now) + LIFETIME_SECONDS])
     signature = _sign(secret, stream.client_name, body)
     return base64.urlsafe_b64encode(signature + body).decode().rstrip("=")
 
 
 def read_token(secret: bytes, token: str, client_name: str, now: float) -> ResumeToken:
-    """Return what a token says; BadToken where it is forged, another client's or too old."""
+    """Return the content of a token; BadToken if forged, of another client or expired."""
     try:
         data = base64.urlsafe_b64decode(token + "=" * (-len(token) % 4))
         signature, body = data[:SIGNATURE_BYTES], data[SIGNATURE_BYTES:]
@@ -58,7 +58,7 @@
 
 
 def _sign(secret: bytes, client_name: str, body: bytes) -> bytes:
-    """Return the MAC of a token's body; the name's length keeps name and body apart."""
+    """Return the truncated HMAC-SHA-256 (RFC 2104) of the length-prefixed name and the body."""
     encoded_name = client_name.encode()
     message = len(encoded_name).to_bytes(NAME_LENGTH_BYTES, "big") + encoded_name + body
     return hmac.new(secret, message, hashlib.sha256).digest()[:SIGNATURE_BYTES]
--- a/quillring/edge/short_requests.py
+++ b/quillring/edge/short_requests.py
@@ -1,7 +1,7 @@
-"""Short requests with one whole answer: an idempotent read, and a write that may not repeat.
+"""Short requests with one complete response: idempotent reads, and writes with a key.
 
-What a class of the layout promises decides whether a request may run again; the two handlers are
-the paths, under the names of their first users, by which clients reach such services.
+The class in the configuration decides whether a request may run again; the paths of the two
+handlers are named after their first users.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 
 @route("GET", "/v1/tiles/{entry}/{zoom}/{column}/{row}")
 def serve_idempotent_read(node: Node, request: Request) -> Coroutine:
-    """Serve one read, which may run again at another replica."""
+    """Serve an idempotent read, which may be retried at another replica."""
     words = request.words
     zoom, column, row = (read_count(words[name], name) for name in ("zoom", "column", "row"))
     path = f"/v1/tiles/{zoom}/{column}/{row}"
@@ -56,7 +56,7 @@
 
 @route("POST", "/v1/seats")
 def serve_keyed_write(node: Node, request: Request) -> Coroutine:
-    """Serve one write, which is sent once; the client may repeat the call under the same key."""
+    """Serve a write, which is sent once; the client may retry it with the same key."""
     check_body(KEYED_WRITE, request.body)
     body = {"key": request.body["key"], "seat": request.body["seat"], "sender": request.client_name}
     answer = yield from send_short_request(
@@ -74,23 +74,23 @@
     body: dict[str, Any] | None,
     affinity: str,
 ) -> Coroutine:
-    """Ask one replica; another only when that is allowed or the first got nothing.
+    """Send a request to a replica; retry if it did not run, or if it may run again.
 
     Parameters
     ----------
     kind
         The kind of service that the route must lead to.
     affinity
-        Requests of the same key go to the same replica while it has free slots.
+        Affinity key: requests with the same key prefer the same replica.
 
     Raises
     ------
     NotFound
         The route leads to a service of another kind.
     OutcomeUnknown
-        A replica broke off, and the request may not run again.
+        A replica failed, and the request may not run again or no other replica was free.
     Refused
-        No slot came free in time.
+        No slot became free before the deadline.
     """
     check_admission(node)
     route, service, promise = node.find("layout").route(route_name)
@@ -143,7 +143,7 @@
     end_time: float,
     is_repeatable: bool,
 ) -> Coroutine:
-    """Return the answer of the lease's replica; Busy or BackendError where it gives none."""
+    """Return the response body of the lease's replica; Busy or BackendError otherwise."""
     lease.may_still_run = True
     status, answer = yield FetchJson(
         lease.replica.address,
--- a/quillring/edge/slot_lease.py
+++ b/quillring/edge/slot_lease.py
@@ -1,4 +1,4 @@
-"""Leases of slots at replicas, and the requests that queue for one."""
+"""Leases of slots at replicas, and the requests queued for one."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 class SlotLease:
-    """The right to run one request on a replica; its slot may be wanted back (preemption).
+    """The right to run one request in a slot of a replica, until release or preemption.
 
-    `may_still_run` tells that the replica may be busy with the request after the lease ends.
+    `may_still_run` is True if the replica may still run the request after the lease ends.
     """
 
     __slots__ = (
@@ -44,7 +44,7 @@
         self.acquired_at: float = dispatcher.node.now()
 
     def release(self) -> None:
-        """Give the slot back, once; a cold replica first gets time to notice a break."""
+        """Release the slot once; at a cold replica with a delay if the request may still run."""
         if not self.is_held:
             return
         self.is_held = False
@@ -55,9 +55,9 @@
 
 
 class QueuedRequest:
-    """One request that queues for a slot; `signal` is set with its lease or its refusal.
+    """One request queued for a slot; `signal` is set with its SlotLease or a Refused.
 
-    `priority` sorts the queue: the urgent first, then in order of arrival.
+    `priority` orders the queue: by urgency, highest first, then first in, first out.
     """
 
     __slots__ = (
--- a/quillring/edge/stream_handlers.py
+++ b/quillring/edge/stream_handlers.py
@@ -1,4 +1,4 @@
-"""Streamed requests to models: numbered pieces, journaled before they are sent, resumable."""
+"""Streamed requests to models: numbered pieces, journaled before they are sent, and resumable."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
 
 @route("GET", "/v1/streams/{token}", query_words=("after",))
 def resume_stream(node: Node, request: Request) -> Coroutine:
-    """Serve what follows the last piece that the client has."""
+    """Serve a stream from the piece after the last one that the client has."""
     check_open(node)
     secret = node.find("ownership").founding()["secret"]
     token = read_token(
@@ -100,7 +100,7 @@
 
 
 def check_resumable(node: Node, route_name: str) -> None:
-    """Refuse to resume where the class forbids it, before anything about the stream changes."""
+    """Raise NotResumable if the class of the route forbids resuming; called before fencing."""
     route, _, promise = node.find("layout").route(route_name)
     if not may_resume(promise):
         raise NotResumable(class_name=route["class"])
@@ -114,7 +114,7 @@
 
 
 class ClientProgress:
-    """How far one response has gone out to its client."""
+    """The progress of one streamed response to its client; times in seconds of `clock`."""
 
     __slots__ = (
         "sent_count",
@@ -143,9 +143,9 @@
 
 
 def run_stream(node: Node, stream: JournaledStream, sent_count: int, end_time: float) -> Coroutine:
-    """Send what the journal holds, then go on at replicas until the end.
+    """Send the journaled pieces, then continue the stream at replicas until its end.
 
-    Before the head is out an error is raised; after that it is the last line of the stream.
+    An error is raised if no head was sent; otherwise it is sent as the last line of the stream.
     """
     secret = node.find("ownership").founding()["secret"]
     token = make_token(secret, stream, node.runtime.wall_time())
@@ -175,7 +175,7 @@
 
 
 def send_journaled(stream: JournaledStream, progress: ClientProgress) -> Coroutine:
-    """Send the pieces that two nodes hold and the client lacks."""
+    """Send the journaled pieces that the client has not been sent, after the head."""
     if not progress.has_head and (stream.has_ended or progress.sent_count < len(stream.pieces)):
         progress.has_head, progress.first_piece_at = True, progress.clock()
         yield SendToClient(progress.head)
@@ -192,16 +192,16 @@
     end_time: float,
     avoided_names: set[str],
 ) -> Coroutine:
-    """Run or continue the stream on one replica until it ends or breaks.
+    """Run or continue the stream on one replica until it ends, fails or is preempted.
 
     Raises
     ------
     Refused
-        No slot came free in time.
+        No slot became free before the deadline.
     OutcomeUnknown
-        The replica broke off, and the class forbids another attempt.
+        The replica failed, and the class forbids another attempt.
     TimedOut
-        The replica broke off, and no time is left.
+        The replica failed, and the deadline has passed.
     """
     route, service, promise = node.find("layout").route(stream.request["entry"])
     prefix = route.get("prefix", "")
@@ -258,7 +258,7 @@
 
 
 def check_before_sending(node: Node, replica: Replica, end_time: float) -> None:
-    """Refuse when this node slept, or things changed, since the replica was chosen."""
+    """Raise Refused or NotSent if the choice of the replica is no longer valid."""
     node.find("freshness").check()
     if node.now() >= end_time:
         raise Refused(reason="no time left")
@@ -267,7 +267,7 @@
 
 
 def check_line(line: Any, request_name: str, count: int) -> None:
-    """Refuse a replica's line unless it is the very next one of this request."""
+    """Raise BackendError unless a replica's line is the next one of this request."""
     if not isinstance(line, dict) or line.get("inquiry") != request_name:
         raise BackendError(reason="broken off" if line is None else "strange line")
     if line.get("end"):
@@ -286,9 +286,9 @@
     stall_seconds: float,
     end_time: float,
 ) -> Coroutine:
-    """Take the replica's numbered pieces, each one held by two nodes before it is sent.
+    """Relay the numbered pieces of a replica; each is replicated before it is sent.
 
-    Returns at the stream's end, or between two pieces when its slot is preempted.
+    Returns at the end of the stream, or between two pieces if its slot was preempted.
     """
     journal = node.find("journal")
     while True:
--- a/quillring/edge/stream_takeover.py
+++ b/quillring/edge/stream_takeover.py
@@ -1,4 +1,4 @@
-"""Takeover of a stream: the newest copy is found, its former term fenced, a second copy ensured."""
+"""Takeover of a stream: find the newest copy, fence earlier terms, ensure a second copy."""
 
 from __future__ import annotations
 
@@ -22,25 +22,25 @@
     served_term: Term,
     check: Callable[[FindReply], None],
 ) -> Coroutine:
-    """Find a stream wherever it is held, fence its former term, and return it to be run here.
+    """Find a stream on the reachable nodes, fence earlier terms, and return it to run here.
 
-    It is returned once a second node holds all of it: what a former runner could not replicate
-    before its error was never seen, and may not be seen before it is held twice.
+    It is returned once a backup has all of it: pieces that an earlier runner failed to replicate
+    were never sent to the client, and must be replicated before they are.
 
-    A holder may be left with an older term that went its own way; the newest term counts, and one
-    older than `served_term`, in which the client was served, is as good as none.
+    A node may have a stale copy under an older term, which may have diverged; the newest term wins,
+    and copies older than `served_term`, in which the client was served, are ignored.
 
     Parameters
     ----------
     check
-        May raise, before anything is fenced, by what one holder tells.
+        Called with the reply of one holder before anything is fenced; may raise.
 
     Raises
     ------
     NotFound
-        No node holds the stream for this client.
+        No node has the stream for this client.
     Refused
-        A node that may hold it, or its newest copy, is out of reach.
+        A node that may have the stream, or its newest copy, is unreachable.
     """
     found = yield from _find_holders(journal, StreamQuery(name, client_name))
     check(next(iter(found.values())))
@@ -62,7 +62,7 @@
 
 
 def _find_holders(journal: Journal, query: StreamQuery) -> Coroutine:
-    """Return {node: FindReply} of all nodes that hold the stream; there is at least one."""
+    """Return {node: FindReply} of the nodes with the stream; NotFound or Refused if none."""
     nifty = journal.node.find("nifty")
     possible_holders = journal.possible_holders()
     names = [name for name in possible_holders if nifty.reaches(name)]
@@ -95,6 +95,6 @@
 
 
 def ensure_backup(journal: Journal, stream: JournaledStream) -> Coroutine:
-    """Return once a second node holds the whole stream."""
+    """Replicate the complete stream to a second node if it has no backup."""
     if stream.backup is None:
         yield from journal.append(stream, ())
--- a/quillring/forward/attempt.py
+++ b/quillring/forward/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: a request sent to one replica, and what its response says about having run."""
+"""One attempt: send a request to one replica, and classify whether it ran."""
 
 from __future__ import annotations
 
@@ -38,18 +38,18 @@
     Parameters
     ----------
     end_time
-        The node's time, in seconds, at which the client waits no more.
+        Deadline of the request, in seconds of the node's clock.
     may_reuse
-        The request may run again: only then does it go out on a kept connection, and if that had
-        died it is sent once more on a new one, with the replica and the time left looked at anew.
+        The request may run again. Only then is an idle connection used; if that was dead, the
+        request is sent once more on a new one, after the replica and the deadline are rechecked.
     first_byte_timeout
-        Seconds after which a replica from which nothing at all came is left; one that answers
-        other requests gets four times as long.
+        Seconds without any response byte until a replica is given up; BUSY_TIMEOUT_FACTOR times
+        as long if it responds to other requests.
 
     Raises
     ------
     NotSent
-        Nothing reached the replica.
+        The request did not run.
     BackendError
         The request may have run.
     """
@@ -72,10 +72,10 @@
     end_time: float,
     first_byte_timeout: float | None,
 ) -> Coroutine:
-    """Send once more what a dead connection may have brought to the replica.
+    """Retry, on a new connection, a request that a dead connection may have delivered.
 
-    Whatever the second sending comes to, the request may have run: neither NotSent nor the
-    replica's word of not having run it is passed on.
+    The first delivery may have run whatever the retry returns, so NotSent and a "not run" response
+    become BackendError.
     """
     fields = (node, replica, request, last_event_id, urgency, end_time)
     try:
@@ -99,7 +99,7 @@
     may_reuse: bool,
     first_byte_timeout: float | None,
 ) -> Coroutine:
-    """Send the request on one connection and return the handle once the head is there."""
+    """Send the request on one connection and return the handle once the head is read."""
     if not node.find("replicas").may_receive_requests(replica):
         raise NotSent(replica=replica.name, reason="left")
     header_names = node.find("dialect")
@@ -122,7 +122,7 @@
 def wait_for_head(
     node: Node, replica: Replica, handle: Any, end_time: float, first_byte_timeout: float | None
 ) -> Coroutine:
-    """Return once the head is there; BackendError when it is not in time."""
+    """Return once the head is read; BackendError after the timeout."""
     if not first_byte_timeout:
         yield ReadHead(handle, end_time - node.now() + GRACE_SECONDS)
         return
@@ -140,16 +140,16 @@
 
 
 def note_if_misdirected(node: Node, replica: Replica, handle: Any) -> None:
-    """Note it where another replica answered at the address."""
+    """Record a 421 response: another replica answered at the address."""
     if handle.status == MISDIRECTED_REQUEST:
         node.find("replicas").note_misdirected(replica)
 
 
 def is_not_run(header_names: HeaderNames, handle: Any) -> bool:
-    """Tell whether the replica says that it did not run the request and never will."""
+    """Return whether the replica states that it did not run the request and never will."""
     return handle.status == MISDIRECTED_REQUEST or header_names.not_run in handle.headers
 
 
 def is_sealed(header_names: HeaderNames, handle: Any) -> bool:
-    """Tell whether the response bears its replica's seal."""
+    """Return whether the response has the seal header, which marks it as the replica's own."""
     return header_names.seal in handle.headers
--- a/quillring/forward/events.py
+++ b/quillring/forward/events.py
@@ -1,4 +1,4 @@
-"""Server-sent events: split from a byte stream, checked for their order, never passed on in part.
+"""Server-sent events: split from a byte stream, checked for order, forwarded only completely.
 
 Source: the event stream format of the HTML standard, section "Server-sent events".
 """
@@ -13,7 +13,7 @@
 
 
 class Event:
-    """One event: its id (None when it has none), its data lines and its raw bytes."""
+    """One event: its numeric id or None, its data lines and its raw bytes."""
 
     __slots__ = ("id", "data", "raw")
 
@@ -31,7 +31,7 @@
 
 
 class EventReader:
-    """Splits the bytes of a stream into whole events; ids rise by one from `last_event_id` on."""
+    """Splits a byte stream into complete events; ids must increase by one from `last_event_id`."""
 
     __slots__ = ("unparsed", "last_event_id")
 
@@ -40,12 +40,12 @@
         self.last_event_id = last_event_id
 
     def feed(self, data: bytes) -> list[Event]:
-        """Return the events that the bytes complete.
+        """Return the events that are complete with these bytes.
 
         Raises
         ------
         BackendError
-            An event's id does not follow the one before it.
+            An event's id is not the previous id plus one.
         """
         events = [Event(raw) for raw in self._split(self.unparsed + data)]
         for event in events:
@@ -57,7 +57,7 @@
         return events
 
     def _split(self, data: bytes) -> list[bytes]:
-        """Return the bytes of each whole event and keep the incomplete rest."""
+        """Return the bytes of each complete event and keep the rest in `unparsed`."""
         if b"\r" not in data:
             *blocks, self.unparsed = data.split(b"\n\n")
             return [block + b"\n\n" for block in blocks]
@@ -66,5 +66,5 @@
 
     @property
     def is_at_event_boundary(self) -> bool:
-        """True when no part of an event is left over."""
+        """Return whether no part of an event is pending."""
         return not self.unparsed.strip()
--- a/quillring/forward/header_names.py
+++ b/quillring/forward/header_names.py
@@ -1,4 +1,4 @@
-"""The header names under which a request's id, its replica, its seal and so on travel."""
+"""The configurable names of the headers that the product exchanges with clients and replicas."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class HeaderNames:
-    """Header names in lower case; the product has its own, an outside system gives its own."""
+    """Header names in lower case; names not given keep their defaults."""
 
     __slots__ = tuple(DEFAULT_HEADER_NAMES)
 
--- a/quillring/forward/load_balancer.py
+++ b/quillring/forward/load_balancer.py
@@ -1,4 +1,4 @@
-"""Which replica gets a request: prompt-cache affinity, least load, outlier ejection, slow start."""
+"""Load balancing: prompt-cache affinity, least load, outlier ejection, slow start."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class InFlightRequest:
-    """A request in flight at a replica: counted in its load until it is finished."""
+    """A request in flight at a replica, counted in the load of the replica until `finish`."""
 
     __slots__ = (
         "load_balancer",
@@ -53,7 +53,7 @@
         health.pending_prompt_tokens += token_count
 
     def note_response_bytes(self) -> None:
-        """Note bytes of the response: the replica works, and the prompt is processed."""
+        """Record response bytes: the replica is healthy, and the prompt is processed."""
         self.health.last_byte_at = self.load_balancer.node.now()
         self.health.consecutive_failures = 0
         self.health.has_trial_request = False
@@ -62,7 +62,7 @@
             self.health.pending_prompt_tokens -= self.token_count
 
     def finish(self) -> None:
-        """Take the request out of the replica's load; a second call changes nothing."""
+        """Remove the request from the load of the replica; idempotent."""
         if self.is_over:
             return
         self.is_over = True
@@ -74,7 +74,7 @@
 
 
 class LoadBalancer:
-    """The health of the replicas by this node's own requests, and the choice among them."""
+    """Chooses replicas for requests; owns their health as observed by this node's requests."""
 
     __slots__ = (
         "node",
@@ -97,13 +97,13 @@
         node.find("replicas").on_change.append(self.wake)
 
     def wake(self) -> None:
-        """Wake the requests that are queued for a replica."""
+        """Wake all requests that wait for a replica."""
         if self.changed.watchers:
             changed_signal, self.changed = self.changed, Signal()
             changed_signal.set()
 
     def health(self, replica: Replica) -> ReplicaHealth:
-        """Return a replica's health; that of replicas no longer known is dropped meanwhile."""
+        """Return the health of a replica; a first call drops that of replicas no longer known."""
         health = self.health_by_replica.get(replica.name)
         if health is None:
             known = self.node.find("replicas").table
@@ -138,7 +138,7 @@
         avoided_names: Collection[str] = (),
         may_send_cold: bool = True,
     ) -> Replica | None:
-        """Return the replica for a request, or None when none may be sent it now."""
+        """Return the replica for a request, or None if none may get it now."""
         now = self.node.now()
         candidates = [r for r in self.replicas(service) if r.name not in avoided_names]
         if not candidates:
@@ -155,7 +155,7 @@
         return None
 
     def _prefer(self, candidates: Sequence[Replica], request: Request) -> Replica:
-        """Return the replica likely to have the prompt cached, else the least loaded one."""
+        """Return a replica likely to have the prompt prefix cached, else the least loaded one."""
         long_parts = [
             name for name, count in request.prompt_parts[:-1] if count >= AFFINITY_MIN_TOKENS
         ]
@@ -167,7 +167,7 @@
         return min(candidates, key=self._load)
 
     def _load(self, replica: Replica) -> float:
-        """Return the load per slot, with a penalty for another zone and a random spread."""
+        """Return the load per slot, plus a penalty for another zone and a random jitter."""
         health = self.health(replica)
         is_other_zone = replica.zone != self.node.me.zone
         load = health.in_flight + health.pending_prompt_tokens / TOKENS_PER_REQUEST
@@ -176,17 +176,17 @@
         return load / replica.slots * LOAD_SCALE + penalty + spread
 
     def start_request(self, replica: Replica, request: Request) -> InFlightRequest:
-        """Count a request that goes to the replica now in its load."""
+        """Add a request to the load of a replica; after a failure it is the trial request."""
         health = self.health(replica)
         if health.consecutive_failures:
             health.has_trial_request = True
         return InFlightRequest(self, health, replica, request.prompt_tokens)
 
     def record_failure(self, replica: Replica, is_certain: bool) -> None:
-        """Note a failed request; a replica that is down for certain is ejected at once."""
+        """Record a failed request; a failure with `is_certain` ejects the replica at once."""
         self.health(replica).record_failure(self.node.now(), is_certain, self.node.bounds)
         self.wake()
 
     def is_unresponsive(self, replica: Replica, seconds: float) -> bool:
-        """Tell whether no byte came from a replica, on any request of this node, for so long."""
+        """Return whether no request of this node got a byte from the replica for `seconds`."""
         return self.node.now() - self.health(replica).last_byte_at >= seconds
--- a/quillring/forward/queueing.py
+++ b/quillring/forward/queueing.py
@@ -1,4 +1,4 @@
-"""Queueing for a replica: short, and refused with a retry-after as soon as it is hopeless."""
+"""Queueing for a replica: bounded by a share of the latency goal, then refused."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 
 def retry_after_seconds(node: Node, progress: RequestProgress) -> float:
-    """Return after how many seconds to retry: a fourth of the time that is left."""
+    """Return the seconds for Retry-After: a quarter of the time until the deadline."""
     return max(MIN_RETRY_AFTER_SECONDS, (progress.end_time - node.now()) / 4)
 
 
 def choose_replica(
     load_balancer: LoadBalancer, service: str, request: Request, progress: RequestProgress
 ) -> Replica | None:
-    """Return a replica not tried yet; for a stream that has begun, one tried before will do."""
+    """Return an untried replica; once a stream has begun, a tried one if there is no other."""
     replica = load_balancer.choose(service, request, progress.avoided_names)
     if replica is None and progress.avoided_names and progress.has_head:
         return load_balancer.choose(service, request)
@@ -46,15 +46,15 @@
     progress: RequestProgress,
     arrived_at: float,
 ) -> Coroutine:
-    """Return a replica for the request once there is one.
+    """Wait for a replica for the request and return it.
 
-    A stream that has begun, whose client has pieces already, queues until its end. Nothing is
-    chosen once the request's time is over: no attempt could follow.
+    The wait is limited to QUEUE_TIMEOUT_SHARE of the latency goal after arrival, or to the deadline
+    for a stream that has begun. No replica is chosen after the deadline.
 
     Raises
     ------
     Refused
-        No replica became free within the queue timeout.
+        No replica became available within that time.
     """
     load_balancer = node.find("placement")
     queue_until = progress.end_time
--- a/quillring/forward/replica_health.py
+++ b/quillring/forward/replica_health.py
@@ -1,4 +1,4 @@
-"""Load and health of one replica as this node's own requests show them (outlier detection)."""
+"""Load and health of one replica as observed by this node's requests (outlier detection)."""
 
 from __future__ import annotations
 
@@ -13,15 +13,16 @@
 
 
 def has_missed_heartbeats(replica: Replica, now: float, seconds: float) -> bool:
-    """Tell whether no heartbeat came for so long; a replica only just learnt of has time yet."""
+    """Return whether `seconds` have passed since the last heartbeat or first sight of a replica."""
     return now - max(replica.last_heartbeat_at, replica.first_seen_at) >= seconds
 
 
 class ReplicaHealth:
     """Requests in flight, prompt tokens not processed yet, and failures in a row.
 
-    A replica that fails twice in a row, or once for certain, is ejected for a while; after that a
-    single trial request at a time tells whether it is well again (a half-open circuit breaker).
+    Two failures in a row, or a certain one, eject the replica, with exponential backoff up to twice
+    `bounds.propagation`. After that one trial request at a time shows whether it has recovered (a
+    half-open circuit breaker).
     """
 
     __slots__ = (
@@ -42,11 +43,11 @@
         self.last_byte_at = 0.0
 
     def may_get_request(self, now: float) -> bool:
-        """Tell whether the replica is neither ejected nor busy with its trial request."""
+        """Return whether the replica is neither ejected nor busy with its trial request."""
         return now >= self.ejected_until and not self.has_trial_request
 
     def record_failure(self, now: float, is_certain: bool, bounds: Bounds) -> None:
-        """Note a failure; the second in a row, or a certain one, ejects the replica."""
+        """Record a failure; the second in a row, or a certain one, ejects the replica."""
         self.consecutive_failures += CERTAIN_FAILURE_WEIGHT if is_certain else 1
         self.has_trial_request = False
         if self.consecutive_failures > 1:
--- a/quillring/forward/request.py
+++ b/quillring/forward/request.py
@@ -1,4 +1,4 @@
-"""One request to be forwarded, and the bytes in which it goes to a replica."""
+"""One request to be forwarded, and its serialization for a replica."""
 
 from __future__ import annotations
 
@@ -32,23 +32,23 @@
 
 
 class PromptPart(NamedTuple):
-    """A part of a prompt that other requests may share, and its length."""
+    """A part of a prompt that other requests may share, and its length in tokens."""
 
     name: str
     token_count: int
 
 
 class TokenCounts(NamedTuple):
-    """Tokens of the prompt, and the most that the answer may have; 0 where nothing is said."""
+    """Tokens of the prompt, and the maximum number of output tokens; 0 if not given."""
 
     prompt: int
     max_output: int
 
 
 class Request:
-    """Method, target, host, headers and body as they came, and what they say of the prompt.
+    """Method, target, host, headers and body as received, and the prompt metadata in them.
 
-    `prompt_parts` are in order; the last one is the request's own.
+    `prompt_parts` are in order; the last one belongs to this request alone.
     """
 
     __slots__ = (
@@ -101,7 +101,7 @@
         urgency: int | None,
         last_event_id: int | None,
     ) -> bytes:
-        """Return the request as HTTP/1.1 bytes for one replica."""
+        """Serialize the request as HTTP/1.1 for one replica."""
         lines = [f"{self.method} {self.target} HTTP/1.1"]
         lines.extend(f"{name}: {value}" for name, value in self.header_pairs)
         lines.append(f"{header_names.replica}: {replica_name}")
@@ -116,7 +116,7 @@
 
 
 def hop_by_hop_headers(headers: Mapping[str, str]) -> set[str] | frozenset[str]:
-    """Return the names of the headers that are not passed on, those `Connection` lists included."""
+    """Return the names of the headers not to forward, with those that `Connection` lists."""
     connection = headers.get("connection")
     if not connection:
         return HOP_BY_HOP_HEADERS
@@ -124,7 +124,7 @@
 
 
 def parse_number(text: str | None) -> int | None:
-    """Return the whole number that a header gives, or None."""
+    """Return the non-negative integer of a header value, or None if it is malformed."""
     text = (text or "").strip()
     return int(text) if text.isascii() and text.isdigit() and len(text) <= MAX_DIGITS else None
 
@@ -138,6 +138,6 @@
 
 
 def parse_token_counts(text: str) -> TokenCounts:
-    """Return the counts of `prompt tokens, most output tokens`."""
+    """Return the counts of `prompt tokens, maximum output tokens`; 0 for a malformed one."""
     prompt, _, max_output = text.partition(",")
     return TokenCounts(parse_number(prompt) or 0, parse_number(max_output) or 0)
--- a/quillring/forward/request_handler.py
+++ b/quillring/forward/request_handler.py
@@ -1,4 +1,4 @@
-"""The path of a forwarded request through a node, read top to bottom."""
+"""The handling of a forwarded request: wait for a replica, attempt, respond or retry."""
 
 from __future__ import annotations
 
@@ -38,14 +38,14 @@
 
 
 def urgency_of(route: ForwardRoute, request: Request) -> int:
-    """Return the urgency a replica is told: short questions before long ones, by rank."""
+    """Return the urgency sent to a replica: by rank of the route, short prompts first."""
     is_long = request.prompt_tokens >= LONG_PROMPT_TOKENS
     rank = min(route.urgency, len(URGENCY_BY_RANK) - 1)
     return min(MAX_URGENCY, URGENCY_BY_RANK[rank] + is_long)
 
 
 def end_time_of(route: ForwardRoute, request: Request, arrived_at: float) -> float:
-    """Return when the request is worth nothing more: its deadline or the route's timeout."""
+    """Return the end time: the deadline of the request or the timeout of the route, if earlier."""
     seconds = route.timeout_seconds
     if request.deadline_ms is not None:
         seconds = min(seconds, request.deadline_ms / 1000)
@@ -53,9 +53,9 @@
 
 
 def check_ready(node: Node) -> None:
-    """Refuse requests while no layout is known yet, and while the node is closing.
+    """Raise Refused while no configuration is known, or while the node is closing.
 
-    A node that just started can't tell what there is; one that closes might have to cut them.
+    A node that just started does not know the routes; one that closes might abort the request.
     """
     if node.is_closing:
         raise Refused(reason="closing", come_back_s=node.bounds.gossip_interval)
@@ -66,7 +66,7 @@
 def forward_request(
     node: Node, route: ForwardRoute, request: Request, arrived_at: float
 ) -> Coroutine:
-    """Pass a request on; emits head and bytes of a stream, or returns a whole Response."""
+    """Forward a request; emit the head and bytes of a stream, or return a complete Response."""
     progress = RequestProgress(end_time_of(route, request, arrived_at), request.last_event_id)
     service = route.pick_service(request.id or request.target)
     while True:
@@ -129,7 +129,7 @@
     handle: Any,
     in_flight_request: InFlightRequest,
 ) -> Coroutine:
-    """Judge the head of a response and take its body; BackendError where it is none."""
+    """Check the head of a response and forward its body; BackendError if it is invalid."""
     header_names = node.find("dialect")
     if is_not_run(header_names, handle):
         handle_not_run(node, route, progress, handle, in_flight_request.replica)
@@ -148,10 +148,10 @@
 
 
 def check_head(header_names: HeaderNames, handle: Any) -> None:
-    """Refuse a success without a seal, and a "not run" status without the replica's word for it.
+    """Raise BackendError for a success without a seal, or a status that falsely means "not run".
 
-    A client takes NOT_RUN_STATUSES for the word that its request has not run; without that word of
-    the replica it may have.
+    Clients take NOT_RUN_STATUSES to mean that their request did not run; without the "not run"
+    header of the replica it may have run.
     """
     if handle.status in SUCCESSES and not is_sealed(header_names, handle):
         raise BackendError(reason="no seal")
@@ -162,9 +162,9 @@
 def handle_not_run(
     node: Node, route: ForwardRoute, progress: RequestProgress, handle: Any, replica: Replica
 ) -> None:
-    """Note that a replica did not run the request; Refused when no other may be asked.
+    """Record that a replica did not run the request; Refused if no attempt is left.
 
-    A stream that has begun may be offered to further replicas: those that refused it ran nothing.
+    A stream that has begun may exceed the limit, as replicas that refused it ran nothing.
     """
     progress.avoided_names.add(replica.name)
     note_if_misdirected(node, replica, handle)
@@ -174,7 +174,7 @@
 
 
 def check_no_head(progress: RequestProgress, response: Response) -> Response:
-    """Return the response; where a stream's head is out already, nothing can follow it."""
+    """Return the response; OutcomeUnknown if the head of a stream was already sent."""
     if progress.has_head:
         raise OutcomeUnknown(reason="a failure amid the stream")
     return response
--- a/quillring/forward/response.py
+++ b/quillring/forward/response.py
@@ -1,4 +1,4 @@
-"""A replica's response on its way to the client: whole, or streamed event by event."""
+"""Forwarding of a replica's response: complete, or streamed event by event."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Response(NamedTuple):
-    """Status, headers and body for the client; a stream's first piece has the same form."""
+    """Status, headers and body for the client; of a stream, its first bytes as the body."""
 
     status: int
     header_pairs: list[tuple[str, str]]
@@ -34,13 +34,13 @@
 
 
 def passed_headers(headers: Mapping[str, str]) -> list[tuple[str, str]]:
-    """Return the header pairs of a replica's response that are passed on."""
+    """Return the header pairs of a response without the hop-by-hop headers (RFC 9110, 7.6.1)."""
     removed = hop_by_hop_headers(headers)
     return [(name, value) for name, value in headers.items() if name not in removed]
 
 
 def read_response(node: Node, progress: RequestProgress, handle: Any) -> Coroutine:
-    """Read the whole body; returns a Response."""
+    """Read the complete body and return a Response; BackendError if it is cut or late."""
     parts: list[bytes] = []
     while True:
         part = yield ReadBody(handle, progress.end_time - node.now() + GRACE_SECONDS)
@@ -56,7 +56,7 @@
     handle: Any,
     in_flight_request: InFlightRequest,
 ) -> Coroutine:
-    """Pass whole events on as they come, until the stream's proper end."""
+    """Forward complete events as they arrive, until the complete end of the stream."""
     reader = EventReader(progress.last_event_id)
     while True:
         data = yield from next_part(node, route, progress, handle, in_flight_request)
@@ -75,7 +75,7 @@
 
 
 def emit_stream(progress: RequestProgress, handle: Any, data: bytes) -> Coroutine:
-    """Emit bytes of a stream, the first ones together with its head."""
+    """Emit bytes of a stream; the first ones together with its head."""
     if progress.has_head:
         yield SendToClient(data)
         return
@@ -90,7 +90,7 @@
     handle: Any,
     in_flight_request: InFlightRequest,
 ) -> Coroutine:
-    """Return the next bytes; a silent replica is left while another may go on in time."""
+    """Return the next bytes, or None at the end; BackendError if the replica stalls."""
     timeout = route.gap_goal_seconds * SILENCE_TIMEOUT_FACTOR
     while True:
         seconds_left = progress.end_time - node.now() + GRACE_SECONDS
--- a/quillring/forward/retry.py
+++ b/quillring/forward/retry.py
@@ -1,4 +1,4 @@
-"""How far one forwarded request has come, and whether another replica may be asked."""
+"""Progress of a forwarded request, and whether it may be retried at another replica."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 class RequestProgress:
-    """How far one request has come: attempts made, replicas to avoid, what the client has.
+    """The progress of one request: attempts made, replicas to avoid, what the client has.
 
-    `attempts` counts the replicas that the request may have reached, those that said they did not
-    run it included; only an attempt that provably reached nothing is not counted.
+    `attempts` counts the attempts that may have reached a replica, including those with a "not run"
+    response; attempts that ended in NotSent are not counted.
     """
 
     __slots__ = (
@@ -46,9 +46,9 @@
 
 
 class AttemptOutcome(NamedTuple):
-    """What an attempt came to: the end of the request with its response, or another attempt.
+    """The result of an attempt: final, with the response if it is not sent yet, or retry.
 
-    A stream that was passed on to its end is final without a response.
+    A stream that was forwarded to its end is final without a response.
     """
 
     is_final: bool
@@ -60,14 +60,14 @@
 
 
 def first_byte_timeout(node: Node, route: ForwardRoute, progress: RequestProgress) -> float | None:
-    """Return after how many seconds of silence a replica is left, or None if none may follow."""
+    """Return the seconds to wait for the first byte, or None if no retry is possible."""
     if not may_retry(node, route, progress):
         return None
     return route.gap_goal_seconds * SILENCE_TIMEOUT_FACTOR
 
 
 def may_retry(node: Node, route: ForwardRoute, progress: RequestProgress) -> bool:
-    """Tell whether another replica may be asked after one that may have run the request."""
+    """Return whether a request that may have run may be retried at another replica."""
     is_in_time: bool = node.now() < progress.end_time
     return route.is_retryable and progress.attempts < route.max_attempts and is_in_time
 
@@ -75,7 +75,7 @@
 def check_may_retry(
     node: Node, route: ForwardRoute, progress: RequestProgress, error: BackendError
 ) -> None:
-    """Raise OutcomeUnknown unless another replica may be asked after a failed attempt."""
+    """Raise OutcomeUnknown unless the request may be retried after a failed attempt."""
     if not route.is_retryable:
         raise OutcomeUnknown(reason="the replica broke off") from error
     if not may_retry(node, route, progress):
@@ -85,7 +85,7 @@
 def record_failed_attempt(
     node: Node, progress: RequestProgress, replica: Replica, error: BackendError, is_certain: bool
 ) -> None:
-    """Avoid the replica from now on for this request, and note the failure in its health."""
+    """Exclude the replica from this request, and record the failure in its health."""
     reason = error.detail.get("reason", "")
     node.count(f"forward_{error.kind}_{reason}")
     progress.avoided_names.add(replica.name)
--- a/quillring/forward/route_table.py
+++ b/quillring/forward/route_table.py
@@ -1,4 +1,4 @@
-"""Which forwarding route a request matches: by host and longest path prefix."""
+"""Matching of requests to forwarding routes: by host and longest path prefix."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 class ForwardRoute:
-    """One forwarding route of the layout (an entry of `forwards`), as the request path reads it.
+    """One forwarding route of the configuration (an entry of `forwards`).
 
-    `latency_goal_seconds` is the goal for the first byte, `gap_goal_seconds` the one between two
-    pieces of a stream, `timeout_seconds` the longest that a request is held.
+    `latency_goal_seconds` is the goal for the first byte, `gap_goal_seconds` the goal between two
+    pieces of a stream, `timeout_seconds` the longest time from arrival to the end of a request.
     """
 
     __slots__ = (
@@ -63,11 +63,11 @@
 
     @property
     def is_retryable(self) -> bool:
-        """True where a request may run again after a replica may have begun it."""
+        """Return whether a request may run again after a replica may have started it."""
         return self.kind == REPEATABLE or (self.kind == STREAM and self.is_resumable)
 
     def pick_service(self, key: str) -> str:
-        """Return the service that the weights give to a request of this key."""
+        """Return the service for a key: a hash of it, split in proportion to the weights."""
         if len(self.split) == 1:
             return self.split[0].service
         total = sum(weight for _, weight in self.split)
@@ -80,7 +80,7 @@
 
 
 class ForwardRouteTable:
-    """Routes by host and longest prefix; built anew, and swapped whole, with each layout."""
+    """Owns the routes by host and prefix; rebuilds them when the configuration changes."""
 
     __slots__ = ("node", "configuration", "by_host", "by_name")
 
@@ -106,12 +106,12 @@
         self.configuration = configuration
 
     def is_empty(self) -> bool:
-        """Tell whether no layout with forwarding routes is known yet."""
+        """Return whether no configuration with forwarding routes is known."""
         self._rebuild_if_changed()
         return not self.by_name
 
     def find(self, host: str, target: str) -> ForwardRoute | None:
-        """Return the route with the longest prefix that begins the target's path, or None."""
+        """Return the route with the longest prefix of the path of the target, or None."""
         self._rebuild_if_changed()
         host = host.lower()
         prefixes = self.by_host.get(host)
--- a/quillring/forward/slow_start.py
+++ b/quillring/forward/slow_start.py
@@ -1,7 +1,7 @@
-"""Slow start: a request rate limit for a cold replica, kept by the whole fleet without messages.
+"""Slow start: a fleet-wide request rate limit for a cold replica, without coordination messages.
 
 A few nodes, chosen by rendezvous hashing, may send to a cold replica; each has an equal share of
-the rate that it bears. Nodes whose rosters differ for a moment differ in few of the chosen.
+its rate. Nodes whose rosters differ temporarily differ in few of the chosen nodes.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class SlowStart:
-    """This node's own share of each cold replica's request rate."""
+    """Limits the rate of this node's requests to each cold replica; owns its share of the rate."""
 
     __slots__ = ("node", "next_at_by_replica", "rate_shares", "inputs")
 
@@ -31,7 +31,7 @@
         self.inputs: tuple[Any, Any, Any] | None = None
 
     def try_acquire(self, replica: Replica, now: float) -> bool:
-        """Take one request's worth of the rate; False when there is none left now."""
+        """Reserve one request within the rate; return False if the rate is exceeded."""
         rate = self.rate_share(replica)
         if rate <= 0:
             return False
@@ -45,7 +45,7 @@
         return True
 
     def rate_share(self, replica: Replica) -> float:
-        """Return how many requests a second this node may send to a cold replica."""
+        """Return the requests per second that this node may send to a cold replica."""
         nifty, configuration = self.node.find("nifty"), self.node.find("layout").configuration
         inputs = (nifty.graph, nifty.roster, configuration)
         if self.inputs is None or any(old is not new for old, new in zip(self.inputs, inputs)):
--- a/quillring/forward/types.py
+++ b/quillring/forward/types.py
@@ -1,4 +1,4 @@
-"""What forwarding needs of a replica, whoever keeps the table of replicas; for annotations only."""
+"""The protocol of a replica as forwarding uses it; imported for type checking only."""
 
 from __future__ import annotations
 
@@ -19,5 +19,5 @@
     first_seen_at: float
 
     def is_cold(self, now: float) -> bool:
-        """Tell whether the replica still warms up."""
+        """Return whether the replica still warms up."""
         ...
--- a/quillring/kernel/__init__.py
+++ b/quillring/kernel/__init__.py
@@ -1,4 +1,4 @@
-"""The micro-kernel: services by name, plug-ins by registry, effects, settings, ring log."""
+"""The micro-kernel: named services, plug-in registry, effects, settings and the ring-buffer log."""
 
 from quillring.kernel.effects import (
     FetchJson,
--- a/quillring/kernel/backend.py
+++ b/quillring/kernel/backend.py
@@ -1,6 +1,6 @@
-"""HTTP/1.1 + JSON towards back ends, by geventhttpclient.
+"""The client side of HTTP/1.1 + JSON towards replicas, by geventhttpclient.
 
-Addresses are IP numbers, so the resolver has nothing to wait for and needs no threads.
+Addresses are IP addresses, so a blocking resolver never waits and needs no thread pool.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class Handle:
-    """An open streamed answer."""
+    """An open streamed response; owns its HTTP connection."""
 
     __slots__ = ("client", "response", "status", "kept")
 
@@ -39,7 +39,7 @@
         self.kept = b""
 
     def close(self) -> None:
-        """Close the connection, which tells the replica to stop."""
+        """Close the connection; the replica cancels the request when it sees that."""
         self.client.close()
 
 
@@ -61,10 +61,10 @@
 
 
 def send_once(client: Any) -> None:
-    """Keep the library from sending GET and DELETE up to three times after a close or a reset.
+    """Disable the library's own retries of GET and DELETE after a close or a reset.
 
-    It allows as many sendings beyond the first as its pool has places, and one more; no setting
-    of its own turns that off.
+    It retries as many times as its pool has places, plus one; it has no setting that turns this
+    off, so the size of the pool is set to -1.
     """
     client._connection_pool.size = SENDINGS_BEYOND_THE_FIRST - 1
 
@@ -75,7 +75,7 @@
 
 
 class Idle:
-    """Connections kept open between requests that may repeat, the latest used again first."""
+    """At most `room` idle connections for requests that may be sent twice; reused LIFO."""
 
     __slots__ = ("clients", "room")
 
@@ -84,14 +84,14 @@
         self.room = room
 
     def take(self, address: Address) -> Any:
-        """Return a client that is connected to the address, or None."""
+        """Take out and return a client connected to the address, or None."""
         for number in range(len(self.clients) - 1, -1, -1):
             if self.clients[number][0] == address:
                 return self.clients.pop(number)[1]
         return None
 
     def put(self, address: Address, client: Any) -> None:
-        """Keep a client whose answer was read whole; the oldest goes when there are too many."""
+        """Keep a client whose response was read completely; close the oldest beyond `room`."""
         self.clients.append((address, client))
         if len(self.clients) > self.room:
             self.clients.pop(0)[1].close()
@@ -103,8 +103,14 @@
 def fetch(effect: FetchJson) -> tuple[int, Any]:
     """Send a request and return (status, JSON body).
 
-    One that may repeat is sent once more, on a new connection, where a kept one broke off; it may
-    have run by then, so that a refused new connection is no NotSent.
+    A request with `may_repeat` is retried once, on a new connection, when an idle one broke.
+
+    Raises
+    ------
+    NotSent
+        No connection could be made, so the request did not run.
+    BackendError
+        The request may have run; also raised when the retry could not connect.
     """
     end_time = time.monotonic() + effect.seconds
     kept_client = IDLE.take(effect.address) if effect.may_repeat else None
@@ -141,7 +147,7 @@
 
 
 def open_stream(effect: OpenStream) -> Handle:
-    """Send a request and return the handle of its streamed answer."""
+    """Send a request and return the handle of its streamed response; NotSent or BackendError."""
     client = _connect(effect.address, effect.seconds)
     try:
         with gevent.Timeout(effect.seconds, BackendError(reason="time")):
@@ -154,7 +160,7 @@
 
 
 def next_line(effect: ReadLine) -> Any:
-    """Return the next JSON line, or None at the end."""
+    """Return the next JSON line, or None at the end; BackendError after `seconds` of silence."""
     try:
         with gevent.Timeout(effect.seconds, BackendError(reason="stall")):
             line = effect.handle.response.readline(b"\n")
--- a/quillring/kernel/bounds.py
+++ b/quillring/kernel/bounds.py
@@ -1,4 +1,4 @@
-"""All time constants of a process, as ratios to the bounds that its settings name."""
+"""All time constants of a process, derived from the bounds in its settings."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 
     Attributes
     ----------
-    propagation : how soon an update is known at every node in touch
-    evacuation : how soon a zone or node that is drained gets nothing new
-    shutdown : how soon a process has ended after the signal to do so
-    read_timeout : how long a read of replicated state may take
-    recovery : how soon service is back after the loss of a node
-    resync : how soon a part is replicated in full again after the loss of a store, None if unset
-    grace_period : how long a stopping process may finish what is in flight, None if unset
-    replica_heartbeat : the period in which replicas send heartbeats
+    propagation : until an update has reached every connected node
+    evacuation : until a drained zone or node gets no new requests
+    shutdown : until a process has ended after SIGTERM or SIGINT
+    read_timeout : longest read of replicated state
+    recovery : until service is restored after the loss of a node
+    resync : until a part is fully replicated again after the loss of a store, None if unset
+    grace_period : longest time in which a stopping process finishes requests, None if unset
+    replica_heartbeat : period in which replicas send heartbeats
     """
 
     __slots__ = (
@@ -75,32 +75,32 @@
 
     @property
     def heartbeat_interval(self) -> float:
-        """The period in which nodes send each other heartbeats."""
+        """Return the period of heartbeats between nodes, in seconds."""
         return self.propagation / HEARTBEATS_PER_PROPAGATION
 
     @property
     def link_timeout(self) -> float:
-        """Time without a heartbeat after which a link counts as broken."""
+        """Return the seconds without a heartbeat after which a link counts as down."""
         return self.heartbeat_interval * MISSED_HEARTBEATS
 
     @property
     def gossip_interval(self) -> float:
-        """The period in which fresh updates are passed on."""
+        """Return the period of gossip, in seconds."""
         return self.heartbeat_interval / GOSSIP_ROUNDS_PER_HEARTBEAT
 
     @property
     def call_timeout(self) -> float:
-        """How long one call to a few nodes may take before it is retried."""
+        """Return the default timeout of a call between nodes, in seconds."""
         return self.heartbeat_interval
 
     @property
     def configuration_freshness(self) -> float:
-        """How old an edge's last contact with a majority of config stores may be."""
+        """Return how old, in seconds, an edge's last contact with a majority of stores may be."""
         return self.propagation * FRESHNESS_RATIO
 
     @property
     def replica_timeout(self) -> float:
-        """Time without a heartbeat after which a replica gets nothing new: two or more missed."""
+        """Return the seconds without a heartbeat after which a replica gets no new requests."""
         return max(
             self.propagation * REPLICA_TIMEOUT_RATIO,
             self.replica_heartbeat * REPLICA_TIMEOUT_HEARTBEATS,
@@ -108,8 +108,8 @@
 
     @property
     def report_delay(self) -> float:
-        """How long replicas' heartbeats are gathered for one report to other edges.
+        """Return how many seconds heartbeats of replicas are batched before they are sent on.
 
-        After one missed heartbeat this much of the replica's time-out is left.
+        It is half of what is left of `replica_timeout` after two heartbeat periods.
         """
         return (self.replica_timeout - self.replica_heartbeat * 2) / 2
--- a/quillring/kernel/channel.py
+++ b/quillring/kernel/channel.py
@@ -1,4 +1,4 @@
-"""The one-way connections between nodes: what they hold, and what their end tells."""
+"""One-way TCP connections between nodes: length-prefixed frames and detection of a closed peer."""
 
 from __future__ import annotations
 
@@ -25,12 +25,13 @@
 
 
 class Channel:
-    """The one-way connection to an address; frames queued on it may be lost.
+    """The one-way connection to an address; owns its queue of frames, which may be lost.
 
-    A frame that has waited HELD_FACTOR times `timeout` is dropped, and closing discards what the
-    system has not sent yet: so much is the longest that a copy is held here through a cut.
-    Nobody answers on it, so it can be read only once the other side closed it. Where nobody listens
-    there any more, `on_refused(address)` is told.
+    A frame that was queued for more than HELD_FACTOR times `timeout` seconds is dropped, and
+    closing discards what the kernel has not sent (SO_LINGER 0); this bounds how old a frame can be
+    when it arrives after a network partition. The peer never writes, so the socket becomes
+    readable only when the peer closes it. If the address then refuses connections,
+    `on_refused(address)` is called.
     """
 
     __slots__ = ("address", "timeout", "queue", "conn", "watcher", "on_refused")
@@ -49,12 +50,12 @@
         self.on_refused = on_refused
 
     def put(self, data: bytes) -> None:
-        """Queue a frame, unless too many wait already."""
+        """Queue a frame; drop it if QUEUE_LIMIT frames are queued."""
         if self.queue.qsize() < QUEUE_LIMIT:
             self.queue.put((time.monotonic(), data))
 
     def run(self) -> None:
-        """Write frames for ever, connecting anew after a failure."""
+        """Write queued frames in a loop; reconnect and retry a frame once after a failure."""
         while True:
             queued_at, data = self.queue.get()
             if time.monotonic() - queued_at > self.timeout * HELD_FACTOR:
@@ -79,7 +80,7 @@
         return self.conn
 
     def _look_again(self, conn: Any) -> None:
-        """Close a connection that the other side closed, and see whether anyone listens there."""
+        """Close a connection that the peer closed, and probe whether its address still listens."""
         if self.conn is not conn:
             return
         self.close()
--- a/quillring/kernel/checks.py
+++ b/quillring/kernel/checks.py
@@ -1,4 +1,4 @@
-"""Checks of what comes in from outside: strict schemas, sound JSON, counts."""
+"""Validation of external input: strict JSON schemas, bounded JSON, counts."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class StrictValidator:
-    """A schema's validator; the library is asked only about what is not plainly sound."""
+    """A validator of one JSON schema; calls `jsonschema` only when the fast check fails."""
 
     __slots__ = ("schema",)
     library_class: Any = None
@@ -30,7 +30,7 @@
         self.schema = schema
 
     def iter_errors(self, value: Any) -> Iterator[Any]:
-        """Return the faults of a value."""
+        """Return the validation errors of a value."""
         if is_surely_sound(self.schema, value):
             return iter(())
         faults: Iterator[Any] = self.make_library_class()(self.schema).iter_errors(value)
@@ -38,7 +38,7 @@
 
     @classmethod
     def make_library_class(cls) -> Any:
-        """Return the library's validator with strict numbers, made once."""
+        """Return the cached `jsonschema` validator class with strict number types."""
         if cls.library_class is None:
             plain_class = jsonschema.Draft202012Validator
             types = {"integer": is_integer, "number": is_number}
@@ -49,12 +49,12 @@
 
 
 def refuse_constant(name: str) -> None:
-    """Refuse NaN and the infinities, which are no JSON."""
+    """Raise ValueError for NaN and the infinities, which RFC 8259 excludes from JSON."""
     raise ValueError(name)
 
 
 def read_float(text: str) -> float:
-    """Return the finite number of a text."""
+    """Return the finite number that a text denotes; ValueError otherwise."""
     number = float(text)
     if not math.isfinite(number):
         raise ValueError(text)
@@ -62,7 +62,7 @@
 
 
 def parse_json(data: bytes | str) -> Any:
-    """Return the value of UTF-8 JSON text; whatever is not sound raises ValueError."""
+    """Return the value of UTF-8 JSON text (RFC 8259); ValueError if it is malformed or too deep."""
     text = data.decode("utf-8") if isinstance(data, bytes) else data
     try:
         value = json.loads(text, parse_constant=refuse_constant, parse_float=read_float)
@@ -75,7 +75,7 @@
 
 
 def check_depth(value: Any) -> None:
-    """Raise ValueError for a value nested deeper than anything sound is."""
+    """Raise ValueError for a value nested deeper than DEPTH_LIMIT."""
     level = [value]
     for _ in range(DEPTH_LIMIT):
         level = [
@@ -91,7 +91,7 @@
 
 
 def read_count(text: str, field: str) -> int:
-    """Return the count that a text of few digits names."""
+    """Return the integer of a text of at most DIGITS decimal digits; BadRequest otherwise."""
     if not (text.isascii() and text.isdigit() and len(text) <= DIGITS):
         raise BadRequest(field=field, faults=[{"field": field, "fault": "not a count"}])
     return int(text)
--- a/quillring/kernel/client_connection.py
+++ b/quillring/kernel/client_connection.py
@@ -1,8 +1,8 @@
-"""One client's connection of HTTP/1.1 whose requests pass unchanged; parsing is httptools'.
+"""One HTTP/1.1 client connection whose requests are forwarded unchanged; parsed by httptools.
 
-gevent's WSGI server stays for the product's own interface. It can't be used here: an answer has to
-be broken off without looking complete, a client's going away ends the replica's work, and the
-target of a request must be passed on as it came.
+gevent's WSGI server serves the product's own interface. It can't be used here: a response must be
+aborted so that it does not look complete, a disconnect of the client must cancel the request at the
+replica, and the request target must be forwarded byte for byte.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 
 class ClientConnection:
-    """One client's connection; requests on it are answered one after the other."""
+    """One client connection; owns its socket and answers pipelined requests in order."""
 
     __slots__ = (
         "server",
@@ -72,7 +72,7 @@
             self.can_read.clear()
 
     def read_all(self) -> None:
-        """Read until the client closes; then whatever is under way for it ends."""
+        """Read until the client closes; then cancel its request in progress."""
         end = self._read_to_end()
         self.requests.put(end)
         if end is not CLIENT_GONE:
@@ -82,7 +82,7 @@
             self.handler.kill(block=False)
 
     def _wait_for_close(self) -> None:
-        """Read past what is no request until the client closes."""
+        """Discard input until the client closes."""
         try:
             while self.sock.recv(READ_SIZE):
                 pass
@@ -90,7 +90,7 @@
             return
 
     def _read_to_end(self) -> RequestRejected | str:
-        """Return why nothing more is read: CLIENT_GONE, NO_UPGRADE or what the client did wrong."""
+        """Return why reading ended: CLIENT_GONE, NO_UPGRADE or the RequestRejected to send."""
         try:
             while True:
                 self.can_read.wait()
@@ -112,10 +112,10 @@
             return cause if isinstance(cause, RequestRejected) else RequestRejected(status=400)
 
     def _receive(self) -> bytes | None:
-        """Return the next bytes, b"" at the client's end, or None when the time for them is over.
+        """Return the next bytes, b"" when the client closed, or None after a timeout.
 
-        A client may rest between two requests for `idle_seconds` from the end of the last answer.
-        What came while the process was frozen came in time.
+        A client may be idle for `idle_seconds` after the end of the last response. Input that
+        arrived while the process was suspended counts as in time.
         """
         limits = self.server.limits()
         seconds = limits.idle_seconds
@@ -130,7 +130,7 @@
         return None
 
     def _end_of_time(self) -> RequestRejected | str | None:
-        """Return why nothing more is waited for, or None while the client has time left."""
+        """Return why reading ends after a timeout, or None while the client has time left."""
         if self._is_busy() or is_readable(self.sock):
             return None
         if self.reader.is_reading:
@@ -144,15 +144,15 @@
         return self.rests_since + self.server.limits().idle_seconds - self.server.now()
 
     def _offer_to_go_on(self) -> None:
-        """Ask for the body that a client holds back, unless answers are due to it before that."""
+        """Send 100 Continue (RFC 9110, section 10.1.1) once no earlier response is pending."""
         if self.reader.owes_interim and not self._is_busy():
             self.reader.owes_interim = False
             self.sock.sendall(INTERIM)
 
     def run(self) -> None:
-        """Answer the requests of the connection in their order, unless its client has gone.
+        """Answer the requests of the connection in order until its client disconnects.
 
-        A process that was frozen finds requests whose clients gave them up long ago.
+        After the process was suspended, queued requests may have been abandoned by their client.
         """
         reading = gevent.spawn(self.read_all)
         try:
@@ -188,7 +188,7 @@
             raise ClientGone() from error
 
     def _answer(self, request: HttpRequest) -> bool:
-        """Answer one request; return True when the connection may serve another."""
+        """Answer one request; return True if the connection may serve another."""
         node = self.server.node
         node.under_way += 1
         lines = None
@@ -206,7 +206,7 @@
                 lines.close()
 
     def _send_lines(self, request: HttpRequest, lines: Generator[Any, None, Any]) -> bool:
-        """Send what the handler emits as a stream, or its value as a whole answer."""
+        """Send what the handler emits as a chunked stream, or its return value as one response."""
         has_head = False
         while True:
             try:
--- a/quillring/kernel/connection_pool.py
+++ b/quillring/kernel/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to replicas, kept while a replica surely keeps them too."""
+"""Pool of persistent connections to replicas, kept only while the replica keeps them open."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class ReplicaConnection:
-    """A connection to a replica and the parser of what comes back on it."""
+    """A connection to a replica and the parser of the responses on it."""
 
     __slots__ = ("address", "sock", "parser", "answer", "idle_until", "was_used", "carried_ids")
 
@@ -40,32 +40,32 @@
         self.carried_ids: set[AnswerId] = set()
 
     def on_message_begin(self) -> None:
-        """Begin to read an answer."""
+        """Begin a response (httptools callback)."""
         self.answer.begin()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take one header line."""
+        """Add a header field (httptools callback)."""
         self.answer.lines.append((name.decode("latin-1"), value.decode("latin-1")))
 
     def on_headers_complete(self) -> None:
-        """Take the end of the head."""
+        """End the header section (httptools callback)."""
         self.answer.end_head(self.parser.get_status_code(), self.parser.should_keep_alive())
 
     def on_body(self, data: bytes) -> None:
-        """Take bytes of the body."""
+        """Add bytes of the body (httptools callback)."""
         self.answer.add(data)
 
     def on_message_complete(self) -> None:
-        """Take the end of an answer."""
+        """End a response (httptools callback)."""
         self.answer.end()
 
     def close(self) -> None:
-        """Close it; a replica still at work drops the request."""
+        """Close the connection; a replica still working cancels the request."""
         self.sock.close()
 
 
 class ConnectionPool:
-    """Connections kept open by address, the latest used again first."""
+    """Idle connections by address; owns them until they are taken, last in, first out."""
 
     __slots__ = ("idle",)
 
@@ -73,10 +73,10 @@
         self.idle: dict[Address, list[ReplicaConnection]] = {}
 
     def take(self, address: Address, answer_id: AnswerId | None = None) -> ReplicaConnection | None:
-        """Return a kept connection that is sound by all that can be seen, or None.
+        """Take out and return an idle connection with no sign of being closed, or None.
 
-        One that has carried the id before is closed: a late copy of that answer would be taken for
-        the one due.
+        A connection that already carried the same request id is closed: a late duplicate of the
+        earlier response would be mistaken for the new one.
         """
         kept_connections = self.idle.get(address, [])
         while kept_connections:
@@ -92,7 +92,7 @@
         return None
 
     def put(self, connection: ReplicaConnection, keep_seconds: float) -> None:
-        """Keep a connection whose last answer was read whole, up to CARRIED_LIMIT requests."""
+        """Keep a connection whose last response was complete, up to CARRIED_LIMIT requests."""
         if len(connection.carried_ids) >= CARRIED_LIMIT:
             connection.close()
             return
@@ -103,7 +103,7 @@
             self.drop_old()
 
     def drop_old(self) -> None:
-        """Close connections that would not be used again."""
+        """Close the idle connections whose time has expired."""
         now = time.monotonic()
         for address, kept_connections in list(self.idle.items()):
             for connection in kept_connections:
@@ -118,12 +118,12 @@
 
 
 def is_readable(sock: Any) -> bool:
-    """Tell whether something lies unread on a connection: surplus bytes or its end."""
+    """Return whether a connection has unread input: surplus bytes or end of file."""
     return bool(select.select([sock], [], [], 0)[0])
 
 
 def wait_for_either(sock: Any) -> tuple[bool, bool]:
-    """Wait until a connection may be read or written; return whether it may be, each."""
+    """Wait until a connection is readable or writable; return (is readable, is writable)."""
     may_read, may_write, _ = select.select([sock], [sock], [])
     return bool(may_read), bool(may_write)
 
--- a/quillring/kernel/datagrams.py
+++ b/quillring/kernel/datagrams.py
@@ -1,4 +1,4 @@
-"""The datagrams of a process: one socket, read in batches."""
+"""UDP datagrams of a process: one socket, read in batches."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class Datagrams:
-    """A bound socket; what comes in within a rest is taken in one wake, in its order.
+    """A bound UDP socket; what arrives during one pause is read in one batch, in order.
 
-    A wake of the process costs as much as reading several datagrams, and a heartbeat that is taken
-    a small share of its period later tells the same.
+    Waking the process costs as much as reading several datagrams, and a heartbeat read a small
+    fraction of its period later is as good.
     """
 
     __slots__ = ("socket",)
@@ -31,7 +31,7 @@
         self.socket.bind((host, port))
 
     def run(self, take: Callable[[bytes], object], rest: Callable[[], object]) -> None:
-        """Hand each datagram to a function, for ever; rest after each batch."""
+        """Call `take` for each datagram and `rest` after each batch, in an endless loop."""
         while True:
             gevent.socket.wait_read(self.socket.fileno())
             for data in self._waiting():
@@ -39,7 +39,7 @@
             rest()
 
     def _waiting(self) -> Iterator[bytes]:
-        """Yield the datagrams that have come in, a batch at most."""
+        """Yield the received datagrams, at most BATCH."""
         for _ in range(BATCH):
             try:
                 data = self.socket.recv(LIMIT)
@@ -50,7 +50,7 @@
             yield data
 
     def send(self, address: Address, data: bytes) -> None:
-        """Send a datagram; it may be lost."""
+        """Send a datagram; errors are ignored, as it may be lost anyway."""
         try:
             self.socket.sendto(data, address)
         except OSError:
--- a/quillring/kernel/effects.py
+++ b/quillring/kernel/effects.py
@@ -1,8 +1,8 @@
-"""What a coroutine may ask of the runtime that drives it.
+"""Effects: the operations that a coroutine may request from the runtime that drives it.
 
-A coroutine is a generator: the state machine of one job. It yields an effect, is sent the effect's
-outcome, and reads the time only through its node. gevent drives coroutines in production, simpy in
-the simulator.
+A coroutine is a generator: the state machine of one task. It yields an effect, is sent the result
+of the effect, and reads the time only through its node. gevent drives coroutines in production,
+simpy in the simulator.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class Sleep(Effect):
-    """Resume after so many seconds."""
+    """Resume after `seconds`."""
 
     __slots__ = ("seconds",)
 
@@ -34,7 +34,7 @@
 
 
 class Wait(Effect):
-    """Resume with True once the signal is set, with False after so many seconds."""
+    """Resume with True once the signal is set, or with False after `seconds`."""
 
     __slots__ = ("signal", "seconds")
 
@@ -44,9 +44,10 @@
 
 
 class FetchJson(Effect):
-    """Send one HTTP request with a JSON body to a back end; resume with (status, JSON body).
+    """Send one HTTP request with a JSON body to a replica; resume with (status, JSON body).
 
-    One that may repeat goes over a kept connection, which may break without telling why.
+    With `may_repeat` it may use an idle connection, and is retried once if that one broke.
+    Raises NotSent when it did not run, BackendError when it may have run or took over `seconds`.
     """
 
     __slots__ = ("address", "method", "path", "body", "seconds", "may_repeat")
@@ -69,7 +70,7 @@
 
 
 class OpenStream(Effect):
-    """Open a streamed HTTP answer of a back end; resume with its handle."""
+    """Open a streamed HTTP response of a replica; resume with its handle."""
 
     __slots__ = ("address", "path", "body", "seconds")
 
@@ -91,10 +92,10 @@
 
 
 class SendRequest(Effect):
-    """Send the bytes of one HTTP request; resume with the handle of its answer.
+    """Send the bytes of one HTTP request; resume with the handle of its response.
 
-    `answer_id` is (lower-case header name, value): answers that bear another one are skipped.
-    Raises NotSent when nothing reached the address, BackendError when it may have run.
+    `answer_id` is (lower-case header name, value); responses with another value are skipped.
+    Raises NotSent when it did not run, BackendError when it may have run.
     """
 
     __slots__ = ("address", "data", "seconds", "may_reuse", "answer_id")
@@ -115,7 +116,7 @@
 
 
 class ReadHead(Effect):
-    """Resume once the head of an answer is there; a stall leaves the handle as it is."""
+    """Resume once the response header is read; after a stall it may be awaited again."""
 
     __slots__ = ("handle", "seconds")
 
@@ -125,7 +126,7 @@
 
 
 class ReadBody(Effect):
-    """Resume with the next bytes of an answer's body, or None at its proper end."""
+    """Resume with the next bytes of a response body, or None at its complete end."""
 
     __slots__ = ("handle", "seconds")
 
@@ -135,7 +136,7 @@
 
 
 class SendToClient(Effect):
-    """Send one item of a streamed response to the client: a JSON line, or a head or body bytes."""
+    """Send one item of a streamed response to the client: a JSON line, a head or body bytes."""
 
     __slots__ = ("item",)
 
@@ -154,7 +155,7 @@
         self.watchers: list[Callable[[], object]] = []
 
     def set(self, value: Any = None) -> None:
-        """Set the signal; a second call changes nothing."""
+        """Set the signal and call its watchers; a second call changes nothing."""
         if self.is_set:
             return
         self.is_set, self.value = True, value
--- a/quillring/kernel/errors.py
+++ b/quillring/kernel/errors.py
@@ -1,6 +1,6 @@
-"""Every failure has a type; an error crosses processes and HTTP under its kind.
+"""Typed errors; an error is named by its `kind` between processes and over HTTP.
 
-Each docstring says what happened, who gets the error, and what to do.
+Each docstring says what happened, who receives the error, and what to do.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 
     Attributes
     ----------
-    kind : name of the failure on the wire and in HTTP bodies; stays as released
-    status : HTTP status under which callers see it
-    may_retry_later : whether a caller is told after which time to try again (Retry-After)
-    is_final : whether trying again is of no use
-    detail : fields that say what it is about
+    kind : name of the error on the wire and in HTTP bodies; part of the released interface
+    status : HTTP status code of the response
+    may_retry_later : whether the response has a Retry-After header
+    is_final : whether a retry is useless
+    detail : further fields of the error by name
     """
 
     kind: str = "trouble"
@@ -40,7 +40,7 @@
         return f"{self.kind}: {fields}" if fields else self.kind
 
     def to_json(self) -> dict[str, Any]:
-        """Return the JSON body under which callers and operators see the error."""
+        """Return the JSON body of the error response."""
         return {"trouble": self.kind, **self.detail}
 
 
@@ -50,7 +50,7 @@
 
 
 class Unreachable(QuillringError):
-    """The caller has no route to the node, so the call never left; retry once links are back."""
+    """The caller has no route to the node and sent nothing; retry once a route is back."""
 
     kind = "unreachable"
     status = 503
@@ -60,7 +60,7 @@
 class TimedOut(QuillringError):
     """No reply reached the caller in time; whether the call ran is unknown.
 
-    Retry only what may run twice, or ask for its outcome first.
+    Retry only idempotent calls, or ask for the outcome first.
     """
 
     kind = "timed_out"
@@ -79,44 +79,44 @@
 class BadWire(QuillringError):
     """A datagram or frame that can't be decoded; its receiver counts and drops it.
 
-    Counted as bad_datagrams, bad_frames and other_versions: look for nodes of another release.
+    Counted as bad_datagrams, bad_frames and other_versions; an operator checks the releases.
     """
 
     kind = "bad_wire"
 
 
 class BadSetting(QuillringError):
-    """A fault of the settings file or flags, told to who starts the process; mend it and restart.
+    """An error in the settings file or flags; whoever starts the process corrects it and restarts.
 
-    All faults come as one exception group.
+    All errors are raised together in one ExceptionGroup.
     """
 
     kind = "bad_setting"
 
 
 class BadRequest(QuillringError):
-    """The request is malformed; its client mends the fields named before it sends it again."""
+    """The request is malformed; its client corrects the fields named before it retries."""
 
     kind = "bad_inquiry"
     status = 400
 
 
 class TooLarge(QuillringError):
-    """The body of a request is over the limit; its client sends less, `limit` says how much."""
+    """The body of a request is over `limit` bytes; its client sends a smaller one."""
 
     kind = "too_large"
     status = 413
 
 
 class NotFound(QuillringError):
-    """Nothing of this name is known; the client checks the name, or asks after it was made."""
+    """Nothing of this name exists; the client checks the name, or retries after it was created."""
 
     kind = "not_found"
     status = 404
 
 
 class WrongMethod(QuillringError):
-    """The path is known, but not under this method; `allowed` lists the client's choices."""
+    """The path exists, but not with this method; the client uses one of `allowed`."""
 
     kind = "wrong_method"
     status = 405
@@ -125,7 +125,7 @@
 class Refused(QuillringError):
     """A final refusal: the client's work never ran and will not run.
 
-    It may be sent again as new work after the time told.
+    It may be sent again as new work after the time in Retry-After.
     """
 
     kind = "refused"
@@ -134,9 +134,9 @@
 
 
 class OutcomeUnknown(QuillringError):
-    """The client's work may or may not have run, and was not tried again.
+    """The client's work may or may not have run, and was not retried.
 
-    The client asks for its outcome, or sends it again where running twice does no harm.
+    The client asks for its outcome, or retries it if it is idempotent.
     """
 
     kind = "outcome_unknown"
@@ -144,14 +144,14 @@
 
 
 class Conflict(QuillringError):
-    """Another change won; the client reads the winning version named and bases its change on it."""
+    """A concurrent change won; the client reads the winning version and redoes its change."""
 
     kind = "conflict"
     status = 409
 
 
 class NotLeader(QuillringError):
-    """The called node does not lead the part; the caller looks for the leader and asks that."""
+    """The called node does not lead the part; the caller finds the leader and calls that."""
 
     kind = "not_owner"
     status = 503
@@ -159,7 +159,7 @@
 
 
 class Fenced(QuillringError):
-    """A store saw a higher ballot than this leader's, which writes nothing more.
+    """A store saw a higher ballot than this leader's, which stops writing.
 
     The caller asks the new leader; whether its last write took effect is unknown.
     """
@@ -170,9 +170,9 @@
 
 
 class NoMajority(QuillringError):
-    """Too few stores of the part answered its leader; a write may still take effect.
+    """Fewer than a majority of stores answered the leader; a write may still take effect.
 
-    The caller retries with the same command id; an operator looks for lost stores.
+    The caller retries with the same command id; an operator looks for failed stores.
     """
 
     kind = "no_majority"
@@ -181,7 +181,7 @@
 
 
 class NotFounded(QuillringError):
-    """The fleet was not founded yet; an operator founds it, then the caller retries."""
+    """The fleet was not bootstrapped yet; an operator does that, then the caller retries."""
 
     kind = "not_founded"
     status = 503
@@ -189,7 +189,7 @@
 
 
 class DiskError(QuillringError):
-    """The data folder of a store can't be written or read, told to the leader that asked.
+    """The data folder of a store can't be written or read; sent to the leader that called it.
 
     The store acknowledges nothing it could not write; an operator frees room or replaces the disk.
     """
@@ -205,9 +205,9 @@
 
 
 class BackendError(QuillringError):
-    """The replica broke off or sent no valid HTTP; the request may have run.
+    """The replica closed early, stalled or sent invalid HTTP; the request may have run.
 
-    The edge tries another replica where the request may run twice; `reason` says what it saw.
+    The edge retries at another replica if the request may run twice; `reason` is the cause.
     """
 
     kind = "backend_trouble"
@@ -215,21 +215,21 @@
 
 
 class Busy(BackendError):
-    """The replica had no room and took nothing; the edge tries another one."""
+    """The replica had no free slot and ran nothing; the edge tries another replica."""
 
     kind = "busy"
 
 
 class StaleConnection(BackendError):
-    """A kept connection ended without a byte of a response; the request may have run.
+    """An idle connection closed without a byte of a response; the request may have run.
 
-    The edge sends a request that may run twice again, over a new connection.
+    The edge retries a request that may run twice, over a new connection.
     """
 
     kind = "stale_connection"
 
 
 class NotSent(BackendError):
-    """The request provably never reached the replica; the edge may send it to any other."""
+    """The request certainly did not run at the replica; the edge may send it to any other."""
 
     kind = "not_sent"
--- a/quillring/kernel/gevent_runtime.py
+++ b/quillring/kernel/gevent_runtime.py
@@ -47,7 +47,7 @@
 
 
 class GeventRuntime:
-    """Time, chance, network and coroutines of one process."""
+    """Clock, randomness, network and coroutines of one process; owns its sockets and channels."""
 
     __slots__ = (
         "random",
@@ -73,15 +73,15 @@
         return time.monotonic()
 
     def wall_time(self) -> float:
-        """Return seconds of the wall clock, for what outlives a process."""
+        """Return the seconds of the wall clock, for times that outlive the process."""
         return time.time()
 
     def secret(self, count: int) -> bytes:
-        """Return bytes nobody can guess."""
+        """Return `count` cryptographically random bytes."""
         return os.urandom(count)
 
     def listen(self, host: str, port: int, on_datagram: DataHandler, on_frame: DataHandler) -> Any:
-        """Take datagrams and frames at the address."""
+        """Receive UDP datagrams and TCP frames at the address."""
         self.datagrams = Datagrams(host, port)
         gevent.spawn(
             self.datagrams.run,
@@ -133,7 +133,7 @@
         self._guard(self.on_refused, address)
 
     def reset(self, address: Address) -> None:
-        """Drop the connection to a lost member, so that a healed link begins afresh at once."""
+        """Close the connection to a failed member, so that the next frame reconnects at once."""
         channel = self.channels.get(address)
         if channel is not None:
             channel.close()
@@ -151,7 +151,7 @@
             self.report(error)
 
     def drive(self, coroutine: Coroutine) -> Any:
-        """Run a coroutine to its end here and return its value."""
+        """Run a coroutine to its end in this greenlet and return its value."""
         lines = self.lines(coroutine)
         try:
             while True:
@@ -160,7 +160,7 @@
             return stop.value
 
     def lines(self, coroutine: Coroutine) -> Generator[Any, None, Any]:
-        """Run a coroutine here; yield each line that it emits; return its value."""
+        """Run a coroutine in this greenlet; yield each item it emits; return its value."""
         value, error = None, None
         try:
             while True:
@@ -180,7 +180,7 @@
             coroutine.close()
 
     def perform(self, effect: Effect) -> Any:
-        """Bring about one effect and return its outcome."""
+        """Perform one effect and return its result."""
         match effect:
             case Sleep():
                 self.sleep(effect.seconds)
@@ -201,7 +201,7 @@
                 return effect.handle.read_body_part(effect.seconds)
 
     def sleep(self, seconds: float) -> None:
-        """Sleep until a step near to then: what wakes together costs one wake."""
+        """Sleep for about `seconds`, aligned so that several sleeps share one wake-up."""
         gevent.sleep(self.timers.aligned_seconds(time.monotonic(), seconds))
 
     def _wait(self, signal: Signal, seconds: float) -> bool:
--- a/quillring/kernel/http_client.py
+++ b/quillring/kernel/http_client.py
@@ -1,8 +1,8 @@
-"""HTTP/1.1 towards replicas, byte for byte: one request a connection at a time, answers by id.
+"""The HTTP/1.1 client towards replicas: no pipelining, responses matched by request id.
 
-Parsing is httptools'. A kept connection is used again only while its replica surely keeps it, and
-only for a request whose id it has not carried before. Nothing here sends a request a second time
-once all of it was written: whether that is allowed is known to `forward.attempt` alone.
+Parsed by httptools. A persistent connection is reused only within its keep-alive time, and only for
+a request id that it has not carried. A request that was written completely is never retried here:
+only `forward.attempt` knows whether that is allowed.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class ClientExchange:
-    """One answer under way: its head, and its body part by part."""
+    """One request and its response, read incrementally; owns the connection until `close`."""
 
     __slots__ = (
         "connection",
@@ -61,7 +61,7 @@
         self.begin()
 
     def begin(self) -> None:
-        """Forget what was read: another answer begins; after our own it is surplus."""
+        """Begin a response; one that follows our own is surplus and is ignored."""
         if self.is_whole:
             self.has_surplus = True
             return
@@ -72,7 +72,7 @@
         self.is_ours = self.has_head = self.is_framed = False
 
     def end_head(self, status: int, is_kept: bool) -> None:
-        """Take the head; an answer to another request is skipped."""
+        """End the header section; an interim response or one to another request is skipped."""
         if self.has_surplus:
             return
         self.status, self.is_kept = status, is_kept
@@ -84,26 +84,26 @@
             self.is_whole, self.is_kept = True, False
 
     def _bears_our_id(self) -> bool:
-        """Tell whether the head names the request's id and no other, or none where it has none."""
+        """Return whether the response has the id of the request and no other id."""
         id_header, request_id = self.answer_id
         named_ids = {value for name, value in self.lines if name.lower() == id_header}
         return named_ids == ({request_id} if request_id is not None else set())
 
     def add(self, data: bytes) -> None:
-        """Take body bytes."""
+        """Add bytes of the body."""
         if self.is_ours and not self.is_whole:
             self.parts.append(data)
 
     def end(self) -> None:
-        """Take the end of a message; what comes after ours belongs to nobody."""
+        """End a response; it is complete if it is our own."""
         if self.is_ours:
             self.is_whole = True
 
     def read(self) -> None:
-        """Read once from the connection and parse it; BackendError at its end.
+        """Read once from the connection and parse the input; BackendError if it ended too early.
 
-        A body without a length is whole once its replica closed the connection; a reset is none.
-        Bytes that are no answer take nothing from a whole one that came before them.
+        A body without a length is complete once the replica closed the connection, but not after a
+        reset (RFC 9112, section 6.3). Invalid bytes after a complete response are ignored.
         """
         try:
             data = self.connection.sock.recv(READ_SIZE)
@@ -121,13 +121,13 @@
             self.has_surplus = True
 
     def take_close(self) -> None:
-        """Take the orderly close of the connection: the end of a body without a length."""
+        """Handle the orderly close of the connection, which ends a body without a length."""
         if self.is_framed or not self.is_ours:
             raise BackendError(reason="broken off")
         self.is_whole, self.is_kept = True, False
 
     def write_until(self, end_time: float) -> None:
-        """Write the request; NotSent where a process that stood still comes too late for it."""
+        """Write the request until `end_time`; NotSent if that has passed, else BackendError."""
         seconds = end_time - time.monotonic()
         if seconds <= 0:
             self.connection.close()
@@ -141,7 +141,7 @@
             raise BackendError(reason=type(error).__name__) from error
 
     def _write(self) -> None:
-        """Write the request; a replica that answers before it has read all of it gets no more."""
+        """Write the request; stop early if the replica responds before it has read everything."""
         sock = self.connection.sock
         rest = memoryview(self.effect.data)
         rest = rest[sock.send(rest) :]
@@ -154,7 +154,7 @@
         self.is_written = not rest
 
     def read_head(self, seconds: float) -> None:
-        """Return once the head is there; StaleConnection where a kept connection had died."""
+        """Return once the head is read; StaleConnection if a reused connection was dead."""
         try:
             self._read_head(seconds)
         except BackendError as error:
@@ -169,7 +169,7 @@
                     self.read()
 
     def read_body_part(self, seconds: float) -> bytes | None:
-        """Return the next bytes of the body, or None at its proper end."""
+        """Return the next bytes of the body, or None at its complete end; BackendError if cut."""
         if not self.parts and not self.is_whole:
             with gevent.Timeout(max(seconds, 0.001), BackendError(reason="stall")):
                 while not self.parts and not self.is_whole:
@@ -181,7 +181,7 @@
         return data
 
     def keep_seconds(self) -> float:
-        """Return how long the replica surely keeps the connection when nothing is sent."""
+        """Return the seconds for which the connection may be reused, from its Keep-Alive header."""
         for word in self.headers.get("keep-alive", "").split(","):
             name, _, value = word.strip().partition("=")
             if name.lower() == "timeout" and value.isdigit():
@@ -189,7 +189,7 @@
         return KEEP_SECONDS * KEEP_SHARE
 
     def close(self) -> None:
-        """End with the answer; only where both ways were whole is the connection kept."""
+        """End the exchange; pool the connection only if request and response were complete."""
         if self.is_closed:
             return
         self.is_closed = True
@@ -202,11 +202,18 @@
 
 
 def send_request(effect: SendRequest) -> ClientExchange:
-    """Send a request on a kept or a new connection and return the handle of its answer.
-
-    Without an id no answer could be told from a surplus one, so that such a request gets a new
-    connection. A kept connection on which the request could not be written whole is left for a new
-    one: a replica runs nothing of which the end is missing.
+    """Send a request on an idle or a new connection and return the handle of its response.
+
+    A request without an id gets a new connection, as its response could not be distinguished from a
+    surplus one. If the request could not be written completely on an idle connection, it is sent on
+    a new one: a replica never runs an incomplete request.
+
+    Raises
+    ------
+    NotSent
+        No connection could be made, or no time is left.
+    BackendError
+        The request could not be written on a new connection; it may have run.
     """
     end_time = time.monotonic() + effect.seconds
     may_reuse = effect.may_reuse and effect.answer_id[1] is not None
--- a/quillring/kernel/http_messages.py
+++ b/quillring/kernel/http_messages.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 requests as a client sent them, their limits, and the encoding of responses."""
+"""HTTP/1.1 requests as received, their limits, and the encoding of responses."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
 
 
 class HttpLimits:
-    """What a client may send, and how long it may take.
+    """Limits on the size of requests and on the time a client takes.
 
     Attributes
     ----------
-    head_bytes, body_bytes : longest head and body of a request
+    head_bytes, body_bytes : greatest size of the head and the body of a request
     head_seconds : longest time for the rest of a request that has begun
-    idle_seconds : longest rest between two requests on one connection
+    idle_seconds : longest time between two requests on one connection
     """
 
     __slots__ = ("head_bytes", "body_bytes", "head_seconds", "idle_seconds")
@@ -57,7 +57,7 @@
 
 
 class HttpRequest:
-    """One request as it came: method, target, header lines, body and when its end was read."""
+    """One request as received: method, target, header lines, body, and when its end was read."""
 
     __slots__ = ("method", "target", "lines", "headers", "body", "is_kept", "arrived_at")
 
@@ -80,14 +80,14 @@
 
 
 class RequestRejected(QuillringError):
-    """The client sent what is no HTTP request within the limits; it gets the status and a close."""
+    """The request is malformed or over a limit; the client gets `status`, then a close."""
 
     kind = "bad_client"
     status = 400
 
 
 def encode_head(status: int, headers: Iterable[tuple[str, str]]) -> bytes:
-    """Return the status line and headers of a response, with the empty line after them."""
+    """Return the status line and headers of a response, ended by the empty line."""
     lines = [f"HTTP/1.1 {status} {REASON_PHRASES.get(status, 'Status')}"]
     lines.extend(f"{name}: {value}" for name, value in headers)
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
--- a/quillring/kernel/http_request_reader.py
+++ b/quillring/kernel/http_request_reader.py
@@ -1,4 +1,4 @@
-"""Requests put together from the bytes of a client's connection; parsing is httptools'."""
+"""Assembles requests from the bytes of a client connection, parsed by httptools."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class RequestReader:
-    """Reads requests within the limits and hands on each whole one.
+    """Reads requests within the limits; calls `take(request)` with each complete one.
 
-    `take(request)` gets it; `offer_to_go_on()` is called where a client holds its body back until
-    it is asked for (`owes_interim`). Nothing of a request that is cut short is handed on.
+    `offer_to_go_on()` is called when the client sent `Expect: 100-continue` and waits for the
+    interim response (`owes_interim`). An incomplete request is never passed to `take`.
     """
 
     __slots__ = (
@@ -57,21 +57,21 @@
         self.is_reading = False
 
     def feed(self, data: bytes) -> None:
-        """Take bytes; BadClient and httptools' errors come as the parser wraps them."""
+        """Parse bytes; RequestRejected is raised as the context of an httptools error."""
         self.parser.feed_data(data)
 
     def on_message_begin(self) -> None:
-        """Begin to read a request."""
+        """Begin a request (httptools callback)."""
         self._reset()
         self.is_reading = True
 
     def on_url(self, data: bytes) -> None:
-        """Take a piece of the target."""
+        """Add bytes of the request target (httptools callback)."""
         self.target += data
         self._grow_head(len(data))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header line."""
+        """Add a header field (httptools callback)."""
         self.lines.append((name.decode("latin-1"), value.decode("latin-1")))
         self._grow_head(len(name) + len(value) + 4)
 
@@ -81,14 +81,14 @@
             raise RequestRejected(status=431)
 
     def on_headers_complete(self) -> None:
-        """Take the end of the head; ask for the body where the client waits for that."""
+        """End the header section; send 100 Continue if the client waits for it."""
         for name, value in self.lines:
             if name.lower() == "expect" and value.lower() == "100-continue":
                 self.owes_interim = True
         self.offer_to_go_on()
 
     def on_body(self, data: bytes) -> None:
-        """Take bytes of the body; the client waits for no word to send them."""
+        """Add bytes of the body; the client no longer waits for 100 Continue."""
         self.owes_interim = False
         self.body_size += len(data)
         if self.body_size > self.server.limits().body_bytes:
@@ -96,7 +96,7 @@
         self.body.append(data)
 
     def on_message_complete(self) -> None:
-        """Take the end of a request; no upgrade is made, and a tunnel is refused."""
+        """End a request: ignore an Upgrade header, reject CONNECT with status 400."""
         method = self.parser.get_method().decode("latin-1")
         if method == "CONNECT":
             raise RequestRejected(status=400)
--- a/quillring/kernel/http_server.py
+++ b/quillring/kernel/http_server.py
@@ -1,4 +1,4 @@
-"""The server side of HTTP/1.1 that passes requests on unchanged."""
+"""The HTTP/1.1 server for requests that are forwarded unchanged."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 
 class HttpServer:
-    """A listening address whose requests a coroutine answers.
+    """A listening address; owns its server socket and runs a coroutine for each request.
 
     `handle(node, request)` is a coroutine: it emits (status, headers, first bytes) and then body
-    bytes, or returns (status, headers, body) at once; an error, or an answer that is returned
-    after a head went out, closes the connection.
+    bytes, or returns (status, headers, body). An error, or a response returned after a head was
+    emitted, closes the connection, so that the client sees an incomplete response.
     """
 
     __slots__ = ("node", "handle", "limits", "report", "server")
@@ -45,11 +45,11 @@
         self.server: Any = None
 
     def now(self) -> float:
-        """Return the node's time."""
+        """Return the monotonic time of the node in seconds."""
         return self.node.now()
 
     def start(self, address: Address) -> HttpServer:
-        """Listen at an address."""
+        """Listen at an address, with TCP_NODELAY; return the server."""
         self.server = gevent.server.StreamServer(tuple(address), self._serve, backlog=1024)
         self.server.init_socket()
         self.server.socket.setsockopt(gevent.socket.IPPROTO_TCP, gevent.socket.TCP_NODELAY, 1)
@@ -63,5 +63,5 @@
             return
 
     def stop(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         self.server.stop(timeout=0)
--- a/quillring/kernel/lazy.py
+++ b/quillring/kernel/lazy.py
@@ -1,4 +1,4 @@
-"""Modules loaded at their first use: a start pays only for what the process does."""
+"""Lazy imports: a module is executed at its first use, which shortens the start."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def lazy_module(name: str) -> Any:
-    """Return a module whose code runs when one of its names is first read."""
+    """Return a module that is executed when one of its attributes is first read."""
     if name in sys.modules:
         return sys.modules[name]
     spec = importlib.util.find_spec(name)
--- a/quillring/kernel/loop_lag.py
+++ b/quillring/kernel/loop_lag.py
@@ -1,4 +1,4 @@
-"""How late a process wakes: the sign that it is overloaded, or was stopped and goes on."""
+"""Event-loop lag: shows that the process is overloaded or was suspended."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class LoopLag:
-    """Sleeps for short whiles and compares when it wakes with when it should have."""
+    """Sleeps for a tenth of the heartbeat interval and measures how late it wakes."""
 
     __slots__ = ("node", "due_at", "late_at")
 
@@ -27,7 +27,7 @@
         self.late_at = -math.inf
 
     def run(self) -> Coroutine:
-        """Note each time that this process woke late."""
+        """Record each late wake-up of this process, in an endless loop."""
         while True:
             seconds = self.node.bounds.heartbeat_interval * PROBE_SHARE
             self.due_at = self.node.now() + seconds
@@ -36,7 +36,7 @@
                 self.late_at = self.node.now()
 
     def was_late(self) -> bool:
-        """Tell whether this process woke late within the last beats, or is late right now."""
+        """Return whether the process woke late within two heartbeat intervals, or is late now."""
         kept_seconds = self.node.bounds.heartbeat_interval * KEPT_BEATS
         return self._is_overdue() or self.node.now() - self.late_at < kept_seconds
 
--- a/quillring/kernel/member.py
+++ b/quillring/kernel/member.py
@@ -1,4 +1,4 @@
-"""One node of the fleet as it tells its peers about itself."""
+"""The description of a node that it sends to its peers."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 
 class Member:
-    """One node as its peers know it.
+    """One node of the fleet, as known to its peers.
 
     Attributes
     ----------
-    name : name of the node, one of its own in the fleet
-    incarnation : number of this start of the process, higher at every start
+    name : name of the node, unique in the fleet
+    incarnation : number of this start of the process, increases with each start
     role : "edge", "core" or "store"
-    zone : zone the machine stands in
-    host, port : address of its heartbeats and messages
+    zone : availability zone (failure domain) of the machine
+    host, port : address for heartbeats and messages
     http_port : port of its HTTP interface on the same host
-    identity : identity of a store's data folder, "" where there is none
+    identity : identity of a store's data folder, "" if the node has none
     """
 
     __slots__ = FIELDS
@@ -53,7 +53,7 @@
 
     @property
     def address(self) -> Address:
-        """The (host, port) of its heartbeats and messages."""
+        """Return the (host, port) for heartbeats and messages."""
         return self.host, self.port
 
     def to_list(self) -> list[Any]:
@@ -65,12 +65,12 @@
         return Member(self.name, incarnation, *self.to_list()[2:])
 
     def to_json(self) -> dict[str, Any]:
-        """Return the fields by name, as the public list of members shows them."""
+        """Return the fields by name, as in the public list of members."""
         return {JSON_NAMES.get(slot, slot): getattr(self, slot) for slot in FIELDS}
 
     @classmethod
     def from_list(cls, fields: list[Any]) -> Member:
-        """Return the member of a record as it came over the wire.
+        """Return the member of a record received over the wire.
 
         Raises
         ------
--- a/quillring/kernel/messages.py
+++ b/quillring/kernel/messages.py
@@ -1,4 +1,4 @@
-"""The messages of calls between nodes, and their form on the wire."""
+"""The messages of remote calls between nodes, and their wire format."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 class CallRequest(NamedTuple):
-    """A call of a service of another node.
+    """The request of a call to a service of another node.
 
     Attributes
     ----------
     service : name of the service
-    body : what its handler gets
-    call_id : the id that the reply bears, as it came; None where no reply is wanted
+    body : argument of its handler
+    call_id : id that the reply must have, opaque to the receiver; None for a one-way message
     """
 
     service: str
@@ -28,7 +28,7 @@
 
     @classmethod
     def from_wire(cls, message: WireMap) -> CallRequest:
-        """Return the request of a message; KeyError where it lacks a field."""
+        """Return the request of a message; KeyError if a field is missing."""
         return cls(message["s"], message["b"], message.get("c"))
 
     def to_wire(self) -> WireMap:
@@ -43,9 +43,9 @@
 
     Attributes
     ----------
-    call_id : id of the call, as the request bore it
-    body : what the handler returned, or the detail of its error
-    error_kind : kind of the error that the handler raised; None where it returned
+    call_id : id of the call, copied from its request
+    body : return value of the handler, or the detail of its error
+    error_kind : kind of the error that the handler raised, None if it returned
     """
 
     call_id: Any
@@ -54,7 +54,7 @@
 
     @classmethod
     def from_wire(cls, message: WireMap) -> CallReply:
-        """Return the reply of a message; KeyError where it lacks a field."""
+        """Return the reply of a message; KeyError if a field is missing."""
         return cls(message["r"], message["b"], message.get("t"))
 
     def to_wire(self) -> WireMap:
--- a/quillring/kernel/node.py
+++ b/quillring/kernel/node.py
@@ -1,8 +1,8 @@
-"""A node: services that find each other by name, and calls between nodes over nifty.
+"""A node: named local services, and remote calls between nodes over the nifty transport.
 
-A reply completes a call only if it comes from the node that was asked, under an id of this
-incarnation: ids begin at a number that name and incarnation give. Whoever answers returns the id as
-it came, whatever version it speaks.
+A reply completes a call only if it comes from the called node, with a call id of this incarnation:
+ids start at a hash of name and incarnation. The called node copies the id, whatever its protocol
+version.
 """
 
 from __future__ import annotations
@@ -39,14 +39,14 @@
 
 
 class PendingCall(NamedTuple):
-    """A call under way: the signal its reply sets, and the node that was asked."""
+    """A pending call: the signal that its reply sets, and the called node."""
 
     reply_signal: Signal
     target: str
 
 
 def first_call_id(me: Member) -> int:
-    """Return the id below the first call of an incarnation.
+    """Return the number before the first call id of an incarnation.
 
     Its upper 32 bits are a hash of name and incarnation, the lower 31 number the calls.
     """
@@ -56,7 +56,7 @@
 
 
 class Node:
-    """The micro-kernel of one process; the runtime gives time, chance, network and disk."""
+    """The micro-kernel of one process; owns its services, call handlers, counters and calls."""
 
     __slots__ = (
         "me",
@@ -103,7 +103,7 @@
             self.counts[name] = self.counts.get(name, 0) + amount
 
     def offer(self, name: str, service: Any) -> Any:
-        """Make a service known under a name."""
+        """Register a service under a name and return it."""
         self.services[name] = service
         return service
 
@@ -112,22 +112,26 @@
         return self.services.get(name)
 
     def handle(self, name: str, handler: CallHandler) -> None:
-        """Let other nodes call the handler: handler(body, origin) gives a value or a coroutine."""
+        """Register a call handler: handler(body, origin) returns a value or a coroutine."""
         self.handlers[name] = handler
 
     def spawn(self, coroutine: Coroutine) -> Any:
-        """Run a coroutine beside the others."""
+        """Run a coroutine concurrently."""
         return self.runtime.spawn(coroutine)
 
     def send_oneway(self, target: str, service: str, body: Any) -> None:
-        """Send a message that wants no answer; it may be lost."""
+        """Send a message without a reply; it may be lost."""
         self._send(target, CallRequest(service, body).to_wire())
 
     def call(self, target: str, service: str, body: Any, seconds: float | None = None) -> Coroutine:
-        """Call a service of another node and return its answer, or raise its error.
-
-        Raises TimedOut where no reply came within the seconds (the call time-out of the bounds
-        unless given): whether it ran is unknown. Raises Unreachable where no route is known.
+        """Call a service of another node and return its reply, or raise its error.
+
+        Raises
+        ------
+        TimedOut
+            No reply came within `seconds` (default: `bounds.call_timeout`); it may have run.
+        Unreachable
+            There is no route to the node.
         """
         call_id, reply_signal = self._start_call(target, service, body)
         try:
@@ -147,10 +151,11 @@
         seconds: float | None = None,
         repeats: bool = False,
     ) -> Coroutine:
-        """Make all calls at once; return {target: answer or error}.
+        """Make all calls concurrently; return {target: reply or error}.
 
-        Returns as soon as `need` of them went well, or all have ended, or the time is over. Calls
-        that may run twice can be repeated: those without an answer are sent again at half time.
+        Returns once `need` of them succeeded, all have ended, or `seconds` have passed (default:
+        `bounds.call_timeout`). With `repeats`, for idempotent calls only, those without a reply are
+        sent again after half of the time. A call without a reply gives TimedOut.
         """
         seconds = self.bounds.call_timeout if seconds is None else seconds
         gathered_replies: dict[str, Any] = {}
@@ -193,7 +198,7 @@
         return call_id, reply_signal
 
     def on_graph(self, graph: RoutingGraph) -> None:
-        """End the calls to nodes that no route leads to any more; whether they ran is unknown."""
+        """Fail pending calls to nodes without a route with TimedOut; they may have run."""
         for call in list(self.pending_calls.values()):
             if call.target not in graph.routes:
                 call.reply_signal.set(TimedOut(target=call.target))
@@ -203,7 +208,7 @@
         return is_routed
 
     def on_message(self, origin: str, message: WireMap) -> None:
-        """Take a message that nifty delivered once: complete a call, or run the handler of one."""
+        """Handle a message from nifty: complete a call, or run the handler of a request."""
         if is_reply(message):
             self._complete_call(origin, CallReply.from_wire(message))
             return
@@ -216,7 +221,7 @@
         self.spawn(self._run_handler(request.service, request.body, origin, send_reply))
 
     def _send_reply(self, target: str, call_id: Any, outcome: Any) -> None:
-        """Send what a handler returned or raised, unless no reply is wanted."""
+        """Send the result or error of a handler, unless the message was one-way."""
         if call_id is None:
             return
         if isinstance(outcome, QuillringError):
@@ -226,7 +231,7 @@
         self._send(target, reply.to_wire())
 
     def _complete_call(self, origin: str, reply: CallReply) -> None:
-        """Complete the call that a reply is due to; one that nobody waits for changes nothing."""
+        """Complete the call that a reply belongs to; ignore a reply without a pending call."""
         call_id = reply.call_id
         call = self.pending_calls.get(call_id) if isinstance(call_id, int) else None
         if call is None:
--- a/quillring/kernel/plain_schema.py
+++ b/quillring/kernel/plain_schema.py
@@ -1,7 +1,7 @@
-"""Schemas read without a library: a quick word that a value is surely sound.
+"""A fast check of JSON schemas: it accepts most valid values without the library.
 
-Only the plain keywords are read. A value that is not surely sound, or a schema with any other
-keyword, is left to the full validator, which also tells the faults.
+Only common keywords are supported. A value that fails here, or a schema with another keyword, is
+left to the full validator, which also reports the errors.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 
 
 def is_integer(checker: object, value: object) -> bool:
-    """Tell whether a value is a whole number and written as one."""
+    """Return whether a value is an integer, and not a float such as 1.0 or a boolean."""
     return isinstance(value, int) and not isinstance(value, bool)
 
 
 def is_number(checker: object, value: object) -> bool:
-    """Tell whether a value is a finite number."""
+    """Return whether a value is a finite number."""
     return is_integer(checker, value) or (isinstance(value, float) and math.isfinite(value))
 
 
@@ -41,7 +41,7 @@
 
 
 def is_surely_sound(schema: Schema, value: Any) -> bool:
-    """Tell whether a value surely follows a schema; False says nothing."""
+    """Return True if a value certainly follows a schema; False means unknown."""
     return all(
         keyword in KEYWORDS and KEYWORDS[keyword](wanted, value, schema)
         for keyword, wanted in schema.items()
@@ -49,25 +49,25 @@
 
 
 def follows_type(wanted: Any, value: Any, schema: Schema) -> bool:
-    """Tell whether a value is of one of the types."""
+    """Return whether a value has one of the types."""
     names = [wanted] if isinstance(wanted, str) else wanted
     return any(name in TYPES and TYPES[name](value) for name in names)
 
 
 def follows_enum(wanted: Any, value: Any, schema: Schema) -> bool:
-    """Tell whether a text is one of those listed; other values are compared elsewhere."""
+    """Return whether a string is one of those listed; False for other types."""
     return isinstance(value, str) and value in wanted
 
 
 def follows_properties(wanted: Any, value: Any, schema: Schema) -> bool:
-    """Tell whether each named property follows its schema."""
+    """Return whether each named property follows its schema."""
     return not isinstance(value, dict) or all(
         is_surely_sound(inner, value[name]) for name, inner in wanted.items() if name in value
     )
 
 
 def follows_patterns(wanted: Any, value: Any, schema: Schema) -> bool:
-    """Tell whether each property follows the schema of every pattern that its name bears."""
+    """Return whether each property follows the schema of every pattern its name matches."""
     return not isinstance(value, dict) or all(
         isinstance(name, str)
         and all(
@@ -80,7 +80,7 @@
 
 
 def follows_additional(wanted: Any, value: Any, schema: Schema) -> bool:
-    """Tell whether each property that nothing names may be there."""
+    """Return whether each property that no other keyword covers is allowed."""
     if not isinstance(value, dict):
         return True
     named, patterns = schema.get("properties", {}), schema.get("patternProperties", {})
@@ -98,26 +98,26 @@
 
 
 def follows_items(wanted: Any, value: Any, schema: Schema) -> bool:
-    """Tell whether each item of a list, beyond those with a schema by place, follows it."""
+    """Return whether each item after those of `prefixItems` follows the schema."""
     return not isinstance(value, list) or all(
         is_surely_sound(wanted, item) for item in value[len(schema.get("prefixItems", ())) :]
     )
 
 
 def follows_places(wanted: Any, value: Any, schema: Schema) -> bool:
-    """Tell whether the first items of a list follow the schemas of their places."""
+    """Return whether the first items of a list follow their schemas (`prefixItems`)."""
     return not isinstance(value, list) or all(
         is_surely_sound(inner, item) for inner, item in zip(wanted, value)
     )
 
 
 def number_rule(holds: Callable[[Any, Any], bool]) -> Rule:
-    """Return the rule for a number's bound."""
+    """Return the rule of a keyword that bounds a number."""
     return lambda wanted, value, schema: not is_number(None, value) or holds(value, wanted)
 
 
 def size_rule(kind: type[Sized], holds: Callable[[int, Any], bool]) -> Rule:
-    """Return the rule for the size of a text or list."""
+    """Return the rule of a keyword that bounds the length of a string or list."""
     return lambda wanted, value, schema: not isinstance(value, kind) or holds(len(value), wanted)
 
 
--- a/quillring/kernel/records.py
+++ b/quillring/kernel/records.py
@@ -1,4 +1,4 @@
-"""`NamedTuple` for the typed records of the product, cheap to define.
+"""A `NamedTuple` base for typed records whose classes are cheap to define.
 
 `typing.NamedTuple` compiles the annotation of each field when a class is defined, which costs more
 than half of its 0.28 ms. A process defines nearly two hundred such classes when it starts, and
@@ -19,7 +19,7 @@
     IMPLIED_NAMES = frozenset(("__qualname__", "__module__", "__annotations__"))
 
     class _RecordType(type):
-        """Makes each class under `NamedTuple` a tuple class with its annotated fields by name."""
+        """Metaclass that turns each subclass of `NamedTuple` into a named tuple class."""
 
         def __new__(mcs, name: str, bases: tuple[type, ...], namespace: dict[str, Any]) -> type:
             if not bases:
@@ -37,4 +37,4 @@
             return record
 
     class NamedTuple(metaclass=_RecordType):
-        """Base of records: annotated fields, in order; those with a value may be left out."""
+        """Base of records: annotated fields in order; an assigned value is a default."""
--- a/quillring/kernel/registry.py
+++ b/quillring/kernel/registry.py
@@ -1,4 +1,4 @@
-"""Plug-ins are found by their entry in a registry."""
+"""Registries of plug-ins by name."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Registry:
-    """A named table of plug-ins; an entry is made once and looked up by name."""
+    """A named table of plug-ins; each name is registered once."""
 
     __slots__ = ("subject", "entries")
 
@@ -36,5 +36,5 @@
         return self.entries.get(name)
 
     def names(self) -> list[Any]:
-        """Return the registered names in order."""
+        """Return the registered names, sorted."""
         return sorted(self.entries)
--- a/quillring/kernel/request_checks.py
+++ b/quillring/kernel/request_checks.py
@@ -1,4 +1,4 @@
-"""Reading and checking HTTP/1.1 + JSON requests: body, query and the name of the client."""
+"""Reading and validating HTTP/1.1 + JSON requests: body, query and client name."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def check_body(validator: Any, body: Any) -> None:
-    """Refuse a body that breaks its schema, naming every faulty field."""
+    """Raise BadRequest for a body that violates its schema, naming every invalid field."""
     faults = sorted(
         (".".join(str(step) for step in error.absolute_path) or "body", error.message)
         for error in validator.iter_errors(body)
@@ -37,7 +37,7 @@
 
 
 def need_client_name(request: Request) -> None:
-    """Refuse a request whose answer belongs to a client that it does not name."""
+    """Raise BadRequest for a request that must name its client but does not."""
     if not request.client_name or len(request.client_name) > LONGEST_CLIENT_NAME:
         raise BadRequest(
             field="X-Sender",
@@ -46,7 +46,7 @@
 
 
 def read_body(environ: Environ, limit: int) -> Any:
-    """Read and parse the JSON body within the limit."""
+    """Read and parse the JSON body of at most `limit` bytes; TooLarge or BadRequest otherwise."""
     try:
         length = int(environ.get("CONTENT_LENGTH") or 0)
     except ValueError as error:
@@ -70,7 +70,7 @@
 
 
 def read_query(environ: Environ, query_words: Sequence[str]) -> dict[str, list[str]]:
-    """Return the query; a word that the route does not know is refused."""
+    """Return the query parameters; BadRequest for one that the route does not know."""
     query = parse_qs(environ.get("QUERY_STRING", ""), keep_blank_values=True)
     unknown_words = sorted(set(query) - set(query_words))
     if unknown_words:
--- a/quillring/kernel/ringlog.py
+++ b/quillring/kernel/ringlog.py
@@ -1,4 +1,4 @@
-"""Logs: a ring in memory that is written out when something goes wrong."""
+"""Logging to a ring buffer in memory that is written to a file at an error."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class RingHandler(logging.Handler):
-    """Keeps the last records in memory and writes them out at the first error."""
+    """Keeps the last `room` records in memory and appends them to a file at each error."""
 
     def __init__(self, path: str | None = None, room: int = 2000) -> None:
         super().__init__()
@@ -15,13 +15,13 @@
         self.path = path
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Keep the record; at an error write the whole ring to the file."""
+        """Buffer the record; if it is an error, write the buffer to the file."""
         self.ring.append(self.format(record))
         if record.levelno >= logging.ERROR:
             self.dump()
 
     def dump(self) -> None:
-        """Write the ring to its file and start it anew."""
+        """Append the buffer to its file, if it has one, and clear it."""
         if self.path is None:
             return
         with open(self.path, "a", encoding="utf-8") as log_file:
@@ -30,7 +30,7 @@
 
 
 def ring_log(name: str, path: str | None = None) -> tuple[logging.Logger, RingHandler]:
-    """Return the logger of the node and its ring."""
+    """Return the logger of a node and its ring-buffer handler."""
     node_logger = logging.getLogger(f"quillring.{name}")
     node_logger.setLevel(logging.DEBUG)
     node_logger.propagate = False
--- a/quillring/kernel/routes.py
+++ b/quillring/kernel/routes.py
@@ -1,4 +1,4 @@
-"""The routes of the HTTP/1.1 + JSON interface: which function answers which path."""
+"""The routes of the HTTP/1.1 + JSON interface: the handler of each method and path."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 
 class Route(NamedTuple):
-    """One method of a path, and what may be sent there.
+    """One method of a path, and the limits of its requests.
 
     Attributes
     ----------
-    matcher, names : the pattern of the path, and the names of its variable words
-    body_limit : longest body in bytes
-    query_words : the words that a query may have
-    handler : answers: `handler(node, request)` returns a body or a coroutine
+    matcher, names : pattern of the path, and the names of its variable segments
+    body_limit : greatest size of the body in bytes
+    query_words : names of the allowed query parameters
+    handler : `handler(node, request)` returns a JSON body or a coroutine
     """
 
     matcher: re.Pattern[str]
@@ -41,7 +41,7 @@
 
 
 class Request:
-    """One request of a client: path words, query, body and who sent it."""
+    """One request: method, variable path segments, query, body and the name of its client."""
 
     __slots__ = ("method", "words", "query", "body", "client_name")
 
@@ -63,7 +63,7 @@
 def route(
     method: str, pattern: str, limit: int = BODY_LIMIT_BYTES, query_words: Sequence[str] = ()
 ) -> Callable[[H], H]:
-    """Register a function(node, request) for a path such as /v1/lots/{lot}."""
+    """Return a decorator that registers a handler for a path such as /v1/lots/{lot}."""
     names = re.findall(r"{(\w+)}", pattern)
     matcher = re.compile(re.sub(r"{\w+}", "([^/]+)", pattern))
 
@@ -76,14 +76,14 @@
 
 
 def find_route(method: str, path: str) -> tuple[Route, dict[str, str]]:
-    """Return the route of a path and its variable words by name.
+    """Return the route of a path and its variable segments by name.
 
     Raises
     ------
     WrongMethod
-        The path is known under other methods, which are named.
+        The path has only other methods, which the error lists.
     NotFound
-        The path is not known.
+        There is no such path.
     """
     methods: list[str] = []
     for (route_method, _), known_route in ROUTES.entries.items():
--- a/quillring/kernel/runtime.py
+++ b/quillring/kernel/runtime.py
@@ -1,4 +1,4 @@
-"""What a node needs of the runtime that drives it; imported for type checking only."""
+"""The protocol of a runtime as a node uses it; imported for type checking only."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Runtime(Protocol):
-    """Time, chance, network and coroutines of one process: gevent's or a simulator's."""
+    """Clock, randomness, network and coroutines of one process: by gevent or a simulator."""
 
     random: random.Random
 
@@ -20,10 +20,10 @@
         """Return monotonic seconds."""
 
     def wall_time(self) -> float:
-        """Return seconds of the wall clock, for what outlives a process."""
+        """Return the seconds of the wall clock, for times that outlive the process."""
 
     def secret(self, count: int) -> bytes:
-        """Return bytes nobody can guess."""
+        """Return `count` cryptographically random bytes."""
 
     def datagram(self, address: Address, data: bytes) -> None:
         """Send a datagram; it may be lost."""
@@ -32,13 +32,13 @@
         """Queue a frame on the channel to the address; it may be lost."""
 
     def reset(self, address: Address) -> None:
-        """Drop the connection to a lost member."""
+        """Close the connection to a failed member."""
 
     def spawn(self, coroutine: Coroutine) -> Any:
-        """Run a coroutine beside the others."""
+        """Run a coroutine concurrently."""
 
     def drive(self, coroutine: Coroutine) -> Any:
-        """Run a coroutine to its end here and return its value."""
+        """Run a coroutine to its end in the caller and return its value."""
 
     def lines(self, coroutine: Coroutine) -> Generator[Any, None, Any]:
-        """Run a coroutine here; yield each line that it emits; return its value."""
+        """Run a coroutine in the caller; yield each item it emits; return its value."""
--- a/quillring/kernel/settings.py
+++ b/quillring/kernel/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one process, from a file or flags, checked by schema; all faults at once."""
+"""Settings of one process from a file and flags, validated; all errors are reported at once."""
 
 from __future__ import annotations
 
@@ -83,7 +83,7 @@
 
 
 class Settings:
-    """The checked settings of one process."""
+    """The validated settings of one process."""
 
     __slots__ = (
         "name",
@@ -118,13 +118,13 @@
 
 
 def split_address(text: str) -> Address:
-    """Return (host, port) of a checked address text."""
+    """Return (host, port) of a validated "host:port" text."""
     host, port = text.rsplit(":", 1)
     return host, int(port)
 
 
 def find_faults(fields: Any) -> list[str]:
-    """Return one clear line for each fault of the settings."""
+    """Return one message for each error in the settings, sorted."""
     validator = StrictValidator(SCHEMA)
     faults = [
         f"{'.'.join(str(s) for s in error.absolute_path) or 'settings'}: {error.message}"
@@ -153,7 +153,7 @@
 
 
 def is_real_address(address: str) -> bool:
-    """Tell whether the text holds four bytes and a port that exists."""
+    """Return whether the text is an IPv4 address and a port from 1 to 65535."""
     host, _, port = address.rpartition(":")
     numbers = host.split(".")
     is_host = len(numbers) == 4 and all(n.isdigit() and int(n) < 256 for n in numbers)
@@ -161,7 +161,7 @@
 
 
 def read_settings(path: str | None, flags: dict[str, Any]) -> Settings:
-    """Read a settings file, lay the flags over it, and check the whole."""
+    """Read a settings file, override it by the flags, and validate the result."""
     fields: Any = {}
     if path is not None:
         try:
@@ -176,7 +176,7 @@
 
 
 def check_settings(fields: Any) -> Settings:
-    """Return the settings of fields that are sound, or raise all faults as one group."""
+    """Return the settings of valid fields; an ExceptionGroup of BadSetting otherwise."""
     faults = find_faults(fields)
     if faults:
         raise ExceptionGroup("settings", [BadSetting(fault=fault) for fault in faults])
--- a/quillring/kernel/timer_coalescing.py
+++ b/quillring/kernel/timer_coalescing.py
@@ -1,8 +1,8 @@
-"""Timer coalescing: sleeping coroutines of a process wake at common times, to share one wake.
+"""Timer coalescing: coroutines of a process sleep until common times and share one wake-up.
 
-Each wake of the process costs as much as several coroutines do. Sleeps end on a grid of equal
-steps. The periods of the bounds are whole numbers of steps, so that they stay what they are; each
-process has a grid of its own, so that nodes do not act in unison.
+Each wake-up of the process costs as much as running several coroutines. Sleeps end on a grid of
+equal steps. The periods of the bounds are multiples of the step, so that they stay exact; each
+process has its own grid, so that nodes are not synchronized.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
     Parameters
     ----------
     start : a time on the grid, in seconds
-    seconds : length of a step
+    seconds : length of a step, in seconds
     """
 
     __slots__ = ("start", "seconds")
@@ -28,7 +28,7 @@
         self.seconds = seconds
 
     def aligned_seconds(self, now: float, seconds: float) -> float:
-        """Return how many seconds to sleep instead: to the first step that is not too early.
+        """Return the seconds to sleep instead, up to the first step that is not too early.
 
         A sleep of less than a step stays as it is. Any other ends at most a quarter of a step
         before its time, and less than a step after it.
--- a/quillring/kernel/types.py
+++ b/quillring/kernel/types.py
@@ -1,4 +1,4 @@
-"""Names of types that many packages use."""
+"""Type aliases shared by several packages."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 
 
 class RoutingGraph(Protocol):
-    """What the kernel reads of the peer layer's graph."""
+    """The routing graph of the peer layer, as far as the kernel reads it."""
 
     @property
     def routes(self) -> Container[str]:
-        """Return the names of the nodes that a route leads to."""
+        """Return the names of the nodes with a route."""
--- a/quillring/kernel/wsgi.py
+++ b/quillring/kernel/wsgi.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 + JSON towards callers, back ends and operators, by gevent's WSGI server."""
+"""The HTTP/1.1 + JSON interface for clients, replicas and operators (WSGI, PEP 3333)."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
 
 
 class InFlightResponse:
-    """An answer that counts as under way until the server has sent it or given up."""
+    """A response that counts as in flight until the server has sent it or failed."""
 
     def __init__(self, node: Node, chunks: Iterable[bytes]) -> None:
         self.node = node
@@ -82,7 +82,7 @@
         return iter(self.chunks)
 
     def close(self) -> None:
-        """End the answer; called by the server in every case."""
+        """End the response; the server calls this in every case (PEP 3333)."""
         if self.is_open:
             self.is_open = False
             self.node.under_way -= 1
@@ -111,7 +111,7 @@
 
 
 def send_error(node: Node, start_response: StartResponse, error: QuillringError) -> list[bytes]:
-    """Send an error at once; a refusal says when to come back, spread so crowds do not."""
+    """Send an error; Retry-After is randomized by 50 % so that clients do not retry together."""
     headers = []
     body = error.to_json()
     if error.may_retry_later:
@@ -123,7 +123,7 @@
 
 
 def send_lines(node: Node, start_response: StartResponse, coroutine: Coroutine) -> Iterable[bytes]:
-    """Drive a coroutine: its return value is a whole body, its emitted lines a streamed one."""
+    """Run a coroutine: its return value is one JSON body, its emitted items a stream of lines."""
     lines = node.runtime.lines(coroutine)
     try:
         first_line = next(lines)
@@ -134,7 +134,7 @@
 
 
 def stream_lines(first_line: Any, lines: Generator[Any, None, Any]) -> Iterator[bytes]:
-    """Yield the encoded lines; closing it closes the coroutine."""
+    """Yield the encoded lines; closing the generator closes the coroutine."""
     try:
         yield json.dumps(first_line).encode() + b"\n"
         for line in lines:
--- a/quillring/kernel/wsgi_server.py
+++ b/quillring/kernel/wsgi_server.py
@@ -1,4 +1,4 @@
-"""The listening side of HTTP/1.1, by gevent's WSGI server."""
+"""The HTTP/1.1 server of the JSON interface, by gevent's WSGI server."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 def start_wsgi_server(address: Address, app: Any, error_log: Any = None) -> Any:
     """Start serving the application at an address.
 
-    The server sends head and body apart; accepted connections inherit that neither waits for the
-    other's acknowledgement.
+    The server sends head and body separately; accepted connections inherit TCP_NODELAY, so that
+    the body does not wait for the acknowledgement of the head (Nagle's algorithm).
     """
     server = WSGIServer(address, app, log=None, error_log=error_log)
     server.init_socket()
