--- a/quillring/classes/class_terms.py
+++ b/quillring/classes/class_terms.py
@@ -1,6 +1,6 @@
-"""What a class of service allows; here, and nowhere else, stand the values of what it leaves out.
+"""What a class of service allows; the defaults of omitted terms are defined only here.
 
-A class that says nothing allows nothing: its work neither runs twice nor is resumed.
+A class allows nothing by default: its requests are neither run twice nor resumed.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 
 
 def may_repeat(terms: Terms) -> bool:
-    """Tell whether work of the class may run again after a replica may have begun it."""
+    """Return True if a request of the class may run again after a replica may have begun it."""
     return bool(terms.get("repeatable", False))
 
 
 def may_resume(terms: Terms) -> bool:
-    """Tell whether a sender may pick up a cut stream of the class."""
+    """Return True if a client may resume an interrupted stream of the class."""
     return bool(terms.get("resumable", False))
 
 
 def may_run_on(terms: Terms, has_pieces: object) -> bool:
-    """Tell whether a stream may go on at another replica once one may have begun it.
+    """Return True if a stream may fail over to another replica once one may have begun it.
 
-    `has_pieces` tells whether it has pieces already: then going on is a resumption as well.
+    `has_pieces` is true if the stream has pieces already: failing over then also is a resumption.
     """
     return may_repeat(terms) and (not has_pieces or may_resume(terms))
--- a/quillring/classes/fair_share.py
+++ b/quillring/classes/fair_share.py
@@ -1,4 +1,4 @@
-"""Who may use how much of a service's room: own share first, idle room lent by urgency."""
+"""Division of a service's capacity: own shares first, then idle capacity by priority."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 def allocate(
     room: int, classes: Mapping[str, Mapping[str, Any]], demands: Mapping[str, int]
 ) -> dict[str, int]:
-    """Return {class: room it may use}.
+    """Return {class: slots it may use}, out of `room` slots.
 
     `classes` is {class: {share, urgency}}, `demands` {class: requests running or waiting}. A class
-    gets what it asks for up to its share; what others leave idle is lent to the classes that ask
-    for more, the urgent first.
+    gets its demand up to its share; slots left idle are lent to the classes that demand more, in
+    descending order of urgency.
     """
     share_sum = sum(classes[name]["share"] for name in demands) or 1
     own_rooms = {name: classes[name]["share"] / share_sum * room for name in demands}
@@ -31,9 +31,10 @@
 
 
 def apportion(amount: int, demands: Mapping[str, int]) -> dict[str, int]:
-    """Return {name: its part of the amount} by demand, in whole numbers that add up.
+    """Return {name: its part of the amount}, proportional to demand and no more than it.
 
-    By the largest remainder (Hamilton's method).
+    The integers add up to the amount, or to the total demand if that is less: the method of
+    largest remainders (Hamilton), ties broken by name.
     """
     total = sum(demands.values())
     if total <= amount:
@@ -47,6 +48,6 @@
 
 
 def slow_start_slots(slots: int, age_seconds: float, warm_up_seconds: float) -> int:
-    """Return how many requests a cold replica gets at this age."""
+    """Return how many requests a cold replica may run: a linear slow start, at least 1."""
     warm_share = min(1, age_seconds / warm_up_seconds)
     return min(slots, max(1, int(slots * warm_share)))
--- a/quillring/classes/messages.py
+++ b/quillring/classes/messages.py
@@ -1,4 +1,4 @@
-"""The call for quotas between those who send work to replicas and the core that divides it."""
+"""The quota request between nodes that dispatch to replicas and the core that grants quotas."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class QuotaRequest(NamedTuple):
-    """`grants.ask`: what a client runs or wants to run of a service, and where.
+    """`grants.ask`: the requests that a client runs or has waiting for a service.
 
     `demands` is {class: requests}, `held_cold_slots` {cold replica: slots in use or granted}.
     """
@@ -37,7 +37,8 @@
 class Quota(NamedTuple):
     """The reply to `grants.ask`: what a client may run of a service.
 
-    `limits` is {class: requests}, `cold_slots` {cold replica: slots}; these hold for the lease.
+    `limits` is {class: requests}, `cold_slots` {cold replica: slots}; the slots are valid for
+    `lease_seconds` from when the request was sent.
     """
 
     limits: Mapping[str, int]
--- a/quillring/classes/quota_client.py
+++ b/quillring/classes/quota_client.py
@@ -1,4 +1,4 @@
-"""The client of quotas on an edge, or on a core that runs lots: asks for limits and holds them."""
+"""The quota client on an edge, or on a core that runs lots: requests quotas and keeps them."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class HeldQuota(NamedTuple):
-    """A quota of a service, when it was asked for, and until when its parts hold, in seconds."""
+    """A quota, when it was requested, and when its limits and slots expire, in seconds."""
 
     limits: Mapping[str, int]
     cold_slots: Mapping[str, int]
@@ -32,7 +32,7 @@
 
 
 class QuotaClient:
-    """The quotas of this node, per service."""
+    """Owner of this node's quotas, by service; `on_quota` is called after each new one."""
 
     __slots__ = ("node", "quotas", "on_quota")
 
@@ -42,7 +42,7 @@
         self.on_quota: Callable[[], None] = lambda: None
 
     def run(self) -> Coroutine:
-        """Ask the deciding core of each service, more often while there is work."""
+        """Request quotas every heartbeat; of busy services, REQUESTS_PER_HEARTBEAT times."""
         ticks = 0
         while True:
             yield Sleep(self.node.bounds.heartbeat_interval / REQUESTS_PER_HEARTBEAT)
@@ -57,7 +57,7 @@
                     self.node.spawn(self._request(service))
 
     def _request(self, service: str) -> Coroutine:
-        """Ask the core that leads a service's part for its quota."""
+        """Request the quota from the core that leads the service's part; skip on any error."""
         ownership, bounds = self.node.find("ownership"), self.node.bounds
         try:
             part = part_of(service, len(ownership.parts()) - 1)
@@ -86,7 +86,7 @@
         self.on_quota()
 
     def _held_cold_slots(self, service: str) -> dict[str, int]:
-        """Return what may be in use here: running at cold replicas, or granted and not over."""
+        """Return {cold replica: slots} in use here, or granted and valid, whichever are more."""
         granted = self._granted_cold_slots(service)
         held: dict[str, int] = {}
         for replica in self.node.find("replicas").table.values():
@@ -107,14 +107,14 @@
         return self._granted_cold_slots(replica.service).get(replica.name, 0)
 
     def has_recent_quota(self, service: str) -> bool:
-        """Tell whether a deciding core answered lately."""
+        """Return True if the quota was requested less than a heartbeat interval ago."""
         quota = self.quotas.get(service)
         if quota is None:
             return False
         return self.node.now() - quota.asked_at < self.node.bounds.heartbeat_interval
 
     def limit(self, service: str, class_name: str) -> int | None:
-        """Return how many requests of the class may run from here, None without a quota."""
+        """Return how many requests of the class this node may run, None without a valid quota."""
         quota = self.quotas.get(service)
         if quota is None or self.node.now() >= quota.limits_until:
             return None
--- a/quillring/classes/quota_server.py
+++ b/quillring/classes/quota_server.py
@@ -1,6 +1,7 @@
-"""The deciding core of a service: divides its room among classes and clients, and lends cold slots.
+"""The quota server of a service: divides its capacity among classes and clients.
 
-The room of a service is the sum of the slots of its replicas, fewer while they are cold.
+The capacity ("room") of a service is the sum of its replicas' usable slots; a cold replica has
+fewer of them (slow start), and each of these is leased to one client at a time.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 
 class ClientDemand(NamedTuple):
-    """What a client last asked for of a service, and the cold slots it may hold until when."""
+    """What a client last requested, and the cold slots it may be using until `cold_until`."""
 
     asked_at: float
     demands: Mapping[str, int]
@@ -41,9 +42,9 @@
 
 
 class QuotaServer:
-    """Answers clients for the services whose part this core leads, while it holds the lease.
+    """Grants quotas of the services whose part this core leads, while its lease is valid.
 
-    `demands` is {service: {client: ClientDemand}}.
+    `demands` is {service: {client: ClientDemand}}, `terms` {part: LeaderTerm}.
     """
 
     __slots__ = ("node", "demands", "terms")
@@ -57,7 +58,7 @@
 
     @property
     def lease_seconds(self) -> float:
-        """Seconds for which a quota of cold slots holds."""
+        """Seconds for which a grant of cold slots is valid."""
         return self.node.bounds.propagation
 
     def _on_leader_change(self, leader: PartLeader, batch: list[WireMap]) -> None:
@@ -71,7 +72,7 @@
     def on_request(self, body: WireMap, origin: str) -> WireMap:
         """Grant a client its limits by class and cold slots for one service.
 
-        Raises NotLeader unless this core leads the service's part and holds the lease.
+        Raises NotLeader unless this core leads the service's part and its lease is valid.
         """
         request = QuotaRequest.from_wire(body)
         service, held_slots = request.service, dict(request.held_cold_slots)
@@ -93,7 +94,11 @@
         return Quota(limits, cold_slots, self.lease_seconds).to_wire()
 
     def _limits(self, service: str, client: str, now: float) -> dict[str, int]:
-        """Return {class: requests} for a client, by the demands of all that asked lately."""
+        """Return {class: requests} for a client.
+
+        Counts the clients that asked within half of `bounds.propagation`; slots that remain idle
+        are divided equally and added to the limit of each class.
+        """
         configuration = self.node.find("layout").configuration or {"classes": {}}
         classes = configuration["classes"]
         replicas = self.node.find("replicas").available(service)
@@ -119,7 +124,7 @@
         return limits
 
     def usable_slots(self, replica: Any) -> int:
-        """Return how many slots of a replica may be used now: fewer while it is cold."""
+        """Return how many slots of a replica may be used now: a cold one has a slow start."""
         slots: int = replica.slots
         if replica.state != "cold":
             return slots
@@ -131,10 +136,10 @@
     def _cold_slots(
         self, service: str, client: str, now: float, led_seconds: float
     ) -> dict[str, int]:
-        """Return {replica: slots}; what others may still hold is never granted twice.
+        """Return {replica: slots} for a client; slots that others may be using are never granted.
 
-        A core that led for less than a lease knows not yet what others hold: it grants what the
-        client holds already.
+        A core that has led for less than a lease doesn't know yet what others use: it only grants
+        what the client has already.
         """
         replicas = self.node.find("replicas").available(service)
         cold_replicas = [replica for replica in replicas if replica.state == "cold"]
@@ -154,10 +159,10 @@
         return slots
 
     def _slots_of(self, replica: Any, client: str, by_client: dict[str, ClientDemand]) -> int:
-        """Return the slots of one cold replica that a client gets.
+        """Return the slots of one cold replica that are granted to a client.
 
-        Each client counts with one request more than it has, so that all get some; where there are
-        fewer slots than clients, rendezvous hashing picks those that get one.
+        Slots are apportioned by demand plus one, so that idle clients weigh in too; if there are
+        fewer slots than clients, rendezvous hashing picks the clients that get one each.
         """
         usable = self.usable_slots(replica)
         held_elsewhere = sum(
--- a/quillring/classes/service_level.py
+++ b/quillring/classes/service_level.py
@@ -1,4 +1,4 @@
-"""How the terms of each class were kept on this node lately."""
+"""The service level of each class on this node, over the last quarter of an hour."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 class ServiceLevelMeter:
-    """Counts by class and minute; what is older than a quarter of an hour is forgotten.
+    """Counts of outcomes by class, in WINDOWS windows of WINDOW_SECONDS seconds.
 
-    `windows` is {number of the minute: {(class, outcome): count}}.
+    `windows` is {number of the window: {(class, outcome): count}}.
     """
 
     __slots__ = ("node", "windows")
@@ -26,7 +26,10 @@
         self.windows: dict[int, dict[tuple[str, str], int]] = {}
 
     def record(self, class_name: str, first_at: float | None, due_at: float) -> None:
-        """Count a request by when its first piece went out, if it did, and when it was due."""
+        """Count a request: kept if its first piece was sent when due, late after that, or unserved.
+
+        `first_at` and `due_at` are in seconds of this node; `first_at` is None if none was sent.
+        """
         outcome = UNSERVED
         if first_at is not None:
             outcome = KEPT if first_at <= due_at else LATE
@@ -38,7 +41,7 @@
         counts[class_name, outcome] = counts.get((class_name, outcome), 0) + 1
 
     def rows(self) -> list[dict[str, Any]]:
-        """Return a row a class: how many were kept, late and unserved, and the share kept."""
+        """Return a row for each class: the counts kept, late and unserved, and the share kept."""
         oldest = int(self.node.now() // WINDOW_SECONDS) - WINDOWS
         totals: dict[str, dict[str, int]] = {}
         for window, counts in self.windows.items():
--- a/quillring/gossip/__init__.py
+++ b/quillring/gossip/__init__.py
@@ -1,4 +1,4 @@
-"""Versioned updates passed on to a few members; gaps are closed by anti-entropy."""
+"""Gossip of versioned updates: rumor mongering, with anti-entropy for what was missed."""
 
 from quillring.gossip.gossip import Gossip
 
--- a/quillring/gossip/gossip.py
+++ b/quillring/gossip/gossip.py
@@ -1,7 +1,7 @@
-"""Versioned updates: pushed to a few members, and completed by anti-entropy.
+"""Gossip of versioned updates: pushed to FANOUT random members, completed by anti-entropy.
 
-Source: Demers et al., "Epidemic algorithms for replicated database maintenance", 1987: rumor
-mongering for what is new, anti-entropy for what was missed.
+Source: Demers et al., "Epidemic algorithms for replicated database maintenance", PODC 1987: rumor
+mongering for new updates, anti-entropy for missed ones.
 """
 
 from __future__ import annotations
@@ -48,9 +48,10 @@
 
 
 class Gossip:
-    """The table of a node; a key only ever moves to a higher version.
+    """The gossip table of a node; the version of a key only ever increases.
 
-    `remaining_sends` is {key: how many more rounds push it}.
+    `remaining_sends` is {key: how many more gossip rounds push it}, `compared_at` {member: when its
+    digest was last compared on request, in seconds}, `digest` that of `table`; None: out of date.
     """
 
     __slots__ = (
@@ -76,7 +77,7 @@
         node.handle(VERSIONS, self.on_versions)
 
     def subscribe(self, prefix: str, subscriber: Subscriber) -> None:
-        """Call subscriber(key, value) whenever a key under the prefix moves on."""
+        """Call subscriber(key, value) for each newer value of a key that starts with the prefix."""
         self.subscribers.setdefault(prefix, []).append(subscriber)
 
     def get(self, key: str) -> Any:
@@ -84,13 +85,13 @@
         return self.table[key].value if key in self.table else None
 
     def values_with_prefix(self, prefix: str) -> dict[str, Any]:
-        """Return {key: value} of all keys under the prefix."""
+        """Return {key: value} of all keys that start with the prefix."""
         return {key: entry.value for key, entry in self.table.items() if key.startswith(prefix)}
 
     def publish(self, key: str, version: Sequence[Any], value: Any) -> bool:
-        """Take an update and pass it on; False when its version is no newer than the known one.
+        """Store an update and schedule it for gossip; return False unless its version is newer.
 
-        Raises BadWire, and takes nothing, for a value that a subscriber can't read.
+        Raises BadWire, with the table as before, for a value that a subscriber can't parse.
         """
         version = tuple(version)
         former = self.table.get(key)
@@ -116,7 +117,7 @@
                     subscriber(key, value)
 
     def run(self) -> Coroutine:
-        """Push what is new in each round, and compare digests once a heartbeat."""
+        """Push updates every gossip interval; compare digests with one member every heartbeat."""
         bounds, rounds = self.node.bounds, 0
         while True:
             yield Sleep(bounds.gossip_interval)
@@ -128,7 +129,7 @@
                     self.node.send_oneway(name, DIGEST, self.table_digest())
 
     def push_updates(self) -> None:
-        """Send the new keys to a few members; each key goes out a few times."""
+        """Send the keys with remaining sends to FANOUT random members."""
         if not self.remaining_sends or not self.node.find("nifty").graph.routes:
             return
         updates = updates_to_wire(Update(key, *self.table[key]) for key in self.remaining_sends)
@@ -143,7 +144,7 @@
         return self.node.runtime.random.sample(reached_names, min(count, len(reached_names)))
 
     def table_digest(self) -> bytes:
-        """Return the digest over all keys and versions."""
+        """Return the first DIGEST_BYTES of the SHA-256 over all keys and versions."""
         if self.digest is None:
             versions = sorted((key, list(entry.version)) for key, entry in self.table.items())
             self.digest = hashlib.sha256(cbor2.dumps(versions)).digest()[:DIGEST_BYTES]
@@ -153,7 +154,10 @@
         return {key: entry.version for key, entry in self.table.items()}
 
     def request_missing(self) -> None:
-        """At the start, while no layout is known, ask members in reach for all that is lacking."""
+        """Request missing updates from reachable members while no configuration is known.
+
+        Only within `bounds.propagation` seconds of the start.
+        """
         age_seconds = self.node.now() - self.started_at
         if "layout" in self.table or age_seconds > self.node.bounds.propagation:
             return
@@ -167,7 +171,7 @@
                 self.node.send_oneway(name, VERSIONS, body)
 
     def start_anti_entropy(self, name: str) -> None:
-        """Compare the whole table with one member in reach, at most twice a heartbeat."""
+        """Compare digests with a reachable member, at most twice a heartbeat interval."""
         if not self.node.find("nifty").reaches(name):
             return
         now, min_pause = self.node.now(), self.node.bounds.heartbeat_interval / 2
@@ -176,7 +180,11 @@
             self.node.send_oneway(name, DIGEST, self.table_digest())
 
     def on_updates(self, body: list[Any], origin: str) -> None:
-        """Take pushed updates; what others push here too needs to be pushed less often."""
+        """Publish pushed updates; a copy of one that is known reduces its remaining sends by one.
+
+        Raises BadWire at the first value that a subscriber can't parse, TypeError or ValueError at
+        a malformed item; updates before it are published.
+        """
         for key, version, value in updates_from_wire(body):
             if not self.publish(key, version, value) and key in self.remaining_sends:
                 self._count_received_copy(key, tuple(version))
@@ -189,13 +197,13 @@
             }
 
     def on_digest(self, digest: bytes, origin: str) -> None:
-        """Answer a digest that differs with the versions held here."""
+        """Reply to a digest that differs with the versions of this table."""
         if digest != self.table_digest():
             body = VersionsMessage(self._versions(), wants_reply=True).to_wire()
             self.node.send_oneway(origin, VERSIONS, body)
 
     def on_versions(self, body: list[Any], origin: str) -> None:
-        """Send what the other side lacks; let it send what is lacking here."""
+        """Send the updates that the other side lacks, and request those that this table lacks."""
         message = VersionsMessage.from_wire(body)
         newer_updates = [
             Update(key, *entry)
--- a/quillring/gossip/messages.py
+++ b/quillring/gossip/messages.py
@@ -1,4 +1,4 @@
-"""Messages of gossip, and their form on the wire."""
+"""Messages of gossip and their wire forms."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Update(NamedTuple):
-    """A key's value under a version: an item of `gossip.news`."""
+    """A key with its value and version: an item of `gossip.news`."""
 
     key: str
     version: Version
@@ -31,13 +31,13 @@
 
 
 def updates_from_wire(body: list[Any]) -> Iterator[Update]:
-    """Read the body of `gossip.news`, item by item: one that can't be read ends the reading."""
+    """Read the body of `gossip.news` item by item; raise TypeError or ValueError at a bad one."""
     for key, version, value in body:
         yield Update(key, version, value)
 
 
 class VersionsMessage(NamedTuple):
-    """`gossip.versions`: the versions a member holds, and whether it wants the receiver's too."""
+    """`gossip.versions`: the versions in a member's table, and whether it wants the receiver's."""
 
     versions: dict[str, Version]
     wants_reply: bool
--- a/quillring/nifty/__init__.py
+++ b/quillring/nifty/__init__.py
@@ -1,4 +1,4 @@
-"""The peer layer of every node: heartbeats, full graph, routes, relays, bridges."""
+"""The peer layer of every node: heartbeats, connectivity graph, routes, relays, bridges."""
 
 from quillring.kernel.member import Member
 from quillring.nifty.graph import Graph
--- a/quillring/nifty/bits.py
+++ b/quillring/nifty/bits.py
@@ -1,6 +1,6 @@
-"""Sets of members as integers: one bit a name, in the order of some sorted names.
+"""Sets of members as integers: one bit for each name, in the sorted order of names.
 
-Rows of the connectivity matrix are kept so: union, difference and count cost one operation a row.
+Rows of the connectivity matrix are stored so: union, difference and count take one operation each.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 
 class BitPermutation:
-    """Reads bits made for one order of names in another one; names that lacks are left out."""
+    """Translates bits from one order of names to another; names missing there are left out."""
 
     __slots__ = ("width", "pick")
 
@@ -60,7 +60,7 @@
 
 
 class BitPermutations:
-    """The permutations into one order of names, given as {name: place}; each is made once."""
+    """A cache of the permutations into one order of names, given as {name: place}."""
 
     __slots__ = ("places", "made")
 
--- a/quillring/nifty/duplicate_filter.py
+++ b/quillring/nifty/duplicate_filter.py
@@ -1,4 +1,4 @@
-"""Deduplication of messages that may be doubled or reordered on a route switch."""
+"""Deduplication of messages, which may be duplicated or reordered when a route changes."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 class DuplicateFilter:
     """The sequence numbers received from one incarnation of an origin.
 
-    Those more than WINDOW_SEQUENCES below the highest count as received: a copy that comes later
-    than that is dropped, as if it had been lost.
+    Those WINDOW_SEQUENCES or more below the highest count as received: a first copy that arrives
+    so late is dropped, as if it had been lost.
     """
 
     __slots__ = ("incarnation", "highest", "received")
--- a/quillring/nifty/graph.py
+++ b/quillring/nifty/graph.py
@@ -29,9 +29,9 @@
 
 
 class Graph:
-    """An immutable image of who reaches whom directly, with routes by hop count.
+    """An immutable graph of direct links between members, with the shortest routes from `home`.
 
-    A row of links is one whole number, a bit a name: what is read of it is made when asked for.
+    A row of links is an integer, one bit for each name; sets of names are made on demand.
     """
 
     __slots__ = ("home", "names", "places", "rows", "live_bits", "routes", "cache")
@@ -59,10 +59,10 @@
     def _make(
         self, home: str, names: Sequence[str], places: dict[str, int], rows: dict[str, int]
     ) -> None:
-        """Find the links and routes.
+        """Compute the links and routes.
 
-        The home's own links are what it sees itself; other pairs must both tell of their link,
-        and of a node that is not heard the others tell.
+        The home's own links are those it observes; a link between two others must be reported by
+        both ends, or by the other end alone if one of them sent no row.
         """
         self.home, self.names, self.places = home, names, places
         self.cache: dict[Hashable, Any] = {}
@@ -82,13 +82,14 @@
         self.routes = self._bellman_ford()
 
     def same_links(self, other: Graph) -> bool:
-        """Tell whether another graph has the very same links between the same names."""
+        """Return True if another graph has the same links between the same names."""
         return self.names == other.names and self.rows == other.rows
 
     def _bellman_ford(self) -> dict[str, Route]:
-        """Return {name: (hop count, first hops)}; direct links win, equal routes are all kept.
+        """Return {name: (hop count, first hops of all shortest routes)}.
 
-        With hop counts as weights the distance vectors settle ring by ring, from the home outwards.
+        With hop counts as weights Bellman-Ford is a breadth-first search from the home: a ring is
+        the set of names at one distance.
         """
         names, rows = self.names, self.rows
         names_of: dict[int, tuple[str, ...]] = {}
@@ -113,7 +114,7 @@
         return routes
 
     def _reached_from(self, ring: int) -> int:
-        """Return the bits of what the names of a ring reach, as soon as that is everyone."""
+        """Return the bits of the names linked with a ring; stop early once all are found."""
         reached_bits = 0
         for place in bit_positions(ring):
             reached_bits |= self.rows[place]
@@ -155,7 +156,10 @@
         )
 
     def next_hop(self, target: str, origin: str) -> str | None:
-        """Return the neighbour to pass a message to, spread over equal routes, or None."""
+        """Return the neighbour to forward a message to, or None without a route.
+
+        Of equal routes, rendezvous hashing picks one for each pair of origin and target.
+        """
         known_route = self.routes.get(target)
         if known_route is None:
             return None
@@ -174,7 +178,7 @@
         return known_route[0] if known_route else None
 
     def reachable(self) -> frozenset[str]:
-        """Return the names that a message can get to, home included."""
+        """Return the names that a message can reach, home included."""
         return self._cached("reachable", lambda: frozenset(self.routes) | {self.home})
 
     @property
@@ -194,7 +198,7 @@
         )
 
     def bridges_without(self, left_out: frozenset[str]) -> frozenset[str]:
-        """Return the live nodes that reach all others but some directly, if not all of them do."""
+        """Return the live nodes linked with all others but `left_out`; empty if all of them are."""
         return self._cached(("bridges", left_out), lambda: self._find_bridges(left_out))
 
     def _find_bridges(self, left_out: frozenset[str]) -> frozenset[str]:
@@ -226,7 +230,7 @@
         return tuple(sorted(found_sides))
 
     def to_json(self) -> dict[str, Any]:
-        """Return the graph as operators see it."""
+        """Return the graph as the HTTP interface shows it."""
         return {
             "is_cut": self.is_cut,
             "bridge_nodes": list(self.bridge_nodes()),
--- a/quillring/nifty/heartbeat_round.py
+++ b/quillring/nifty/heartbeat_round.py
@@ -1,4 +1,4 @@
-"""One round of heartbeats: what all of them share is encoded once."""
+"""One round of heartbeats, one to each member: their common content is encoded once."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 class HeartbeatRound:
     """The heartbeats of one round.
 
-    A member that echoed a heartbeat with the present record, roster and bitmap knows them; it gets
-    a terse one, which stands for the same, as long as it echoes.
+    A member that echoed a heartbeat with the present record, roster and bitmap knows them; as long
+    as it echoes, it gets terse heartbeats, which leave them out.
 
     Parameters
     ----------
     sequence : number of this round
     content_sequence : first round with the present record, roster and bitmap
-    digest, bitmap : the roster's digest and who of it is reached
+    digest, bitmap : the roster's digest and the members of it that are reached
     stamp : freshness stamp of the node's own store, or None
     versions : versions of the format that this node speaks, the oldest first
-    heard_edge : time since when a member must have been heard to count as heard
+    heard_edge : a heartbeat received after this time, in seconds, gets an echo
     """
 
     __slots__ = ("content_sequence", "full_content", "terse_content", "versions", "heard_edge")
@@ -53,7 +53,7 @@
         self.heard_edge = heard_edge
 
     def encode_for(self, state: PeerState | None) -> bytes:
-        """Return the datagram for a member, given what was heard of it; None for nothing yet."""
+        """Return the datagram for a member, by its state; None if nothing was received from it."""
         if state is None or state.heard_at <= self.heard_edge:
             return encode_first_heartbeat(self.versions[0], self.full_content)
         knows_content = state.reads_terse and state.acked_sequence >= self.content_sequence
--- a/quillring/nifty/heartbeat_timing.py
+++ b/quillring/nifty/heartbeat_timing.py
@@ -1,4 +1,4 @@
-"""The heartbeat interval and the link time-out for a fleet of some size.
+"""The heartbeat interval and the link timeout, by the number of members.
 
 Up to 128 members a heartbeat goes to each in every interval of the bounds, and three missed ones
 break a link. In a bigger fleet the interval grows so that a node's heartbeats a second stay the
--- a/quillring/nifty/incarnations.py
+++ b/quillring/nifty/incarnations.py
@@ -1,4 +1,4 @@
-"""Which incarnation of a name lives: clashes of names, and clocks that were set back."""
+"""The incarnations of a name: clashes between live processes, and clocks that were set back."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def is_name_clash(peers: Peers, member: Member, state: PeerState | None) -> bool:
-    """Return whether a newcomer bears the name of a member that lives at another address."""
+    """Return whether a new process has the name of a live member at another address."""
     known = peers.find_member(member.name)
     return (
         known is not None
@@ -23,7 +23,9 @@
 
 
 def renew_incarnation(peers: Peers, incarnation: int) -> None:
-    """Go on under a higher incarnation: the clock that gave this one was set back.
+    """Continue under a higher incarnation than the one that a peer knows.
+
+    Incarnations are taken from the clock: one below what a peer knows means it was set back.
 
     Parameters
     ----------
--- a/quillring/nifty/nifty.py
+++ b/quillring/nifty/nifty.py
@@ -1,4 +1,4 @@
-"""NIFTY in a process: heartbeats to all, bitmaps, graph, routes, relays, deduplication.
+"""NIFTY: heartbeats with connectivity bitmaps to all members, and the graph made of them.
 
 Source: Alfatafta, Alkhatib, Alquraan and Al-Kiswany, "Toward a Generic Fault Tolerance Technique
 for Partial Network Partitioning", OSDI 2020 (NIFTY), section 5 and listing 5.1 where noted.
@@ -38,18 +38,19 @@
 class Nifty(Relay):
     """The peer layer of one node.
 
-    Newly started, it sends heartbeats in every slice of an interval to those without a link.
+    In its first STARTUP_INTERVALS intervals it sends heartbeats to members without a link in every
+    slice; an interval has SLICES_PER_INTERVAL slices.
 
     Attributes
     ----------
     seeds : addresses that get heartbeats before their members are known
     heartbeat_sequence : number of the last round of heartbeats
-    content, content_sequence : what the last full heartbeats told, and the first round of it
-    sent_at_by_sequence : when each recent round was sent
-    graph_inputs, refreshed_at : what the graph was last made of, and when
+    content, content_sequence : content of the last full heartbeats, and the first round with it
+    sent_at_by_sequence : when each recent round was sent, in seconds of this node
+    graph_inputs, refreshed_at : inputs of the last graph, and when it was made
     anti_entropy_count : calls of `on_unknown_roster` in this slice
     listeners : called with each graph that differs from the one before
-    stamp_source : returns the freshness stamp that heartbeats bear
+    stamp_source : returns the freshness stamp that heartbeats carry
     on_unknown_roster : called with the name of a member whose roster differs from this node's
     linked_names : the names reached at the last slice
     """
@@ -90,7 +91,7 @@
         node.handle("member.former", lambda body, origin: renew_incarnation(self, body))
 
     def run(self) -> Coroutine:
-        """Send a heartbeat to all in every interval, the lost ones included."""
+        """Send a heartbeat to every member in every interval, unreachable ones included."""
         while True:
             self.send_heartbeats()
             for slice_number in range(SLICES_PER_INTERVAL):
@@ -99,7 +100,7 @@
                 yield Sleep(self.timing.interval / SLICES_PER_INTERVAL)
 
     def _send_to_unlinked(self, slice_number: int) -> None:
-        """Newly started, send heartbeats between rounds to all that have no lasting link yet."""
+        """Send extra heartbeats, shortly after the start, to members not linked for two slices."""
         former_names, self.linked_names = self.linked_names, self.reached_names()
         is_starting = self.node.now() - self.started_at < self.timing.interval * STARTUP_INTERVALS
         if slice_number and is_starting:
@@ -124,7 +125,7 @@
                 self._send_heartbeat(address, heartbeat_round, None)
 
     def _latest_state(self, names: list[str]) -> PeerState | None:
-        """Return the state of the name heard last, of several names at one address."""
+        """Return the state with the latest heartbeat, of several names at one address."""
         return max(
             [self.peer_states[name] for name in names if name in self.peer_states],
             key=lambda state: state.heard_at,
@@ -171,7 +172,7 @@
         self.node.count("beat_bytes", byte_count)
 
     def on_datagram(self, data: bytes) -> None:
-        """Take a heartbeat; garbage is counted and dropped."""
+        """Process a received heartbeat; a malformed datagram is counted and dropped."""
         try:
             heartbeat = Heartbeat(data, self.versions, self.known_roster.members)
         except BadWire as error:
@@ -197,7 +198,7 @@
     def _is_newer_incarnation(self, heartbeat: Heartbeat, state: PeerState | None) -> bool:
         """Return whether an unexpected heartbeat is of a newer incarnation.
 
-        One whose name clashes with a member's, and one whose clock was set back, is told so.
+        Notifies a process whose name clashes with a member's, and one whose clock was set back.
         """
         member = heartbeat.member
         if member is None:
@@ -214,7 +215,7 @@
         return False
 
     def _take_heartbeat(self, state: PeerState, heartbeat: Heartbeat) -> None:
-        """Take what a heartbeat tells; a link that came up is routed at once or within a slice."""
+        """Update a peer's state by its heartbeat; a new link is in the graph within a slice."""
         now = self.node.now()
         state.heard_at, state.sequence, state.stamp = now, heartbeat.sequence, heartbeat.stamp
         state.is_refused = False
@@ -238,7 +239,7 @@
             self._take_new_link(now)
 
     def _take_content(self, state: PeerState, heartbeat: Heartbeat, member: Member) -> None:
-        """Take the member record and the bitmap of a full heartbeat."""
+        """Update the member and its row by the record and bitmap of a full heartbeat."""
         if member is not self.known_roster.members.get(member.name):
             self.learn(member)
         if (
@@ -249,7 +250,7 @@
             self.is_graph_stale = True
 
     def _start_anti_entropy(self, name: str) -> None:
-        """Tell that a member has another roster, for a few members a slice at most."""
+        """Call `on_unknown_roster`, at most ANTI_ENTROPY_STARTS_PER_SLICE times a slice."""
         if self.anti_entropy_count < ANTI_ENTROPY_STARTS_PER_SLICE:
             self.anti_entropy_count += 1
             self.on_unknown_roster(name)
@@ -261,10 +262,10 @@
             self.refresh()
 
     def on_refused(self, address: Address) -> None:
-        """Take that no process listens at an address: who lived there is lost at once.
+        """Drop the links to the members at an address where no process listens any more.
 
-        It counts as lost as after missed heartbeats, and until its next one. In a fleet whose
-        heartbeats are not slowed for its size, the others hear of it at once too.
+        They count as unreachable, as after missed heartbeats, until their next heartbeat. Unless
+        the interval is lengthened for the fleet's size, the other members are notified at once.
         """
         if not self.refuse(address):
             return
@@ -274,7 +275,7 @@
             self.send_heartbeats()
 
     def refresh(self) -> None:
-        """Make the graph anew if what was heard has changed; a changed one is told to listeners."""
+        """Recompute the graph if its inputs changed, and notify listeners if its links changed."""
         roster, me = self.roster, self.node.me.name
         self.anti_entropy_count = 0
         reached_names = self.reached_names()
@@ -291,7 +292,7 @@
         self._replace_graph(Graph.of_bits(me, roster.names, roster.places, rows))
 
     def _names_with_fresh_rows(self, places: dict[str, int]) -> frozenset[str]:
-        """Return the names of the roster that were heard lately and told whom they reach."""
+        """Return the roster's names with a row and a heartbeat within the link timeout."""
         heard_edge = self.node.now() - self.timing.link_timeout
         return frozenset(
             [
--- a/quillring/nifty/peer_state.py
+++ b/quillring/nifty/peer_state.py
@@ -1,4 +1,4 @@
-"""What a node last heard from a peer."""
+"""What a node last received from a peer."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 
 
 class PeerState:
-    """What a node last heard from a peer.
+    """What a node last received from a peer.
 
-    Its row of the connectivity matrix stands as the peer sent it: bits over the names of the roster
-    they were made for. A bitmap made for an unknown roster waits until that roster is known.
+    Its row of the connectivity matrix is stored as the peer sent it: bits over the names of the
+    roster they were made for. A bitmap for an unknown roster is pending until that is known.
 
     Attributes
     ----------
-    heard_at : time of its last heartbeat, in seconds of this node
+    heard_at : when its last heartbeat was received, in seconds of this node
     incarnation, sequence : those of its last heartbeat
     echoed_at : when the newest of this node's heartbeats that it echoed was sent, None for none
     stamp : freshness stamp of its store, or None
-    version : newest version of the format that both speak
+    version : newest version of the wire format that both speak
     roster, bits : its row, and the roster whose names the bits stand for; None for no row yet
     digest, unread_bitmap : digest of its roster, and a bitmap whose roster is not known here yet
     acked_sequence : the last round of this node's heartbeats that it echoed, 0 for none
     reads_terse : whether it reads terse heartbeats
     places, reordered_bits : its row in the order of the present roster, made when asked for
-    is_refused : its process listens no more, and nothing came from it since that was seen
+    is_refused : a connection to it was refused, and no heartbeat was received since
     """
 
     __slots__ = (
@@ -68,11 +68,11 @@
 
     @property
     def neighbour_names(self) -> frozenset[str] | None:
-        """The names it last told it reaches, or None."""
+        """The names that it last reported as reached, or None."""
         return None if self.roster is None else self.roster.names_of(self.bits)
 
     def take_bitmap(self, digest: bytes, bitmap: bytes, roster: Roster | None) -> bool:
-        """Take a bitmap made for a roster, if that is known; return whether the row changed."""
+        """Store a bitmap, pending if its roster is None; return whether the row changed."""
         self.digest = digest
         self.unread_bitmap = bitmap if roster is None else None
         if roster is None:
--- a/quillring/nifty/peers.py
+++ b/quillring/nifty/peers.py
@@ -1,4 +1,4 @@
-"""Who the peers are: the roster, and what was last heard of each member."""
+"""The peers of a node: the roster, and what was last received from each member."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 
 class Peers:
-    """The members as one node knows them.
+    """The membership as one node knows it; owner of the roster and of the peer states.
 
     Attributes
     ----------
     known_roster : the present roster, without the members of `pending_members`
     pending_members : members learned since the roster was last read
     recent_rosters : the last rosters by their digest, the present one included
-    timing : heartbeat interval and link time-out for the present number of members
-    peer_states : what was last heard of each member
-    is_graph_stale : whether what the graph is made of has changed
+    timing : heartbeat interval and link timeout for the present number of members
+    peer_states : what was last received from each member, by name
+    is_graph_stale : whether the inputs of the graph have changed
     on_member : called with each member that is new or renewed
     """
 
@@ -55,7 +55,7 @@
 
     @property
     def roster(self) -> Roster:
-        """The present roster; members learned since it was last read come in by one swap."""
+        """The present roster; members learned since it was last read are added on reading."""
         if self.pending_members:
             self.replace_roster(self._take_pending_members())
         return self.known_roster
@@ -69,11 +69,11 @@
         return self.pending_members.get(name) or self.known_roster.members.get(name)
 
     def member_count(self) -> int:
-        """Return how many members are known, at most."""
+        """Return an upper bound of the number of known members."""
         return len(self.known_roster.names) + len(self.pending_members)
 
     def learn(self, member: Member) -> None:
-        """Take a member record; a newer incarnation renews the address."""
+        """Add a member, or replace its record by that of a newer incarnation."""
         known = self.find_member(member.name)
         if known is not None and known.incarnation >= member.incarnation:
             return
@@ -83,13 +83,13 @@
         self.on_member(member)
 
     def forget(self, name: str) -> None:
-        """Drop a retired member for good."""
+        """Remove a retired member and its state."""
         if name in self.roster.members and name != self.node.me.name:
             self.replace_roster(self.roster.without(name))
             self.peer_states.pop(name, None)
 
     def replace_roster(self, new_roster: Roster) -> None:
-        """Put another roster in the place of the present one; bitmaps made for it can be read."""
+        """Replace the roster, and read the pending bitmaps that were made for the new one."""
         kept_rosters = [*self.recent_rosters.values(), new_roster][-KEPT_ROSTERS:]
         if new_roster.digest != self.known_roster.digest:
             self.is_graph_stale = True
@@ -101,17 +101,17 @@
                 state.take_bitmap(state.digest, state.unread_bitmap, new_roster)
 
     def take_bitmap(self, state: PeerState, digest: bytes, bitmap: bytes) -> bool:
-        """Take the bitmap that a member sent; return whether its row changed."""
+        """Store the bitmap that a member sent; return whether its row changed."""
         if self.pending_members and digest not in self.recent_rosters:
             self.replace_roster(self._take_pending_members())
         return state.take_bitmap(digest, bitmap, self.recent_rosters.get(digest))
 
     def is_heard(self, state: PeerState) -> bool:
-        """Return whether too few heartbeats were missed to break a link."""
+        """Return whether a heartbeat was received within the link timeout."""
         return state.heard_at > self.node.now() - self.timing.link_timeout
 
     def refuse(self, address: Address) -> bool:
-        """Take that the members at an address listen no more; return whether that is new."""
+        """Mark the members at an address as refused; return whether any of them was not yet."""
         is_new = False
         for name in self.roster.addresses.get(address, ()):
             state = self.peer_states.get(name)
@@ -120,17 +120,20 @@
         return is_new
 
     def is_just_refused(self, name: str) -> bool:
-        """Return whether a member is lost only because it listens no more, not by its silence."""
+        """Return whether a member is lost by a refused connection only, not by the timeout."""
         state = self.peer_states.get(name)
         return state is not None and state.is_refused and self.is_heard(state)
 
     def is_silent(self, name: str, seconds: float) -> bool:
-        """Return whether nothing was heard of a member for so many seconds."""
+        """Return whether no heartbeat of a member was received in the last seconds."""
         state = self.peer_states.get(name)
         return state is None or state.heard_at < self.node.now() - seconds
 
     def reached_names(self) -> frozenset[str]:
-        """Return the names heard lately that lately heard this node too, by their echo."""
+        """Return the names linked both ways: a recent heartbeat that echoes a recent one of ours.
+
+        A heartbeat is recent within the link timeout, an echoed one within an interval more.
+        """
         heard_edge = self.node.now() - self.timing.link_timeout
         echo_edge = heard_edge - self.timing.interval
         return frozenset(
--- a/quillring/nifty/relay.py
+++ b/quillring/nifty/relay.py
@@ -1,4 +1,4 @@
-"""Messages between nodes: sent by the best route, relayed for others, delivered once."""
+"""Messages between nodes: sent on a shortest route, relayed, delivered at most once."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 
 class Relay(Peers):
-    """The message side of the peer layer; a message may be lost, but is delivered once.
+    """The message side of the peer layer: at-most-once delivery over one or more hops.
 
     Attributes
     ----------
     graph : who reaches whom directly, and the routes
     sequence : number of the last message sent
     duplicate_filters : the messages received, by their origin
-    versions : versions of the format that this node speaks, the oldest first
+    versions : versions of the wire format that this node speaks, the oldest first
     """
 
     __slots__ = ("graph", "sequence", "duplicate_filters", "versions")
@@ -41,11 +41,11 @@
         self.versions = versions
 
     def reaches(self, name: str) -> bool:
-        """Return whether a message can get to the node, directly or relayed."""
+        """Return whether the node is this one or has a route, direct or over relays."""
         return name == self.node.me.name or name in self.graph.routes
 
     def lowest_common_version(self) -> int:
-        """Return the newest version of the format that every member in reach is known to speak."""
+        """Return the newest wire version that every reachable member is known to speak."""
         lowest = self.versions[-1]
         for name in self.roster.names:
             if name in self.graph.routes:
@@ -54,7 +54,7 @@
         return lowest
 
     def send(self, target: str, message: WireMap) -> bool:
-        """Send a message by the best route; return False when no route is known."""
+        """Send a message on a shortest route; return False when no route is known."""
         self.sequence += 1
         me = self.node.me
         return self._forward(
@@ -62,7 +62,10 @@
         )
 
     def send_direct(self, member: Member, version: int, service: str, body: Any) -> None:
-        """Send a message straight to the address of one who is no member under its incarnation."""
+        """Send a message to a member's address, bypassing the roster and the routes.
+
+        For processes that the roster doesn't have under their incarnation.
+        """
         self.sequence += 1
         me = self.node.me
         message = {"s": service, "b": body}
@@ -81,7 +84,7 @@
         return True
 
     def on_frame(self, data: bytes) -> None:
-        """Take a frame: deliver it once here, or relay it; garbage is counted and dropped."""
+        """Deliver a frame for this node, or relay it; count and drop bad frames and duplicates."""
         try:
             envelope = Envelope.from_wire(data, self.versions)
         except BadWire:
@@ -97,10 +100,10 @@
             self.node.count("duplicates")
 
     def _is_first_copy(self, envelope: Envelope) -> bool:
-        """Return whether a message is the first copy, and of no former incarnation of its sender.
+        """Return whether a message is the first copy, and of no former incarnation of its origin.
 
-        The filter knows the incarnations this node got messages from, the roster also those that it
-        only heard of: a node that starts anew has no filter yet.
+        The filter knows the incarnation that messages were received from. A node that has just
+        started has no filter yet: the roster may know a newer incarnation of the origin.
         """
         origin, incarnation = envelope.origin, envelope.incarnation
         duplicate_filter = self.duplicate_filters.get(origin)
--- a/quillring/nifty/roster.py
+++ b/quillring/nifty/roster.py
@@ -1,4 +1,4 @@
-"""The roster: all members as one node knows them, an immutable snapshot swapped whole."""
+"""The roster: an immutable snapshot of all members that a node knows."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Roster:
-    """The sorted members; the digest names the order that bitmaps are made for."""
+    """The members sorted by name; the digest identifies the order of names in bitmaps."""
 
     __slots__ = ("members", "names", "places", "digest", "addresses")
 
@@ -34,7 +34,7 @@
             self.addresses.setdefault(member.address, []).append(member.name)
 
     def with_members(self, members: Iterable[Member]) -> Roster:
-        """Return the roster with these members added or renewed."""
+        """Return the roster with these members added or replaced."""
         new_members = {**self.members, **{m.name: m for m in members}}
         if len(new_members) > len(self.members):
             return Roster(new_members.values())
@@ -48,12 +48,12 @@
         return Roster([m for m in self.members.values() if m.name != name])
 
     def to_bitmap(self, reached_names: Iterable[str]) -> bytes:
-        """Return the compact bitmap of the names."""
+        """Return the bitmap of the names, little-endian, one bit for each member."""
         bits = to_bits([self.places[name] for name in reached_names if name in self.places])
         return bits.to_bytes((len(self.names) + 7) // 8, "little")
 
     def from_bitmap(self, bitmap: bytes) -> int:
-        """Return the bits of a bitmap that was made for this very roster."""
+        """Return the bits of a bitmap that was made for this roster; excess bits are cleared."""
         return int.from_bytes(bitmap, "little") & (1 << len(self.names)) - 1
 
     def names_of(self, bits: int) -> frozenset[str]:
--- a/quillring/nifty/wire.py
+++ b/quillring/nifty/wire.py
@@ -1,9 +1,9 @@
-"""The node-to-node format: magic, version, then one CBOR value.
+"""The node-to-node wire format: magic, version, then one CBOR value (RFC 8949).
 
 A node speaks two versions, so that a fleet can be upgraded one node at a time: to a member it uses
-the newest one that both speak, to one it has not heard from the older. Every echo names the newest
-one its sender speaks, which readers of version 1 pass over.
-Echoes also name the form of terse heartbeats their sender reads; former readers pass over that.
+the newest one that both speak, and the older one until it has received a heartbeat. Every echo
+names the newest version its node speaks, which readers of version 1 ignore.
+Echoes also name the form of terse heartbeats that their node reads; former readers ignore that.
 Version 2 added `lot.release`, `member.former` and the entry in answers to `journal.find`.
 Version 3 added lots outside their host's part, `raw.reserve`, `raw.release`, `raw.fence`.
 
@@ -65,7 +65,7 @@
 
 
 class Envelope(NamedTuple):
-    """A message on its way: who sent it under which number, to whom, and how far it may go."""
+    """A message in transit: its origin and sequence number, its target, and its hop limit."""
 
     origin: str
     incarnation: int
@@ -81,7 +81,7 @@
         Raises
         ------
         BadWire
-            The frame holds no envelope.
+            The frame is not a valid envelope.
         """
         try:
             origin, incarnation, sequence, target, hops_left, message = unpack(data, versions)[1]
@@ -110,21 +110,21 @@
 
 
 class Echo(NamedTuple):
-    """The last heartbeat that the sender of an echo had from its receiver."""
+    """The last heartbeat that the node sending the echo received from the echo's receiver."""
 
     incarnation: int
     sequence: int
 
 
 class Heartbeat:
-    """One heartbeat as it came in; slotted, as every node reads hundreds of them a second.
+    """A received heartbeat; slotted, as every node reads hundreds of them a second.
 
-    A terse one bears neither member record nor roster digest nor bitmap: those stand as they were.
+    A terse one has neither member record nor roster digest nor bitmap: they are unchanged.
 
     Attributes
     ----------
-    echoed_incarnation, echoed_sequence : those of the echo; None where it bears none
-    version : newest version of the format that both sides speak
+    echoed_incarnation, echoed_sequence : those of the echo; None without an echo
+    version : newest version of the wire format that both sides speak
     reads_terse : whether the sender reads terse heartbeats
     """
 
@@ -178,12 +178,12 @@
     def from_wire(
         cls, data: bytes, versions: tuple[int, ...], known_members: dict[str, Member] | None = None
     ) -> Heartbeat:
-        """Return the heartbeat of a datagram; records that did not change give known members.
+        """Return the heartbeat of a datagram, with the known member if its record is unchanged.
 
         Raises
         ------
         BadWire
-            The datagram holds no heartbeat.
+            The datagram is not a valid heartbeat.
         """
         return cls(data, versions, known_members or {})
 
@@ -196,7 +196,7 @@
 
 
 def read_member(record: list[Any], known_members: dict[str, Member]) -> Member:
-    """Return the member of a record: the known one when nothing of it changed."""
+    """Return the member of a record: the known object if the record is unchanged."""
     known = known_members.get(record[0]) if len(record) == len(FIELDS) else None
     if known is not None and known.to_list() == record:
         return known
@@ -236,5 +236,5 @@
 
 
 def encode_first_heartbeat(version: int, content: bytes) -> bytes:
-    """Return the datagram of a heartbeat for a member that was not heard."""
+    """Return the datagram of a heartbeat without an echo, as nothing was received to echo."""
     return HEADS[version] + content + NO_ECHO
--- a/quillring/plans/__init__.py
+++ b/quillring/plans/__init__.py
@@ -1,4 +1,4 @@
-"""Operators state an intent, see a plan, confirm it; progress is visible, stopping is sound."""
+"""Plans: an operator states an intent, reviews the plan and confirms it; it can be stopped."""
 
 from quillring.plans import commands
 from quillring.plans.planner import make_plan
--- a/quillring/plans/api.py
+++ b/quillring/plans/api.py
@@ -49,7 +49,7 @@
 
 
 def view_fleet(node: Node, version: int, configuration: WireMap) -> FleetView:
-    """Return the view that a plan is made against."""
+    """Return the view of the fleet that a plan is made against."""
     ownership, replicas = node.find("ownership"), node.find("replicas")
     members = node.find("nifty").roster.members.values()
     heartbeats = node.find("gossip").values_with_prefix("replica/").values()
@@ -69,7 +69,10 @@
 
 @route("POST", "/v1/plans")
 def propose(node: Node, request: Request) -> Coroutine:
-    """Answer an intent with a plan; nothing changes before it is confirmed."""
+    """Propose a plan for an intent; nothing changes before it is confirmed.
+
+    Raises NotFound for an unknown target, or while there is no configuration.
+    """
     check_body(INTENT, request.body)
     ownership = node.find("ownership")
     answer = yield from ownership.read(CONFIG, READ_CONFIGURATION)
@@ -97,7 +100,7 @@
 
 @route("POST", "/v1/plans/{plan}/confirm")
 def confirm(node: Node, request: Request) -> Coroutine:
-    """Confirm a plan, accepting the consequences that are named."""
+    """Confirm a plan and accept the named consequences."""
     body = request.body or {}
     check_body(CONFIRM, body)
     command_id = body.get("id") or f"{node.runtime.random.getrandbits(96):024x}"
--- a/quillring/plans/commands.py
+++ b/quillring/plans/commands.py
@@ -1,4 +1,4 @@
-"""Commands and queries of the config part that keep plans."""
+"""Commands and queries of the config part about plans, which are kept in its state."""
 
 from __future__ import annotations
 
@@ -37,28 +37,28 @@
 
 
 class StalePlan(QuillringError):
-    """The plan was made against an older state; make it anew."""
+    """The plan was made against an older version of the state; propose it again."""
 
     kind = "stale_plan"
     status = 409
 
 
 class Impossible(QuillringError):
-    """Obstacles stand in the way; some may be accepted as named consequences."""
+    """The plan has unaccepted obstacles; those that name a consequence can be accepted."""
 
     kind = "impossible"
     status = 422
 
 
 class Contradiction(QuillringError):
-    """Another plan that is under way speaks against this one."""
+    """A running plan has the same target, or is of a kind that runs alone."""
 
     kind = "contradiction"
     status = 409
 
 
 def kept_plans(state: WireMap) -> dict[str, WireMap]:
-    """Return {name: plan} of all kept plans, each as it stands in the state."""
+    """Return {name: plan} of all kept plans, each in its form in the state."""
     plans: dict[str, WireMap] = state.get("plans", {})
     return plans
 
@@ -79,7 +79,10 @@
 
 @COMMANDS.entry(PROPOSE)
 def propose_plan(state: WireMap, command: WireMap) -> tuple[WireMap, WireMap]:
-    """Keep a plan until it is confirmed; nothing else changes."""
+    """Keep a plan until it is confirmed; idempotent by its id.
+
+    Beyond KEPT_PLANS the oldest ones that are not running are dropped.
+    """
     proposal, plans = ProposePlan.from_wire(command), kept_plans(state)
     if proposal.id in plans:
         return state, show_plan_fields(proposal.id, plans[proposal.id])
@@ -93,7 +96,11 @@
 
 @COMMANDS.entry(CONFIRM)
 def confirm_plan(state: WireMap, command: WireMap) -> tuple[WireMap, WireMap]:
-    """Start a plan, once, if it is not stale and nothing unaccepted stands in the way."""
+    """Start a plan if it is not stale and all its obstacles are accepted; idempotent by the id.
+
+    Raises NotFound, Conflict if it is not in phase `proposed`, StalePlan, Impossible or
+    Contradiction.
+    """
     confirmation = ConfirmPlan.from_wire(command)
     name = confirmation.plan
     plan = find_plan(state, name)
@@ -112,7 +119,7 @@
 
 
 def check_contradictions(state: WireMap, name: str, plan: KeptPlan) -> None:
-    """Raise Contradiction where a plan under way speaks against this one."""
+    """Raise Contradiction if a running plan has the same target, or both must run alone."""
     for other_name, fields in kept_plans(state).items():
         other = KeptPlan.from_state(fields)
         is_same_target = other.intent.target == plan.intent.target
@@ -123,7 +130,11 @@
 
 @COMMANDS.entry(COMPLETE_STEP)
 def complete_step(state: WireMap, command: WireMap) -> tuple[WireMap, WireMap]:
-    """Note that a step is done; a configuration step adopts its change in the same entry."""
+    """Mark a step as done; a configuration step adopts its change in the same log entry.
+
+    Does nothing unless it is the next step of a running plan. A change that is refused puts the
+    plan into phase `failed`.
+    """
     completion = CompleteStep.from_wire(command)
     name, number = completion.plan, completion.step
     plan = find_plan(state, name)
@@ -146,9 +157,10 @@
 
 @COMMANDS.entry(STOP)
 def stop_plan(state: WireMap, command: WireMap) -> tuple[WireMap, WireMap]:
-    """Stop a plan between two steps; what is done stays as it is, which is sound.
+    """Stop a plan between two steps; completed steps are not undone.
 
-    A plan that was stopped stays stopped, so the order may be repeated and may come late.
+    Idempotent: a stopped plan never runs again. Raises NotFound, or Conflict in another phase than
+    `proposed` and `running`.
     """
     name = StopPlan.from_wire(command).plan
     plan = find_plan(state, name)
@@ -168,5 +180,5 @@
 
 @QUERIES.entry("plan")
 def show_plan(state: WireMap, query: WireMap) -> WireMap:
-    """Return one plan."""
+    """Return one plan, or raise NotFound."""
     return show_plan_fields(query["plan"], find_plan(state, query["plan"]).fields)
--- a/quillring/plans/maintenance_windows.py
+++ b/quillring/plans/maintenance_windows.py
@@ -1,4 +1,4 @@
-"""Maintenance windows from iCalendar files: what operators intend, and when."""
+"""Maintenance windows read from iCalendar files (RFC 5545): the intents and their times."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class BadCalendar(QuillringError):
-    """The file is no iCalendar file."""
+    """The file is not a valid iCalendar file (RFC 5545)."""
 
     kind = "bad_calendar"
     status = 400
@@ -39,16 +39,16 @@
     intent: WireMap | None
 
     def to_json(self) -> WireMap:
-        """Return what operators see."""
+        """Return the window as the HTTP interface shows it."""
         return self._asdict()
 
 
 def read_windows(
     data: bytes, start: datetime.datetime, end: datetime.datetime
 ) -> list[MaintenanceWindow]:
-    """Return the windows between two times; a summary such as "empty north" is an intent.
+    """Return the windows between two times, recurrences expanded, sorted by their start.
 
-    Raises BadCalendar for what is no iCalendar file (RFC 5545).
+    A summary such as "empty north" states an intent. Raises BadCalendar for an invalid file.
     """
     try:
         calendar = icalendar.Calendar.from_ical(data)
@@ -59,7 +59,7 @@
 
 
 def read_event(event: Any) -> MaintenanceWindow:
-    """Return the window of an event; one without an end is over when it begins."""
+    """Return the window of an occurrence, which has a DTEND by now (RFC 5545, section 3.6.1)."""
     start = event["DTSTART"]
     end = event.get("DTEND", start)
     summary = str(event.get("SUMMARY", ""))
@@ -69,7 +69,7 @@
 
 
 def read_intent(summary: str) -> WireMap | None:
-    """Return the intent that a summary states, or None."""
+    """Return the intent that a summary states as "verb target", or None."""
     words = summary.lower().split()
     if len(words) != 2 or words[0] not in INTENT_BY_VERB:
         return None
@@ -77,7 +77,7 @@
 
 
 def as_time(value: datetime.date) -> datetime.datetime:
-    """Return a date or a naive time as a time in UTC."""
+    """Return an aware time: a date is midnight UTC, a naive time is taken as UTC."""
     if not isinstance(value, datetime.datetime):
         value = datetime.datetime.combine(value, datetime.time())
     return value if value.tzinfo else value.replace(tzinfo=datetime.UTC)
--- a/quillring/plans/messages.py
+++ b/quillring/plans/messages.py
@@ -1,4 +1,4 @@
-"""Plans, their steps and the commands about them, in their forms in the log and the state."""
+"""Plans, their steps and their commands, with their forms in the log and in the state."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Intent(NamedTuple):
-    """What an operator wants: a kind of plan, and what it is about; some kinds need a service."""
+    """What an operator wants: a kind of plan and its target; `move_entry` needs a service too."""
 
     kind: str
     target: str
@@ -35,7 +35,7 @@
 
     @classmethod
     def from_wire(cls, fields: WireMap) -> Intent:
-        """Read the intent as it was stated."""
+        """Read the intent in the form that the operator sent."""
         return cls(fields["kind"], fields["target"], fields.get("service"))
 
 
@@ -46,7 +46,7 @@
     change: WireMap
 
     def to_state(self) -> WireMap:
-        """Return the step as it stands in the state."""
+        """Return the step in its form in the state."""
         return {"do": CONFIGURATION_STEP, "text": self.text, "change": self.change}
 
 
@@ -58,7 +58,7 @@
     target: str
 
     def to_state(self) -> WireMap:
-        """Return the step as it stands in the state."""
+        """Return the step in its form in the state."""
         return {"do": WAIT_STEP, "text": self.text, "until": self.condition, "target": self.target}
 
 
@@ -66,27 +66,27 @@
 
 
 def step_from_state(fields: WireMap) -> Step:
-    """Read a step as it stands in the state."""
+    """Read a step from its form in the state."""
     if fields["do"] == WAIT_STEP:
         return WaitStep(fields["text"], fields["until"], fields["target"])
     return ConfigurationStep(fields["text"], fields["change"])
 
 
 class Obstacle(NamedTuple):
-    """What stands in a plan's way; a consequence can be accepted under its name, None can not."""
+    """A reason against a plan; it can be accepted by its `consequence`, unless that is None."""
 
     consequence: str | None
     text: str
 
     def to_state(self) -> WireMap:
-        """Return the obstacle as it stands in the state."""
+        """Return the obstacle in its form in the state."""
         return {"consequence": self.consequence, "text": self.text}
 
 
 class Plan(NamedTuple):
-    """A plan as it is made against a version; `moves` tells in words what goes where.
+    """A plan made against a version of the state; `moves` describes for operators what goes where.
 
-    `stated_intent` is the intent just as the operator sent it.
+    `stated_intent` is the intent exactly as the operator sent it.
     """
 
     stated_intent: WireMap
@@ -96,7 +96,7 @@
     base_version: int
 
     def to_state(self) -> WireMap:
-        """Return the plan as it stands in the state."""
+        """Return the plan in its form in the state."""
         intent = Intent.from_wire(self.stated_intent)
         return {
             "intent": self.stated_intent,
@@ -109,9 +109,9 @@
 
 
 class KeptPlan(NamedTuple):
-    """What is read of a plan that the state keeps.
+    """A plan kept in the state, with the fields that commands use.
 
-    `fields` is all of it: fields of another version of the program are kept as they came.
+    `fields` is the complete record: fields unknown to this release are kept unchanged.
     """
 
     intent: Intent
@@ -124,7 +124,7 @@
 
     @classmethod
     def from_state(cls, fields: WireMap) -> KeptPlan:
-        """Read a plan as it stands in the state."""
+        """Read a plan from its form in the state."""
         return cls(
             Intent.from_wire(fields["intent"]),
             fields["target"],
@@ -166,7 +166,7 @@
 
 
 class ConfirmPlan(NamedTuple):
-    """`plan.confirm`: run a plan, accepting the consequences that are named."""
+    """`plan.confirm`: run a plan and accept the named consequences."""
 
     plan: str
     accepted: list[str]
@@ -183,7 +183,7 @@
 
 
 class CompleteStep(NamedTuple):
-    """`plan.step`: the step of this number is done, or, if it changes the configuration, do it."""
+    """`plan.step`: mark the step of this number as done; a configuration step is applied by it."""
 
     plan: str
     step: int
@@ -214,7 +214,7 @@
 
 
 def show_plan_fields(name: str, fields: WireMap) -> WireMap:
-    """Return a plan as operators see it."""
+    """Return a plan as the HTTP interface shows it."""
     return {"plan": name, **fields}
 
 
--- a/quillring/plans/planner.py
+++ b/quillring/plans/planner.py
@@ -1,4 +1,4 @@
-"""Making a plan from an intent and a view of the fleet: pure, changes nothing."""
+"""The planner: pure functions from an intent and a view of the fleet to a plan."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class ReplicaLoad(NamedTuple):
-    """A replica with its place and how many of its slots are busy."""
+    """A replica with its service, its zone, and how many of its request slots are busy."""
 
     name: str
     service: str
@@ -47,7 +47,7 @@
 
 
 class NodePlace(NamedTuple):
-    """The role of a node, and the zone that it stands in."""
+    """The role of a node and its zone."""
 
     role: str
     zone: str
@@ -67,17 +67,17 @@
     nodes: Mapping[str, NodePlace]
 
     def require_zone(self, zone: str) -> None:
-        """Raise NotFound unless the configuration knows the zone."""
+        """Raise NotFound unless the zone is in the configuration."""
         if zone not in self.configuration["domains"]:
             raise NotFound(field="target", domain=zone)
 
     def is_emptied(self, zone: str) -> bool:
-        """Tell whether a zone is ordered to be emptied; one that is unknown is not."""
+        """Return True if a zone is ordered to be drained; an unknown one is not."""
         return bool(self.configuration["domains"].get(zone, {}).get("emptied"))
 
 
 class Proposal(NamedTuple):
-    """What an intent comes to: the steps, what stands in the way, and what goes where."""
+    """What a planner proposes for an intent: the steps, the obstacles, and what goes where."""
 
     steps: list[Step]
     obstacles: list[Obstacle]
@@ -93,7 +93,7 @@
 
 @INTENTS.entry("empty_domain")
 def plan_empty_zone(view: FleetView, intent: Intent) -> Proposal:
-    """Empty a zone of new work, then wait until what is under way there has ended."""
+    """Drain a zone: admit no new requests, then wait until those in flight there have ended."""
     zone = intent.target
     view.require_zone(zone)
     leaving = [replica for replica in view.replicas if replica.zone == zone]
@@ -112,7 +112,7 @@
 
 
 def room_obstacles(view: FleetView, zone: str, services: list[str]) -> list[Obstacle]:
-    """Return the services whose replicas elsewhere have too few slots for what is under way."""
+    """Return an obstacle for each service without a spare slot elsewhere beyond its busy slots."""
     obstacles = []
     for service in services:
         replicas = [replica for replica in view.replicas if replica.service == service]
@@ -129,7 +129,7 @@
 
 
 def role_obstacles(view: FleetView, zone: str, leaving_roles: set[str]) -> list[Obstacle]:
-    """Return what would be lacking without the zone: zones at all, or nodes of a needed role."""
+    """Return an obstacle if no zone would remain, and for each needed role without a node."""
     obstacles = []
     zones = view.configuration["domains"]
     staying_zones = [name for name in zones if name != zone and not view.is_emptied(name)]
@@ -144,7 +144,7 @@
 
 @INTENTS.entry("refill_domain")
 def plan_refill_zone(view: FleetView, intent: Intent) -> Proposal:
-    """Let a zone get work again."""
+    """Admit new requests to a zone again."""
     zone = intent.target
     view.require_zone(zone)
     change = {"domains": {zone: {"emptied": False}}}
@@ -153,7 +153,7 @@
 
 @INTENTS.entry("move_entry")
 def plan_move_route(view: FleetView, intent: Intent) -> Proposal:
-    """Point a route at another service of the same kind."""
+    """Point a route at another service; one of another kind is an obstacle."""
     route_name, service = intent.target, intent.service
     routes, services = view.configuration["entries"], view.configuration["services"]
     if route_name not in routes:
@@ -173,7 +173,7 @@
 
 @INTENTS.entry("retire_store")
 def plan_retire_store(view: FleetView, intent: Intent) -> Proposal:
-    """Take a store machine out of every part, one member at a time."""
+    """Remove a store from every part that has it as a member."""
     name = intent.target
     if name not in view.stores:
         raise NotFound(field="target", store=name)
@@ -197,7 +197,7 @@
 
 @INTENTS.entry("restore_store")
 def plan_restore_store(view: FleetView, intent: Intent) -> Proposal:
-    """Let a retired store machine be a member again where one is missing."""
+    """Make a retired store eligible again as a member of parts that lack one."""
     name = intent.target
     if name not in view.configuration.get("stores", {}):
         raise NotFound(field="target", store=name)
--- a/quillring/plans/runner.py
+++ b/quillring/plans/runner.py
@@ -1,4 +1,4 @@
-"""Running confirmed plans: the core that leads the config part does one step after another."""
+"""The runner of confirmed plans: the leader of the config part executes their steps in order."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 @CONDITIONS.entry("domain_idle")
 def is_zone_idle(node: Node, zone: str) -> Coroutine:
-    """Tell whether no replica and no node of the zone has anything under way.
+    """Return True if no replica and no node of the zone has anything in flight.
 
-    A node out of reach counts once it was silent for as long as service may be away.
+    An unreachable node counts as busy until it was silent for `bounds.recovery` seconds.
     """
     heartbeats = node.find("gossip").values_with_prefix("replica/").values()
     if any(
@@ -46,7 +46,7 @@
 
 
 def count_busy(node: Node) -> int:
-    """Return how much is under way at a node: requests that run or wait, parts led."""
+    """Return how many requests run or wait at a node, plus how many parts it leads."""
     dispatch, leaders = node.find("dispatch"), node.find("ownership").leaders.values()
     requests = len(dispatch.leases) + len(dispatch.queue) if dispatch is not None else 0
     led_parts = sum(1 for leader in leaders if leader.is_leader)
@@ -55,15 +55,15 @@
 
 @CONDITIONS.entry("store_unused")
 def is_store_unused(node: Node, store: str) -> Coroutine:
-    """Tell whether no part has the store as a member."""
+    """Return True if no part has the store as a member."""
     ownership = node.find("ownership")
     members = [member for part in ownership.parts() for member in ownership.group(part)]
     return not any(member.name == store for member in members)
-    yield
+    yield  # Unreachable: it makes this a generator, as every condition is.
 
 
 class PlanRunner:
-    """Runs the confirmed plans while this core leads the config part and holds its lease."""
+    """Executes confirmed plans while this core leads the config part and has a valid lease."""
 
     __slots__ = ("node",)
 
@@ -71,7 +71,7 @@
         self.node = node
 
     def run(self) -> Coroutine:
-        """Do the next step of every running plan."""
+        """Execute the next step of every running plan, once every heartbeat interval."""
         while True:
             yield Sleep(self.node.bounds.heartbeat_interval)
             leader = self.node.find("ownership").leaders.get(CONFIG)
@@ -82,7 +82,7 @@
                     yield from self._run_step(leader, name, plan)
 
     def _run_step(self, leader: PartLeader, name: str, fields: WireMap) -> Coroutine:
-        """Complete a plan's next step, unless what it waits for is not so yet."""
+        """Complete a plan's next step, unless the condition it waits for is false; log errors."""
         plan = KeptPlan.from_state(fields)
         step = plan.step(plan.done_steps)
         if isinstance(step, WaitStep):
--- a/quillring/rollout/__init__.py
+++ b/quillring/rollout/__init__.py
@@ -1,4 +1,4 @@
-"""Roll-out of layouts: checked, committed in the config part, fresh on every live node."""
+"""Roll-out of configurations: validated, committed by the config part, fresh on live nodes."""
 
 from quillring.rollout import configuration_versions, operator_orders
 from quillring.rollout.freshness import Freshness
--- a/quillring/rollout/commands.py
+++ b/quillring/rollout/commands.py
@@ -1,4 +1,4 @@
-"""Commands and queries of the config part that change and show the configuration."""
+"""Commands and queries of the config part that change and read the configuration."""
 
 from __future__ import annotations
 
@@ -19,9 +19,10 @@
 
 
 class BadConfiguration(QuillringError):
-    """The configuration was refused, with every reason; no node changes.
+    """The configuration is invalid; `faults` lists every reason, and no node changes.
 
-    Final: on the version it builds on it is always refused, and on any other it is a conflict.
+    Final, so not retried: against its base version it is always refused, against any other version
+    it is a Conflict.
     """
 
     kind = "bad_layout"
@@ -30,13 +31,17 @@
 
     @classmethod
     def because_of(cls, faults: Iterable[Fault]) -> BadConfiguration:
-        """Return the error that tells of these faults."""
+        """Return the error that lists these faults."""
         return cls(faults=[fault.to_wire() for fault in faults])
 
 
 @COMMANDS.entry(ADOPT_CONFIGURATION)
 def adopt_configuration(state: WireMap, command: WireMap) -> tuple[WireMap, WireMap]:
-    """Adopt a whole or partial configuration that was made against the current version."""
+    """Adopt a complete or partial configuration that was made against the current version.
+
+    Idempotent by the id of the change, for the last KEPT_CHANGES of them. Raises Conflict for
+    another base version or an id already used for another change, BadConfiguration for faults.
+    """
     adoption = AdoptConfiguration.from_wire(command)
     change_id, digest = adoption.id, adoption.digest()
     changes, digests = state.get("changes", {}), state.get("change_digests", {})
--- a/quillring/rollout/configuration_versions.py
+++ b/quillring/rollout/configuration_versions.py
@@ -1,4 +1,4 @@
-"""The operators' own numbered versions of forwards, services and limits, whole or amended."""
+"""Versions, numbered by the operators, of forwards, services and limits: complete or amending."""
 
 from __future__ import annotations
 
@@ -36,7 +36,11 @@
 
 @COMMANDS.entry(ADOPT_VERSION)
 def adopt_version(state: WireMap, command: WireMap) -> tuple[WireMap, WireMap]:
-    """Adopt a version made on top of the current one; one taken before is told as taken."""
+    """Adopt a version made against the current one.
+
+    Idempotent: a repeat of one of the last KEPT_VERSIONS is answered with `repeated`. Raises
+    Conflict for another base version, BadConfiguration for faults.
+    """
     adoption = AdoptVersion.from_wire(command)
     digest, digests = digest_of(command), state.get("editions", {})
     number = adoption.number
@@ -71,14 +75,14 @@
 
 
 def digest_of(command: WireMap) -> str:
-    """Return the digest of what a version was sent as; its id and its way don't count."""
+    """Return the digest of a version's command, without its id and its kind (`do`)."""
     return digest_of_json(
         {name: value for name, value in command.items() if name not in ("id", "do")}
     )
 
 
 def number_faults(number: Any, current_number: int) -> list[Fault]:
-    """Return what speaks against the number of a version."""
+    """Return the faults of a version's number: it must be an integer above the current one."""
     if isinstance(number, bool) or not isinstance(number, int):
         return [Fault("edition", "not a whole number")]
     if number <= current_number:
@@ -87,9 +91,9 @@
 
 
 def command_faults(adoption: AdoptVersion, configuration: WireMap) -> list[Fault]:
-    """Return what speaks against the items that a command brings, each by itself.
+    """Return the faults of the items in a command, each item validated on its own.
 
-    An item that is in force, byte for byte, was found valid before and is not checked again.
+    An item that equals the one in force, byte for byte, was validated before and is skipped.
     """
     faults = []
     for section, validator in SECTIONS:
@@ -107,7 +111,7 @@
 
 
 def lay_over(configuration: WireMap, adoption: AdoptVersion) -> WireMap:
-    """Return the configuration with a version in place of the former one, or amending it."""
+    """Return the configuration with a version that replaces the former one or amends it."""
     sections = {}
     for section, _ in SECTIONS:
         former = {} if adoption.is_whole else configuration.get(section, {})
@@ -126,7 +130,7 @@
 
 
 def cross_faults(configuration: WireMap) -> list[Fault]:
-    """Return what speaks against a version across its items."""
+    """Return the faults between items: unknown services, zero weights, duplicate addresses."""
     faults: list[Fault] = []
     forwards_by_address: dict[tuple[str, str], str] = {}
     for name, forward in configuration["forwards"].items():
--- a/quillring/rollout/freshness.py
+++ b/quillring/rollout/freshness.py
@@ -1,10 +1,10 @@
-"""Freshness: an edge serves new work only on fresh word of a majority of config stores.
+"""Freshness: an edge admits new requests only while a majority of config stores confirms its state.
 
-The majority is one of the group that stands in the very state the node holds, at its index x: entry
-x + 1 is decided by that group and committed at a majority of it before it is acknowledged. So any
-majority of it includes a store that knows of whatever was acknowledged after x. A group heard of
-otherwise, older or newer, proves nothing: stores removed from it may not know what came later, and
-stores that joined it may not know what came before.
+The majority is taken in the group that is part of the state the node has applied, at its log index
+x: entry x + 1 is chosen by that group and committed at a majority of it before it is acknowledged.
+Majorities intersect, so any majority of it includes a store that knows whatever was acknowledged
+after x. Another group, older or newer, proves nothing: stores removed from it may not know later
+entries, and stores that joined it may not know earlier ones.
 """
 
 from __future__ import annotations
@@ -28,16 +28,17 @@
 
 
 class PolledStamp(NamedTuple):
-    """A stamp that a store answered with, and when it was asked for, in seconds."""
+    """A stamp that a store replied with, and when it was requested, in seconds of this node."""
 
     stamp: StoreStamp
     asked_at: float
 
 
 class StoreReport(NamedTuple):
-    """The newest word of a config store: when it is from, and what the store knew committed.
+    """The newest confirmation by a config store, and the highest index it then knew as committed.
 
-    `confirmed_at` is None where nothing was heard of the store's present disk.
+    `confirmed_at` is when the heartbeat it echoed or the request it answered was sent, in seconds
+    of this node; None if nothing was received under the present identity of the store's disk.
     """
 
     name: str
@@ -46,7 +47,10 @@
 
 
 class Freshness:
-    """Judges how old the word of the config stores is, by this node's own clock."""
+    """Decides whether this node's configuration is fresh enough, by its own clock.
+
+    It owns the stamps polled from config stores; those in heartbeats are owned by the peer layer.
+    """
 
     __slots__ = ("node", "polled_stamps")
 
@@ -56,14 +60,14 @@
         node.handle(STAMP, self.on_stamp)
 
     def on_stamp(self, body: Any, origin: str) -> list[Any] | None:
-        """Give the stamp to a node that hears no heartbeats from this store."""
+        """Return this store's stamp to a node that receives no heartbeats from it."""
         stamp: list[Any] | None = self.node.find("nifty").stamp_source()
         return stamp
 
     def _known_stores(self) -> list[GroupMember]:
-        """Return the stores of the newest group heard of, and of the one in the snapshot's state.
+        """Return the stores of the newest known group and of the group in the snapshot's state.
 
-        Raises NotFounded where no founding is known.
+        Raises NotFounded if the founding configuration of the parts is not known here.
         """
         heard_group = self.node.find("ownership").group(CONFIG)
         own_group = self.node.find("layout").group or ()
@@ -93,7 +97,10 @@
         return reports
 
     def is_fresh(self) -> bool:
-        """Tell whether a majority lately confirmed that no newer configuration is committed."""
+        """Return True if a majority confirmed, within the bound, that nothing newer is committed.
+
+        The bound is `bounds.configuration_freshness`, in seconds.
+        """
         snapshot = self.node.find("layout")
         if snapshot.configuration is None or not snapshot.group:
             return False
@@ -106,12 +113,12 @@
         return good_count >= majority(snapshot.group)
 
     def check(self) -> None:
-        """Refuse new work honestly while the configuration may be old."""
+        """Raise Refused unless the configuration is fresh."""
         if not self.is_fresh():
             raise Refused(reason="no fresh word of the layout")
 
     def run(self) -> Coroutine:
-        """Ask silent stores over relays, and beside that fetch a configuration that is newer."""
+        """Poll silent stores over relays, and concurrently fetch a newer configuration."""
         self.node.spawn(self._keep_fetching())
         while True:
             yield Sleep(self.node.bounds.heartbeat_interval / 2)
@@ -130,7 +137,7 @@
                 continue
 
     def _poll_silent(self, reports: list[StoreReport]) -> Coroutine:
-        """Ask the stores for their stamps that were not heard for more than a heartbeat."""
+        """Poll the stores without a confirmation for SILENT_HEARTBEATS heartbeat intervals."""
         asked_at, interval = self.node.now(), self.node.bounds.heartbeat_interval
         oldest_time = asked_at - interval * SILENT_HEARTBEATS
         silent_names = [
@@ -150,7 +157,7 @@
         self.polled_stamps = {**self.polled_stamps, **new_stamps}
 
     def _fetch_newer(self) -> Coroutine:
-        """Fetch the config state from a store that knows of a newer one, the newest first."""
+        """Fetch the config state from stores that know a newer one, the highest index first."""
         snapshot = self.node.find("layout")
         newer_states = sorted(
             (
--- a/quillring/rollout/messages.py
+++ b/quillring/rollout/messages.py
@@ -1,7 +1,7 @@
-"""Commands of the config part, and what nodes tell each other of the configuration.
+"""Commands of the config part, and the messages by which nodes distribute the configuration.
 
-Each has its form on the wire and in the log here and nowhere else. The interface calls the whole
-configuration `layout`, the operators' own numbered version of it `edition`, and a zone `domain`.
+Their forms on the wire and in the log are defined only here. On the wire the complete configuration
+is named `layout`, the operators' own numbered version of it `edition`, and a zone `domain`.
 """
 
 from __future__ import annotations
@@ -36,9 +36,9 @@
 
 
 class AdoptConfiguration(NamedTuple):
-    """`layout.adopt`: take a configuration made against a version of the config part's state.
+    """`layout.adopt`: adopt a configuration made against a version of the config part's state.
 
-    The change is the whole configuration, or is laid over the current one.
+    The change is the complete configuration, or is merged into the current one.
     """
 
     id: str
@@ -62,7 +62,7 @@
         }
 
     def digest(self) -> str:
-        """Return the digest of what the change says; the version it builds on doesn't count."""
+        """Return the digest of the change, without the version that it is made against."""
         return digest_of_json([self.is_whole, self.change])
 
 
@@ -86,10 +86,10 @@
 
 
 class AdoptVersion(NamedTuple):
-    """`edition.adopt`: take the operators' version of this number, made on top of another one.
+    """`edition.adopt`: adopt the operators' version of this number, made against another one.
 
-    It is whole or amends that one: `forwards` and `services` are {name: item}, `removed` is
-    {section: names that go}; limits of None stay as they are.
+    It replaces that one or amends it: `forwards` and `services` are {name: item}, `removed` is
+    {section: names to remove}; in an amendment, limits of None stay as they are.
     """
 
     base_number: int
@@ -138,10 +138,10 @@
 
 
 class OrderZone(NamedTuple):
-    """`domain.mark`: empty a zone of new work, or take that back.
+    """`domain.mark`: drain a zone, or take that back.
 
-    `includes_nodes` tells whether its nodes are to take nothing more, or its replicas only.
-    `seen_version` is what the sender had seen when the order came in; None: no fence.
+    `includes_nodes` is True to drain its nodes as well as its replicas, False for replicas only.
+    `seen_version` is the version the receiving node knew when the order arrived; None: no fence.
     """
 
     zone: str
@@ -170,15 +170,16 @@
         return with_fence(command, self.seen_version)
 
     def to_state(self) -> WireMap:
-        """Return the order as it stands in the configuration."""
+        """Return the order in its form in the configuration."""
         return {"emptied": self.is_emptied, "nodes": self.includes_nodes}
 
 
 class OrderStore(NamedTuple):
     """`store.mark`: retire a store, or take that back.
 
-    `counted` is {store: zone} of the stores that the sender counts on, `group_size` how many stores
-    hold each part; None: they are not checked. `seen_version` is as with OrderZone.
+    `counted` is {store: zone} of the stores that the submitting node counts as remaining,
+    `group_size` how many stores hold each part; None: they are not checked. `seen_version` is as
+    with OrderZone.
     """
 
     store: str
@@ -208,12 +209,12 @@
 
 
 def with_fence(command: WireMap, seen_version: int | None) -> WireMap:
-    """Return an order's wire form with the version that its sender had seen, if it tells one."""
+    """Return an order's wire form with the version that its node had seen, unless that is None."""
     return command if seen_version is None else {**command, "seen_version": seen_version}
 
 
 def digest_of_json(value: Any) -> str:
-    """Return a short digest of a JSON value; the order of keys doesn't count."""
+    """Return the first DIGEST_DIGITS of a JSON value's SHA-256, whatever the order of its keys."""
     text = json.dumps(value, sort_keys=True)
     return hashlib.sha256(text.encode()).hexdigest()[:DIGEST_DIGITS]
 
@@ -235,7 +236,7 @@
 
 
 class CurrentVersion(NamedTuple):
-    """The answer to the query `edition`: the operators' number (0: none yet), and all of it."""
+    """The answer to the query `edition`: its number (0: none yet), the complete configuration."""
 
     number: int
     configuration: WireMap
@@ -250,15 +251,15 @@
         return {"edition": self.number, "layout": self.configuration}
 
     def store_order(self, store: str) -> WireMap | None:
-        """Return the order in force about a store, or None."""
+        """Return the order in force for a store, or None."""
         orders: dict[str, WireMap] = self.configuration.get("stores") or {}
         return orders.get(store)
 
 
 class ConfigurationRecord(NamedTuple):
-    """The gossip record `layout`: the config part's state at an index, as every node knows it.
+    """The gossip record `layout`: the configuration in the config part's state at a log index.
 
-    `group` are the stores of the config part in that very state.
+    `group` are the stores of the config part in the same state.
     """
 
     log_index: int
@@ -278,7 +279,7 @@
 
 
 class Announcement(NamedTuple):
-    """`layout.news`, sent one way: a gossip version and the record under it."""
+    """`layout.news`, sent without a reply: a record and its gossip version."""
 
     gossip_version: list[Any]
     record: ConfigurationRecord
@@ -295,9 +296,9 @@
 
 
 class StoreStamp(NamedTuple):
-    """What a store says of the config part: the ballot it promised and what it knows committed.
+    """A store's position in the config part: its promised ballot and highest known committed index.
 
-    `identity` tells which life of its disk the store speaks for.
+    `identity` is the incarnation of the store's disk.
     """
 
     ballot: list[Any]
@@ -312,7 +313,7 @@
 
 
 class StateImage(NamedTuple):
-    """The reply to `quorum.image`: the state of a part that a store applied, and its index."""
+    """The reply to `quorum.image`: the state of a part, and the last log index applied to it."""
 
     log_index: int
     state: WireMap
--- a/quillring/rollout/operator_orders.py
+++ b/quillring/rollout/operator_orders.py
@@ -1,4 +1,4 @@
-"""Orders of operators: zones to be emptied, stores to be retired; the last one counts."""
+"""Operators' orders: zones to be drained, stores to be retired; the last one is in force."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @COMMANDS.entry(ORDER_ZONE)
 def order_zone(state: WireMap, command: WireMap) -> tuple[WireMap, WireMap]:
-    """Empty a zone or take that back."""
+    """Drain a zone or take that back; raise StaleOrder for a late copy of an older order."""
     order = OrderZone.from_wire(command)
     fields = order.to_state()
     return place_order(state, "domains", order.zone, fields, order.seen_version), fields
@@ -36,10 +36,11 @@
 
 @COMMANDS.entry(ORDER_STORE)
 def order_store(state: WireMap, command: WireMap) -> tuple[WireMap, WireMap]:
-    """Retire a store or take that back; a retirement names the stores its node counts on.
+    """Retire a store or take that back; a retirement names the stores counted as remaining.
 
-    Whether enough of these remain is decided here, in the command's turn: of two retirements at
-    once the second finds the first one done. Raises Conflict when too few would remain.
+    Whether enough of these remain is decided when the command is applied, in log order: of two
+    concurrent retirements the second sees the first. Raises Conflict when too few would remain,
+    StaleOrder for a late copy of an older order.
     """
     order = OrderStore.from_wire(command)
     former = ((state["layout"] or EMPTY).get("stores") or {}).get(order.store, {})
@@ -63,7 +64,7 @@
 
 
 def leaving_stores(state: WireMap) -> set[str]:
-    """Return the stores that are retired, or that a plan under way is about to retire."""
+    """Return the stores that are retired, or that a running plan is about to retire."""
     orders = (state["layout"] or EMPTY).get("stores") or {}
     retired_names = {name for name, order in orders.items() if order.get("retired")}
     planned_names = {
@@ -75,9 +76,10 @@
 
 
 def retire_store(node: Node, store: str, seconds: float) -> Coroutine:
-    """Mark a store as retired, if it is known and enough others remain.
+    """Mark a store as retired, within some seconds, if it is known and enough others remain.
 
-    Raises NotFound for an unknown store and Conflict when too few would remain.
+    Raises NotFound for an unknown store, Conflict when too few would remain, and StaleOrder when
+    a newer order was taken meanwhile.
     """
     end_time, ownership = node.now() + seconds, node.find("ownership")
     answer = yield from ownership.read(CONFIG, READ_CURRENT_VERSION, seconds)
@@ -93,10 +95,10 @@
 
 
 def is_gone(node: Node, store: str) -> bool:
-    """Tell whether a store has been out of reach for longer than a restart takes.
+    """Return True if a store has been unreachable for longer than `bounds.recovery`, in seconds.
 
-    One that is just away still counts among those that remain: a retirement waits for it, and
-    nothing is taken from its parts before enough others hold them whole.
+    One that may just be restarting still counts as remaining: a retirement waits for it, and no
+    part loses a member before enough others have a complete copy.
     """
     nifty = node.find("nifty")
     if nifty.reaches(store):
@@ -120,10 +122,10 @@
 
 
 def is_retired(node: Node, store: str, seconds: float) -> Coroutine:
-    """Tell whether a store is marked as retired and no part needs it any more.
+    """Return True if a store is marked as retired and no part needs it any more.
 
     The groups are those that the parts' leaders committed; each must be full and caught up.
-    Raises NotFound for an unknown store, and the leader's error when one does not answer.
+    Raises NotFound for an unknown store, and the error of a leader that does not answer in time.
     """
     end_time, ownership = node.now() + seconds, node.find("ownership")
     answer = yield from ownership.read(CONFIG, READ_CURRENT_VERSION, seconds)
--- a/quillring/rollout/orders.py
+++ b/quillring/rollout/orders.py
@@ -1,9 +1,10 @@
-"""The fence of operators' orders about zones and stores: a late copy of an old order fails it.
+"""The fence of operators' orders for zones and stores: it rejects a delayed copy of an old order.
 
-An order names the version of the configuration that its node had seen when the order came in. Each
-order that is taken counts the version up and is noted with it. An order that had not seen the last
-one about the same thing is a late copy, held somewhere on its way, and is refused; unless it asks
-for what is in force, as a repeat after a lost answer does. No clock takes part in this.
+An order names the version of the configuration that its node knew when the order arrived. Each
+accepted order increments the version and is recorded with it. An order whose node did not know the
+last one for the same zone or store counts as a copy delayed on its way and is rejected, unless it
+asks for what is in force, as a repeat after a lost answer does. No clock is involved: this is
+optimistic concurrency control, with the version as the fencing token.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 
 class StaleOrder(QuillringError):
-    """A newer order about the same thing, or a newer configuration, was taken meanwhile."""
+    """A newer order for the same zone or store, or a newer configuration, was adopted meanwhile."""
 
     kind = "stale_order"
     status = 503
@@ -34,18 +35,18 @@
 
 @QUERIES.entry("version")
 def show_version(state: WireMap, query: WireMap) -> WireMap:
-    """Return the version of the configuration, which each order that is taken counts up."""
+    """Return the version of the configuration, which each accepted order increments."""
     return {"version": state["version"]}
 
 
 def place_order(
     state: WireMap, section: str, name: str, order: WireMap, seen_version: int | None
 ) -> WireMap:
-    """Return the state with an order in force, or raise StaleOrder for a late copy.
+    """Return the state with an order in force, or raise StaleOrder for a delayed copy.
 
-    `seen_version` is None in orders of the version before, which carry no fence and are noted
-    nowhere. An order that is in force already counts the version up as well, so that a late copy
-    of an older, contrary one fails.
+    `seen_version` is None in orders from nodes of the former release, which carry no fence and are
+    not recorded. A fenced order that repeats what is in force increments the version as well, so
+    that a delayed copy of an older, contrary one is rejected.
     """
     configuration = state["layout"] or EMPTY
     orders = configuration.get(section) or {}
@@ -65,13 +66,16 @@
 
 
 def last_order(state: WireMap, section: str, name: str) -> int:
-    """Return the version of the last order about a thing, or of the last adopted configuration."""
+    """Return the version of the last order for an item, or of a later adopted configuration."""
     noted: int = state.get("orders", {}).get(f"{section}/{name}", state.get("orders_floor", 0))
     return max(noted, max(state.get("changes", {}).values(), default=0))
 
 
 def note_order(state: WireMap, section: str, name: str, version: int) -> WireMap:
-    """Return the table of the last orders with one more; what goes out of it raises the floor."""
+    """Return the table of last orders with one more, and the floor raised to those dropped from it.
+
+    The table keeps KEPT_ORDERS; an item that is not in it counts as ordered at the floor.
+    """
     key = f"{section}/{name}"
     noted = {k: v for k, v in state.get("orders", {}).items() if k != key}
     noted[key] = version
@@ -81,10 +85,10 @@
 
 
 def submit_order(node: Node, order: OrderZone | OrderStore, seconds: float) -> Coroutine:
-    """Commit an order under the fence of what this node had seen when it came in.
+    """Commit an order, fenced by the version that this node knew when the order arrived.
 
-    Raises StaleOrder when a newer one was taken that this node had not heard of yet: the order is
-    not tried again here, as the node may just have woken with an old order in its hands.
+    Raises StaleOrder when a newer one was accepted that this node did not know. The order is not
+    retried here, as the process may have been suspended between receiving and submitting it.
     """
     end_time = node.now() + seconds
     ownership, snapshot = node.find("ownership"), node.find("layout")
--- a/quillring/rollout/schema.py
+++ b/quillring/rollout/schema.py
@@ -1,4 +1,4 @@
-"""The schema of configurations and the checks that go across its sections."""
+"""The JSON schema of configurations, and the checks between its sections."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def section(properties: JsonSchema, required: list[str]) -> JsonSchema:
-    """Return the schema of a section: named things of one shape; null takes one away."""
+    """Return the schema of a section: {name: object of these properties, or null to remove it}."""
     return {
         "type": "object",
         "additionalProperties": False,
@@ -174,12 +174,12 @@
     reason: str
 
     def to_wire(self) -> WireMap:
-        """Return the fault as it stands in the error."""
+        """Return the fault in the form of the error's `faults`."""
         return {"field": self.field, "fault": self.reason}
 
 
 def find_faults(configuration: Any) -> list[Fault]:
-    """Return every reason that speaks against a whole configuration."""
+    """Return every fault of a complete configuration."""
     faults = [
         Fault(
             ".".join(str(step) for step in error.absolute_path) or "layout",
@@ -198,7 +198,7 @@
 
 
 def service_name_faults(services: WireMap) -> list[Fault]:
-    """Return what speaks against the names of services."""
+    """Return the faults of the names of services, those of kind `raw` excepted."""
     return [
         Fault(f"services.{name}", f"{name!r} does not match {NAME!r}")
         for name, service in sorted(services.items())
@@ -207,7 +207,7 @@
 
 
 def route_faults(configuration: WireMap) -> list[Fault]:
-    """Return the services and classes that routes name and nobody knows."""
+    """Return a fault for each unknown service or class that a route names."""
     faults = []
     for name, route in sorted(configuration["entries"].items()):
         for field, section_name in (("service", "services"), ("class", "classes")):
@@ -217,7 +217,7 @@
 
 
 def class_faults(classes: WireMap) -> list[Fault]:
-    """Return what speaks against the classes of service, each by itself and together."""
+    """Return the faults of the classes of service, each on its own and their sum of shares."""
     faults = []
     shares = sum(terms["share"] for terms in classes.values())
     if shares > MAX_SHARE_SUM:
@@ -229,14 +229,14 @@
 
 
 def zone_faults(zones: WireMap) -> list[Fault]:
-    """Return a fault where no zone would take work any more."""
+    """Return a fault if every zone would be drained, nodes included."""
     if zones and all(zone.get("emptied") and zone.get("nodes", True) for zone in zones.values()):
         return [Fault("domains", "every domain would be emptied")]
     return []
 
 
 def item_faults(section: str, validator: StrictValidator, items: Mapping[str, Any]) -> list[Fault]:
-    """Return what speaks against named items, each by itself."""
+    """Return the faults of named items, each validated on its own."""
     return [
         Fault(
             ".".join([section, name, *map(str, error.absolute_path)]),
@@ -248,7 +248,10 @@
 
 
 def merge(configuration: Any, change: Any) -> Any:
-    """Return the configuration with a partial one laid over it; null takes a name away."""
+    """Return the configuration with a partial one merged in; null removes a name.
+
+    Like JSON Merge Patch (RFC 7396), but nulls stay in an object that replaces a non-object.
+    """
     if not isinstance(change, dict) or not isinstance(configuration, dict):
         return change
     merged = {name: value for name, value in configuration.items() if name not in change}
@@ -263,7 +266,7 @@
 
 
 def without_nulls(value: Any) -> Any:
-    """Return the value with nulls taken out of its objects."""
+    """Return the value without the null members of its objects, at any depth of objects."""
     if not isinstance(value, dict):
         return value
     return {name: without_nulls(item) for name, item in value.items() if item is not None}
--- a/quillring/rollout/snapshot.py
+++ b/quillring/rollout/snapshot.py
@@ -1,4 +1,4 @@
-"""The configuration on a node: an immutable snapshot, swapped whole, that never goes back."""
+"""The configuration on a node: a snapshot replaced as one, its log index only ever increasing."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class RouteTarget(NamedTuple):
-    """A route with the service and the class of service that it names."""
+    """A route, with the service and the class of service that it names."""
 
     route: WireMap
     service: WireMap
@@ -28,9 +28,10 @@
 
 
 class ConfigurationSnapshot:
-    """The newest configuration that this node heard of, and the config part's state it stands in.
+    """The newest configuration known to this node, from the config part's state at a log index.
 
-    `index` is the last entry of the log applied to that state, `group` the stores that hold it.
+    `index` is the last log entry applied to that state (0: none known), `version` counts its
+    changes, `group` are the stores of the config part in it.
     """
 
     __slots__ = ("node", "index", "version", "configuration", "group")
@@ -53,7 +54,7 @@
                 self._announce_to_all()
 
     def _announce_to_all(self) -> None:
-        """Tell every member in reach at once, before the change is acknowledged."""
+        """Send the record to every reachable member, before the change is acknowledged."""
         entry = self.node.find("gossip").table[GOSSIP_KEY]
         record = ConfigurationRecord.from_wire(entry.value)
         body = Announcement(list(entry.version), record).to_wire()
@@ -61,7 +62,7 @@
             self.node.send_oneway(name, ANNOUNCEMENT, body)
 
     def on_announcement(self, body: list[Any], origin: str) -> None:
-        """Take what the leader told everyone; it needs no passing on."""
+        """Publish the record that the leader sent to all members, without gossiping it further."""
         announcement = Announcement.from_wire(body)
         version, fields = announcement.gossip_version, announcement.record.to_wire()
         gossip = self.node.find("gossip")
@@ -70,7 +71,7 @@
             gossip.remaining_sends.pop(GOSSIP_KEY, None)
 
     def update(self, index: int, state: WireMap) -> None:
-        """Take a config state read from its leader or a store, and gossip it on once."""
+        """Publish a config state read from the leader or a store, and gossip it in one round."""
         gossip = self.node.find("gossip")
         gossip.publish(GROUP_KEY, [index], state["group"])
         if index > self.index:
@@ -95,11 +96,11 @@
         return RouteTarget(route, service, configuration["classes"][route["class"]])
 
     def is_emptied(self, zone: str) -> bool:
-        """Tell whether operators want the zone's replicas to get nothing more."""
+        """Return True if operators ordered the zone's replicas to be drained."""
         return bool(self._order(zone).get("emptied"))
 
     def is_zone_draining(self, zone: str) -> bool:
-        """Tell whether operators want the zone's nodes, too, to take nothing more."""
+        """Return True if operators ordered the zone's nodes to be drained as well."""
         order = self._order(zone)
         return bool(order.get("emptied") and order.get("nodes", True))
 
