--- a/quillring/ownership/__init__.py
+++ b/quillring/ownership/__init__.py
@@ -1,4 +1,4 @@
-"""Leadership of parts, cut by key over the live core nodes; it changes hands under a ballot."""
+"""Leadership of parts: rendezvous hashing ranks the live cores, and a Paxos ballot elects one."""
 
 from quillring.ownership.candidates import order_candidates
 from quillring.ownership.ownership import Ownership
--- a/quillring/ownership/candidates.py
+++ b/quillring/ownership/candidates.py
@@ -1,6 +1,7 @@
-"""Candidates for the leadership of a part: the live cores, in the order of their claim.
+"""Candidates for the leadership of a part: the reachable cores in order of preference.
 
-The order is by rendezvous hashing; bridges come first while the network is cut.
+The order is by rendezvous hashing (Thaler and Ravishankar, 1998). While the network is partitioned,
+cores that bridge the sides of the partition come first.
 """
 
 from __future__ import annotations
@@ -24,8 +25,9 @@
 ) -> list[str]:
     """Return the names of the reachable cores, the one that should lead the key first.
 
-    Those that back off come behind those that do not, and those that leave come last. Links with a
-    core that backs off come and go at other times for each observer, so no cut is told by them.
+    Cores that back off come after those that do not, and cores that are leaving come last. Each
+    observer sees the links of a core that backs off go up and down at other times, so the bridges
+    of a partition are computed without these cores.
     """
     reached_cores = [name for name in cores if name in graph.reachable()]
     bridge_names = graph.bridges_without(frozenset(backing_off_names))
--- a/quillring/ownership/election_timing.py
+++ b/quillring/ownership/election_timing.py
@@ -1,4 +1,4 @@
-"""When a core may run an election: few try after a common start, and nobody twice in a row."""
+"""When a core may run an election, so that few cores compete for the same part."""
 
 from __future__ import annotations
 
@@ -20,17 +20,18 @@
 
 
 class FirstCandidate(NamedTuple):
-    """The first candidate for a part, and since when (in seconds) it has been."""
+    """The first candidate for a part, and the node's time (in seconds) since which it is that."""
 
     name: str | None
     since: float
 
 
 class ElectionTiming:
-    """The first candidate for each part and for how long it has been, as one node sees it.
+    """The first candidate for each part, and how long it has been that, as one node sees it.
 
-    While nodes start, or the loss of one is noticed at different times, the order of the
-    candidates wavers: several cores each believe to be the first.
+    While nodes start, or detect the failure of one at different times, their orders of the
+    candidates differ: several cores may each take themselves for the first. Owns the times from
+    which `Elections` decides whether the order is stable.
     """
 
     __slots__ = ("node", "first_candidates", "reachable_names", "reachable_since", "started_at")
@@ -43,7 +44,7 @@
         self.started_at = node.now()
 
     def on_graph(self, graph: Graph) -> None:
-        """Note since when this node has reached the stores and cores it does."""
+        """Record the set of reachable stores and cores, and the time of its last change."""
         members = self.node.find("nifty").roster.members
         reachable_names = frozenset(
             name
@@ -55,12 +56,12 @@
             self.reachable_since = self.node.now()
 
     def forget_observations(self) -> None:
-        """Trust nothing known: this process was stopped so long that others took it for dead."""
+        """Reset all times, after a pause so long that the other nodes declared this one dead."""
         self.first_candidates = {}
         self.started_at = self.reachable_since = self.node.now()
 
     def observe_first_candidate(self, part: str, name: str | None) -> float:
-        """Note the first candidate for a part; return for how many seconds it has been that."""
+        """Record the first candidate for a part; return for how many seconds it has been that."""
         now = self.node.now()
         known = self.first_candidates.get(part)
         if known is None or known.name != name:
@@ -68,27 +69,34 @@
         return now - known.since
 
     def is_stable(self, seconds: float) -> bool:
-        """Tell whether a first candidate of so many seconds will stay the first.
+        """Return whether a core that has been first candidate for `seconds` should stay the first.
 
-        While a node comes back, each core hears it sooner than it hears of the others doing so,
-        and takes itself for the only bridge of a cut for up to three heartbeats.
+        That takes STABLE_HEARTBEATS, or PARTITIONED_STABLE_HEARTBEATS while the graph is
+        partitioned: when a node comes back, each core receives its heartbeats before it learns that
+        the others do too, and takes itself for the only bridge for up to three heartbeats.
         """
         is_cut = self.node.find("nifty").graph.is_cut
         heartbeats = PARTITIONED_STABLE_HEARTBEATS if is_cut else STABLE_HEARTBEATS
         return seconds >= self.node.bounds.heartbeat_interval * heartbeats
 
     def is_starting(self) -> bool:
-        """Tell whether this node started lately and still hears of others for the first time."""
+        """Return whether this node started lately and the set of reachable nodes still changes.
+
+        True within STARTUP_HEARTBEATS of the start, if the set changed in the last heartbeat.
+        """
         now, interval = self.node.now(), self.node.bounds.heartbeat_interval
         started_lately = now - self.started_at < interval * STARTUP_HEARTBEATS
         return started_lately and now - self.reachable_since < interval
 
     def reaches_majority(self, group: Group) -> bool:
-        """Tell whether enough stores of a group are in reach for a ballot."""
+        """Return whether a majority of a group's stores is reachable."""
         return sum(store.name in self.reachable_names for store in group) >= majority(group)
 
     def is_contended(self, ballot: list[Any]) -> bool:
-        """Tell whether the ballot that fenced this core is that of a live start of another."""
+        """Return whether the higher ballot is that of another reachable core's live incarnation.
+
+        False for this core's own ballot, and for a core that is leaving or backs off.
+        """
         name, _, incarnation = str(ballot[1]).rpartition("#")
         member = self.node.find("nifty").roster.members.get(name)
         return (
--- a/quillring/ownership/elections.py
+++ b/quillring/ownership/elections.py
@@ -1,4 +1,4 @@
-"""The control loop of a core: for which parts it runs elections, and which it transfers."""
+"""The control loop of a core: which parts it runs elections for, and which it transfers."""
 
 from __future__ import annotations
 
@@ -28,7 +28,10 @@
 
 
 class Elections:
-    """Reviews every part once a heartbeat, and whenever something changes that bears on it."""
+    """Reviews every part about once per heartbeat interval, and on each relevant change.
+
+    Owns the set of parts for which an election of this core is under way.
+    """
 
     __slots__ = ("node", "ownership", "timing", "parts_in_election", "wake_signal")
 
@@ -40,7 +43,7 @@
         self.wake_signal = Signal()
 
     def watch(self) -> None:
-        """Have the parts reviewed at once when the graph or the word of other nodes changes."""
+        """Subscribe to changes of the graph and of gossip keys that call for a review at once."""
         nifty, gossip = self.node.find("nifty"), self.node.find("gossip")
         nifty.listeners.append(self.timing.on_graph)
         nifty.listeners.append(self.wake)
@@ -52,7 +55,7 @@
         self.wake_signal.set()
 
     def run(self) -> Coroutine:
-        """Lead the parts this core is the first candidate for, transfer the others."""
+        """Lead the parts this core is the first candidate for, and transfer the others; endless."""
         bounds, backoff = self.node.bounds, self.ownership.backoff
         self.node.spawn(backoff.lag.run())
         while True:
@@ -82,10 +85,11 @@
                 self._begin_election(part, candidacy.is_stable)
 
     def _observe_candidacy(self, part: str) -> Candidacy:
-        """Tell whether this core is the first candidate, and whether that is stable.
+        """Return whether this core is the first candidate, and whether that is stable.
 
-        While the loss of a node is noticed at different times, the graph looks cut, and the order
-        wavers; a part that is led well stays where it is meanwhile. Who leaves does so at once.
+        While nodes detect a failure at different times, the graph looks partitioned and the order
+        of the candidates changes; meanwhile a part keeps a working leader. On a core that is
+        leaving, any order counts as stable, so it transfers its parts at once.
         """
         first_name = next(iter(self.ownership.candidates(part)), None)
         me, is_draining = self.node.me.name, self.node.is_draining
@@ -95,7 +99,7 @@
         return Candidacy(is_first, is_leaving or self.timing.is_stable(seconds))
 
     def _is_led_elsewhere(self, part: str) -> bool:
-        """Tell whether another core in reach leads the part and is to keep it."""
+        """Return whether another reachable core leads the part and does not decline leadership."""
         name = self.ownership.known_leader(part)
         if name is None or name == self.node.me.name:
             return False
@@ -133,15 +137,16 @@
         self.node.spawn(self._lead(leader))
 
     def _lead(self, leader: PartLeader) -> Coroutine:
-        """Lead a part until the term ends; a core that lost it by its own fault backs off."""
+        """Lead a part until the term ends; back off if this process caused the loss by stalling."""
         error = yield from leader.run()
         if isinstance(error, (Fenced, NoMajority)):
             self.ownership.backoff.note_lost_term()
 
     def _pause_after(self, error: QuillringError) -> float:
-        """Return the mean pause after a lost election, in seconds.
+        """Return the mean pause after a failed election, in seconds.
 
-        Where another core is winning, its announcement comes first.
+        It is longest where another live core holds the higher ballot, so that its announcement
+        arrives before the next attempt.
         """
         interval = self.node.bounds.heartbeat_interval
         if not isinstance(error, Fenced):
--- a/quillring/ownership/jitter.py
+++ b/quillring/ownership/jitter.py
@@ -1,4 +1,4 @@
-"""Pauses between attempts, spread by chance so that many nodes do not try in step."""
+"""Pauses with random jitter between attempts, so that nodes do not retry in lockstep."""
 
 from __future__ import annotations
 
@@ -15,5 +15,5 @@
 
 
 def sleep_with_jitter(node: Node, seconds: float) -> Coroutine:
-    """Sleep between half and one and a half times so many seconds."""
+    """Sleep for a random time, uniform between 0.5 and 1.5 times `seconds`."""
     yield Sleep(seconds * (LONGEST_SHARE - 1 + node.runtime.random.random()))
--- a/quillring/ownership/leadership_backoff.py
+++ b/quillring/ownership/leadership_backoff.py
@@ -1,10 +1,10 @@
-"""Backoff of a core that lost leadership by its own fault: others come before it for a while.
+"""Exponential backoff of a core that lost leadership because its own process stalled.
 
-A core that is overloaded, or was stopped for seconds, goes on sending heartbeats; it would be the
-first candidate again at once and lose the part again. It tells all nodes that it backs off, and
-when that is over. Each backoff is twice as long as the last one, up to a bound, until the core did
-well for as long as the bound. A core that backs off comes behind the others, yet is still a
-candidate: where all back off, the first of them acts.
+A core that is overloaded, or was stopped for seconds, still sends heartbeats; it would be the first
+candidate again at once and lose the part again. It announces by gossip when a backoff begins and
+ends. Each backoff is twice as long as the last one, up to MAX_BACKOFF_HEARTBEATS, and starts over
+at MIN_BACKOFF_HEARTBEATS after a time without any that is as long as that maximum. A core that
+backs off ranks after the others but is still a candidate: if all back off, the first of them leads.
 """
 
 from __future__ import annotations
@@ -23,7 +23,11 @@
 
 
 class LeadershipBackoff:
-    """Whether this core backs off, for how long, and which others do, as one node sees it."""
+    """Backoff state of this core, and which other cores announced one.
+
+    Owns the length (in heartbeat intervals) and the end (in seconds of the node's clock) of this
+    core's backoff, and the gossip key `resting/<core>`.
+    """
 
     __slots__ = ("node", "lag", "heartbeats", "until", "announcement_number")
 
@@ -35,7 +39,7 @@
         self.announcement_number = 0
 
     def is_backing_off(self, name: str) -> bool:
-        """Tell whether a core announced that it backs off, in the life it now leads."""
+        """Return whether a core announced a backoff under its present incarnation."""
         member = self.node.find("nifty").roster.members.get(name)
         if member is None:
             return False
@@ -43,12 +47,12 @@
         return bool(announced == member.incarnation)
 
     def note_lost_term(self) -> None:
-        """Begin to back off if the term was lost because this process was late."""
+        """Begin a backoff if the event loop of this process was late when the term was lost."""
         if self.lag.was_late() and not self.is_backing_off(self.node.me.name):
             self._begin()
 
     def refresh(self) -> None:
-        """End a backoff that is over, or begin a longer one while this process is still late."""
+        """End a backoff whose time is over, or begin a longer one if the loop is still late."""
         if not self.is_backing_off(self.node.me.name) or self.node.now() < self.until:
             return
         if self.lag.was_late():
@@ -74,7 +78,7 @@
         self._announce(self.node.me.incarnation)
 
     def _announce(self, incarnation: int | None) -> None:
-        """Tell all nodes under which incarnation this core backs off; None: it does not."""
+        """Publish the incarnation under which this core backs off, or None when it does not."""
         me = self.node.me
         self.announcement_number += 1
         version = [me.incarnation, self.announcement_number]
--- a/quillring/ownership/leadership_transfer.py
+++ b/quillring/ownership/leadership_transfer.py
@@ -1,4 +1,4 @@
-"""Transfer of leadership to the first candidate, which fetches the state before it is free."""
+"""Leadership transfer: the successor fetches the part's state before the leader steps down."""
 
 from __future__ import annotations
 
@@ -25,14 +25,17 @@
 
 
 class OfferedState(NamedTuple):
-    """The immutable state of a part that is transferred, and the last entry applied to it."""
+    """The immutable state of a part under transfer, and the index of the last entry applied."""
 
     log_index: int
     state: Any
 
 
 class LeadershipTransfer:
-    """Both sides of a planned change of leaders; the part is without one as briefly as can be."""
+    """Both sides of a planned leadership transfer, with a minimal time without a leader.
+
+    Owns `offered`: {part: the state that the successor may fetch} while a transfer is under way.
+    """
 
     __slots__ = ("node", "ownership", "offered")
 
@@ -42,18 +45,22 @@
         self.offered: dict[str, OfferedState] = {}
 
     def handle_calls(self) -> None:
-        """On a core: answer the calls of transfers."""
+        """Register the services of a transfer; for cores only."""
         self.node.handle(PREPARE_TRANSFER, self.on_prepare)
         self.node.handle(STATE_CHUNK, self.on_state_chunk)
 
     def begin(self, part: str, leader: PartLeader, successor: str) -> None:
-        """Transfer a part to another core, unless that is under way."""
+        """Begin the transfer of a part to another core, unless one is under way."""
         if part not in self.offered:
             self.offered[part] = OfferedState(leader.index, leader.state)
             self.node.spawn(self._transfer(part, leader, successor))
 
     def _transfer(self, part: str, leader: PartLeader, successor: str) -> Coroutine:
-        """Let the next leader fetch the state; then step down and tell it."""
+        """Let the successor fetch the state; then step down and notify it.
+
+        A successor that fails to fetch the state gets the part all the same, if it is still the
+        first candidate.
+        """
         request = PrepareTransferRequest(part, self.offered[part].log_index)
         seconds = self.node.bounds.propagation * 2
         try:
@@ -71,7 +78,7 @@
             self.node.send_oneway(successor, LEADERSHIP_OFFER, LeadershipOffer(part).to_wire())
 
     def on_state_chunk(self, body: WireMap, origin: str) -> list[Any]:
-        """Give some bytes of a state that is offered; Conflict for any other state."""
+        """Return a chunk of the offered state; raises Conflict if another index is asked for."""
         request = StateChunkRequest.from_wire(body)
         offered = self.offered.get(request.part)
         if offered is None or offered.log_index != request.log_index:
@@ -81,7 +88,7 @@
         return StateChunkReply(data, next_offset).to_wire()
 
     def on_prepare(self, body: WireMap, origin: str) -> Coroutine:
-        """Fetch the state of a part from its leader, so as to be its next one."""
+        """Fetch the state of a part from its leader, to succeed it; return True."""
         request = PrepareTransferRequest.from_wire(body)
         part, index = request.part, request.log_index
         leaders = self.ownership.leaders
@@ -97,7 +104,10 @@
         return True
 
     def _fetch_state(self, source: str, part: str, index: int) -> Coroutine:
-        """Return the state of a part at an index, fetched from its leader."""
+        """Return the state of a part at an index, fetched from its leader in chunks.
+
+        Raises Conflict when the leader no longer offers that state, BadChunk when it is incomplete.
+        """
         builder, seconds = StateBuilder(), self.node.bounds.read_timeout
         offset: ChunkOffset | None = SNAPSHOT_START
         while offset is not None:
--- a/quillring/ownership/messages.py
+++ b/quillring/ownership/messages.py
@@ -1,4 +1,4 @@
-"""Messages between the cores and their callers about parts, and their form on the wire."""
+"""Messages about parts between cores and their clients, and their wire form."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 class WholeRequest(NamedTuple):
-    """`part.whole`: which stores hold everything that is committed in a part."""
+    """`part.whole`: report which stores of a part have applied all committed entries."""
 
     part: str
 
@@ -99,7 +99,7 @@
 
 
 class StateChunkRequest(NamedTuple):
-    """`part.piece`: give the bytes of a part's state at an index, from an offset on."""
+    """`part.piece`: return a chunk of a part's state at an index, from an offset on."""
 
     part: str
     log_index: int
@@ -116,7 +116,7 @@
 
 
 class StateChunkReply(NamedTuple):
-    """The reply to `part.piece`: bytes, and the offset behind them; None at the state's end."""
+    """The reply to `part.piece`: bytes, and the offset after them; None at the state's end."""
 
     data: bytes
     next_offset: ChunkOffset | None
@@ -133,7 +133,7 @@
 
 
 class LeaderRecord(NamedTuple):
-    """The gossip record `owner/<part>`: the core that won the newest ballot known."""
+    """The gossip record `owner/<part>`: the leader under the highest ballot known."""
 
     leader: str
     ballot: list[Any]
@@ -149,10 +149,10 @@
 
 
 class LeadershipStatus(NamedTuple):
-    """How far a core is with a part: an entry of the reply to `part.takeovers`.
+    """A core's election and replication progress in a part, in the reply to `part.takeovers`.
 
-    `election` is the progress of its election as operators see it, `applied_index` the
-    last entry it applied, `repairs` the store that it brings up to date, if any.
+    `election` is the progress of its election as operators see it, `applied_index` the index of
+    the last entry it applied, `repairs` the store that it brings up to date, if any.
     """
 
     election: WireMap
@@ -173,7 +173,7 @@
 
 
 class ReportedStatus(NamedTuple):
-    """A core's status of a part as it came; shown to operators with whatever fields it has."""
+    """A core's status of a part as received; shown to operators with all fields it has."""
 
     ballot: list[Any]
     fields: WireMap
--- a/quillring/ownership/ownership.py
+++ b/quillring/ownership/ownership.py
@@ -1,4 +1,4 @@
-"""Who leads which part, as one node sees it; on a core also the terms of leadership it runs."""
+"""Which core leads which part, as one node sees it; on a core also its own terms as leader."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class DecodedGroup(NamedTuple):
-    """A group as it was heard, and what it reads as: each call for a part asks for it."""
+    """A group's wire form and its decoded form, cached since every call to a part needs it."""
 
     wire_group: WireGroup
     group: Group
@@ -53,8 +53,9 @@
 class Ownership:
     """The directory of parts, the client that reaches their leaders, and this core's own terms.
 
-    A listener is called with a leader and the commands of the entry that it applied, and with no
-    commands when a term begins or ends. A submit check may raise before a command is queued.
+    Owns `leaders`: {part: this core's newest term as its leader or candidate}. A listener is called
+    with a leader and the commands of the entry that it applied, and with no commands when a term
+    begins or ends. A submit check may raise before a command is queued.
     """
 
     __slots__ = (
@@ -103,11 +104,11 @@
         return self.client.call_leader(part, service, body, seconds)
 
     def why_unavailable(self, part: str) -> QuillringError | None:
-        """Return the error that no core this node reaches can overcome, or None."""
+        """Return why no reachable core can lead the part, or None; see `PartClient`."""
         return self.client.why_unavailable(part)
 
     def known_leader(self, part: str) -> str | None:
-        """Return the core that leads a part as last heard, or None."""
+        """Return the core that leads a part by the newest gossip received, or None."""
         return self.client.known_leader(part)
 
     def founding(self) -> WireMap:
@@ -122,7 +123,10 @@
         return sorted(self.founding()["groups"])
 
     def group(self, part: str) -> Group:
-        """Return the stores of a part as last heard."""
+        """Return the stores of a part by the newest gossip received, else by the founding record.
+
+        Raises NotFounded where neither is known.
+        """
         heard_group = self.node.find("gossip").get(f"group/{part}")
         wire_group = heard_group or self.founding()["groups"][part]
         decoded = self.decoded_groups.get(part)
@@ -132,7 +136,7 @@
         return decoded.group
 
     def size(self) -> int:
-        """Return how many stores a full group has."""
+        """Return how many stores a group at full strength has."""
         size: int = self.founding().get("size", GROUP_SIZE)
         return size
 
@@ -142,7 +146,7 @@
         return sorted(member.name for member in members if member.role == "core")
 
     def candidates(self, part: str) -> list[str]:
-        """Return the reachable cores in the order of their claim to the part."""
+        """Return the reachable cores, the preferred leader of the part first."""
         cores = self.cores()
         leaving_names = {name for name in cores if self.is_leaving(name)}
         backing_off_names = {name for name in cores if self.backoff.is_backing_off(name)}
@@ -150,7 +154,7 @@
         return order_candidates(part, cores, graph, leaving_names, backing_off_names)
 
     def is_leaving(self, name: str) -> bool:
-        """Tell whether a member drains or stands in an emptied zone: nothing new goes there."""
+        """Return whether a member drains, or its zone does, so that it takes no new work."""
         member = self.node.find("nifty").roster.members.get(name)
         if member is None:
             return False
@@ -159,27 +163,27 @@
         return bool(self.node.find("layout").is_zone_draining(member.zone))
 
     def declines_leadership(self, name: str) -> bool:
-        """Tell whether others take the parts of a core at once: it leaves, or backs off."""
+        """Return whether other cores should lead a core's parts, as it is leaving or backs off."""
         return self.is_leaving(name) or self.backoff.is_backing_off(name)
 
     def announce_drain(self) -> None:
-        """Tell all nodes that this one drains, until it starts again."""
+        """Announce by gossip that this node drains; valid for its present incarnation."""
         me = self.node.me
         self.node.find("gossip").publish(f"draining/{me.name}", [me.incarnation], me.incarnation)
 
     def run(self) -> Coroutine:
-        """On a core: lead the parts it is the first candidate for, transfer the others."""
+        """Run the elections of this core, without end; for cores only."""
         return self.elections.run()
 
     def new_leader(self, part: str) -> PartLeader:
-        """Return a new term of this core for a part, which takes over what the last one knew."""
+        """Return a new term of this core for a part, with the state and ballot of its last one."""
         former = self.leaders.get(part)
         leader = self.leaders[part] = PartLeader(self.node, part, self.group(part), former)
         leader.listeners.extend([*self.leader_listeners, self._publish_leader])
         return leader
 
     def _publish_leader(self, leader: PartLeader, batch: list[WireMap]) -> None:
-        """Tell all nodes who leads the part and which stores hold it."""
+        """Publish by gossip who leads the part and which stores replicate it."""
         if not leader.is_leader or leader.state is None:
             return
         gossip, part = self.node.find("gossip"), leader.part
@@ -189,7 +193,7 @@
             gossip.publish(f"group/{part}", [leader.index], leader.state["group"])
 
     def on_submit(self, body: WireMap, origin: str) -> Coroutine:
-        """Commit a command in a part led here."""
+        """Commit a command in a part led here; raises NotLeader, or the error of a submit check."""
         request = SubmitRequest.from_wire(body)
         leader = self._leader(request.part)
         for check in self.submit_checks:
@@ -197,27 +201,33 @@
         return leader.submit(request.command)
 
     def on_read(self, body: WireMap, origin: str) -> Coroutine:
-        """Answer a query from a part led here, once a majority confirmed the ballot."""
+        """Answer a query from a part led here, after a majority confirmed the ballot.
+
+        Raises NotLeader, Fenced, NoMajority, or the query's own error.
+        """
         request = ReadRequest.from_wire(body)
         state = yield from self._leader(request.part).linearizable_state()
         answer_query = QUERIES.find(request.query["ask"])
         return answer_query(state, request.query)
 
     def on_whole(self, body: WireMap, origin: str) -> Coroutine:
-        """Tell whether the stores of a part led here hold everything."""
+        """Return the GroupStatus of a part led here; raises NotLeader."""
         leader = self._leader(WholeRequest.from_wire(body).part)
         status = yield from group_status(leader)
         return status.to_wire()
 
     def on_status(self, body: Any, origin: str) -> WireMap:
-        """Tell how far this core is with each part that it led or tried to lead."""
+        """Return the LeadershipStatus of each part that this core led or tried to lead."""
         return {
             part: LeadershipStatus.of_leader(leader).to_wire()
             for part, leader in self.leaders.items()
         }
 
     def on_leadership_offer(self, body: str, origin: str) -> Coroutine:
-        """Run an election for a part whose leader stepped down, unless it is truly led here."""
+        """Review the parts at once, as the leader of one stepped down in favour of this core.
+
+        A term of this core in that part ends first if its ballot turns out to be fenced.
+        """
         leader = self.leaders.get(LeadershipOffer.from_wire(body).part)
         if leader is not None and leader.is_leader:
             try:
--- a/quillring/ownership/part_client.py
+++ b/quillring/ownership/part_client.py
@@ -1,4 +1,4 @@
-"""Client of a part: commands and reads go to whichever core leads it, wherever they begin."""
+"""Client of a part: routes commands and reads to the core that leads it, with retries."""
 
 from __future__ import annotations
 
@@ -27,16 +27,16 @@
     from quillring.quorum.values import Group
 
     class PartDirectory(Protocol):
-        """What a client needs to know of the parts."""
+        """What a client looks up about the parts."""
 
         def founding(self) -> WireMap:
             """Return the founding record, or raise NotFounded."""
 
         def group(self, part: str) -> Group:
-            """Return the stores of a part as last heard."""
+            """Return the stores of a part by the newest gossip received."""
 
         def candidates(self, part: str) -> list[str]:
-            """Return the reachable cores in the order of their claim to the part."""
+            """Return the reachable cores, the preferred leader of the part first."""
 
 
 TRY_ANOTHER_CORE = (Fenced, NoMajority, NotLeader, TimedOut, Unreachable)
@@ -44,7 +44,7 @@
 
 
 class PartClient:
-    """Finds a part's leader, and repeats what may be repeated."""
+    """Finds a part's leader, and retries calls for which that is safe."""
 
     __slots__ = ("node", "directory", "started_at")
 
@@ -54,17 +54,19 @@
         self.started_at = node.now()
 
     def submit(self, part: str, command: WireMap, seconds: float | None = None) -> Coroutine:
-        """Commit a command that carries its own id, at whichever core leads the part.
+        """Commit a command at the core that leads the part; it must carry an id, as it is retried.
 
-        Raises OutcomeUnknown, Refused, or the error with which the command was refused.
+        Takes `seconds` at most, by default twice `bounds.propagation`. Raises OutcomeUnknown if the
+        command may have been committed, Refused if it was not, NotFounded, or the command's error.
         """
         body = SubmitRequest(part, command).to_wire()
         return self.call_leader(part, SUBMIT, body, seconds)
 
     def read(self, part: str, query: WireMap, seconds: float | None = None) -> Coroutine:
-        """Read a part's state from its leader, or from a majority of its stores.
+        """Read a part's state from its leader, or else from a majority of its stores.
 
-        Raises Refused when the time is over or nobody can answer, or the query's own error.
+        Takes `seconds` at most, by default twice `bounds.propagation`. Raises Refused when no
+        answer came in that time or none can come, NotFounded, or the query's own error.
         """
         bounds = self.node.bounds
         last_error: QuillringError = NotLeader(part=part)
@@ -94,10 +96,12 @@
     def call_leader(
         self, part: str, service: str, body: WireMap, seconds: float | None
     ) -> Coroutine:
-        """Call a service of the core that leads the part, wherever it is.
+        """Call a service of the core that leads the part, with retries at other candidates.
 
-        Once a call of a command may have run, its outcome is unknown whatever a later call answers
-        but success or a refusal of what can never be taken: the earlier one may still take effect.
+        Takes `seconds` at most, by default twice `bounds.propagation`. Once an attempt to submit a
+        command may have run, only success or a final error of a later attempt settles the outcome;
+        anything else raises OutcomeUnknown, as the earlier attempt may still take effect. Raises
+        Refused when no attempt can have run, NotFounded, or the service's own error.
         """
         bounds = self.node.bounds
         end_time = self.node.now() + (bounds.propagation * 2 if seconds is None else seconds)
@@ -132,9 +136,11 @@
         raise Refused(reason=last_error.kind, part=part)
 
     def why_unavailable(self, part: str) -> QuillringError | None:
-        """Return the error that no core this node reaches can overcome, or None.
+        """Return why no reachable core can lead the part, or None.
 
-        A node that has just started does not know yet whom it reaches.
+        NoMajority: fewer than a majority of its stores are reachable; Unreachable: no core is.
+        None during the first `bounds.propagation` seconds, when this node may not yet have received
+        a heartbeat from the others.
         """
         if self.node.now() - self.started_at < self.node.bounds.propagation:
             return None
@@ -145,19 +151,19 @@
         return None if self.directory.candidates(part) else Unreachable(part=part)
 
     def known_leader(self, part: str) -> str | None:
-        """Return the core that leads a part as last heard, or None."""
+        """Return the core that leads a part by the newest gossip received, or None."""
         fields: Any = self.node.find("gossip").get(f"owner/{part}")
         return LeaderRecord.from_wire(fields).leader if fields else None
 
     def _pause_before_retry(self, end_time: float) -> Coroutine:
-        """Pause between two attempts, no longer than until the end of the call."""
+        """Pause between two attempts: a quarter of a heartbeat with jitter, within the deadline."""
         longest_seconds = end_time - self.node.now()
         seconds = min(self.node.bounds.heartbeat_interval / 4, longest_seconds / LONGEST_SHARE)
         if seconds > 0:
             yield from sleep_with_jitter(self.node, seconds)
 
     def _call_targets(self, part: str) -> list[str]:
-        """Return the core known to lead the part, if it is in reach, and the first candidates."""
+        """Return the known leader of the part, if it is a candidate, then the first candidates."""
         candidates = self.directory.candidates(part)
         leader = self.known_leader(part)
         first_targets = [leader] if leader is not None and leader in candidates else []
--- a/quillring/ownership/status.py
+++ b/quillring/ownership/status.py
@@ -14,7 +14,7 @@
 
 
 class PartStatus(NamedTuple):
-    """A part with its stores, its leader and ballot as last heard, and its newest election."""
+    """A part with its stores, its leader and ballot by the newest gossip, and its last election."""
 
     part: str
     stores: list[str]
@@ -34,7 +34,7 @@
 
 
 def newest_elections(node: Node) -> Coroutine:
-    """Ask the cores in reach; return {part: the status under the highest ballot}."""
+    """Ask the reachable cores; return {part: the status under the highest ballot}."""
     nifty = node.find("nifty")
     names = [name for name in node.find("ownership").cores() if nifty.reaches(name)]
     calls: list[tuple[str, str, Any]] = [(name, STATUS, None) for name in names]
@@ -51,7 +51,7 @@
 
 
 def list_parts(node: Node) -> Coroutine:
-    """Return the PartStatus of every part; NotFounded where no founding is known."""
+    """Return the PartStatus of every part; raises NotFounded if no founding record is known."""
     ownership, gossip = node.find("ownership"), node.find("gossip")
     ownership.founding()
     elections = yield from newest_elections(node)
--- a/quillring/quorum/__init__.py
+++ b/quillring/quorum/__init__.py
@@ -1,4 +1,4 @@
-"""Replicated state in parts: each with its own stores, ballots, log and membership."""
+"""State replicated by Multi-Paxos, in parts with a group, ballots, log and membership each."""
 
 from quillring.quorum.acceptor import Acceptors
 from quillring.quorum.commands import COMMANDS, QUERIES, apply_batch
--- a/quillring/quorum/acceptor/__init__.py
+++ b/quillring/quorum/acceptor/__init__.py
@@ -1,4 +1,4 @@
-"""The acceptors' side of a part: promises, accepted entries and applied state on a store's disk."""
+"""Paxos acceptors of the parts: promises, accepted entries and applied state on a store's disk."""
 
 from quillring.quorum.acceptor.acceptor import Acceptors
 from quillring.quorum.acceptor.state import AcceptedEntry, AcceptorState
--- a/quillring/quorum/acceptor/acceptor.py
+++ b/quillring/quorum/acceptor/acceptor.py
@@ -1,4 +1,4 @@
-"""The acceptors on a store machine: promises, accepted entries, applied state, per part."""
+"""The Paxos acceptors on a store machine: one per part, with one log on disk for all."""
 
 from __future__ import annotations
 
@@ -55,9 +55,12 @@
 
 
 class Acceptors:
-    """The store's side of every part; all that it answers is durable first.
+    """The acceptors of one store; a promise or an acceptance is durable before the reply.
 
-    `identity` and `log` are set by whoever opens the data folder, `node` by attach().
+    Owns the acceptor state of each part, the founding record, the hints for other stores, and the
+    log that makes them durable. `identity` and `log` are set by the code that opens the data
+    folder, `node` by attach(). A listener is called with a part and its acceptor state after each
+    update by the part's leader.
     """
 
     __slots__ = (
@@ -83,7 +86,7 @@
         self.snapshot_transfer = SnapshotTransfer(self)
 
     def attach(self, node: Node) -> None:
-        """Join the node, whose member record carries the identity found on disk."""
+        """Register the services on a node, whose member record has the identity found on disk."""
         self.node = node
         for name in (*FOUNDING_CALLS, *LEADERS_CALLS, *READERS_CALLS):
             node.handle(f"quorum.{name}", getattr(self, f"on_{name}"))
@@ -96,7 +99,7 @@
             gossip.subscribe("founding", self._on_founding_news)
 
     def _publish(self, part: str, acceptor: AcceptorState) -> None:
-        """Tell all nodes what is committed here, so that it needs no leader to be known."""
+        """Publish the committed group or configuration by gossip, so that no leader is needed."""
         if acceptor.state is None:
             return
         gossip = self.node.find("gossip")
@@ -110,23 +113,23 @@
             self.node.spawn(self.persist(FoundRecord(founding)))
 
     def rows(self) -> list[list[Any]]:
-        """Return all state for a snapshot."""
+        """Return all state as immutable rows, for a checkpoint."""
         return to_rows(self)
 
     def load_rows(self, rows: Iterable[list[Any]]) -> None:
-        """Take the state of a snapshot."""
+        """Replace the state by the rows of a checkpoint."""
         load_rows(self, rows)
 
     def load(self, snapshot: WireMap) -> None:
-        """Take the state of a snapshot of the first form, which is one value."""
+        """Replace the state by a checkpoint of the first format, which is one value."""
         load_single_value(self, snapshot)
 
     def replay(self, fields: list[Any]) -> None:
-        """Take one record of the log, as it stands on disk."""
+        """Apply one record of the log in its form on disk; for recovery."""
         self.apply(read_log_record(fields))
 
     def apply(self, record: LogRecord) -> None:
-        """Change the memory by a record; recovery and the running store do the same here."""
+        """Apply a record to the state in memory, at recovery as in operation."""
         if isinstance(record, FoundRecord):
             self._apply_founding(record.founding)
         elif isinstance(record, HintRecord):
@@ -168,19 +171,19 @@
         self.snapshot_transfer.drop_outdated(record.part, acceptor)
 
     def persist(self, *records: LogRecord) -> Coroutine:
-        """Change the memory, and return once the records are durable; DiskError if they can't be.
+        """Apply records in memory, and return once they are durable; raises DiskError.
 
-        The records reach the disk under one sync.
+        The records are written under one sync. After a DiskError the memory keeps the change.
         """
         for record in records:
             self.apply(record)
         yield from self.log.commit([record.to_disk() for record in records])
 
     def check_ballot(self, request: LeaderRequest) -> AcceptorState:
-        """Return what is held of the part of a request that this store may follow.
+        """Return the acceptor state of a request's part, once the request passed all checks.
 
-        Raises WrongIdentity for a former self, Fenced when a higher ballot was promised, and the
-        DiskError of a disk that takes nothing.
+        Raises WrongIdentity if it is meant for an earlier identity of this store, Fenced when a
+        higher ballot was promised, and DiskError while writes to the disk fail.
         """
         self._check_identity(request.identity)
         if self.log.error is not None:
@@ -195,7 +198,10 @@
             raise WrongIdentity(store=self.node.me.name, identity=self.identity)
 
     def on_found(self, body: WireMap, origin: str) -> Coroutine:
-        """Take the founding record; another founding is answered with a conflict."""
+        """Store the founding record durably; return the fleet's id.
+
+        Raises WrongIdentity, or Conflict when this store has the record of another founding.
+        """
         request = FoundRequest.from_wire(body)
         if self.founding is None:
             self._check_identity(request.identity)
@@ -205,11 +211,11 @@
         return (self.founding or request.founding)["fleet"]
 
     def on_founding(self, body: Any, origin: str) -> WireMap | None:
-        """Tell which founding this store holds, or None."""
+        """Return the founding record that this store has, or None."""
         return self.founding
 
     def on_prepare(self, body: WireMap, origin: str) -> Coroutine:
-        """Promise a ballot and tell what was accepted."""
+        """Promise a ballot durably; return the Promise, with the accepted entries (phase 1b)."""
         request = PrepareRequest.from_wire(body)
         self.check_ballot(request)
         yield from self.persist(PromiseRecord(request.part, request.ballot))
@@ -222,7 +228,7 @@
         return promise.to_wire()
 
     def on_catch_up(self, body: WireMap, origin: str) -> Coroutine:
-        """Accept all the entries that this store missed, and apply them."""
+        """Accept the entries that this store missed, and apply them; return the applied index."""
         request = CatchUpRequest.from_wire(body)
         self.check_ballot(request)
         part, ballot = request.part, request.ballot
@@ -231,7 +237,10 @@
         return self.notify_listeners(part)
 
     def on_accept(self, body: WireMap, origin: str) -> Coroutine:
-        """Accept an entry of the ballot, and apply what its leader says is committed."""
+        """Accept an entry durably (phase 2b), and apply what its leader says is committed.
+
+        Return the applied index.
+        """
         request = AcceptRequest.from_wire(body)
         self.check_ballot(request)
         yield from self.persist(
@@ -241,7 +250,10 @@
         return self.notify_listeners(request.part)
 
     def on_commit(self, body: WireMap, origin: str) -> Coroutine:
-        """Mark entries of the ballot as committed, durably."""
+        """Mark entries accepted under the ballot as committed, durably; return the index applied.
+
+        Writes nothing if that is known and durable already.
+        """
         request = CommitRequest.from_wire(body)
         acceptor = self.check_ballot(request)
         is_known = acceptor.promised == request.ballot and acceptor.applied >= request.committed
@@ -251,7 +263,7 @@
         return self.notify_listeners(request.part)
 
     def on_install(self, body: WireMap, origin: str) -> Coroutine:
-        """Take the leader's whole state of a part in place of missed entries."""
+        """Install the leader's complete state of a part in place of missed entries."""
         request = InstallRequest.from_wire(body)
         self.check_ballot(request)
         yield from self.persist(
@@ -260,7 +272,10 @@
         return self.notify_listeners(request.part)
 
     def on_confirm(self, body: WireMap, origin: str) -> bool:
-        """Tell a leader that no higher ballot was promised here; writes nothing."""
+        """Return True if the leader's ballot is the highest promised here; writes nothing.
+
+        Raises Fenced if it is not.
+        """
         request = ConfirmRequest.from_wire(body)
         acceptor = self.check_ballot(request)
         if acceptor.promised != request.ballot:
@@ -268,7 +283,7 @@
         return True
 
     def on_image(self, body: WireMap, origin: str) -> list[Any]:
-        """Give the applied state of a part to any reader."""
+        """Return the applied state of a part; raises NotFounded when there is none."""
         request = ImageRequest.from_wire(body)
         acceptor = self.parts.get(request.part)
         if acceptor is None or acceptor.state is None:
@@ -276,9 +291,10 @@
         return ImageReply(acceptor.applied, acceptor.state).to_wire()
 
     def on_peek(self, body: WireMap, origin: str) -> Coroutine:
-        """Answer a query from the applied state, with what may be chosen beyond it.
+        """Answer a query from the applied state, and from the entries accepted beyond it.
 
-        What was accepted is told of only once it is durable.
+        The reply waits until those entries are durable. Raises NotFounded, WrongIdentity or
+        DiskError.
         """
         request = FollowerReadRequest.from_wire(body)
         acceptor = self.parts.get(request.part)
@@ -300,7 +316,10 @@
         return reply.to_wire()
 
     def stamp(self) -> list[Any] | None:
-        """Return the config part's ballot and committed index, None if no member can give it."""
+        """Return [ballot, committed index, identity] of the config part.
+
+        None if this store is no member of that part, or while writes to its disk fail.
+        """
         acceptor = self.parts.get(CONFIG)
         if acceptor is None or self.log.error is not None:
             return None
@@ -309,7 +328,7 @@
         return [acceptor.promised.to_wire(), acceptor.committed, self.identity]
 
     def notify_listeners(self, part: str) -> int:
-        """Tell the listeners what is committed in a part; return the index applied."""
+        """Notify the listeners of what is committed in a part; return the applied index."""
         for listener in self.listeners:
             listener(part, self.parts[part])
         return self.parts[part].applied
--- a/quillring/quorum/acceptor/hint_store.py
+++ b/quillring/quorum/acceptor/hint_store.py
@@ -1,4 +1,4 @@
-"""Hinted handoff: a spare store keeps what a missing acceptor should have had, and hands it over.
+"""Hinted handoff: a spare store keeps accept requests for an unreachable acceptor, for delivery.
 
 Source: DeCandia et al., "Dynamo: Amazon's highly available key-value store", section 4.6.
 """
@@ -28,9 +28,10 @@
 
 
 class HintStore:
-    """The spare's side; hints add durability, they are no votes.
+    """The spare store's side; hints add durability but never count towards a majority.
 
-    `kept_bytes` is None while it has to be counted anew.
+    At most MAX_HINTS hints of about MAX_HINT_BYTES are kept. `kept_bytes` caches their size in
+    bytes; None while it must be counted again.
     """
 
     __slots__ = ("node", "acceptors", "kept_bytes")
@@ -42,7 +43,7 @@
         node.handle("quorum.hint", self.on_hint)
 
     def on_hint(self, body: WireMap, origin: str) -> Coroutine:
-        """Keep a request for a missing acceptor, durably; Refused when there are too many."""
+        """Keep a request for an unreachable acceptor, durably; raises Refused above the limits."""
         request = HintRequest.from_wire(body)
         kept_count = sum(len(requests) for requests in self.acceptors.hints.values())
         if kept_count >= MAX_HINTS or self._count_bytes() >= MAX_HINT_BYTES:
@@ -61,9 +62,10 @@
         return self.kept_bytes
 
     def run(self) -> Coroutine:
-        """Hand hints over to each acceptor that is back, then drop them.
+        """Deliver the hints to each acceptor that is reachable again, then drop them; endless.
 
-        Its parts' leaders come first: most often they bring it up to date, and no hint is needed.
+        It waits HEARTBEATS_BEFORE_HANDOFF heartbeats, as the leaders of its parts usually bring the
+        acceptor up to date by then, and the hints need not be sent.
         """
         back_since: dict[str, float] = {}
         while True:
@@ -78,10 +80,10 @@
                     yield from self._hand_over(name)
 
     def _hand_over(self, target: str) -> Coroutine:
-        """Hand over what the acceptor still needs; a new member under its name needs none.
+        """Deliver the hints that the acceptor still needs; one with a new identity needs none.
 
-        An answer tells what it has applied by now, from its leader or other stores: all up to that
-        is not sent.
+        Each reply is the index that the acceptor has applied; hints up to that index are not sent.
+        An error that is not final ends the attempt, and all hints are kept.
         """
         requests = self.acceptors.hints.get(target, ())
         applied: dict[tuple[str, str], float] = {}
--- a/quillring/quorum/acceptor/log_records.py
+++ b/quillring/quorum/acceptor/log_records.py
@@ -1,7 +1,7 @@
-"""The records of a store's log: what each changes in memory, and its form on disk.
+"""The typed records of a store's log, and their form on disk.
 
 On disk a record is a list: its kind, then its fields. Every record about a part names the ballot
-that it was written under, which the acceptor has promised by then.
+that it was written under; to apply it promises that ballot.
 """
 
 from __future__ import annotations
@@ -41,12 +41,12 @@
         return cls(founding)
 
     def to_disk(self) -> list[Any]:
-        """Return the record as it stands on disk."""
+        """Return the record in its form on disk."""
         return [FOUND, self.founding]
 
 
 class HintRecord(NamedTuple):
-    """An accept request, as it came over the wire, that is kept for a missing acceptor."""
+    """An accept request, in its wire form, that is kept for an unreachable acceptor."""
 
     target: str
     request: WireMap
@@ -58,12 +58,12 @@
         return cls(target, request)
 
     def to_disk(self) -> list[Any]:
-        """Return the record as it stands on disk."""
+        """Return the record in its form on disk."""
         return [HINT, self.target, self.request]
 
 
 class HintsHandedRecord(NamedTuple):
-    """The oldest `handed_count` hints for an acceptor were handed over or are needed no more."""
+    """The oldest `handed_count` hints for an acceptor were delivered or are no longer needed."""
 
     target: str
     handed_count: int
@@ -75,7 +75,7 @@
         return cls(target, count)
 
     def to_disk(self) -> list[Any]:
-        """Return the record as it stands on disk."""
+        """Return the record in its form on disk."""
         return [HINTS_HANDED, self.target, self.handed_count]
 
 
@@ -92,7 +92,7 @@
         return cls(part, Ballot.from_wire(ballot))
 
     def to_disk(self) -> list[Any]:
-        """Return the record as it stands on disk."""
+        """Return the record in its form on disk."""
         return [PROMISE, self.part, self.ballot.to_wire()]
 
 
@@ -111,12 +111,12 @@
         return cls(part, Ballot.from_wire(ballot), index, batch)
 
     def to_disk(self) -> list[Any]:
-        """Return the record as it stands on disk."""
+        """Return the record in its form on disk."""
         return [ACCEPT, self.part, self.ballot.to_wire(), self.log_index, self.batch]
 
 
 class CommitRecord(NamedTuple):
-    """The entries up to `committed` that were accepted under the ballot are chosen."""
+    """All entries accepted under the ballot up to the index `committed` are chosen."""
 
     part: str
     ballot: Ballot
@@ -129,12 +129,12 @@
         return cls(part, Ballot.from_wire(ballot), committed)
 
     def to_disk(self) -> list[Any]:
-        """Return the record as it stands on disk."""
+        """Return the record in its form on disk."""
         return [COMMIT, self.part, self.ballot.to_wire(), self.committed]
 
 
 class InstallRecord(NamedTuple):
-    """The whole state after the entry `log_index`, in place of missed entries."""
+    """The complete state after the entry `log_index`, in place of missed entries."""
 
     part: str
     ballot: Ballot
@@ -148,14 +148,14 @@
         return cls(part, Ballot.from_wire(ballot), index, state)
 
     def to_disk(self) -> list[Any]:
-        """Return the record as it stands on disk."""
+        """Return the record in its form on disk."""
         return [INSTALL, self.part, self.ballot.to_wire(), self.log_index, self.state]
 
 
 class InstallChunkRecord(NamedTuple):
     """A chunk of the state after the entry `log_index`, from `offset` up to `next_offset`.
 
-    `next_offset` is None in the last one, which puts the state in place.
+    `next_offset` is None in the last chunk, after which the state is installed.
     """
 
     part: str
@@ -179,7 +179,7 @@
         )
 
     def to_disk(self) -> list[Any]:
-        """Return the record as it stands on disk."""
+        """Return the record in its form on disk."""
         return [
             INSTALL_CHUNK,
             self.part,
@@ -210,6 +210,6 @@
 
 
 def read_log_record(fields: Sequence[Any]) -> LogRecord:
-    """Return the typed record of what a log holds."""
+    """Return the typed record; one of an unknown kind is read as a promise of its ballot."""
     kind, *_ = fields
     return _READERS.get(kind, PromiseRecord.from_disk)(fields)
--- a/quillring/quorum/acceptor/retirement_gate.py
+++ b/quillring/quorum/acceptor/retirement_gate.py
@@ -1,4 +1,4 @@
-"""Retirement, the store's side; `quorum.leader.retirement_check` tells why it is safe."""
+"""Retirement, the store's side; `quorum.leader.retirement_check` explains why it is safe."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class RetirementGate:
-    """The store's side: whether it may join a part, and whether it has handed over its hints."""
+    """Answers whether this store may join a part, and whether it has delivered all its hints."""
 
     __slots__ = ("node", "acceptors")
 
@@ -27,13 +27,19 @@
         node.handle("quorum.leaving", self.on_leaving)
 
     def on_join(self, body: Any, origin: str) -> bool:
-        """Agree to become a member of a part; Conflict when this store may be retired."""
+        """Agree to become a member of a part; return True.
+
+        Raises Conflict when this store is retired, or has received no configuration yet.
+        """
         if not self.node.find("layout").index or self._is_retired():
             raise Conflict(store=self.node.me.name, reason="retired or without news of it")
         return True
 
     def on_leaving(self, body: Any, origin: str) -> WireMap:
-        """Tell whether this store knows of its retirement and which hints it still has to give."""
+        """Return whether this store knows of its retirement, and the targets of pending hints.
+
+        Only reachable targets count.
+        """
         reaches = self.node.find("nifty").reaches
         hints = sorted(name for name in self.acceptors.hints if reaches(name))
         return {"retired": self._is_retired(), "hints": hints}
--- a/quillring/quorum/acceptor/snapshot_rows.py
+++ b/quillring/quorum/acceptor/snapshot_rows.py
@@ -1,4 +1,4 @@
-"""The state of a store's acceptors as rows of a snapshot, each of bounded size, and back.
+"""The state of a store's acceptors as checkpoint rows, and back; a part's state takes many rows.
 
 On disk a row is a list: its kind, a name, then its fields.
 """
@@ -40,35 +40,35 @@
     founding: WireMap | None
 
     def to_disk(self) -> list[Any]:
-        """Return the row as it stands on disk."""
+        """Return the row in its form on disk."""
         return [STORE, self.identity, self.founding]
 
 
 class HintRow(NamedTuple):
-    """An accept request that is kept for a missing acceptor."""
+    """An accept request that is kept for an unreachable acceptor."""
 
     target: str
     request: WireMap
 
     def to_disk(self) -> list[Any]:
-        """Return the row as it stands on disk."""
+        """Return the row in its form on disk."""
         return [HINT, self.target, self.request]
 
 
 class PartRow(NamedTuple):
-    """What the acceptor holds of a part, but for the state, whose rows follow."""
+    """The acceptor state of a part, without the applied state, whose rows follow."""
 
     part: str
     acceptor: AcceptorState
 
     def to_disk(self) -> list[Any]:
-        """Return the row as it stands on disk."""
+        """Return the row in its form on disk."""
         promise = self.acceptor.to_promise()._replace(state=None)
         return [PART, self.part, promise.to_wire()]
 
 
 class IncomingRow(NamedTuple):
-    """How far a part's state has come from its leader, but for its sections, whose rows follow."""
+    """A snapshot partly received from a leader, without its sections, whose rows follow."""
 
     part: str
     ballot: Ballot
@@ -83,13 +83,13 @@
         return cls(part, Ballot.from_wire(ballot), index, rest, ChunkOffset.from_wire(offset))
 
     def to_disk(self) -> list[Any]:
-        """Return the row as it stands on disk."""
+        """Return the row in its form on disk."""
         partial = [{}, self.rest, self.offset.to_wire()]
         return [INCOMING, self.part, [self.ballot.to_wire(), self.log_index, partial]]
 
 
 def to_rows(acceptors: Acceptors) -> list[list[Any]]:
-    """Return all state as immutable rows; what changes later does not change them."""
+    """Return all state as immutable rows; later changes of the state do not affect them."""
     rows = [StoreRow(acceptors.identity, acceptors.founding).to_disk()]
     for target, requests in acceptors.hints.items():
         rows.extend(HintRow(target, request).to_disk() for request in requests)
@@ -105,7 +105,7 @@
 
 
 def load_rows(acceptors: Acceptors, rows: Iterable[list[Any]]) -> None:
-    """Take the state of a snapshot."""
+    """Replace the state of the acceptors by the rows of a checkpoint."""
     loader = _RowLoader()
     for kind, name, *fields in rows:
         loader.take(kind, name, fields)
@@ -115,7 +115,7 @@
 
 
 class _RowLoader:
-    """Puts together what the rows of a snapshot hold."""
+    """Rebuilds the state of the acceptors from the rows of a checkpoint."""
 
     __slots__ = ("store", "parts", "hints", "incoming", "sections")
 
@@ -127,7 +127,7 @@
         self.sections: dict[str, dict[str, Any]] = {}
 
     def take(self, kind: str, name: str, fields: Sequence[Any]) -> None:
-        """Take a row; one of an unknown kind changes nothing."""
+        """Add a row; rows of an unknown kind are ignored."""
         if kind == STORE:
             (founding,) = fields
             self.store = StoreRow(name, founding)
@@ -149,7 +149,7 @@
             put_row(self.sections[name], fields)
 
     def incoming_snapshots(self) -> dict[str, IncomingSnapshot]:
-        """Return the states that were coming from leaders."""
+        """Return {part: the snapshot that was being received from its leader}."""
         return {
             part: IncomingSnapshot(
                 row.ballot,
@@ -161,7 +161,7 @@
 
 
 def load_single_value(acceptors: Acceptors, snapshot: WireMap) -> None:
-    """Take the state of a snapshot of the first form, which is one value."""
+    """Replace the state of the acceptors by a checkpoint of the first format, one value."""
     acceptors.identity, acceptors.founding = snapshot["identity"], snapshot["founding"]
     acceptors.parts = {
         part: AcceptorState.from_disk(fields) for part, fields in snapshot["parts"].items()
--- a/quillring/quorum/acceptor/snapshot_transfer.py
+++ b/quillring/quorum/acceptor/snapshot_transfer.py
@@ -1,4 +1,4 @@
-"""The acceptor's side of moving a part's state and entries in bounded chunks."""
+"""The acceptor's side of transfers of a part's state and entries, in bounded chunks."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class IncomingSnapshot:
-    """A state that a leader sends chunk by chunk; `index` is what it will have applied."""
+    """A state that a leader sends chunk by chunk; `index` is the last entry applied to it."""
 
     __slots__ = ("ballot", "index", "builder")
 
@@ -36,7 +36,10 @@
 
 
 class SnapshotTransfer:
-    """Gives out chunks of applied states, and puts together those that leaders install."""
+    """Sends chunks of applied states, and assembles the states that leaders install.
+
+    Owns `incoming`: {part: the snapshot being received}.
+    """
 
     __slots__ = ("acceptors", "incoming")
 
@@ -45,16 +48,17 @@
         self.incoming: dict[str, IncomingSnapshot] = {}
 
     def attach(self, node: Node) -> None:
-        """Answer the calls of leaders."""
+        """Register the services for leaders on a node."""
         node.handle("quorum.piece", self.on_piece)
         node.handle("quorum.entries", self.on_entries)
         node.handle("quorum.accepted", self.on_accepted)
         node.handle("quorum.install_piece", self.on_install_piece)
 
     def take_chunk(self, record: InstallChunkRecord) -> PartState | None:
-        """Take a chunk; return the whole state behind the last one, else None.
+        """Add a chunk; return the complete state after the last one, else None.
 
-        A chunk that does not begin where the one before ended changes nothing.
+        A chunk that does not begin where the last one ended is ignored. Raises BadChunk when the
+        chunk does not end at its `next_offset`.
         """
         if record.offset == SNAPSHOT_START:
             self.incoming[record.part] = IncomingSnapshot(
@@ -70,7 +74,7 @@
         return builder.whole()
 
     def drop_outdated(self, part: str, acceptor: AcceptorState) -> None:
-        """Drop what a newer ballot, or what was applied meanwhile, made useless."""
+        """Drop a snapshot of a lower ballot than promised, or no newer than the applied index."""
         incoming = self.incoming.get(part)
         if incoming is not None and (
             incoming.ballot < acceptor.promised or incoming.index <= acceptor.applied
@@ -78,14 +82,17 @@
             del self.incoming[part]
 
     def _builder_of(self, part: str, ballot: Ballot, index: int) -> StateBuilder | None:
-        """Return what was put together of this state under this ballot so far, or None."""
+        """Return the builder of this state under this ballot, or None if there is none."""
         incoming = self.incoming.get(part)
         if incoming is None or incoming.ballot != ballot or incoming.index != index:
             return None
         return incoming.builder
 
     def on_piece(self, body: WireMap, origin: str) -> list[Any]:
-        """Give a chunk of the state applied at an index; Conflict when another one is."""
+        """Return a chunk of the state at an index.
+
+        Raises Conflict when another index is applied, NotFounded when there is no state.
+        """
         request = StateChunkRequest.from_wire(body)
         acceptor, state = self._founded(request.part)
         if acceptor.applied != request.log_index:
@@ -93,13 +100,16 @@
         return cut_chunk(state, request.offset).to_wire()
 
     def on_entries(self, body: WireMap, origin: str) -> list[Any] | None:
-        """Give applied entries after an index, as many as a chunk may hold; None if gone."""
+        """Return applied entries after an index, CHUNK_BYTES at most but one at least.
+
+        None if some of them are no longer cached. Raises NotFounded when there is no state.
+        """
         request = EntriesRequest.from_wire(body)
         acceptor, _ = self._founded(request.part)
         return acceptor.log_cache.since(request.after, CHUNK_BYTES)
 
     def on_accepted(self, body: WireMap, origin: str) -> list[Any]:
-        """Give the entry accepted at an index, with its ballot."""
+        """Return the entry accepted at an index, with its ballot; raises NotFounded without one."""
         request = AcceptedEntryRequest.from_wire(body)
         acceptor = self.acceptors.parts.get(request.part)
         if acceptor is None or request.log_index not in acceptor.entries:
@@ -108,16 +118,17 @@
         return AcceptedEntryReply(entry.ballot, entry.batch).to_wire()
 
     def _founded(self, part: str) -> tuple[AcceptorState, PartState]:
-        """Return what is held of a part and its state; NotFounded when there is none."""
+        """Return the acceptor state of a part and its applied state; raises NotFounded."""
         acceptor = self.acceptors.parts.get(part)
         if acceptor is None or acceptor.state is None:
             raise NotFounded(part=part, store=self.acceptors.node.me.name)
         return acceptor, acceptor.state
 
     def on_install_piece(self, body: WireMap, origin: str) -> Coroutine:
-        """Keep a chunk of a leader's state, durably; the last one puts the state in place.
+        """Store a chunk of a leader's state, durably; the last one installs the state.
 
-        A chunk that is not the next one is answered with a conflict that names the offset wanted.
+        Return the applied index. Raises Conflict, with the offset wanted, for any chunk but the
+        next one or the first.
         """
         request = InstallChunkRequest.from_wire(body)
         self.acceptors.check_ballot(request)
--- a/quillring/quorum/acceptor/state.py
+++ b/quillring/quorum/acceptor/state.py
@@ -1,4 +1,4 @@
-"""What one acceptor holds of a part: its promise, the accepted entries and the applied state."""
+"""The state of one Paxos acceptor: its promise, the accepted entries and the applied state."""
 
 from __future__ import annotations
 
@@ -31,10 +31,11 @@
 
 
 class AcceptorState:
-    """What one acceptor holds of a part.
+    """The state of one part's acceptor on a store.
 
     `promised` is the highest ballot promised, `applied` the index of the last entry applied to
-    `state`, `entries` those accepted beyond it, `committed` the highest index known to be chosen.
+    `state`, `entries` {index: entry} those accepted beyond it, `committed` the highest index known
+    to be chosen. `log_cache` keeps the entries applied last, for stores that missed a few.
     """
 
     __slots__ = ("promised", "applied", "state", "entries", "committed", "log_cache")
@@ -55,7 +56,7 @@
         self.log_cache = LogCache(LOG_CACHE_BYTES)
 
     def to_promise(self) -> Promise:
-        """Return what this store tells with a promise."""
+        """Return the state in the form of a Promise, which is also that of a checkpoint."""
         accepted = tuple(
             AcceptedProposal(index, entry.ballot, entry.batch)
             for index, entry in sorted(self.entries.items())
@@ -64,7 +65,7 @@
 
     @classmethod
     def from_promise(cls, promise: Promise) -> AcceptorState:
-        """Return the state that a snapshot holds in the form of a promise."""
+        """Return the acceptor state that a Promise describes."""
         entries = {
             proposal.log_index: AcceptedEntry(proposal.ballot, proposal.batch or [])
             for proposal in promise.accepted
@@ -73,7 +74,7 @@
 
     @classmethod
     def from_disk(cls, fields: Sequence[Any]) -> AcceptorState:
-        """Read the state from a snapshot."""
+        """Read the state from a checkpoint."""
         return cls.from_promise(Promise.from_wire(fields))
 
     def promise(self, ballot: Ballot) -> None:
@@ -82,18 +83,21 @@
             self.promised = ballot
 
     def accept(self, ballot: Ballot, index: int, batch: Batch) -> None:
-        """Hold an entry until it is committed, unless the entry of that index is applied."""
+        """Accept an entry, unless the entry of that index is applied already."""
         if index > self.applied:
             self.entries[index] = AcceptedEntry(ballot, batch)
 
     def has_member(self, identity: str) -> bool:
-        """Tell whether the applied state names the store of this identity as a member."""
+        """Return whether the applied state names the store of this identity as a member."""
         if self.state is None:
             return False
         return any(GroupMember.from_wire(m).identity == identity for m in self.state["group"])
 
     def apply_committed(self, ballot: Ballot, committed: int) -> None:
-        """Apply what the ballot's leader says is committed; stop at a gap."""
+        """Apply the entries up to `committed` that were accepted under the ballot; stop at a gap.
+
+        An entry accepted under another ballot counts as a gap, as it may not be the chosen one.
+        """
         while self.applied < committed:
             entry = self.entries.get(self.applied + 1)
             if entry is None or entry.ballot != ballot or self.state is None:
@@ -105,7 +109,7 @@
         self.committed = max(self.committed, self.applied)
 
     def install(self, index: int, state: PartState) -> None:
-        """Take a whole state in place of missed entries, unless what is here is as new."""
+        """Install a complete state in place of missed entries, unless it is no newer."""
         if index <= self.applied:
             return
         self.applied, self.state = index, state
@@ -123,9 +127,10 @@
         ]
 
     def uncommitted_answers(self, query: WireMap) -> tuple[UncommittedAnswer, ...]:
-        """Return what a query comes to after each accepted entry in turn.
+        """Return the answer of a query after each accepted entry in turn.
 
-        It ends before a gap, and before a change of the group, which decides what comes after.
+        It ends before a gap, and before a change of the group, as the new group chooses the entries
+        after it.
         """
         answers: list[UncommittedAnswer] = []
         if self.state is None:
--- a/quillring/quorum/commands.py
+++ b/quillring/quorum/commands.py
@@ -1,4 +1,4 @@
-"""The commands of the logs: pure functions found by their entry in a registry."""
+"""The commands and queries of the replicated state machine: pure functions in registries."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 
 
 def apply_batch(state: PartState, batch: Batch) -> tuple[PartState, list[Any]]:
-    """Return (new state, answers); a refused command changes nothing and answers an error.
+    """Return (new state, answers); a refused command changes nothing, its answer is the error.
 
-    One batch is one entry of the log: in it one store may join the group and one may leave, so
-    that a member is replaced in one step, and no more; `quorum.leader.membership_change` tells why
+    One batch is one entry of the log. In it at most one store may join the group and at most one
+    may leave, so that one step can replace a member; `quorum.leader.membership_change` explains why
     that is safe.
     """
     answers: list[Any] = []
@@ -48,7 +48,7 @@
 
 
 def is_one_swap(group: WireGroup, next_group: WireGroup) -> bool:
-    """Tell whether at most one store joins and at most one leaves from one group to the next."""
+    """Return whether at most one store joins and at most one leaves from one group to the next."""
     if group == next_group:
         return True
     old_members, new_members = {tuple(s) for s in group}, {tuple(s) for s in next_group}
@@ -56,7 +56,7 @@
 
 
 def answer_query(state: PartState, query: WireMap) -> list[Any]:
-    """Return [None, answer] of a query, or [error's kind, its detail]."""
+    """Return [None, answer] of a query, or [the error's kind, its detail]."""
     try:
         return [None, QUERIES.find(query["ask"])(state, query)]
     except QuillringError as error:
@@ -64,14 +64,14 @@
 
 
 class BadCommand(QuillringError):
-    """A command that can't be applied; it changes nothing, at every store alike."""
+    """A malformed command; it changes nothing, deterministically at every replica."""
 
     kind = "bad_command"
 
 
 @COMMANDS.entry("group.change")
 def change_group(state: PartState, command: WireMap) -> tuple[PartState, WireMap]:
-    """Change the part's stores by one member at a time."""
+    """Add one store to the part's group or remove one; raises QuillringError for other changes."""
     old_names = {tuple(store) for store in state["group"]}
     new_names = {tuple(store) for store in command["group"]}
     if len(old_names ^ new_names) != 1:
--- a/quillring/quorum/disk_health.py
+++ b/quillring/quorum/disk_health.py
@@ -1,4 +1,4 @@
-"""News of stores whose disks take nothing: leaders replace them as they replace lost ones."""
+"""Gossip about stores whose disk writes fail: leaders replace them like unreachable stores."""
 
 from __future__ import annotations
 
@@ -17,24 +17,27 @@
 
 
 class DiskReport(NamedTuple):
-    """A store's own word about its disk, valid for one life of its process."""
+    """A store's report about its own disk, valid for one incarnation."""
 
     incarnation: int
     is_failing: bool
 
     @classmethod
     def from_wire(cls, fields: Sequence[Any]) -> DiskReport:
-        """Read the report as gossip carries it."""
+        """Read the report from its wire form."""
         incarnation, is_failing = fields
         return cls(incarnation, is_failing)
 
     def to_wire(self) -> list[Any]:
-        """Return the report as gossip carries it."""
+        """Return the report in its wire form."""
         return [self.incarnation, self.is_failing]
 
 
 class DiskHealth:
-    """Tells all nodes when this store's disk begins to fail, and when it is well again."""
+    """Publishes when this store's disk begins to fail and when it works again.
+
+    Owns the gossip key `disk/<store>`.
+    """
 
     __slots__ = ("node", "log", "is_failing", "sequence")
 
@@ -45,7 +48,7 @@
         self.sequence = 0
 
     def run(self) -> Coroutine:
-        """Look at the disk twice in a heartbeat period, and tell a change."""
+        """Check the disk twice per heartbeat interval and publish each change; endless."""
         while True:
             yield Sleep(self.node.bounds.heartbeat_interval / 2)
             is_failing = self.log.error is not None
@@ -63,7 +66,7 @@
 
 
 def is_disk_failing(node: Node, name: str) -> bool:
-    """Tell whether a store's disk takes nothing, by its own word since its last start."""
+    """Return whether a store reported under its present incarnation that its disk fails."""
     news = node.find("gossip").get(f"disk/{name}")
     member = node.find("nifty").roster.members.get(name)
     if news is None or member is None:
--- a/quillring/quorum/founding/bootstrap.py
+++ b/quillring/quorum/founding/bootstrap.py
@@ -1,4 +1,4 @@
-"""The first start of a fleet: one core founds it by itself; the others come in only if it fails."""
+"""The first start of a fleet: the first seed founds it; later seeds try in turn if it fails."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 def found_at_first_start(
     node: Node, is_first_start: bool, part_count: int, size: int = GROUP_SIZE
 ) -> Coroutine:
-    """Found the fleet at its very first start, as soon as its stores are there.
+    """Found the fleet at its first start, once the set of reachable stores is stable.
 
-    `size` is how many stores hold each part. The first seed does it; each later one only after
-    another turn without a founding. A majority of the seeds has to agree on the record, so that
-    the sides of a cut cannot both found. With too few stores for the size, the largest odd number
-    that there is must do, after a turn.
+    `size` is how many stores replicate each part. The first seed tries at once, each later one
+    after another turn of TURN_HEARTBEATS heartbeats without a founding. A majority of the seeds has
+    to agree on the record, so that two sides of a partition cannot both found. With too few stores
+    or zones for the size, it takes the largest odd number of stores up to it, after a further turn.
     """
     voter = node.find("elector")
     voter.is_first_start = is_first_start
@@ -62,15 +62,15 @@
 
 
 def seed_position(node: Node) -> int:
-    """Return the place of this node among its seeds by address; whoever is none comes last.
+    """Return the position of this node among the seeds sorted by address; non-seeds come last.
 
-    By address, as the seeds may be told to each node in another order.
+    They are sorted because each node's settings may list the seeds in another order.
     """
     seeds = sorted({tuple(seed) for seed in node.find("nifty").seeds})
     return seeds.index(node.me.address) if node.me.address in seeds else len(seeds)
 
 
 def reachable_stores(node: Node) -> list[GroupMember]:
-    """Return the stores that are heard, by name."""
+    """Return the reachable stores of the roster."""
     nifty = node.find("nifty")
     return [store for store in roster_stores(node) if nifty.reaches(store.name)]
--- a/quillring/quorum/founding/founding.py
+++ b/quillring/quorum/founding/founding.py
@@ -1,4 +1,4 @@
-"""Founding: one idempotent step that names the stores of every part, once in a fleet's life."""
+"""Founding: one idempotent step that chooses the stores of every part, once per fleet."""
 
 from __future__ import annotations
 
@@ -25,11 +25,14 @@
 ) -> Coroutine:
     """Found the fleet on the stores of the roster, or finish a founding begun before.
 
-    A store that holds a founding already is found by asking all first. Then the first store by
-    name is asked alone: of two racing founders the one whose record it keeps has won, and the
-    other carries on with the winner's record. With `stores` given, the groups are made of these,
-    spread over as many zones as they are in. With `choose` (coroutine of node and record
-    that returns the one agreed on), that one is founded and no other.
+    All stores are asked first for a founding record that they have. Then the first store is
+    asked alone to take the record: of two concurrent founders the one whose record it takes has
+    won, and the other carries on with the winner's record. With `stores` given, the groups are
+    chosen from these, spread over as many zones as they are in. With `choose` (coroutine of node
+    and record that returns the record agreed on), that record is founded and no other.
+
+    Raises Refused when the stores are too few or in too few zones, NoMajority when a store did not
+    take the record (call again to finish), or an error of `choose`.
     """
     gossip = node.find("gossip")
     known_founding = gossip.get("founding")
@@ -59,7 +62,7 @@
 
 
 def roster_stores(node: Node) -> list[GroupMember]:
-    """Return the stores of the roster, by name."""
+    """Return the stores of the roster, in its order."""
     members = node.find("nifty").roster.members.values()
     return [GroupMember(m.name, m.identity, m.zone) for m in members if m.role == "store"]
 
@@ -80,7 +83,7 @@
 
 
 def _held_founding(node: Node, stores: list[GroupMember]) -> Coroutine:
-    """Return a founding record that one of the stores holds, or None."""
+    """Return a founding record that one of the stores has, or None."""
     calls = [(store.name, "quorum.founding", None) for store in stores]
     replies = yield from node.gather(calls, len(calls), node.bounds.call_timeout)
     held = [reply for reply in replies.values() if isinstance(reply, dict)]
@@ -88,7 +91,7 @@
 
 
 def _found_at(node: Node, store: GroupMember, founding: WireMap) -> Coroutine:
-    """Have one store take the record; return the one that it holds by then."""
+    """Ask one store to take the record; return the record that it then has."""
     try:
         body = FoundRequest(store.identity, founding).to_wire()
         yield from node.call(store.name, "quorum.found", body, node.bounds.propagation)
--- a/quillring/quorum/founding/founding_vote.py
+++ b/quillring/quorum/founding/founding_vote.py
@@ -1,13 +1,13 @@
 """The one founding record that the seeds agree on: single-decree Paxos with the seeds as acceptors.
 
-At the first start all nodes are told the same three seeds (or fewer) and nothing else of each
-other, so a majority of the seeds is the only thing that two sides of a cut cannot both have. A
-founder proposes a record under a ballot, and takes over the record that any seed of its majority
-has accepted. Source: Lamport, "Paxos made simple", section 2.2.
+At the first start the settings of all nodes name the same three seeds (or fewer), and nothing else
+is known in common, so a majority of the seeds is what two sides of a partition cannot both have. A
+founder proposes a record under a ballot, and adopts the record that a seed of its majority accepted
+under the highest ballot. Source: Lamport, "Paxos made simple", section 2.2.
 
 A seed's vote outlives its process in a witness, the store on the same machine, if the settings name
-one. A seed without one holds its vote in memory; then it votes only in a life that is the first
-start, since another life may have forgotten what it promised.
+one. A seed without one has its vote in memory only; then it votes only in the incarnation of its
+first start, since a later one may have forgotten what it promised.
 """
 
 from __future__ import annotations
@@ -40,10 +40,10 @@
 
 
 class FoundingVoter:
-    """A seed's side: promises and accepts, each kept before it is answered.
+    """A seed's acceptor: promises and accepts, each stored before the reply.
 
-    `witness` is the name of the store that keeps the vote, None where it is held in memory.
-    `ballot_number` is the highest one that this node used or heard of.
+    `witness` is the name of the store that keeps the vote, None where it is in memory only.
+    `ballot_number` is the highest number that this node used, or was refused by, as a proposer.
     """
 
     __slots__ = ("node", "witness", "is_first_start", "vote", "ballot_number")
@@ -58,7 +58,11 @@
         node.handle("founding.accept", self.on_accept)
 
     def on_prepare(self, body: WireMap, origin: str) -> Coroutine:
-        """Promise a ballot; return the ballot and the record accepted before, if any."""
+        """Promise a ballot; return the ballot and the record accepted before, if any.
+
+        Raises Fenced when a higher ballot was promised, Refused when a vote may be lost, Conflict
+        when the vote changed concurrently.
+        """
         request = VotePrepareRequest.from_wire(body)
         vote = yield from self._recall()
         _check_ballot(vote, request.ballot)
@@ -66,7 +70,7 @@
         return VotePromise(vote.accepted, vote.founding).to_wire()
 
     def on_accept(self, body: WireMap, origin: str) -> Coroutine:
-        """Accept a record unless a higher ballot was promised."""
+        """Accept a record; raises Fenced when a higher ballot was promised."""
         request = VoteAcceptRequest.from_wire(body)
         vote = yield from self._recall()
         ballot = request.ballot
@@ -77,7 +81,10 @@
         return True
 
     def register_first_start(self) -> Coroutine:
-        """At the first start, have the witness know of it, so that later lives may vote."""
+        """At the first start, store an empty vote at the witness, so that later starts may vote.
+
+        Retries every quarter of a heartbeat interval until it succeeds.
+        """
         if not self.is_first_start or self.witness is None:
             return
         while True:
@@ -91,7 +98,7 @@
             yield Sleep(self.node.bounds.heartbeat_interval / 4)
 
     def _recall(self) -> Coroutine:
-        """Return this seed's vote; Refused when a former life's may be lost."""
+        """Return this seed's vote; raises Refused when that of a former incarnation may be lost."""
         vote = self.vote
         if self.witness is not None:
             kept = yield from self.node.call(self.witness, "founding.recall", None)
@@ -101,7 +108,7 @@
         return vote
 
     def _keep(self, former: Vote, vote: Vote) -> Coroutine:
-        """Keep a vote in place of the former one; Conflict when another came between."""
+        """Replace the former vote (compare and set); raises Conflict if it changed meanwhile."""
         vote = vote._replace(number=former.number + 1)
         if self.witness is not None:
             yield from self.node.call(self.witness, "founding.keep", vote.to_wire())
@@ -110,12 +117,12 @@
         self.vote = vote
 
     def next_ballot(self) -> Ballot:
-        """Return a ballot of this node that is higher than all it used or heard of."""
+        """Return a ballot of this node above all that it used or was refused by."""
         self.ballot_number += 1
         return Ballot(self.ballot_number, f"{self.node.me.name}#{self.node.me.incarnation}")
 
     def note_ballots(self, ballots: list[Ballot]) -> None:
-        """Take note of ballots that other founders use."""
+        """Raise the ballot number to those that refused this node's ballot."""
         self.ballot_number = max(self.ballot_number, *(int(ballot.number) for ballot in ballots))
 
 
@@ -126,9 +133,9 @@
 
 
 class Witness:
-    """A store's side: it keeps the vote of the seed on its machine, in two alternating files.
+    """A store that keeps the vote of the seed on its machine durably, in two alternating files.
 
-    A file is the CRC-32 of the vote in four bytes, then the vote in CBOR.
+    A file is the CRC-32 of the encoded vote in four bytes, big-endian, then the vote in CBOR.
     """
 
     __slots__ = ("node", "disk")
@@ -140,12 +147,15 @@
         node.handle("founding.keep", self.on_keep)
 
     def on_recall(self, body: Any, origin: str) -> list[Any] | None:
-        """Return the newest vote that is kept, or None."""
+        """Return the newest vote on disk, or None."""
         vote = self._newest()
         return None if vote is None else vote.to_wire()
 
     def on_keep(self, body: Sequence[Any], origin: str) -> bool:
-        """Keep a vote durably if it is the next one; a torn file leaves the former vote."""
+        """Write a vote durably if its number is the next one; raises Conflict if it is not.
+
+        A torn write leaves the former vote, which is in the other file.
+        """
         vote, kept = Vote.from_wire(body), self._newest()
         if vote.number != (0 if kept is None else kept.number) + 1:
             raise Conflict(reason="the vote has changed")
@@ -172,7 +182,8 @@
 def agree_on_founding(node: Node, founding: WireMap) -> Coroutine:
     """Have a majority of the seeds choose a founding record; return the one chosen.
 
-    Raises Fenced or NoMajority; then nothing, this record or another one may come to be chosen.
+    Raises NoMajority when too few seeds accept in `bounds.propagation` seconds; this record,
+    another one or none may then be chosen.
     """
     ballot = node.find("elector").next_ballot()
     request = VotePrepareRequest(ballot)
@@ -186,7 +197,7 @@
 
 
 def _ask_seeds(node: Node, service: str, body: WireMap) -> Coroutine:
-    """Ask all seeds; return the answers of a majority of them."""
+    """Ask all seeds; return the replies of a majority of them at least, or raise NoMajority."""
     addresses, roster = set(node.find("nifty").seeds), node.find("nifty").roster
     names = {name for at in addresses for name in roster.addresses.get(tuple(at), ())[-1:]}
     need = len(addresses) // 2 + 1
--- a/quillring/quorum/founding/messages.py
+++ b/quillring/quorum/founding/messages.py
@@ -1,4 +1,4 @@
-"""The messages of the seeds' vote on the founding record, and the vote as it is kept."""
+"""The Paxos messages of the seeds' vote on the founding record, and the stored vote."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
         return cls(number, Ballot.from_wire(promised), Ballot.from_wire(accepted), founding)
 
     def to_wire(self) -> list[Any]:
-        """Return the vote as it stands in a message and in a file."""
+        """Return the vote in its form in messages and files."""
         return [self.number, self.promised.to_wire(), self.accepted.to_wire(), self.founding]
 
 
@@ -43,7 +43,7 @@
         return cls(Ballot.from_wire(body["ballot"]))
 
     def to_wire(self) -> WireMap:
-        """Return the request as it stands on the wire."""
+        """Return the request in its wire form."""
         return {"ballot": self.ballot.to_wire()}
 
 
@@ -60,7 +60,7 @@
         return cls(Ballot.from_wire(accepted), founding)
 
     def to_wire(self) -> list[Any]:
-        """Return the answer as it stands on the wire."""
+        """Return the answer in its wire form."""
         return [self.accepted.to_wire(), self.founding]
 
 
@@ -76,5 +76,5 @@
         return cls(Ballot.from_wire(body["ballot"]), body["founding"])
 
     def to_wire(self) -> WireMap:
-        """Return the request as it stands on the wire."""
+        """Return the request in its wire form."""
         return {"ballot": self.ballot.to_wire(), "founding": self.founding}
--- a/quillring/quorum/leader/anti_entropy.py
+++ b/quillring/quorum/leader/anti_entropy.py
@@ -1,4 +1,7 @@
-"""Anti-entropy: late followers are brought up to date one at a time, with a growing pause."""
+"""Anti-entropy: followers that lag are brought up to date one at a time, with backoff.
+
+The term is from Demers et al., "Epidemic algorithms for replicated database maintenance", 1987.
+"""
 
 from __future__ import annotations
 
@@ -20,14 +23,18 @@
 
 
 class Backoff(NamedTuple):
-    """A follower is left alone until a time, for so many seconds, after its catch-up failed."""
+    """The pause after a follower's failed catch-up: its end, by the node's clock, and length."""
 
     until: float
     seconds: float
 
 
 class AntiEntropy:
-    """Finds the followers that miss something, and has them catch up, while one term lasts."""
+    """Finds the followers that lag and has them catch up, during one term.
+
+    Owns the backoff of each follower: it begins at half a heartbeat interval and doubles up to
+    twice `bounds.propagation`. `target` is the follower that is being brought up to date.
+    """
 
     __slots__ = ("caller", "machine", "catch_up", "is_leader", "target", "is_busy", "backoffs")
 
@@ -47,13 +54,13 @@
         self.backoffs: dict[str, Backoff] = {}
 
     def run(self) -> Coroutine:
-        """Look for late followers while the term lasts."""
+        """Repair the followers twice per heartbeat interval while the term lasts."""
         while self.is_leader():
             yield Sleep(self.caller.node.bounds.heartbeat_interval / 2)
             yield from self.repair_followers()
 
     def repair_followers(self) -> Coroutine:
-        """Send the followers in reach what they miss; nothing while that is under way."""
+        """Bring reachable followers up to date; return at once if that is under way."""
         if self.is_busy:
             return
         self.is_busy = True
@@ -63,7 +70,10 @@
             self.is_busy, self.target = False, None
 
     def applied_index_by_store(self) -> Coroutine:
-        """Tell followers in reach what is committed; return {store: the index it has applied}."""
+        """Send reachable followers the committed index; return {store: the index it applied}.
+
+        A follower that does not reply is left out.
+        """
         node = self.caller.node
         reaches = node.find("nifty").reaches
         commits = self.caller.calls(CommitRequest, committed=self.machine.last_applied)
--- a/quillring/quorum/leader/catch_up.py
+++ b/quillring/quorum/leader/catch_up.py
@@ -1,8 +1,8 @@
-"""Catch-up of one follower at the least cost: entries where they are kept, else a snapshot.
+"""Catch-up of one follower: by log entries where they are cached, else by a snapshot.
 
-Entries are sent where the leader or another store keeps them; the whole state only where they are
-gone or weigh more than it. Both go in chunks of bounded size, one at a time, so that no message
-grows with a part's state.
+Entries are sent if the leader or another store has them in its log cache; the complete state only
+if they are gone or larger than the state. Both go in chunks of bounded size, one at a time, so that
+no message grows with a part's state.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 
 class FollowerCatchUp:
-    """Sends followers what they miss, under the ballot of one term."""
+    """Sends followers the entries or the snapshot that they miss, under the ballot of one term."""
 
     __slots__ = ("caller", "machine", "is_leader")
 
@@ -53,7 +53,7 @@
         self.is_leader = is_leader
 
     def send_missing(self, member: GroupMember, applied: int) -> Coroutine:
-        """Send a store what it misses after an index; raises when it can't be brought on now."""
+        """Send a store all that it misses after an index; raises the error of a failed call."""
         if (yield from self._send_entries(member, applied)):
             self.caller.node.count("catch_ups")
             return
@@ -61,10 +61,10 @@
         yield from self._send_snapshot(member)
 
     def bring_up_to_date(self, member: GroupMember) -> Coroutine:
-        """Bring a store that does not vote yet to the leader's state; tell whether it is there.
+        """Bring a store that does not vote yet up to date; return whether it is.
 
-        The store keeps the state durably under the leader's ballot, so it also promises that
-        ballot.
+        There are MOST_ROUNDS attempts, as the leader may commit more entries meanwhile. The store
+        writes the state durably under the leader's ballot, so it also promises that ballot.
         """
         caller = self.caller
         for _ in range(MOST_ROUNDS):
@@ -85,7 +85,10 @@
         return False
 
     def _send_entries(self, member: GroupMember, applied: int) -> Coroutine:
-        """Send the entries a store misses; return False when they are gone, or don't help."""
+        """Send the entries a store misses; return False when a snapshot is needed instead.
+
+        That is so when entries are gone, are larger than the state, or are not applied there.
+        """
         caller, machine = self.caller, self.machine
         if machine.log_cache.since(applied) is None:
             yield from self._learn_entries(member, applied)
@@ -104,7 +107,7 @@
         return True
 
     def _learn_entries(self, member: GroupMember, applied: int) -> Coroutine:
-        """Ask one other store for the entries that were applied before this term."""
+        """Fetch the entries before the leader's own log cache from one other store, if any has."""
         caller, machine = self.caller, self.machine
         first = machine.log_cache.first or machine.last_applied + 1
         reaches = caller.node.find("nifty").reaches
@@ -121,7 +124,10 @@
                 return
 
     def _send_snapshot(self, member: GroupMember) -> Coroutine:
-        """Send the state chunk by chunk; a store that lost some of it tells where to go on."""
+        """Send the state chunk by chunk; a store that lost some of it replies the offset it needs.
+
+        Raises Conflict after MOST_RESUMPTIONS such replies.
+        """
         caller, index, state = self.caller, self.machine.last_applied, self.machine.known_state()
         seconds, resumptions = caller.node.bounds.propagation, 0
         offset: ChunkOffset | None = SNAPSHOT_START
@@ -152,7 +158,11 @@
 
 
 def is_state_smaller(state: PartState, entries_bytes: int) -> bool:
-    """Tell whether a state takes fewer bytes than entries do; it is read no further."""
+    """Return whether a state's encoding takes no more bytes than the entries do.
+
+    Encoding stops beyond `entries_bytes`. False, without encoding, for entries of at most a quarter
+    of CHUNK_BYTES.
+    """
     if entries_bytes <= CHUNK_BYTES // 4:
         return False
     for fields in state_rows(state):
--- a/quillring/quorum/leader/command_queue.py
+++ b/quillring/quorum/leader/command_queue.py
@@ -1,4 +1,4 @@
-"""The commands that wait to be replicated, and which of them go into one entry of the log."""
+"""The queue of commands to be replicated, and the batching of commands into log entries."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 class PendingCommand(NamedTuple):
-    """A command and the signal that its answer, or its error, sets."""
+    """A command, and the signal that is set to its answer or its error."""
 
     command: dict[str, Any]
     answer_signal: Signal
 
 
 class CommandQueue:
-    """The commands submitted to one term of a part's leadership, in the order of their entries."""
+    """The commands submitted to one term of a part's leader, in the order they will commit in."""
 
     __slots__ = ("part", "pending", "arrival_signal")
 
@@ -37,40 +37,40 @@
         self.arrival_signal = Signal()
 
     def append(self, command: dict[str, Any]) -> PendingCommand:
-        """Put a command last."""
+        """Append a command to the queue."""
         pending = PendingCommand(command, Signal())
         self.pending.append(pending)
         self.arrival_signal.set()
         return pending
 
     def put_first(self, commands: list[dict[str, Any]]) -> list[PendingCommand]:
-        """Put commands before all that wait."""
+        """Insert commands before all that are pending."""
         pending = [PendingCommand(command, Signal()) for command in commands]
         self.pending[:0] = pending
         self.arrival_signal.set()
         return pending
 
     def next_arrival(self, seconds: float) -> Wait:
-        """Return the effect that waits so long for the next command."""
+        """Return an effect that waits for the next command, for `seconds` at most."""
         self.arrival_signal = Signal()
         return Wait(self.arrival_signal, seconds)
 
     def take_batch(self) -> list[PendingCommand]:
-        """Take the commands of the next entry out of the queue."""
+        """Remove and return the commands of the next entry."""
         batch, self.pending = split_batch(self.pending)
         return batch
 
     def reject_all(self, reason: str) -> None:
-        """End all that waits with NotLeader, and whoever waits for the next command."""
+        """Fail all pending commands with NotLeader, and wake the wait for the next command."""
         rejected, self.pending = self.pending, []
         for pending in rejected:
             pending.answer_signal.set(NotLeader(part=self.part, reason=reason))
         self.arrival_signal.set()
 
     def answers_of(self, pending: list[PendingCommand], seconds: float) -> Coroutine:
-        """Wait for the last of some commands of one entry; return their answers.
+        """Wait for the answers to commands of one entry, and return them.
 
-        Raises the error of the first that failed, or NoMajority when none came in time.
+        Raises the error of the first that failed, or NoMajority when none came within `seconds`.
         """
         yield Wait(pending[-1].answer_signal, seconds)
         return [self._answer_of(each.answer_signal) for each in pending]
@@ -88,7 +88,7 @@
 ) -> tuple[list[PendingCommand], list[PendingCommand]]:
     """Return (the commands of the next entry, the rest).
 
-    An entry holds at most `ENTRY_COMMANDS` commands and `ENTRY_BYTES` encoded, but one at least.
+    An entry has at most ENTRY_COMMANDS commands of at most ENTRY_BYTES encoded, but at least one.
     """
     count, encoded_bytes = 0, 0
     for pending in queue[:ENTRY_COMMANDS]:
--- a/quillring/quorum/leader/election_progress.py
+++ b/quillring/quorum/leader/election_progress.py
@@ -1,4 +1,4 @@
-"""How far a core is with winning a part: for operators, and for the log."""
+"""Progress of a core's election for a part, for operators and the log."""
 
 from __future__ import annotations
 
@@ -18,10 +18,11 @@
 
 
 class ElectionProgress:
-    """One term's way to leadership: its phase, what it waits for and fetched, how long it took.
+    """Progress of one term's election: phase, nodes waited for, bytes fetched, duration in seconds.
 
-    The phases: `promises` of a majority, the `state` from a store, uncommitted `entries` of former
-    terms, then `owned`; `ended` once the election failed or the term is over.
+    The phases are `promises` (of a majority), `state` (fetched from a store), `entries` (of former
+    terms, uncommitted), then `owned`: the core leads; `ended`: the election failed or the term is
+    over.
     """
 
     __slots__ = (
@@ -48,7 +49,7 @@
     def enter(
         self, phase: str, waits_for: Iterable[str] = (), ballot: Ballot | None = None
     ) -> None:
-        """Note that a phase began, and which nodes it waits for."""
+        """Record that a phase began, and which nodes it waits for."""
         if ballot is not None:
             self.ballot = ballot
         self.phase, self.waits_for = phase, list(waits_for)
@@ -56,12 +57,12 @@
         self.node.log("debug", "election for %s, ballot %s: %s %s", *fields)
 
     def begin(self) -> None:
-        """Note that the core begins an election."""
+        """Record that the core begins an election."""
         self.began_at, self.fetched_bytes = self.node.now(), 0
         self.node.count("takeovers_begun")
 
     def succeed(self, index: int) -> None:
-        """Note that the core leads the part, with everything applied up to an index."""
+        """Record that the core leads the part, and the index of the last entry applied."""
         self.phase, self.waits_for = OWNED, []
         self.seconds = self.node.now() - self.began_at
         fields = (self.part, self.ballot.number, index, self.fetched_bytes, self.seconds)
@@ -70,7 +71,7 @@
         )
 
     def end(self, error: QuillringError) -> None:
-        """Note that the term is over, or never began."""
+        """Record that the term is over or the election failed, and log the error."""
         if self.phase == ENDED:
             return
         if self.phase != OWNED:
@@ -80,7 +81,7 @@
         self.phase, self.waits_for = ENDED, []
 
     def to_json(self) -> dict[str, Any]:
-        """Return what operators see."""
+        """Return the progress as operators see it."""
         is_under_way = self.phase not in (OWNED, ENDED)
         seconds = self.node.now() - self.began_at if is_under_way else self.seconds
         return {
--- a/quillring/quorum/leader/follower_read.py
+++ b/quillring/quorum/leader/follower_read.py
@@ -1,4 +1,4 @@
-"""Follower reads: a part that has no leader in reach is read from a majority of its stores."""
+"""Follower reads: linearizable reads from a majority of a part's stores, without its leader."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 def read_from_majority(
     node: Node, part: str, group: Group, query: WireMap, seconds: float | None = None
 ) -> Coroutine:
-    """Return the QueryAnswer that a majority of a part's stores makes sure, or None.
+    """Return the QueryAnswer that the replies of a majority of stores determine, or None.
 
-    It takes `seconds` at most, by default half of `bounds.read_timeout`. All stores are asked where
-    the first majority to answer is not enough.
+    Takes `seconds` at most, by default half of `bounds.read_timeout`. If the first majority to
+    reply does not determine the answer, the replies of all stores are awaited in a second attempt.
     """
     seconds = node.bounds.read_timeout / 2 if seconds is None else seconds
     calls = []
@@ -52,14 +52,15 @@
 def find_answer(
     replies: Sequence[FollowerReadReply], group: Group, query: WireMap
 ) -> QueryAnswer | None:
-    """Return the answer that the replies of a majority make sure, or None.
-
-    Whatever was chosen lies at one of the majority: applied there, or accepted beyond. An entry
-    that a majority holds under one ballot is chosen: each of them has it on its disk, and a higher
-    ballot can only propose the same again. The answer after it counts from a store whose state
-    before it was chosen as well. Any other entry may be chosen or not; where it concerns the lot
-    that is asked for, or no lot, only a leader can tell. So it is when the stores tell of another
-    group than the one asked, or of a change of it, which gives what follows to other stores.
+    """Return the answer that the replies of a majority determine, or None.
+
+    Every chosen entry is known to one of the majority: applied there, or accepted beyond. An entry
+    that a majority accepted under one ballot is chosen: each of them has it on disk, and a higher
+    ballot can only propose the same entry again. The answer after it is taken from a store whose
+    entries before it are chosen as well. Any other accepted entry may be chosen or not; if it
+    concerns the lot that is asked for, or no particular lot, only a leader can decide, and the
+    result is None. So it is when the newest state names another group than the one asked, since a
+    new group chooses the entries that follow.
     """
     if len(replies) < majority(group):
         return None
@@ -82,7 +83,10 @@
 def _chosen_beyond(
     replies: Sequence[FollowerReadReply], applied: int, needed: int
 ) -> list[UncommittedAnswer]:
-    """Return the longest run of entries beyond an applied index that so many stores accepted."""
+    """Return the longest run of entries beyond `applied` that `needed` stores accepted.
+
+    Only stores whose applied index is `applied` give runs; so every run begins right after it.
+    """
     votes: Counter[tuple[int, Ballot]] = Counter(
         (entry.log_index, entry.ballot) for reply in replies for entry in reply.uncommitted or ()
     )
@@ -99,7 +103,7 @@
 
 
 def value_of(answer: QueryAnswer) -> Any:
-    """Return what the query came to, or raise the error that it came to."""
+    """Return the value of a query's answer, or raise the error that it carries."""
     if answer.error_kind is not None:
         raise error_from_wire(answer.error_kind, answer.answer)
     return answer.answer
--- a/quillring/quorum/leader/hinted_handoff.py
+++ b/quillring/quorum/leader/hinted_handoff.py
@@ -1,4 +1,4 @@
-"""Hinted handoff, the sending side: a spare store keeps what a missing member should have had."""
+"""Hinted handoff, the leader's side: requests for unreachable members go to a spare store."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def send_hints(caller: QuorumCaller, request_type: RequestType, **fields: Any) -> None:
-    """Send a request that unreachable members miss to the part's spare store, as hints."""
+    """Send the requests that unreachable members miss to the part's spare store, one way."""
     node, reaches = caller.node, caller.node.find("nifty").reaches
     missing = [member for member in caller.group if not reaches(member.name)]
     if not missing:
@@ -31,7 +31,10 @@
 
 
 def pick_spare(node: Node, part: str, member_names: set[str]) -> str | None:
-    """Return the store in reach that keeps the hints of a part, or None if there is none."""
+    """Return the reachable non-member store that keeps the hints of a part, or None.
+
+    Chosen by rendezvous hashing; stores ordered to retire are left out.
+    """
     nifty = node.find("nifty")
     spares: list[str] = [
         m.name
--- a/quillring/quorum/leader/in_flight.py
+++ b/quillring/quorum/leader/in_flight.py
@@ -1,8 +1,8 @@
-"""The uncommitted entry: proposed by the leader, and not known to be chosen yet.
+"""The entry in flight: proposed by the leader, and not yet known to be chosen.
 
-Its acceptors may hold it already: a read at a majority of them then counts it as chosen
-(`follower_read`), while the leader still waits for their replies. A read at the leader that begins
-meanwhile waits for the entry, so that it shows no less than the read before it.
+A majority may have accepted it while the leader still waits for their replies; a follower read
+then counts it as chosen (`follower_read`). To stay linearizable with such a read, a read at the
+leader that begins meanwhile waits for the entry.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class InFlight:
-    """What is in flight in one term of a part's leadership: one entry at most."""
+    """The entry in flight in one term of a part's leader; at most one, as the window is one."""
 
     __slots__ = ("node", "part", "batch", "committed_signal")
 
@@ -32,20 +32,20 @@
         self.committed_signal: Signal | None = None
 
     def begin(self, batch: list[dict[str, Any]]) -> None:
-        """Note that an entry with these commands goes out now."""
+        """Record that an entry with these commands is proposed now."""
         self.batch, self.committed_signal = batch, Signal()
 
     def end(self) -> None:
-        """Note that the entry was applied, or that the leader gives it up and steps down."""
+        """Record that the entry was applied, or its proposal failed; wake the waiting reads."""
         committed_signal, self.batch, self.committed_signal = self.committed_signal, (), None
         if committed_signal is not None:
             committed_signal.set()
 
     def wait(self, lot: str | None = None) -> Coroutine:
-        """Return when what is in flight now has ended; at once when nothing is.
+        """Return when the entry in flight has ended, at once when there is none.
 
         With a lot's key, only an entry with a command about that lot is waited for. Raises
-        NoMajority when it takes longer than two calls may.
+        NoMajority after twice `bounds.call_timeout`.
         """
         is_of_others = lot is not None and all(c.get("lot") != lot for c in self.batch)
         if self.committed_signal is None or is_of_others:
--- a/quillring/quorum/leader/membership_change.py
+++ b/quillring/quorum/leader/membership_change.py
@@ -1,12 +1,12 @@
 """Changes of a part's group: the joining store catches up first, then one entry swaps it in.
 
-A member is replaced by one log entry that holds two commands, add and remove, so that no group
-with a spare place and a dead member ever commits anything. Both groups need not overlap in every
-pair of majorities ({a, dead} and {b, new} do not). What makes the change safe is its place in the
-log: entry i + 1 is chosen by the group that stands after entry i, entry i is chosen by a majority
-of the former group, and no leader proposes to a group before a majority of that very group promised
+A member is replaced by one log entry with two commands, add and remove, so that no entry is ever
+committed by an enlarged group that still has the dead member. Majorities of the two groups need not
+all intersect ({a, dead} and {b, new} do not). What makes the change safe is its place in the log:
+entry i + 1 is chosen by the group in the state after entry i, entry i is chosen by a majority of
+the former group, and no leader proposes to a group before a majority of that very group promised
 its ballot (Lamport, Malkhi, Zhou: "Reconfiguring a State Machine", section 3, with a window of
-one). A majority of the former group therefore always tells of the change.
+one). So any majority of the former group includes a store that accepted the change.
 """
 
 from __future__ import annotations
@@ -27,8 +27,8 @@
 class GroupChange(NamedTuple):
     """A change of one part's group: a store joins, a store leaves, or one takes another's place.
 
-    `is_gone` tells that the leaving store is out of reach or lost its disk, so that it can hold
-    nothing that counts.
+    `is_gone` says that the leaving store is unreachable, or that its disk fails or was emptied, so
+    that it does not count as a holder of entries.
     """
 
     group: tuple[GroupMember, ...]
@@ -37,7 +37,7 @@
     is_gone: bool = False
 
     def commands(self, former_group: Group) -> list[dict[str, Any]]:
-        """Return the commands of the one entry, each changing one member."""
+        """Return the commands of the one log entry, each of which changes one member."""
         steps: list[Iterable[GroupMember]] = []
         if self.joining is not None and self.leaving is not None:
             steps.append([*former_group, self.joining])
@@ -47,13 +47,13 @@
     def is_durable(
         self, applied: dict[str, int], index: int, reaches: Callable[[str], bool]
     ) -> bool:
-        """Tell whether the new group holds all that was committed up to an index.
+        """Return whether the new group has durably all entries committed up to an index.
 
         `applied` is {store name: index it applied}. Entries after the index that are chosen while
-        the leaving store is gone lie at a majority of the former group without it, hence in every
-        majority of the new one; so a majority up to date is enough, and a slow member delays
-        nothing. A store that leaves while it works may be one of the few that hold an entry, so
-        then every member in reach has to be up to date.
+        the leaving store is gone were accepted by a majority of the former group without it, hence
+        by a store of every majority of the new one; so a majority that is up to date is enough, and
+        a slow member does not delay the change. A working store that leaves may be one of the few
+        that have an entry, so then every reachable member has to be up to date.
         """
         others = [member.name for member in self.group if member != self.joining]
         current = [name for name in others if applied.get(name, -1) >= index]
@@ -68,7 +68,7 @@
     leaving: GroupMember | None = None,
     is_gone: bool = False,
 ) -> GroupChange:
-    """Return the change of a group by which one store joins, one leaves, or both at once."""
+    """Return the change by which one store joins a group, one leaves, or both at once."""
     staying = [member for member in group if member != leaving]
     joined = [joining] if joining is not None else []
     return GroupChange((*staying, *joined), joining, leaving, is_gone)
--- a/quillring/quorum/leader/membership_repair.py
+++ b/quillring/quorum/leader/membership_repair.py
@@ -1,4 +1,4 @@
-"""Membership repair: a part's group gets back to full strength by itself, one change at a time."""
+"""Membership repair: replaces failed and retired members of groups, one change at a time."""
 
 from __future__ import annotations
 
@@ -27,10 +27,12 @@
 
 
 class MembershipRepair:
-    """Runs beside the leaders of a core and replaces lost, emptied and retired members.
+    """Replaces lost, emptied and retired members of the parts that this core leads.
 
-    `lost_since` is {store name: since when it is out of reach, or its disk fails}; `joining` is
-    {part: store that is about to join}; `chosen` is {part: store that was picked to join}.
+    `lost_since` is {store name: time since when it is unreachable or its disk fails}; `joining` is
+    {part: store that is about to join}; `chosen` is {part: store that was picked to join, and is
+    preferred in the next attempt}; `refused_until` is {store name: time until it is not asked to
+    join again}. Times are seconds of the node's clock.
     """
 
     __slots__ = ("node", "lost_since", "busy_parts", "joining", "refused_until", "chosen")
@@ -44,9 +46,9 @@
         self.chosen: dict[str, str] = {}
 
     def run(self) -> Coroutine:
-        """Look at every part led here; a few that need a change are repaired side by side.
+        """Check every part led here, and repair up to PARTS_AT_ONCE of them concurrently; endless.
 
-        Those with the fewest live members come first: they are the nearest to losing a majority.
+        Parts that can bear the fewest further losses come first.
         """
         while True:
             yield Sleep(self.node.bounds.gossip_interval * 2)
@@ -63,12 +65,12 @@
                 self.node.spawn(self._repair(leader))
 
     def _losses_to_spare(self, leader: PartLeader) -> tuple[int, str]:
-        """Return how many more losses the part bears, and its name to break a tie."""
+        """Return how many more members the part can lose, and its name as a tie-break."""
         live = [m for m in leader.group if not (self.is_lost(m) or self.is_emptied(m))]
         return len(live) - majority(leader.group), leader.part
 
     def _repair(self, leader: PartLeader) -> Coroutine:
-        """Change the group by one member after another until it is as it should be."""
+        """Change the group one member at a time until no change is needed or one fails."""
         try:
             while leader.has_lease():
                 change = self._next_change(leader)
@@ -96,7 +98,7 @@
         }
 
     def _prepare(self, leader: PartLeader, change: GroupChange) -> Coroutine:
-        """Bring the joining store up to date; tell whether the change loses nothing."""
+        """Bring the joining store up to date; return whether the change loses nothing committed."""
         if change.joining is not None and not (yield from self._invite(leader, change.joining)):
             return False
         yield from leader.repair_followers()
@@ -105,7 +107,10 @@
         return change.is_durable(applied, index, self.node.find("nifty").reaches)
 
     def _invite(self, leader: PartLeader, store: GroupMember) -> Coroutine:
-        """Bring a store that agrees to join up to date; ask others after a refusal."""
+        """Bring a store that agrees to join up to date; return whether it is.
+
+        After a refusal it is not asked again for `bounds.propagation` seconds.
+        """
         self.joining[leader.part] = self.chosen[leader.part] = store.name
         if not (yield from may_join(self.node, store.name)):
             self.refused_until[store.name] = self.node.now() + self.node.bounds.propagation
@@ -113,7 +118,7 @@
         return (yield from leader.catch_up.bring_up_to_date(store))
 
     def _commit(self, leader: PartLeader, change: GroupChange) -> Coroutine:
-        """Commit the change in one entry of the log; tell whether that went well."""
+        """Commit the change in one entry of the log; return whether that succeeded."""
         names = [member.name for member in change.group]
         self.node.log("warning", "membership change: group of %s becomes %s", leader.part, names)
         self.node.count("group_changes")
@@ -125,12 +130,16 @@
         return True
 
     def is_emptied(self, member: GroupMember) -> bool:
-        """Tell whether the store came back with an empty disk, as a new member."""
+        """Return whether the store came back with an empty disk, as a new member."""
         present = self.node.find("nifty").roster.members.get(member.name)
         return present is not None and present.identity != member.identity
 
     def is_lost(self, member: GroupMember) -> bool:
-        """Tell whether the store has been out of reach, or its disk has failed, for long."""
+        """Return whether the store has been unreachable, or its disk has failed, for too long.
+
+        That is LOST_AFTER_RESYNC_SHARE of `bounds.resync`, or where that is None,
+        LOST_AFTER_RECOVERIES times `bounds.recovery`.
+        """
         bounds, since = self.node.bounds, self.lost_since.get(member.name)
         if bounds.resync is None:
             lost_after_seconds = bounds.recovery * LOST_AFTER_RECOVERIES
@@ -139,11 +148,11 @@
         return since is not None and self.node.now() - since > lost_after_seconds
 
     def is_retired(self, member: GroupMember) -> bool:
-        """Tell whether operators want the store machine out of every part."""
+        """Return whether operators ordered the store to retire from every part."""
         return is_retirement_ordered(self.node, member.name)
 
     def is_forced(self, member: GroupMember) -> bool:
-        """Tell whether operators accepted a part under three members for this retirement."""
+        """Return whether operators accept a group below full strength for this retirement."""
         stores = (self.node.find("layout").configuration or {}).get("stores", {})
         return bool(stores.get(member.name, {}).get("forced"))
 
@@ -166,7 +175,11 @@
         return None
 
     def _pick_spare(self, part: str, group: Group) -> GroupMember | None:
-        """Return the store that should join; one that was chosen keeps its place while it may."""
+        """Return the store that should join the group, or None.
+
+        Zones with the fewest members come first, then the store chosen before, then the order of
+        rendezvous hashing.
+        """
         staying = [m for m in group if not (self.is_retired(m) or self.is_lost(m))]
         used_zones = [m.zone for m in staying if not self.is_emptied(m)]
         names = {m.name for m in group if not self.is_emptied(m)}
@@ -188,7 +201,7 @@
         return max(candidates, default=None, key=preference)
 
     def _working_stores(self) -> list[GroupMember]:
-        """Return the stores in reach that may join: none fails, none refused lately."""
+        """Return the reachable stores that may join: their disks work and none refused lately."""
         nifty, now = self.node.find("nifty"), self.node.now()
         return [
             GroupMember(m.name, m.identity, m.zone)
@@ -201,7 +214,7 @@
 
 
 def sharing_a_zone(group: Group) -> list[GroupMember]:
-    """Return the members in the zone that holds most of a group, if it holds several."""
+    """Return the members in the zones with the most members of a group, if these have several."""
     zones = [member.zone for member in group]
     most = max(map(zones.count, zones))
     return [m for m in group if most > 1 and zones.count(m.zone) == most]
--- a/quillring/quorum/leader/part_leader.py
+++ b/quillring/quorum/leader/part_leader.py
@@ -1,7 +1,7 @@
-"""The leader of one part: elected by ballot, fenced by ballot, one log entry at a time.
+"""The leader of one part: the distinguished proposer of its replicated log, one entry at a time.
 
-Multi-Paxos with a window of one (Lamport, "Paxos made simple", section 3): a ballot is won once at
-a majority of the acceptors, then each entry of the log needs one round of accepts.
+Multi-Paxos with a window of one (Lamport, "Paxos made simple", section 3): phase 1 runs once for a
+ballot at a majority of the acceptors, then each log entry needs one call of phase 2.
 """
 
 from __future__ import annotations
@@ -45,10 +45,13 @@
 
 
 class PartLeader:
-    """One term of a part's leadership: its ballot is won once and, when lost, never again.
+    """One term of a part's leader, under one ballot; once it has ended, it never leads again.
 
-    A core that leads the part again makes a new term, under which the former one can't write.
-    `confirmed_at` is when a round began in which a majority last confirmed the ballot.
+    A core that leads the part again creates a new term, whose higher ballot fences the former one.
+    Owns the command queue, the entry in flight, and the leader's copy of the state machine.
+    `confirmed_at` is when the latest call began in which a majority confirmed the ballot, in
+    seconds of the node's clock. A listener is called with the leader and the commands of an entry
+    that was applied, and with no commands when the term begins or ends.
     """
 
     __slots__ = (
@@ -91,7 +94,7 @@
 
     @property
     def group(self) -> tuple[GroupMember, ...]:
-        """The members that are called; after a change of the group, the new ones."""
+        """The members of the group; after a change of the group, the new ones."""
         return self.caller.group
 
     @property
@@ -110,26 +113,30 @@
         return self.machine.state
 
     def holds_term(self) -> bool:
-        """Tell whether the term goes on, as far as this core knows."""
+        """Return whether this term leads the part, as far as this core knows."""
         return self.is_leader
 
     def has_lease(self) -> bool:
-        """Tell whether the ballot was confirmed lately enough to start work on its behalf."""
+        """Return whether a majority confirmed the ballot within the last two heartbeat intervals.
+
+        That allows the start of background work, not a read without confirmation.
+        """
         lease_seconds = self.node.bounds.heartbeat_interval * 2
         return self.is_leader and self.node.now() - self.confirmed_at < lease_seconds
 
     def has_queued_commands(self) -> bool:
-        """Tell whether commands wait to be replicated."""
+        """Return whether commands are pending in the queue."""
         return bool(self.queue.pending)
 
-    # Election: phase one, the newest state, and the uncommitted entries of former terms.
+    # Election: phase 1, the newest state, and the uncommitted entries of former terms.
 
     def run_election_with_retry(
         self, declines_leadership: Callable[[list[Any]], bool]
     ) -> Coroutine:
-        """Run an election; one whose ballot only was too low is run once more at once.
+        """Run an election; if it is fenced by a higher ballot, run it once more at once.
 
-        Not so where `declines_leadership(ballot)` says that the higher ballot is to be left to win.
+        It is not run again if `declines_leadership(higher ballot)` is True. Raises the same errors
+        as run_election().
         """
         try:
             yield from self.run_election()
@@ -139,9 +146,9 @@
             yield from self.run_election()
 
     def run_election(self) -> Coroutine:
-        """Win a ballot at a majority and commit what others began; then lead the part.
+        """Win a ballot at a majority, commit the uncommitted entries of former terms, then lead.
 
-        Raises Fenced, NoMajority, or NotFounded when no member holds the part.
+        Raises Fenced, NoMajority, or NotFounded when no member of the majority has the part.
         """
         self.is_leader = False
         self.election_progress.begin()
@@ -165,12 +172,15 @@
         self._notify_listeners([])
 
     def _prepare(self) -> Coroutine:
-        """Ask the group to promise the ballot; return {member name: Promise} of a majority."""
+        """Ask the group to promise the ballot (phase 1); return {member: Promise} of a majority."""
         replies = yield from self._call_majority(PrepareRequest, brief=BRIEF_WITHOUT_BATCHES)
         return {name: Promise.from_wire(fields) for name, fields in replies.items()}
 
     def _commit_uncommitted(self, promises: dict[str, Promise]) -> Coroutine:
-        """Propose again every entry that may have been chosen; False after a group change."""
+        """Propose again every entry that may have been chosen; return False after a group change.
+
+        An empty entry follows, so that the term has committed one of its own.
+        """
         best = best_entries(promises, self.index)
         while (index := self.index + 1) in best:
             batch = yield from fetch_batch(self.node, self.part, index, best[index])
@@ -180,12 +190,13 @@
         yield from self.replicate([])
         return True
 
-    # Replication: phase two, one entry at a time.
+    # Replication: phase 2, one entry at a time.
 
     def submit(self, command: dict[str, Any]) -> Coroutine:
         """Commit one command and return its answer.
 
-        Raises NotLeader where the term is over, NoMajority when no answer came in time.
+        Raises NotLeader if the term is over, NoMajority without an answer within
+        `bounds.propagation` seconds, or the command's own error.
         """
         if not self.is_leader:
             raise NotLeader(part=self.part)
@@ -194,12 +205,18 @@
         return answer
 
     def submit_first(self, commands: list[dict[str, Any]]) -> Coroutine:
-        """Commit some commands in one entry, before all that waits; return their answers."""
+        """Commit commands in one entry, before all pending ones; return their answers.
+
+        Raises NotLeader, NoMajority, or the error of the first command that failed.
+        """
         pending = self.queue.put_first(commands)
         return (yield from self.queue.answers_of(pending, self.node.bounds.propagation))
 
     def run(self) -> Coroutine:
-        """Replicate what is queued while the ballot holds; return the error that ended the term."""
+        """Replicate queued commands until the term ends; return the error that ended it, or None.
+
+        While the queue is empty, the ballot is confirmed once per heartbeat interval.
+        """
         self.node.spawn(self.anti_entropy.run())
         try:
             while self.is_leader:
@@ -215,7 +232,10 @@
         return None
 
     def replicate(self, batch: Batch) -> Coroutine:
-        """Have a majority accept the next entry; apply it; return the answers of its commands."""
+        """Have a majority accept the next entry (phase 2), apply it, return its commands' answers.
+
+        In the config part, a majority has also marked it as committed. Raises Fenced or NoMajority.
+        """
         asked_at, index = self.node.now(), self.index + 1
         fields: dict[str, Any] = {"log_index": index, "batch": batch, "committed": index - 1}
         send_hints(self.caller, AcceptRequest, **fields)
@@ -250,9 +270,10 @@
                 pending.answer_signal.set(answer)
 
     def _prepare_changed_group(self) -> Coroutine:
-        """Have a majority of the group just adopted promise the ballot that won the former.
+        """Run phase 1 of the term's ballot at the group just adopted.
 
-        Raises Fenced when another ballot left an entry beyond: only a new term can commit it.
+        Raises NoMajority, or Fenced when an entry was accepted beyond the last one applied: only a
+        new term can commit it.
         """
         promises = yield from self._prepare()
         higher_ballot = highest_ballot_beyond(promises, self.index)
@@ -267,7 +288,7 @@
         return self.caller.call_majority(request_type, **fields)
 
     def step_down(self, error: QuillringError) -> None:
-        """End the term: nothing more is replicated; all that is queued ends with NotLeader."""
+        """End the term: replicate nothing more, and fail all queued commands with NotLeader."""
         self.is_leader = False
         self.election_progress.end(error)
         self.queue.reject_all(error.kind)
@@ -280,9 +301,10 @@
     # Lease and linearizable reads.
 
     def linearizable_state(self) -> Coroutine:
-        """Return the state after a majority confirmed that the ballot still holds.
+        """Return the state, after a majority confirmed that no higher ballot was promised.
 
-        Raises NotLeader, Fenced, or NoMajority, also for a confirmation that is no longer recent.
+        Raises NotLeader, Fenced, or NoMajority; the latter also when the entry in flight and the
+        confirmation took longer than `bounds.read_timeout`.
         """
         asked_at = self.node.now()
         yield from self.in_flight.wait()
@@ -295,7 +317,10 @@
         return read_state
 
     def _confirm(self) -> Coroutine:
-        """Have a majority confirm the ballot; that extends the lease from the moment of asking."""
+        """Have a majority confirm the ballot; the lease then runs from the start of the call.
+
+        Raises Fenced or NoMajority.
+        """
         asked_at = self.node.now()
         yield from self._call_majority(ConfirmRequest)
         self.confirmed_at = max(asked_at, self.confirmed_at)
@@ -303,9 +328,9 @@
     # Followers.
 
     def repair_followers(self) -> Coroutine:
-        """Send the followers in reach what they miss."""
+        """Bring reachable followers up to date; see `AntiEntropy`."""
         return self.anti_entropy.repair_followers()
 
     def applied_index_by_store(self) -> Coroutine:
-        """Tell followers in reach what is committed; return {store: the index it has applied}."""
+        """Send reachable followers the committed index; return {store: the index it applied}."""
         return self.anti_entropy.applied_index_by_store()
--- a/quillring/quorum/leader/quorum_call.py
+++ b/quillring/quorum/leader/quorum_call.py
@@ -30,7 +30,7 @@
         """A request of a leader: a named tuple of part, ballot, identity and its own fields."""
 
         def to_wire(self) -> WireMap:
-            """Return the request as it stands on the wire."""
+            """Return the request in its wire form."""
 
     RequestType = Callable[..., Request]
 
@@ -47,10 +47,10 @@
 
 
 class QuorumCaller:
-    """Calls each acceptor of one part's group under one ballot.
+    """Calls the acceptors of one part's group under one ballot.
 
-    `highest_seen_ballot_number` is the highest number that an acceptor named when it refused: the
-    next election begins above it.
+    `highest_seen_ballot_number` is the highest number with which an acceptor fenced a call; the
+    next election uses a higher one.
     """
 
     __slots__ = ("node", "part", "group", "ballot", "highest_seen_ballot_number")
@@ -70,12 +70,12 @@
         self.highest_seen_ballot_number = highest_seen_ballot_number
 
     def raise_ballot(self, leader: str) -> None:
-        """Take a ballot above all that this core used or heard of."""
+        """Take a ballot above all that this core used or was fenced by."""
         number = max(self.highest_seen_ballot_number, self.ballot.number) + 1
         self.ballot = Ballot(number, leader)
 
     def adopt_group(self, wire_group: WireGroup) -> bool:
-        """Call these members from now on; tell whether that is a change."""
+        """Replace the group by that of the state; return whether it changed."""
         if tuple(map(tuple, wire_group)) == self.group:
             return False
         self.group = group_from_wire(wire_group)
@@ -101,10 +101,10 @@
         ]
 
     def call_majority(self, request_type: RequestType, **fields: Any) -> Coroutine:
-        """Call the group; return {member name: good reply} of a majority at least.
+        """Call the group; return {member name: reply} of a majority at least, without errors.
 
-        Raises Fenced when a member knows of a higher ballot, NoMajority when too few answer in
-        `bounds.call_timeout` seconds.
+        Raises Fenced when a member that replied promised a higher ballot, NoMajority when too few
+        succeed within `bounds.call_timeout` seconds.
         """
         needed = majority(self.group)
         replies = yield from self.node.gather(
--- a/quillring/quorum/leader/retirement_check.py
+++ b/quillring/quorum/leader/retirement_check.py
@@ -1,14 +1,16 @@
-"""Check of a store's retirement: when no part needs it any more, and why that stays so.
+"""Check of a store's retirement: when no part needs the store any more, and why that stays so.
 
-A store is free when these are seen in this order:
+A store is free when these are observed in this order:
 
-1. The store itself, if it is in reach, knows that it is retired and keeps no hints for a member in
-   reach. From then on it refuses to join a part (`quorum.join`), whoever asks.
-2. The leader of each part finds every member of a full group without the store up to date under its
-   ballot, and no change under way that lets the store join. A leader that asked the store before
-   step 1 either answers here, and tells of it, or is fenced by the members that answered.
+1. The store itself, if it is reachable, knows that it is retired and has no hints for a reachable
+   member. From then on it refuses to join a part (`quorum.join`), whoever asks.
+2. The leader of each part finds that its group is at full strength without the store, that every
+   member is up to date under its ballot, and that no change under way adds the store. A leader that
+   asked the store to join before step 1 either reports that here, or is fenced by the members that
+   replied.
 
-So no later leader can bring the store back, and each part bears as many losses as it was made for.
+So no later leader can add the store again, and each part tolerates as many losses as its size
+allows.
 """
 
 from __future__ import annotations
@@ -28,7 +30,7 @@
 
 
 class GroupStatus(NamedTuple):
-    """What a part's leader tells of its group: store names, and those not up to date or joining."""
+    """A part's group as its leader reports it: all members, those that lag, those about to join."""
 
     group: tuple[str, ...]
     late: tuple[str, ...]
@@ -36,21 +38,24 @@
 
     @classmethod
     def from_wire(cls, fields: dict[str, list[str]]) -> GroupStatus:
-        """Read the answer to `part.whole`; a former version tells nothing of who joins."""
+        """Read the reply to `part.whole`; former versions omit `joining`."""
         return cls(tuple(fields["group"]), tuple(fields["late"]), tuple(fields.get("joining", ())))
 
     def to_wire(self) -> dict[str, list[str]]:
-        """Return the answer to `part.whole`."""
+        """Return the reply to `part.whole` in its wire form."""
         return {"group": list(self.group), "late": list(self.late), "joining": list(self.joining)}
 
     def is_whole_without(self, store: str, size: int) -> bool:
-        """Tell whether the part is at full strength and neither has nor awaits the store."""
+        """Return whether the group is at full strength and up to date without the store.
+
+        False also when the store is about to join.
+        """
         is_apart = store not in self.group and store not in self.joining
         return is_apart and not self.late and len(self.group) >= size
 
 
 def group_status(leader: PartLeader) -> Coroutine:
-    """Return the GroupStatus of a part led here; what is committed as it begins counts."""
+    """Return the GroupStatus of a part led here, by the entries committed when the call begins."""
     index = leader.index
     applied = yield from leader.applied_index_by_store()
     repair = leader.node.find("repair")
@@ -61,7 +66,7 @@
 
 
 def may_join(node: Node, store: str) -> Coroutine:
-    """Ask a store whether it may become a member; one of a former version is not asked."""
+    """Ask a store whether it may become a member; True if its version lacks that service."""
     try:
         yield from node.call(store, "quorum.join", None)
     except UnknownService:
@@ -72,9 +77,9 @@
 
 
 def is_free(node: Node, store: str, seconds: float) -> Coroutine:
-    """Tell whether a store that is marked as retired is needed no more.
+    """Return whether no part needs a store that is ordered to retire.
 
-    Raises a leader's error when a part can't be asked within `seconds`.
+    Raises the error of a part whose leader can't be asked within `seconds`.
     """
     if not (yield from _is_ready(node, store)):
         return False
@@ -84,7 +89,10 @@
 
 
 def _is_ready(node: Node, store: str) -> Coroutine:
-    """Tell whether the store knows that it leaves; one out of reach can't join anything."""
+    """Return whether the store knows that it is retired and has no pending hints.
+
+    True for an unreachable store, as it can't agree to join.
+    """
     if not node.find("nifty").reaches(store):
         return True
     try:
@@ -97,7 +105,10 @@
 
 
 def ask_all_parts(node: Node, seconds: float) -> Coroutine:
-    """Ask the leaders of all parts at once; return each GroupStatus, or raise an error."""
+    """Ask the leaders of all parts concurrently; return the GroupStatus of each.
+
+    Raises the error of a part whose leader could not be asked.
+    """
     ownership, done_signal = node.find("ownership"), Signal()
     parts = ownership.parts()
     outcomes: dict[str, Any] = {}
--- a/quillring/quorum/leader/state_fetch.py
+++ b/quillring/quorum/leader/state_fetch.py
@@ -1,7 +1,7 @@
-"""How a new leader comes by the newest applied state: its own, some entries, or a snapshot.
+"""How a new leader gets the newest applied state: its own copy, missing entries, or a snapshot.
 
-No state is fetched that is there already. A snapshot comes in chunks of bounded size, one at a
-time, so that no message grows with a part's state.
+Only what the core lacks is fetched. A snapshot comes in chunks of bounded size, one at a time, so
+that no message grows with a part's state.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class StateFetcher:
-    """Brings the state machine of a new leader to what a majority's promises tell of."""
+    """Brings the state machine of a new leader up to the newest state of a majority's promises."""
 
     __slots__ = ("node", "part", "machine", "progress")
 
@@ -35,11 +35,12 @@
         self.progress = progress
 
     def adopt_newest(self, promises: dict[str, Promise]) -> Coroutine:
-        """Take the newest applied state among the promises of a majority.
+        """Bring the state machine to the newest applied index among the promises of a majority.
 
-        What this core held in a former term counts: what was applied at an index is the same
-        everywhere, so it only lacks the entries since. Else one of the newest stores sends the
-        state, one of the own zone if there is any. Raises NoMajority when none of them does.
+        The state of this core's former term is used as it is, since the state after an index is the
+        same everywhere; only the entries since are fetched. If these are gone, one of the newest
+        stores sends a snapshot; stores of this core's zone are asked first. Raises NoMajority when
+        none of them sends it.
         """
         known = {store: p for store, p in promises.items() if p.state is not None}
         newest = max(promise.applied for promise in known.values())
@@ -64,7 +65,7 @@
         raise NoMajority(part=self.part, reason="no store gave the state")
 
     def _adopt_entries(self, store: str, last: int) -> Coroutine:
-        """Apply the entries up to an index that a store still has; False if some are gone."""
+        """Apply entries up to an index from a store's log cache; return False if some are gone."""
         machine = self.machine
         entries = yield from fetch_entries(self.node, self.part, store, machine.last_applied, last)
         for index, batch in entries or ():
@@ -72,7 +73,10 @@
         return machine.last_applied >= last
 
     def _fetch_snapshot(self, store: str, index: int) -> Coroutine:
-        """Return the state that a store applied at an index, fetched chunk by chunk."""
+        """Return a store's state at an index, fetched chunk by chunk.
+
+        Raises Conflict when the store has applied more meanwhile, BadChunk for bad chunks.
+        """
         builder, seconds = StateBuilder(), self.node.bounds.propagation / 2
         offset: ChunkOffset | None = SNAPSHOT_START
         while offset is not None:
@@ -89,7 +93,10 @@
         return builder.whole()
 
     def _fetch_whole(self, store: str, index: int, seconds: float) -> Coroutine:
-        """Return the state of a store of a former version, which sends it in one message."""
+        """Return the state of a store of a former version, which sends it in one message.
+
+        Raises Conflict when the store has applied another index.
+        """
         body = ImageRequest(self.part).to_wire()
         fields = yield from self.node.call(store, "quorum.image", body, seconds)
         image = ImageReply.from_wire(fields)
@@ -99,7 +106,7 @@
 
 
 def nearest_first(node: Node, stores: list[str]) -> list[str]:
-    """Return store names, those of the node's own zone first, else by name."""
+    """Return store names, those in the node's own zone first, then by name."""
     members, own_zone = node.find("nifty").roster.members, node.me.zone
 
     def distance(store: str) -> tuple[bool, str]:
@@ -110,7 +117,10 @@
 
 
 def fetch_entries(node: Node, part: str, store: str, after: int, last: int) -> Coroutine:
-    """Return [[index, batch], ...] after one index up to another, or None if some are gone."""
+    """Return a store's entries [[index, batch], ...] after `after` up to `last`, both indexes.
+
+    None if the store no longer has some of them, or its version lacks the service.
+    """
     entries: list[WireEntry] = []
     while after < last:
         body = EntriesRequest(part, after).to_wire()
--- a/quillring/quorum/leader/state_machine.py
+++ b/quillring/quorum/leader/state_machine.py
@@ -1,4 +1,4 @@
-"""The leader's copy of a part's replicated state machine: what it applied, and the last entries."""
+"""The leader's copy of a part's replicated state machine, with a cache of the last entries."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 class StateMachine:
     """A part's state after the entry `last_applied`, and a cache of the entries before it.
 
-    What is applied at an index is the same at every node, so a later term may go on from here.
+    The state after an index is the same at every node, so a later term may continue from a copy.
     """
 
     __slots__ = ("last_applied", "state", "log_cache")
@@ -34,7 +34,7 @@
         self.log_cache = LogCache() if log_cache is None else log_cache
 
     def copy(self) -> StateMachine:
-        """Return the same state, which is immutable, with a log cache of its own."""
+        """Return a copy: the same immutable state, with its own log cache."""
         return StateMachine(self.last_applied, self.state, self.log_cache.copy())
 
     def group(self) -> WireGroup:
@@ -43,7 +43,7 @@
         return group
 
     def known_state(self) -> PartState:
-        """Return the state of a part that is known to have one."""
+        """Return the state, which must be known; AssertionError before the first election."""
         assert self.state is not None
         return self.state
 
@@ -55,5 +55,5 @@
         return answers
 
     def install(self, index: int, state: PartState) -> None:
-        """Take the state after an index in place of the present one; the log cache stays."""
+        """Replace the state by the one after an index; the log cache is kept."""
         self.last_applied, self.state = index, state
--- a/quillring/quorum/leader/uncommitted.py
+++ b/quillring/quorum/leader/uncommitted.py
@@ -1,7 +1,8 @@
-"""The uncommitted suffix of the log: entries accepted, and applied at no store that was heard.
+"""The uncommitted suffix of the log: entries that are accepted, and not applied at any replier.
 
-A new leader has to propose them again, as each may have been chosen. Promises name them by index
-and ballot only; the few that matter are fetched one by one.
+A new leader has to propose them again, as each may have been chosen (Lamport, "Paxos made simple",
+section 2.2). Promises name them by index and ballot only; the batches needed are fetched one by
+one.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 
 class UncommittedEntry(NamedTuple):
-    """An accepted entry as promises name it; `batch` is None where only its holders have it."""
+    """An accepted entry and the stores that accepted it; `batch` is None until it is fetched."""
 
     ballot: Ballot
     batch: Batch | None
@@ -28,7 +29,7 @@
 
 
 def best_entries(promises: dict[str, Promise], after: int) -> dict[int, UncommittedEntry]:
-    """Return {index: the entry of the highest ballot} of the accepted ones after an index."""
+    """Return {index: the entry accepted under the highest ballot} for the indexes after one."""
     best: dict[int, UncommittedEntry] = {}
     for store, promise in promises.items():
         for index, ballot, batch in promise.accepted:
@@ -48,7 +49,7 @@
 
 
 def fetch_batch(node: Node, part: str, index: int, entry: UncommittedEntry) -> Coroutine:
-    """Return the batch of an accepted entry; raises NoMajority when no holder gives it now."""
+    """Return the batch of an accepted entry; raises NoMajority when no holder returns it."""
     if entry.batch is not None:
         return entry.batch
     body = AcceptedEntryRequest(part, index).to_wire()
--- a/quillring/quorum/log_cache.py
+++ b/quillring/quorum/log_cache.py
@@ -1,4 +1,4 @@
-"""The entries applied lately, kept so that who missed a few of them needs no whole state."""
+"""A cache of the last applied entries, from which a replica that missed a few can catch up."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class AppliedEntry(NamedTuple):
-    """An applied entry of the log, and the bytes of its batch on the wire."""
+    """An applied entry of the log, and the size of its encoded batch in bytes."""
 
     log_index: int
     batch: Batch
@@ -30,7 +30,10 @@
 
 
 class LogCache:
-    """Consecutive applied entries, in bounded number and bytes."""
+    """Consecutive applied entries: at most MAX_ENTRIES of `max_bytes` together.
+
+    `size` is the size of their encoded batches in bytes.
+    """
 
     __slots__ = ("entries", "size", "max_bytes")
 
@@ -40,18 +43,21 @@
         self.max_bytes = max_bytes
 
     def copy(self) -> LogCache:
-        """Return the same entries for another term, which adds its own."""
+        """Return an independent copy, for another term."""
         other = LogCache(self.max_bytes)
         other.entries, other.size = self.entries.copy(), self.size
         return other
 
     @property
     def first(self) -> int | None:
-        """The index of the oldest entry kept, or None."""
+        """The index of the oldest entry in the cache, or None if it is empty."""
         return self.entries[0].log_index if self.entries else None
 
     def add(self, log_index: int, batch: Batch) -> None:
-        """Remember an applied entry; the oldest ones go when there are too many."""
+        """Add an applied entry and evict the oldest ones above the limits.
+
+        An entry that does not follow the last one replaces all.
+        """
         if self.entries and self.entries[-1].log_index != log_index - 1:
             self.clear()
         entry = AppliedEntry.of(log_index, batch)
@@ -60,7 +66,7 @@
         self._trim()
 
     def put_before(self, entries: list[WireEntry]) -> None:
-        """Take [[index, batch], ...] that end where the entries kept begin; else change nothing."""
+        """Add [[index, batch], ...] before the oldest entry; ignore them if there is a gap."""
         if not entries:
             return
         last_index, _ = entries[-1]
@@ -73,7 +79,7 @@
         self._trim()
 
     def bytes_since(self, applied: int) -> int:
-        """Return the bytes of the entries kept after an index."""
+        """Return the size in bytes of the cached entries after an index."""
         return sum(entry.size for entry in self.entries if entry.log_index > applied)
 
     def _trim(self) -> None:
@@ -81,14 +87,14 @@
             self.size -= self.entries.popleft().size
 
     def clear(self) -> None:
-        """Forget all entries."""
+        """Remove all entries."""
         self.entries.clear()
         self.size = 0
 
     def since(self, applied: int, limit: int | None = None) -> list[WireEntry] | None:
-        """Return [[index, batch], ...] after an index, or None when some are gone.
+        """Return [[index, batch], ...] after an index, or None when some are no longer cached.
 
-        With a limit, in bytes, no more than it allows, but one at least.
+        With a limit, at most `limit` bytes of entries, but at least one entry.
         """
         if not self.entries or self.entries[0].log_index > applied + 1:
             return None
--- a/quillring/quorum/messages.py
+++ b/quillring/quorum/messages.py
@@ -1,8 +1,8 @@
 """The messages between a part's leader, its acceptors and its readers.
 
-Each is decoded by `from_wire` and encoded by `to_wire`, here and nowhere else. What a leader asks
-of an acceptor names the part, the ballot and the identity of the store that is meant; acceptors
-refuse a lower ballot than they promised, and a call for a former self.
+Each is decoded by `from_wire` and encoded by `to_wire`, here and nowhere else. A leader's request
+to an acceptor names the part, the ballot and the identity of the store that is meant; acceptors
+refuse a ballot below the one they promised (Fenced) and another identity (WrongIdentity).
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
 
 
 class LeaderRequest(Protocol):
-    """What every request of a leader to an acceptor names."""
+    """The fields that all requests of a leader to an acceptor have."""
 
     @property
     def part(self) -> str:
-        """The part that is led."""
+        """The part that the request is about."""
 
     @property
     def ballot(self) -> Ballot:
@@ -72,7 +72,7 @@
         )
 
     def to_wire(self) -> WireMap:
-        """Return the request as it stands on the wire."""
+        """Return the request in its wire form."""
         body = _header_to_wire(self)
         if self.brief is not None:
             body["brief"] = self.brief
@@ -80,7 +80,7 @@
 
 
 class AcceptRequest(NamedTuple):
-    """Phase 2a of Paxos, `quorum.accept`: accept an entry; `committed` is known to be chosen."""
+    """Phase 2a of Paxos, `quorum.accept`: accept an entry; those up to `committed` are chosen."""
 
     part: str
     ballot: Ballot
@@ -102,7 +102,7 @@
         )
 
     def to_wire(self) -> WireMap:
-        """Return the request as it stands on the wire."""
+        """Return the request in its wire form."""
         body = _header_to_wire(self)
         body["index"] = self.log_index
         body["batch"] = self.batch
@@ -126,7 +126,7 @@
         )
 
     def to_wire(self) -> WireMap:
-        """Return the request as it stands on the wire."""
+        """Return the request in its wire form."""
         body = _header_to_wire(self)
         body["committed"] = self.committed
         return body
@@ -153,7 +153,7 @@
         )
 
     def to_wire(self) -> WireMap:
-        """Return the request as it stands on the wire."""
+        """Return the request in its wire form."""
         body = _header_to_wire(self)
         body["entries"] = self.entries
         body["committed"] = self.committed
@@ -161,7 +161,7 @@
 
 
 class InstallRequest(NamedTuple):
-    """`quorum.install`, of former versions: the whole state after the entry `log_index`."""
+    """`quorum.install`, of former versions: the complete state after the entry `log_index`."""
 
     part: str
     ballot: Ballot
@@ -181,7 +181,7 @@
         )
 
     def to_wire(self) -> WireMap:
-        """Return the request as it stands on the wire."""
+        """Return the request in its wire form."""
         body = _header_to_wire(self)
         body["index"] = self.log_index
         body["state"] = self.state
@@ -217,7 +217,7 @@
         )
 
     def to_wire(self) -> WireMap:
-        """Return the request as it stands on the wire."""
+        """Return the request in its wire form."""
         body = _header_to_wire(self)
         body["index"] = self.log_index
         body["place"] = self.offset.to_wire()
@@ -227,7 +227,7 @@
 
 
 class ConfirmRequest(NamedTuple):
-    """`quorum.confirm`: tell whether the ballot is still the highest one promised."""
+    """`quorum.confirm`: confirm that the ballot is still the highest one promised."""
 
     part: str
     ballot: Ballot
@@ -239,12 +239,12 @@
         return cls(body["part"], Ballot.from_wire(body["ballot"]), body["identity"])
 
     def to_wire(self) -> WireMap:
-        """Return the request as it stands on the wire."""
+        """Return the request in its wire form."""
         return _header_to_wire(self)
 
 
 class AcceptedProposal(NamedTuple):
-    """An entry that a store accepted and has not applied; a brief answer leaves the batch out."""
+    """An entry that a store accepted and has not applied; a brief answer may omit the batch."""
 
     log_index: int
     ballot: Ballot
@@ -252,20 +252,20 @@
 
     @classmethod
     def from_wire(cls, fields: Sequence[Any]) -> AcceptedProposal:
-        """Read the entry as a promise and a snapshot hold it."""
+        """Read the entry from its form in promises and checkpoints."""
         index, ballot, batch = fields
         return cls(index, Ballot.from_wire(ballot), batch)
 
     def to_wire(self) -> list[Any]:
-        """Return the entry as a promise and a snapshot hold it."""
+        """Return the entry in its form in promises and checkpoints."""
         return [self.log_index, self.ballot.to_wire(), self.batch]
 
 
 class Promise(NamedTuple):
-    """Phase 1b of Paxos, the answer to `quorum.prepare`: what the acceptor holds of the part.
+    """Phase 1b of Paxos, the answer to `quorum.prepare`: the acceptor's state of the part.
 
-    `state` is None where the store holds none of the part, True in a brief answer where it holds
-    one, else the whole state after the entry `applied`. `accepted` are the entries beyond it.
+    `state` is None if the store has no state of the part, True in a brief answer if it has one,
+    else the complete state after the entry `applied`. `accepted` are the entries beyond it.
     """
 
     promised: Ballot
@@ -282,7 +282,7 @@
         return cls(Ballot.from_wire(promised), applied, state, accepted, committed)
 
     def to_wire(self) -> list[Any]:
-        """Return the answer as it stands on the wire."""
+        """Return the answer in its wire form."""
         proposals = [proposal.to_wire() for proposal in self.accepted]
         return [self.promised.to_wire(), self.applied, self.state, proposals, self.committed]
 
@@ -296,7 +296,7 @@
 
 
 class StateChunkRequest(NamedTuple):
-    """`quorum.piece`: give the chunk at an offset of the state applied at an index."""
+    """`quorum.piece`: return the chunk at an offset of the state after an index."""
 
     part: str
     log_index: int
@@ -308,12 +308,12 @@
         return cls(body["part"], body["index"], ChunkOffset.from_wire(body["place"]))
 
     def to_wire(self) -> WireMap:
-        """Return the request as it stands on the wire."""
+        """Return the request in its wire form."""
         return {"part": self.part, "index": self.log_index, "place": self.offset.to_wire()}
 
 
 class EntriesRequest(NamedTuple):
-    """`quorum.entries`: give applied entries after an index."""
+    """`quorum.entries`: return applied entries after an index."""
 
     part: str
     after: int
@@ -324,12 +324,12 @@
         return cls(body["part"], body["after"])
 
     def to_wire(self) -> WireMap:
-        """Return the request as it stands on the wire."""
+        """Return the request in its wire form."""
         return {"part": self.part, "after": self.after}
 
 
 class AcceptedEntryRequest(NamedTuple):
-    """`quorum.accepted`: give the entry accepted at an index."""
+    """`quorum.accepted`: return the entry accepted at an index."""
 
     part: str
     log_index: int
@@ -340,7 +340,7 @@
         return cls(body["part"], body["index"])
 
     def to_wire(self) -> WireMap:
-        """Return the request as it stands on the wire."""
+        """Return the request in its wire form."""
         return {"part": self.part, "index": self.log_index}
 
 
@@ -357,12 +357,12 @@
         return cls(Ballot.from_wire(ballot), batch)
 
     def to_wire(self) -> list[Any]:
-        """Return the answer as it stands on the wire."""
+        """Return the answer in its wire form."""
         return [self.ballot.to_wire(), self.batch]
 
 
 class ImageRequest(NamedTuple):
-    """`quorum.image`: give the whole applied state of a part to any reader."""
+    """`quorum.image`: return the complete applied state of a part, in one message."""
 
     part: str
 
@@ -372,7 +372,7 @@
         return cls(body["part"])
 
     def to_wire(self) -> WireMap:
-        """Return the request as it stands on the wire."""
+        """Return the request in its wire form."""
         return {"part": self.part}
 
 
@@ -389,19 +389,19 @@
         return cls(applied, state)
 
     def to_wire(self) -> list[Any]:
-        """Return the answer as it stands on the wire."""
+        """Return the answer in its wire form."""
         return [self.applied, self.state]
 
 
 class QueryAnswer(NamedTuple):
-    """What a query came to: an answer, or, where `error_kind` is set, that error's detail."""
+    """The result of a query: its answer or, if `error_kind` is set, the detail of that error."""
 
     error_kind: str | None
     answer: Any
 
 
 class UncommittedAnswer(NamedTuple):
-    """What the query would come to after the entry `log_index`, accepted under `ballot`, too."""
+    """The result of a query if the entries up to `log_index`, accepted under `ballot`, applied."""
 
     log_index: int
     ballot: Ballot
@@ -414,7 +414,7 @@
         return cls(index, Ballot.from_wire(ballot), QueryAnswer(error_kind, answer))
 
     def to_wire(self) -> list[Any]:
-        """Return the answer as it stands on the wire."""
+        """Return the answer in its wire form."""
         return [self.log_index, self.ballot.to_wire(), self.answer.error_kind, self.answer.answer]
 
 
@@ -435,7 +435,7 @@
         return cls(body["part"], body["query"], bool(body.get("beyond")), body["identity"])
 
     def to_wire(self) -> WireMap:
-        """Return the request as it stands on the wire."""
+        """Return the request in its wire form."""
         body: WireMap = {"part": self.part, "query": self.query}
         if self.wants_uncommitted:
             body["beyond"] = True
@@ -466,7 +466,7 @@
         return cls(applied, group, uncommitted_lots, QueryAnswer(error_kind, answer), uncommitted)
 
     def to_wire(self) -> list[Any]:
-        """Return the answer as it stands on the wire."""
+        """Return the answer in its wire form."""
         fields = [self.applied, self.group, self.uncommitted_lots, *self.answer]
         if self.uncommitted is not None:
             fields.append([answer.to_wire() for answer in self.uncommitted])
@@ -474,7 +474,7 @@
 
 
 class FoundRequest(NamedTuple):
-    """`quorum.found`: take a founding record."""
+    """`quorum.found`: store a founding record."""
 
     identity: str
     founding: WireMap
@@ -485,12 +485,12 @@
         return cls(body["identity"], body["founding"])
 
     def to_wire(self) -> WireMap:
-        """Return the request as it stands on the wire."""
+        """Return the request in its wire form."""
         return {"identity": self.identity, "founding": self.founding}
 
 
 class HintedEntry(NamedTuple):
-    """What names the entry of an accept request that is kept as a hint."""
+    """The part, identity and index of an accept request that is kept as a hint."""
 
     part: str
     identity: str
@@ -498,12 +498,12 @@
 
     @classmethod
     def from_wire(cls, body: WireMap) -> HintedEntry:
-        """Read the names of the request."""
+        """Read these fields of the request."""
         return cls(body["part"], body["identity"], body["index"])
 
 
 class HintRequest(NamedTuple):
-    """`quorum.hint`: keep an accept request, as it stands on the wire, for a missing acceptor."""
+    """`quorum.hint`: keep an accept request, in its wire form, for an unreachable acceptor."""
 
     target: str
     request: WireMap
@@ -514,5 +514,5 @@
         return cls(body["for"], body["record"])
 
     def to_wire(self) -> WireMap:
-        """Return the request as it stands on the wire."""
+        """Return the request in its wire form."""
         return {"for": self.target, "record": self.request}
--- a/quillring/quorum/parts.py
+++ b/quillring/quorum/parts.py
@@ -1,4 +1,4 @@
-"""The parts that the state is cut into, and the founding record."""
+"""The parts (shards) of the state, and the placement of their groups on stores."""
 
 from __future__ import annotations
 
@@ -26,32 +26,32 @@
 
 
 def part_of(service: str, count: int) -> str:
-    """Return the part that holds a service's state."""
+    """Return the part that has a service's state, by the SHA-256 of the service's name."""
     number = int.from_bytes(hashlib.sha256(service.encode()).digest()[:8], "big")
     return f"part-{number % count}"
 
 
 def majority(group: Group) -> int:
-    """Return how many of the group decide."""
+    """Return how many members are a majority of the group."""
     return len(group) // 2 + 1
 
 
 def choose_group(
     part: str, stores: Sequence[GroupMember], size: int = GROUP_SIZE
 ) -> list[GroupMember] | None:
-    """Return so many stores by rendezvous, spread evenly over zones, or None if there are fewer."""
+    """Return `size` stores by rendezvous hashing, spread evenly over zones; None if too few."""
     ranked_stores = sorted(stores, key=lambda store: score(part, store.name), reverse=True)
     zones = [store.zone for store in ranked_stores]
     if len(ranked_stores) < size:
         return None
-    # A store's round is how many better ranked ones its zone has: each zone gives one a round.
+    # A store's round is the number of better ranked stores in its zone: each zone adds one a round.
     rounds = [zones[:place].count(zone) for place, zone in enumerate(zones)]
     by_round = sorted(zip(rounds, ranked_stores), key=lambda ranked: ranked[0])
     return [store for _, store in by_round[:size]]
 
 
 def is_enough(zones: list[str], size: int) -> bool:
-    """Tell whether stores in these zones form groups that the loss of no one zone stops."""
+    """Return whether stores in these zones allow groups that survive the loss of any one zone."""
     counts = [zones.count(zone) for zone in set(zones)]
     largest = next(
         (most for most in range(1, size + 1) if sum(min(most, count) for count in counts) >= size),
--- a/quillring/quorum/retirement_orders.py
+++ b/quillring/quorum/retirement_orders.py
@@ -1,4 +1,4 @@
-"""Which stores operators have ordered to retire, as the newest configuration says."""
+"""Which stores operators have ordered to retire, by the newest configuration known."""
 
 from __future__ import annotations
 
@@ -9,6 +9,6 @@
 
 
 def is_retirement_ordered(node: Node, store: str) -> bool:
-    """Tell whether the newest layout of a node names the store as retired."""
+    """Return whether the newest configuration that a node knows marks the store as retired."""
     stores = (node.find("layout").configuration or {}).get("stores") or {}
     return bool(stores.get(store, {}).get("retired"))
--- a/quillring/quorum/snapshot_chunks.py
+++ b/quillring/quorum/snapshot_chunks.py
@@ -1,11 +1,11 @@
-"""A part's state in bounded chunks: cut at the sender, put together at the receiver.
+"""A part's state in bounded chunks: split by the sender, reassembled by the receiver.
 
-A state is a map of sections; a section that is a map is cut by its keys. So no message, and no step
-of the event loop, grows with the state: a chunk is at most `CHUNK_BYTES` long, and the longest
+A state is a map of sections; a section that is a map is split by its keys. So no message, and no
+step of the event loop, grows with the state: a chunk is at most CHUNK_BYTES long, and the longest
 single encoding is that of one value of a section, such as one lot.
 
-The chunks make up a stream of rows: each the CBOR encoding of a row of `state_rows`, after its
-length in four bytes.
+The chunks form a stream of rows: each the CBOR encoding of a row of `state_rows`, after its length
+in four bytes, big-endian.
 """
 
 from __future__ import annotations
@@ -30,26 +30,26 @@
 
 
 class BadChunk(QuillringError):
-    """The chunks of a state do not make up a whole one."""
+    """The chunks of a state do not add up to a complete one."""
 
     kind = "bad_piece"
     status = 409
 
 
 class ChunkOffset(NamedTuple):
-    """How far a state was sent: the next row, and the bytes of that row that were sent already."""
+    """An offset in the stream of a state: the row, and the offset in that row in bytes."""
 
     row: int = 0
     row_bytes: int = 0
 
     @classmethod
     def from_wire(cls, fields: Sequence[int]) -> ChunkOffset:
-        """Read an offset as it stands on the wire and on disk."""
+        """Read an offset from its form on the wire and on disk."""
         row, row_bytes = fields
         return cls(row, row_bytes)
 
     def to_wire(self) -> list[int]:
-        """Return the offset as it stands on the wire and on disk."""
+        """Return the offset in its form on the wire and on disk."""
         return [self.row, self.row_bytes]
 
 
@@ -57,26 +57,26 @@
 
 
 class Chunk(NamedTuple):
-    """Some bytes of a state, and the offset behind them; None at the end of the state."""
+    """Some bytes of a state, and the offset after them; None at the end of the state."""
 
     data: bytes
     next_offset: ChunkOffset | None
 
     @classmethod
     def from_wire(cls, fields: Sequence[Any]) -> Chunk:
-        """Read a chunk as it stands on the wire."""
+        """Read a chunk from its wire form."""
         data, next_offset = fields
         return cls(data, None if next_offset is None else ChunkOffset.from_wire(next_offset))
 
     def to_wire(self) -> list[Any]:
-        """Return the chunk as it stands on the wire."""
+        """Return the chunk in its wire form."""
         return [self.data, None if self.next_offset is None else self.next_offset.to_wire()]
 
 
 class PartialState(NamedTuple):
-    """What has come of a state so far.
+    """The part of a state received so far.
 
-    `rest` is the beginning of a row that is not whole, `offset` where the next chunk begins.
+    `rest` is the beginning of an incomplete row, `offset` where the next chunk begins.
     """
 
     sections: PartState
@@ -96,7 +96,7 @@
 
 
 def put_row(sections: PartState, fields: Sequence[Any]) -> None:
-    """Put a row of `state_rows` into the state that is being made."""
+    """Add a row of `state_rows` to the sections of a state, in place."""
     if len(fields) == 2:
         section, value = fields
         sections[section] = value
@@ -106,7 +106,7 @@
 
 
 def cut_chunk(state: PartState, offset: ChunkOffset, limit: int = CHUNK_BYTES) -> Chunk:
-    """Return the chunk of an immutable state from an offset on, `limit` bytes long at most."""
+    """Return the chunk of an immutable state from an offset on, of `limit` bytes at most."""
     data, (row, row_bytes) = b"", offset
     for fields in islice(state_rows(state), row, None):
         body = cbor2.dumps(fields)
@@ -122,7 +122,7 @@
 
 
 class StateBuilder:
-    """Puts a state together; `offset` is where the next chunk must begin."""
+    """Reassembles a state from its chunks; `offset` is where the next chunk must begin."""
 
     __slots__ = ("sections", "rest", "offset")
 
@@ -137,9 +137,9 @@
         self.offset = offset
 
     def add(self, data: bytes, next_offset: Sequence[int] | None) -> None:
-        """Take the chunk at the present offset, which ends before `next_offset`.
+        """Add the chunk at the present offset, which must end at `next_offset`.
 
-        Raises BadChunk when it ends elsewhere.
+        None as `next_offset` is not checked. Raises BadChunk when it ends elsewhere.
         """
         self.rest += data
         start, row = 0, self.offset.row
@@ -156,13 +156,13 @@
             raise BadChunk(place=self.offset.to_wire(), following=list(next_offset))
 
     def whole(self) -> PartState:
-        """Return the state; BadChunk when its last row is not there in full."""
+        """Return the complete state; raises BadChunk when its last row is incomplete."""
         if self.rest:
             raise BadChunk(place=self.offset.to_wire())
         return self.sections
 
     def to_partial(self) -> PartialState:
-        """Return a copy of what has come so far."""
+        """Return a copy of the part received so far."""
         sections = {
             name: dict(value) if isinstance(value, dict) else value
             for name, value in self.sections.items()
@@ -171,5 +171,5 @@
 
     @classmethod
     def from_partial(cls, partial: PartialState) -> StateBuilder:
-        """Go on with what had come so far."""
+        """Return a builder that continues from a part received before."""
         return cls(partial.sections, partial.rest, partial.offset)
--- a/quillring/quorum/values.py
+++ b/quillring/quorum/values.py
@@ -1,4 +1,4 @@
-"""The values that ballots and groups are made of, and their form on the wire and on disk."""
+"""Ballots, groups and their members, with their form on the wire and on disk."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class GroupMember(NamedTuple):
-    """A store machine that holds a replica of a part.
+    """A store machine with a replica of a part.
 
     `identity` is drawn anew for each empty disk; `zone` is the failure domain of the machine.
     """
@@ -26,11 +26,11 @@
 
     @classmethod
     def from_wire(cls, fields: WireMember) -> GroupMember:
-        """Read a member as it stands on the wire and in a part's state."""
+        """Read a member from its form on the wire and in a part's state."""
         return cls(*fields)
 
     def to_wire(self) -> list[str]:
-        """Return the member as it stands on the wire and in a part's state."""
+        """Return the member in its form on the wire and in a part's state."""
         return [self.name, self.identity, self.zone]
 
 
@@ -39,10 +39,10 @@
 
 
 class Ballot(NamedTuple):
-    """A ballot of Paxos; the highest wins, by number first.
+    """A Paxos ballot (proposal number): ordered by `number`, then by `leader`.
 
-    `leader` is the proposer: a core's name and its incarnation. Source: Lamport, "Paxos made
-    simple", section 2.2.
+    `leader` is the proposer, as `<core name>#<incarnation>`; it makes ballots unique. Source:
+    Lamport, "Paxos made simple", section 2.2.
     """
 
     number: int
@@ -50,11 +50,11 @@
 
     @classmethod
     def from_wire(cls, fields: Sequence[Any]) -> Ballot:
-        """Read a ballot as it stands on the wire and on disk."""
+        """Read a ballot from its form on the wire and on disk."""
         return cls(*fields)
 
     def to_wire(self) -> list[Any]:
-        """Return the ballot as it stands on the wire and on disk."""
+        """Return the ballot in its form on the wire and on disk."""
         return list(self)
 
 
@@ -63,10 +63,10 @@
 
 
 def group_from_wire(fields: WireGroup) -> tuple[GroupMember, ...]:
-    """Read a group as it stands on the wire and in a part's state."""
+    """Read a group from its form on the wire and in a part's state."""
     return tuple(GroupMember.from_wire(member) for member in fields)
 
 
 def group_to_wire(group: Iterable[GroupMember]) -> list[list[str]]:
-    """Return a group as it stands on the wire and in a part's state."""
+    """Return a group in its form on the wire and in a part's state."""
     return [member.to_wire() for member in group]
--- a/quillring/store/checkpoint_file.py
+++ b/quillring/store/checkpoint_file.py
@@ -1,7 +1,8 @@
-"""Checkpoint files: whole images of a store's state, written step by step; the header comes last.
+"""Checkpoint files: complete images of a store's state, written in steps, the header last.
 
-A checkpoint file is a header and a body. Bodies of the first form are one value; those of the
-second are records: how many records at the start of the checkpoint's log are in it already, then
+A checkpoint file is a header (magic, generation, body size in bytes, SHA-256 of the body) and a
+body. A body of the first format (`QSL1`) is one CBOR value. A body of the second (`QSL2`) is
+records: the number of records at the start of the checkpoint's log that it already covers, then
 the state by rows.
 """
 
@@ -28,7 +29,7 @@
 
 
 class CheckpointHeader(NamedTuple):
-    """The header of a checkpoint file: the form, the generation, and what the body must be."""
+    """The header of a checkpoint file: format, generation, and size and SHA-256 of the body."""
 
     magic: bytes
     generation: int
@@ -37,7 +38,7 @@
 
     @classmethod
     def from_disk(cls, data: bytes) -> CheckpointHeader:
-        """Read the header; struct.error when it is not there in full."""
+        """Read the header; raises struct.error when it is incomplete."""
         magic, generation, body_size, digest = HEADER.unpack_from(data)
         return cls(magic, generation, body_size, digest)
 
@@ -47,10 +48,10 @@
 
 
 class Checkpoint(NamedTuple):
-    """A readable checkpoint; `single_value` is set in the first form, `rows` in the second.
+    """A valid checkpoint; `single_value` is set in the first format, `rows` in the second.
 
-    `covered_count` is how many records at the start of its log are in it already, `size` the bytes
-    of its body.
+    `covered_count` is how many records at the start of its log it already covers, `size` the size
+    of its body in bytes.
     """
 
     generation: int
@@ -61,12 +62,12 @@
 
 
 def checkpoint_file_name(generation: int) -> str:
-    """Return the file of a generation's checkpoint: two are written alternately."""
+    """Return the name of a generation's checkpoint file; generations alternate between two."""
     return f"slot.{generation % 2}"
 
 
 def read_checkpoint(data: bytes) -> Checkpoint | None:
-    """Return the checkpoint in the bytes of its file, or None when it is torn."""
+    """Return the checkpoint in a file's bytes, or None if it is torn or of an unknown format."""
     try:
         header = CheckpointHeader.from_disk(data)
         body = data[HEADER.size : HEADER.size + header.body_size]
@@ -87,7 +88,10 @@
 
 
 class CheckpointWriter:
-    """Writes the checkpoint of a generation in steps of bounded size; no crash on the way harms."""
+    """Writes the checkpoint of a generation in steps of at most STEP_BYTES.
+
+    The header is written last, so a crash before leaves a file that `read_checkpoint` rejects.
+    """
 
     __slots__ = ("disk", "file_name", "generation", "rows", "buffer", "digest", "size")
 
@@ -104,7 +108,10 @@
         disk.begin_file(self.file_name, NO_HEADER)
 
     def step(self) -> bool:
-        """Write and sync some of it; True once the checkpoint is complete, header and all."""
+        """Write and sync the next step; return whether the checkpoint is complete.
+
+        Raises DiskError.
+        """
         self._fill_buffer()
         data = bytes(self.buffer[:STEP_BYTES])
         del self.buffer[:STEP_BYTES]
@@ -118,7 +125,7 @@
         return True
 
     def _fill_buffer(self) -> None:
-        """Encode rows until a step's worth of bytes waits, or none are left."""
+        """Encode rows until STEP_BYTES are buffered, or no rows are left."""
         while len(self.buffer) < STEP_BYTES:
             row = next(self.rows, None)
             if row is None:
--- a/quillring/store/checkpointed_log.py
+++ b/quillring/store/checkpointed_log.py
@@ -1,7 +1,7 @@
 """A write-ahead log with two alternating checkpoints.
 
 Each generation has a checkpoint and a log. While the next checkpoint is being written, in small
-steps beside the ordinary work, what comes in goes to the next log already, which says that it
+steps between batches of commits, new records already go to the next log, whose head says that it
 follows the present one: until the new checkpoint is complete, the state is the old checkpoint and
 both logs.
 """
@@ -35,33 +35,33 @@
 
 
 class StateMachine(Protocol):
-    """The state in memory that is made durable; records change it in the order of the log."""
+    """The state in memory that the log makes durable; records change it in log order."""
 
     def rows(self) -> list[Any]:
         """Return all state as immutable values."""
 
     def load_rows(self, rows: Iterable[Any]) -> None:
-        """Take the state that rows() gave."""
+        """Replace the state by that of a checkpoint, as rows() returned it."""
 
     def load(self, snapshot: Any) -> None:
-        """Take the state of a checkpoint of the first form, which is one value."""
+        """Replace the state by that of a checkpoint of the first format, which is one value."""
 
     def replay(self, fields: Any) -> None:
-        """Take one record of the log."""
+        """Apply one record of the log."""
 
 
 class PendingCommit(NamedTuple):
-    """Records that wait for the disk; the signal is set to None or to the DiskError."""
+    """Records not yet written; the signal is set to None once durable, or to the DiskError."""
 
     records: list[Any]
     done_signal: Signal
 
 
 class CheckpointedLog:
-    """The recoverable state of one store machine.
+    """The recoverable state of one store machine: owns the log and checkpoint files of its disk.
 
-    Records reach the disk in the order of commit(), in batches under one sync. `log_limit` is the
-    size in bytes from which on a log is folded into the next checkpoint.
+    Records reach the disk in the order of commit(), in batches with one fsync each (group commit).
+    A checkpoint is due when the log exceeds `log_limit` bytes and the size of the last checkpoint.
     """
 
     __slots__ = (
@@ -98,9 +98,9 @@
         self.writer: CheckpointWriter | None = None
 
     def recover(self) -> bool:
-        """Load the newest checkpoint and its logs; False when the folder was empty.
+        """Load the newest checkpoint and replay its logs; return False without any checkpoint.
 
-        Raises Damaged when something that was synced is gone.
+        Raises Damaged when data that was synced is lost, DiskError when the disk fails.
         """
         files = [self.disk.read(checkpoint_file_name(parity)) for parity in PARITIES]
         logs = self._read_logs()
@@ -120,7 +120,7 @@
         return True
 
     def _read_logs(self) -> dict[int, LogContents]:
-        """Return {generation: contents} of the logs that are there."""
+        """Return {generation: contents} of the logs that have a head."""
         logs = {}
         for parity in PARITIES:
             name = log_file_name(parity)
@@ -130,7 +130,7 @@
         return logs
 
     def _check_newer_logs(self, logs: dict[int, LogContents]) -> None:
-        """Raise Damaged if a log is newer than any checkpoint, but for the one that follows."""
+        """Raise Damaged if a log is newer than any checkpoint, unless it follows a complete log."""
         for generation, log in logs.items():
             former = logs.get(self.generation)
             is_next = log.head.follows == self.generation
@@ -140,7 +140,7 @@
                 raise Damaged(file="slot", reason="a log is newer than any slot", repair=REPAIR)
 
     def _replay_logs(self, logs: dict[int, LogContents], covered_count: int) -> None:
-        """Take the records that the checkpoint lacks, and cut off what is torn."""
+        """Replay the records that the checkpoint does not cover, and truncate a torn batch."""
         if self.generation not in logs:
             self._start_log(self.generation)
             return
@@ -164,7 +164,7 @@
         self._write_log_head(LogHead(self.generation + 1, self.generation, self.log_size))
 
     def _write_log_head(self, head: LogHead) -> None:
-        """Begin a log; the old records are surely gone before the new head is there."""
+        """Begin a log; the old records are durably truncated before the new head is written."""
         name, data = log_file_name(head.generation), encode_record(head.to_disk())
         self.disk.truncate(name, 0)
         self.disk.write(name, data)
@@ -172,7 +172,10 @@
         self.log_size, self.log_count = len(data), 0
 
     def write_checkpoint(self) -> None:
-        """Write all state to the next checkpoint at once; its log begins anew unless in use."""
+        """Write a complete checkpoint without pauses; its log is emptied unless already in use.
+
+        Raises DiskError.
+        """
         has_log = self.log_generation > self.generation
         covered_count = self.log_count if has_log else 0
         self._open_writer(covered_count)
@@ -183,7 +186,7 @@
             self._start_log(self.generation)
 
     def _begin_checkpoint(self) -> None:
-        """Begin the next checkpoint; pending records that it holds are not replayed on it."""
+        """Begin the next checkpoint, which covers the log's records and the pending ones too."""
         if self.log_generation == self.generation:
             self._follow_log()
         pending_count = sum(len(commit.records) for commit in self.pending)
@@ -194,7 +197,7 @@
         self.writer = CheckpointWriter(self.disk, self.generation + 1, rows, covered_count)
 
     def _write_checkpoint_step(self) -> bool:
-        """Write some of the next checkpoint; True once it is complete, or none is under way."""
+        """Write a step of the next checkpoint; return whether none is under way any more."""
         writer = self.writer
         if writer is None:
             return True
@@ -210,11 +213,11 @@
 
     @property
     def is_idle(self) -> bool:
-        """True when all that was handed over is durable."""
+        """Whether no records wait to be written or are being written."""
         return not self.pending and not self.is_writing
 
     def commit(self, records: list[Any]) -> Coroutine:
-        """Return once the records are durable; DiskError when they can't be."""
+        """Return once the records are durable; raises DiskError when the disk fails."""
         if self.error is not None:
             raise self.error
         done_signal = Signal()
@@ -226,7 +229,10 @@
             raise done_signal.value
 
     def run(self, retry_seconds: float) -> Coroutine:
-        """Write what is pending in batches; a failed disk is tried again by a new checkpoint."""
+        """Write pending records in batches, and checkpoints, without end.
+
+        After a DiskError the disk is retried every `retry_seconds`, by a complete checkpoint.
+        """
         while True:
             if self.writer is not None:
                 yield Sleep(STEP_PAUSE_SECONDS)
@@ -270,7 +276,7 @@
             yield Sleep(seconds)
 
     def _write_batch(self, batch: list[PendingCommit]) -> DiskError | None:
-        """Write a batch and sync it; return None or the DiskError that kept it from the disk."""
+        """Write a batch and sync it; return None, or the DiskError that prevented it."""
         data = b"".join(encode_record(record) for commit in batch for record in commit.records)
         if self.error is not None:
             return self._try(self.write_checkpoint)
@@ -291,7 +297,7 @@
         self.log_size += len(marked_data)
 
     def _try(self, action: Callable[[], object]) -> DiskError | None:
-        """Do something at the disk; return and keep its error, or None."""
+        """Run a disk operation; record and return its DiskError, or None."""
         try:
             action()
             self.syncs += 1
@@ -302,7 +308,7 @@
 
 
 def _newest_checkpoint(files: list[bytes | None]) -> Checkpoint | None:
-    """Return the readable checkpoint of the highest generation, or None."""
+    """Return the valid checkpoint of the highest generation, or None."""
     checkpoints = [read_checkpoint(data) for data in files if data is not None]
     readable = [checkpoint for checkpoint in checkpoints if checkpoint is not None]
     return max(readable, key=lambda checkpoint: checkpoint.generation, default=None)
--- a/quillring/store/disk.py
+++ b/quillring/store/disk.py
@@ -1,4 +1,4 @@
-"""The data folder: whole files and appended ones, lasting only once synced."""
+"""The data folder of a store: files written at once, in steps or by appends, with syncs."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
     """The files of one store; every method may raise DiskError."""
 
     def read(self, name: str) -> bytes | None:
-        """Return the bytes of a file, or None."""
+        """Return the bytes of a file, or None if it does not exist."""
 
     def write(self, name: str, data: bytes) -> None:
-        """Write a whole file anew and sync it and the folder."""
+        """Replace the contents of a file in place; sync it and the folder. Not atomic."""
 
     def begin_file(self, name: str, header: bytes) -> None:
-        """Begin a file anew that is written in steps; its header is written again at the end."""
+        """Truncate or create a file to be written in steps; finish_file() replaces its header."""
 
     def extend_file(self, name: str, data: bytes) -> None:
         """Append to the file begun last and sync it."""
@@ -30,23 +30,26 @@
         """Write the header of the file begun last, sync and close it."""
 
     def append(self, name: str, data: bytes) -> None:
-        """Append to a file; what it adds lasts only after sync."""
+        """Append to a file; the data is durable only after sync()."""
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file back to a size in bytes, durably; one that is missing stays so."""
+        """Truncate a file to a size in bytes, durably; do nothing if it does not exist."""
 
     def sync(self, name: str) -> None:
-        """Make the appended bytes durable."""
+        """Make the bytes appended last durable."""
 
     def sync_existing(self, name: str) -> None:
-        """Make durable what a killed process may have left unsynced in a file, and its name."""
+        """Sync a file and the folder, since a killed process may have left either unsynced."""
 
     def sync_delay_seconds(self) -> float:
-        """Return the seconds a sync takes beyond the call itself."""
+        """Return the delay in seconds that a sync adds to the call itself (simulated disks)."""
 
 
 class FolderDisk:
-    """Files under one data folder."""
+    """A Disk on the file system: files in one data folder; raises DiskError for any OSError.
+
+    Owns at most two open files: the log that was appended to last, and the one written in steps.
+    """
 
     __slots__ = ("folder", "log_file", "log_name", "staged_file")
 
@@ -64,7 +67,7 @@
         return os.path.join(self.folder, name)
 
     def read(self, name: str) -> bytes | None:
-        """Return the bytes of a file, or None."""
+        """Return the bytes of a file, or None if it does not exist."""
         try:
             with open(self._path(name), "rb") as read_file:
                 return read_file.read()
@@ -74,7 +77,7 @@
             raise DiskError(file=name, reason=error.strerror) from error
 
     def write(self, name: str, data: bytes) -> None:
-        """Write a whole file anew and sync it and the folder."""
+        """Replace the contents of a file in place; sync it and the folder. Not atomic."""
         try:
             with open(self._path(name), "wb") as written_file:
                 written_file.write(data)
@@ -85,7 +88,7 @@
             raise DiskError(file=name, reason=error.strerror) from error
 
     def begin_file(self, name: str, header: bytes) -> None:
-        """Begin a file anew that is written in steps; its header is written again at the end."""
+        """Truncate or create a file to be written in steps; finish_file() replaces its header."""
         try:
             if self.staged_file is not None:
                 self.staged_file.close()
@@ -114,7 +117,7 @@
             raise DiskError(file=name, reason=error.strerror) from error
 
     def append(self, name: str, data: bytes) -> None:
-        """Append to a file; what it adds lasts only after sync."""
+        """Append to a file; the data is durable only after sync()."""
         try:
             if self.log_file is None or self.log_name != name:
                 if self.log_file is not None:
@@ -126,7 +129,7 @@
             raise DiskError(file=name, reason=error.strerror) from error
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file back to a size in bytes, durably; one that is missing stays so."""
+        """Truncate a file to a size in bytes, durably; do nothing if it does not exist."""
         try:
             if self.log_name == name and self.log_file is not None:
                 self.log_file.close()
@@ -139,14 +142,14 @@
             raise DiskError(file=name, reason=error.strerror) from error
 
     def sync(self, name: str) -> None:
-        """Make the appended bytes durable."""
+        """Make the bytes appended last durable."""
         try:
             os.fsync(_opened(self.log_file, name).fileno())
         except OSError as error:
             raise DiskError(file=name, reason=error.strerror) from error
 
     def sync_existing(self, name: str) -> None:
-        """Make durable what a killed process may have left unsynced in a file, and its name."""
+        """Sync a file and the folder, since a killed process may have left either unsynced."""
         try:
             sync_path(self._path(name))
             sync_path(self.folder)
@@ -154,12 +157,12 @@
             raise DiskError(file=name, reason=error.strerror) from error
 
     def sync_delay_seconds(self) -> float:
-        """Return the seconds a sync takes beyond the call itself: none here."""
+        """Return 0: a real sync blocks for as long as it takes."""
         return 0
 
 
 def _opened(file: FileIO | None, name: str) -> FileIO:
-    """Return the file that was opened before; DiskError when none was."""
+    """Return the open file; raises DiskError when it is None."""
     if file is None:
         raise DiskError(file=name, reason="the file is not open")
     return file
@@ -172,7 +175,7 @@
 
 
 def make_folder(path: str) -> None:
-    """Make a folder and those above it that are missing, each durable in the one above."""
+    """Make a folder and its missing parents durably, by a sync of each parent folder."""
     if os.path.isdir(path):
         return
     parent = os.path.dirname(path)
@@ -182,7 +185,7 @@
 
 
 def sync_path(path: str) -> None:
-    """Make a file, or the names in a folder, durable; OSError when that fails."""
+    """Sync a file, or a folder's directory entries; raises OSError when that fails."""
     handle = os.open(path, os.O_RDONLY)
     try:
         os.fsync(handle)
--- a/quillring/store/log_file.py
+++ b/quillring/store/log_file.py
@@ -1,4 +1,4 @@
-"""Log files between checkpoints: what one holds, and which log it goes on from."""
+"""Log files: the format of the write-ahead log between two checkpoints."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 class LogHead(NamedTuple):
     """The first record of a log.
 
-    `follows` is the generation whose log it goes on from, if any, and `former_size` how many bytes
-    long that one was by then. `is_marked` tells that each batch begins with a mark.
+    `follows` is the generation whose log it continues, if any, and `former_size` the size of that
+    log in bytes by then. `is_marked` says whether each batch begins with BATCH_MARK.
     """
 
     generation: int
@@ -28,10 +28,10 @@
 
     @classmethod
     def from_disk(cls, record: Any) -> LogHead | None:
-        """Read the head, or return None when the record is none.
+        """Read the head, or return None when the record is not one.
 
-        The heads of the earliest logs are their generation alone; those of earlier ones have no
-        mark.
+        Two older formats are read too: the generation alone, and a map without `marked`; batches
+        of such logs have no marks.
         """
         if isinstance(record, int):
             return cls(record, is_marked=False)
@@ -45,7 +45,7 @@
         return None
 
     def to_disk(self) -> WireMap:
-        """Return the head as it stands on disk."""
+        """Return the head in its form on disk."""
         return {
             "generation": self.generation,
             "follows": self.follows,
@@ -55,7 +55,7 @@
 
 
 class LogContents(NamedTuple):
-    """What a log file holds; all behind `good_size` bytes is the torn end of the last batch."""
+    """The contents of a log file; all bytes after `good_size` are the torn last batch."""
 
     head: LogHead
     records: list[Any]
@@ -63,9 +63,10 @@
 
 
 def read_log(file_name: str, data: bytes) -> LogContents | None:
-    """Return what the bytes of a log file hold, or None when its head is not there.
+    """Return the contents of a log file, or None when its head is missing.
 
-    Raises Damaged when more is unreadable than a loss of power can have torn.
+    Raises Damaged when a batch before the last one is unreadable, since a crash can tear only the
+    last one.
     """
     values, good_size = decode_records(data)
     records = [value for value in values if value != BATCH_MARK]
@@ -79,5 +80,5 @@
 
 
 def log_file_name(generation: int) -> str:
-    """Return the file of a generation's log: two are written alternately."""
+    """Return the name of a generation's log file; generations alternate between two."""
     return f"log.{generation % 2}"
