--- a/quillring/store/records.py
+++ b/quillring/store/records.py
@@ -1,7 +1,7 @@
-"""Checksummed records: what logs and checkpoints are made of.
+"""Checksummed records, of which logs and checkpoints consist.
 
-On disk a record is the length of its body and the body's CRC-32, four bytes each, then the body in
-CBOR.
+On disk a record is the length of its body in bytes and the body's CRC-32, each four bytes in
+big-endian order, then the body in CBOR (RFC 8949).
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 
 
 class DecodedRecord(NamedTuple):
-    """A record, and the offset behind it."""
+    """A record, and the offset of the first byte after it."""
 
     value: Any
     end: int
 
 
 class DecodedRecords(NamedTuple):
-    """The whole records at the start of some bytes, and the offset behind the last one."""
+    """The complete records at the start of some bytes, and the offset after the last one."""
 
     values: list[Any]
     end: int
@@ -39,7 +39,7 @@
 
 
 def decode_record(data: bytes, offset: int) -> DecodedRecord | None:
-    """Return the record at an offset, or None when it is torn."""
+    """Return the record at an offset, or None when it is incomplete or fails its checksum."""
     if offset + RECORD_HEADER.size > len(data):
         return None
     length, checksum = RECORD_HEADER.unpack_from(data, offset)
@@ -51,7 +51,7 @@
 
 
 def decode_records(data: bytes) -> DecodedRecords:
-    """Return the records up to the first torn one."""
+    """Return the records before the first that is incomplete or fails its checksum."""
     values: list[Any] = []
     offset = 0
     while (record := decode_record(data, offset)) is not None:
@@ -61,11 +61,11 @@
 
 
 def has_record_after(data: bytes, offset: int, is_marked: bool) -> bool:
-    """Tell whether the unreadable record there is followed by what shows that it was synced.
+    """Return whether a later batch shows that the unreadable record at `offset` was synced.
 
-    Each batch reaches the disk under one sync and begins with a mark. A loss of power may tear any
-    piece out of the last batch, but no further batch follows a torn one. In a log of earlier
-    versions, without marks, any readable record that follows counts.
+    Each batch is written under one sync and begins with BATCH_MARK. A loss of power may lose any
+    bytes of the last batch, but no further batch is written after a torn one. In a log without
+    marks (`is_marked` False, of earlier versions), any readable record that follows counts.
     """
     while offset + RECORD_HEADER.size <= len(data):
         length, _ = RECORD_HEADER.unpack_from(data, offset)
