--- a/quillring/plans/commands.py
+++ b/quillring/plans/commands.py
@@ -51,7 +51,7 @@
 
 
 class Contradiction(QuillringError):
-    """A running plan has the same target, or is of a kind that runs alone."""
+    """A running plan has the same target, or the same kind, one of RUN_ALONE."""
 
     kind = "contradiction"
     status = 409
@@ -119,7 +119,7 @@
 
 
 def check_contradictions(state: WireMap, name: str, plan: KeptPlan) -> None:
-    """Raise Contradiction if a running plan has the same target, or both must run alone."""
+    """Raise Contradiction if a running plan has the same target, or the same kind of RUN_ALONE."""
     for other_name, fields in kept_plans(state).items():
         other = KeptPlan.from_state(fields)
         is_same_target = other.intent.target == plan.intent.target
