--- a/quillring/ownership/candidates.py
+++ b/quillring/ownership/candidates.py
@@ -1,7 +1,7 @@
 """Candidates for the leadership of a part: the reachable cores in order of preference.
 
-The order is by rendezvous hashing (Thaler and Ravishankar, 1998). While the network is partitioned,
-cores that bridge the sides of the partition come first.
+The order is by rendezvous hashing (Thaler and Ravishankar, 1998). In a partial network partition,
+bridges come first: cores that are linked with all live nodes, on both sides.
 """
 
 from __future__ import annotations
--- a/quillring/ownership/election_timing.py
+++ b/quillring/ownership/election_timing.py
@@ -80,7 +80,7 @@
         return seconds >= self.node.bounds.heartbeat_interval * heartbeats
 
     def is_starting(self) -> bool:
-        """Return whether this node started lately and the set of reachable nodes still changes.
+        """Return whether this node started recently and the set of reachable nodes still changes.
 
         True within STARTUP_HEARTBEATS of the start, if the set changed in the last heartbeat.
         """
--- a/quillring/ownership/messages.py
+++ b/quillring/ownership/messages.py
@@ -68,7 +68,7 @@
 
 
 class LeadershipOffer(NamedTuple):
-    """`part.free`, sent one way: the former leader of a part has stepped down."""
+    """`part.free`, sent one way: the previous leader of a part has stepped down."""
 
     part: str
 
--- a/quillring/quorum/__init__.py
+++ b/quillring/quorum/__init__.py
@@ -1,4 +1,9 @@
-"""State replicated by Multi-Paxos, in parts with a group, ballots, log and membership each."""
+"""State replicated by Multi-Paxos, in parts with a group, ballots, log and membership each.
+
+A part is a shard of the state; its group is the stores that replicate it. Stores are the acceptors
+(`acceptor`); cores are the proposers, one of which leads a part in a term (`leader`). Founding
+(`founding`) chooses the first groups. Source: Lamport, "Paxos made simple", 2001.
+"""
 
 from quillring.quorum.acceptor import Acceptors
 from quillring.quorum.commands import COMMANDS, QUERIES, apply_batch
--- a/quillring/quorum/founding/founding_vote.py
+++ b/quillring/quorum/founding/founding_vote.py
@@ -98,7 +98,7 @@
             yield Sleep(self.node.bounds.heartbeat_interval / 4)
 
     def _recall(self) -> Coroutine:
-        """Return this seed's vote; raises Refused when that of a former incarnation may be lost."""
+        """Return this seed's vote; raises Refused when an earlier incarnation's may be lost."""
         vote = self.vote
         if self.witness is not None:
             kept = yield from self.node.call(self.witness, "founding.recall", None)
@@ -108,7 +108,7 @@
         return vote
 
     def _keep(self, former: Vote, vote: Vote) -> Coroutine:
-        """Replace the former vote (compare and set); raises Conflict if it changed meanwhile."""
+        """Replace the previous vote (compare and set); raises Conflict if it changed meanwhile."""
         vote = vote._replace(number=former.number + 1)
         if self.witness is not None:
             yield from self.node.call(self.witness, "founding.keep", vote.to_wire())
@@ -154,7 +154,7 @@
     def on_keep(self, body: Sequence[Any], origin: str) -> bool:
         """Write a vote durably if its number is the next one; raises Conflict if it is not.
 
-        A torn write leaves the former vote, which is in the other file.
+        A torn write leaves the previous vote, which is in the other file.
         """
         vote, kept = Vote.from_wire(body), self._newest()
         if vote.number != (0 if kept is None else kept.number) + 1:
--- a/quillring/quorum/leader/election_progress.py
+++ b/quillring/quorum/leader/election_progress.py
@@ -20,7 +20,7 @@
 class ElectionProgress:
     """Progress of one term's election: phase, nodes waited for, bytes fetched, duration in seconds.
 
-    The phases are `promises` (of a majority), `state` (fetched from a store), `entries` (of former
+    The phases are `promises` (of a majority), `state` (fetched from a store), `entries` (of earlier
     terms, uncommitted), then `owned`: the core leads; `ended`: the election failed or the term is
     over.
     """
--- a/quillring/quorum/leader/membership_change.py
+++ b/quillring/quorum/leader/membership_change.py
@@ -4,9 +4,9 @@
 committed by an enlarged group that still has the dead member. Majorities of the two groups need not
 all intersect ({a, dead} and {b, new} do not). What makes the change safe is its place in the log:
 entry i + 1 is chosen by the group in the state after entry i, entry i is chosen by a majority of
-the former group, and no leader proposes to a group before a majority of that very group promised
+the previous group, and no leader proposes to a group before a majority of that very group promised
 its ballot (Lamport, Malkhi, Zhou: "Reconfiguring a State Machine", section 3, with a window of
-one). So any majority of the former group includes a store that accepted the change.
+one). So any majority of the previous group includes a store that accepted the change.
 """
 
 from __future__ import annotations
@@ -50,10 +50,10 @@
         """Return whether the new group has durably all entries committed up to an index.
 
         `applied` is {store name: index it applied}. Entries after the index that are chosen while
-        the leaving store is gone were accepted by a majority of the former group without it, hence
-        by a store of every majority of the new one; so a majority that is up to date is enough, and
-        a slow member does not delay the change. A working store that leaves may be one of the few
-        that have an entry, so then every reachable member has to be up to date.
+        the leaving store is gone were accepted by a majority of the previous group without it,
+        hence by a store of every majority of the new one; so a majority that is up to date is
+        enough, and a slow member does not delay the change. A working store that leaves may be one
+        of the few that have an entry, so then every reachable member has to be up to date.
         """
         others = [member.name for member in self.group if member != self.joining]
         current = [name for name in others if applied.get(name, -1) >= index]
--- a/quillring/quorum/leader/membership_repair.py
+++ b/quillring/quorum/leader/membership_repair.py
@@ -201,7 +201,7 @@
         return max(candidates, default=None, key=preference)
 
     def _working_stores(self) -> list[GroupMember]:
-        """Return the reachable stores that may join: their disks work and none refused lately."""
+        """Return the reachable stores whose disks work and that are not in `refused_until`."""
         nifty, now = self.node.find("nifty"), self.node.now()
         return [
             GroupMember(m.name, m.identity, m.zone)
--- a/quillring/quorum/leader/part_leader.py
+++ b/quillring/quorum/leader/part_leader.py
@@ -47,7 +47,7 @@
 class PartLeader:
     """One term of a part's leader, under one ballot; once it has ended, it never leads again.
 
-    A core that leads the part again creates a new term, whose higher ballot fences the former one.
+    A core that leads the part again creates a new term, whose higher ballot fences the last one.
     Owns the command queue, the entry in flight, and the leader's copy of the state machine.
     `confirmed_at` is when the latest call began in which a majority confirmed the ballot, in
     seconds of the node's clock. A listener is called with the leader and the commands of an entry
@@ -128,7 +128,7 @@
         """Return whether commands are pending in the queue."""
         return bool(self.queue.pending)
 
-    # Election: phase 1, the newest state, and the uncommitted entries of former terms.
+    # Election: phase 1, the newest state, and the uncommitted entries of earlier terms.
 
     def run_election_with_retry(
         self, declines_leadership: Callable[[list[Any]], bool]
@@ -146,7 +146,7 @@
             yield from self.run_election()
 
     def run_election(self) -> Coroutine:
-        """Win a ballot at a majority, commit the uncommitted entries of former terms, then lead.
+        """Win a ballot at a majority, commit the uncommitted entries of earlier terms, then lead.
 
         Raises Fenced, NoMajority, or NotFounded when no member of the majority has the part.
         """
--- a/quillring/quorum/leader/retirement_check.py
+++ b/quillring/quorum/leader/retirement_check.py
@@ -38,7 +38,7 @@
 
     @classmethod
     def from_wire(cls, fields: dict[str, list[str]]) -> GroupStatus:
-        """Read the reply to `part.whole`; former versions omit `joining`."""
+        """Read the reply to `part.whole`; earlier versions omit `joining`."""
         return cls(tuple(fields["group"]), tuple(fields["late"]), tuple(fields.get("joining", ())))
 
     def to_wire(self) -> dict[str, list[str]]:
--- a/quillring/quorum/leader/state_fetch.py
+++ b/quillring/quorum/leader/state_fetch.py
@@ -37,7 +37,7 @@
     def adopt_newest(self, promises: dict[str, Promise]) -> Coroutine:
         """Bring the state machine to the newest applied index among the promises of a majority.
 
-        The state of this core's former term is used as it is, since the state after an index is the
+        The state of this core's last term is used as it is, since the state after an index is the
         same everywhere; only the entries since are fetched. If these are gone, one of the newest
         stores sends a snapshot; stores of this core's zone are asked first. Raises NoMajority when
         none of them sends it.
@@ -93,7 +93,7 @@
         return builder.whole()
 
     def _fetch_whole(self, store: str, index: int, seconds: float) -> Coroutine:
-        """Return the state of a store of a former version, which sends it in one message.
+        """Return the state of a store of an earlier version, which sends it in one message.
 
         Raises Conflict when the store has applied another index.
         """
--- a/quillring/quorum/messages.py
+++ b/quillring/quorum/messages.py
@@ -66,7 +66,7 @@
 
     @classmethod
     def from_wire(cls, body: WireMap) -> PrepareRequest:
-        """Read the request; leaders of former versions name no `brief`."""
+        """Read the request; leaders of earlier versions omit `brief`."""
         return cls(
             body["part"], Ballot.from_wire(body["ballot"]), body["identity"], body.get("brief")
         )
@@ -161,7 +161,7 @@
 
 
 class InstallRequest(NamedTuple):
-    """`quorum.install`, of former versions: the complete state after the entry `log_index`."""
+    """`quorum.install`, of earlier versions: the complete state after the entry `log_index`."""
 
     part: str
     ballot: Ballot
@@ -431,7 +431,7 @@
 
     @classmethod
     def from_wire(cls, body: WireMap) -> FollowerReadRequest:
-        """Read the request; readers of former versions don't ask for the uncommitted."""
+        """Read the request; readers of earlier versions omit `beyond`."""
         return cls(body["part"], body["query"], bool(body.get("beyond")), body["identity"])
 
     def to_wire(self) -> WireMap:
@@ -458,7 +458,7 @@
 
     @classmethod
     def from_wire(cls, fields: Sequence[Any]) -> FollowerReadReply:
-        """Read the answer; stores of former versions leave the last field out."""
+        """Read the answer; stores of earlier versions omit the last field."""
         applied, group, uncommitted_lots, error_kind, answer, *rest = fields
         uncommitted = None
         for answers in rest[:1]:
--- a/quillring/quorum/retirement_orders.py
+++ b/quillring/quorum/retirement_orders.py
@@ -1,4 +1,4 @@
-"""Which stores operators have ordered to retire, by the newest configuration known."""
+"""Stores that operators have ordered to retire, by the newest configuration known."""
 
 from __future__ import annotations
 
--- a/quillring/store/disk.py
+++ b/quillring/store/disk.py
@@ -24,10 +24,10 @@
         """Truncate or create a file to be written in steps; finish_file() replaces its header."""
 
     def extend_file(self, name: str, data: bytes) -> None:
-        """Append to the file begun last and sync it."""
+        """Append to the file begun last by begin_file(), and sync it."""
 
     def finish_file(self, name: str, header: bytes) -> None:
-        """Write the header of the file begun last, sync and close it."""
+        """Write the header of the file begun last by begin_file(), sync and close it."""
 
     def append(self, name: str, data: bytes) -> None:
         """Append to a file; the data is durable only after sync()."""
@@ -99,14 +99,14 @@
             raise DiskError(file=name, reason=error.strerror) from error
 
     def extend_file(self, name: str, data: bytes) -> None:
-        """Append to the file begun last and sync it."""
+        """Append to the file begun last by begin_file(), and sync it."""
         try:
             _write_and_sync(_opened(self.staged_file, name), name, data)
         except OSError as error:
             raise DiskError(file=name, reason=error.strerror) from error
 
     def finish_file(self, name: str, header: bytes) -> None:
-        """Write the header of the file begun last, sync and close it."""
+        """Write the header of the file begun last by begin_file(), sync and close it."""
         try:
             staged_file = _opened(self.staged_file, name)
             staged_file.seek(0)
