--- a/quillring/edge/journal.py
+++ b/quillring/edge/journal.py
@@ -34,7 +34,7 @@
 
 
 class Journal:
-    """Owns the streams that this node runs or backs up, within MAX_STREAMS and MAX_BYTES."""
+    """Owns the streams that this node runs or backs up; refuses new ones when it is full."""
 
     __slots__ = ("node", "streams", "size")
 
--- a/quillring/edge/resume_token.py
+++ b/quillring/edge/resume_token.py
@@ -36,7 +36,7 @@
 
 
 def make_token(secret: bytes, stream: JournaledStream, now: float) -> str:
-    """Return a token with which the client of a stream may resume it."""
+    """Return a token with which the client may resume the stream for LIFETIME_SECONDS."""
     body = cbor2.dumps([stream.name, list(stream.term), int(now) + LIFETIME_SECONDS])
     signature = _sign(secret, stream.client_name, body)
     return base64.urlsafe_b64encode(signature + body).decode().rstrip("=")
--- a/quillring/edge/stream_handlers.py
+++ b/quillring/edge/stream_handlers.py
@@ -100,7 +100,7 @@
 
 
 def check_resumable(node: Node, route_name: str) -> None:
-    """Raise NotResumable if the class of the route forbids resuming; called before fencing."""
+    """Raise NotResumable if the class of the route forbids resuming a stream."""
     route, _, promise = node.find("layout").route(route_name)
     if not may_resume(promise):
         raise NotResumable(class_name=route["class"])
--- a/quillring/kernel/http_client.py
+++ b/quillring/kernel/http_client.py
@@ -181,7 +181,7 @@
         return data
 
     def keep_seconds(self) -> float:
-        """Return the seconds for which the connection may be reused, from its Keep-Alive header."""
+        """Return the seconds for which to reuse the connection, by its Keep-Alive header if any."""
         for word in self.headers.get("keep-alive", "").split(","):
             name, _, value = word.strip().partition("=")
             if name.lower() == "timeout" and value.isdigit():
