--- a/quillring/lots/http_requests/api.py
+++ b/quillring/lots/http_requests/api.py
@@ -1,4 +1,4 @@
-"""Operations of an edge on lots: submit a lot, read results and bodies, end a lot.
+"""Submit lots, read results and bodies, and end lots, at an edge.
 
 An outcome that is not certain is raised as OutcomeUnknown, never as Refused.
 """
