--- a/quillring/forward/__init__.py
+++ b/quillring/forward/__init__.py
@@ -1,4 +1,4 @@
-"""Requests forwarded unchanged to replicas: load balancing, retry, resumed streams."""
+"""Forwarding of unchanged requests to replicas: load balancing, retries, stream resumption."""
 
 from quillring.forward.decision_log import DecisionLog
 from quillring.forward.events import EventReader
--- a/quillring/forward/events.py
+++ b/quillring/forward/events.py
@@ -1,6 +1,6 @@
-"""Server-sent events: split from a byte stream, checked for order, forwarded only completely.
+"""Parser of server-sent events: returns complete events only and checks the order of their ids.
 
-Source: the event stream format of the HTML standard, section "Server-sent events".
+The format is defined in the HTML standard, section "Server-sent events".
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Event:
-    """One event: its numeric id or None, its data lines and its raw bytes."""
+    """One event: its numeric id (None if it has none), its data lines and its raw bytes."""
 
     __slots__ = ("id", "data", "raw")
 
@@ -31,7 +31,10 @@
 
 
 class EventReader:
-    """Splits a byte stream into complete events; ids must increase by one from `last_event_id`."""
+    """Splits a byte stream into complete events.
+
+    Event ids must increase by one, starting from `last_event_id` if that is given.
+    """
 
     __slots__ = ("unparsed", "last_event_id")
 
@@ -40,7 +43,7 @@
         self.last_event_id = last_event_id
 
     def feed(self, data: bytes) -> list[Event]:
-        """Return the events that are complete with these bytes.
+        """Add bytes and return the events that they complete.
 
         Raises
         ------
@@ -66,5 +69,5 @@
 
     @property
     def is_at_event_boundary(self) -> bool:
-        """Return whether no part of an event is pending."""
+        """Return whether no incomplete event is buffered."""
         return not self.unparsed.strip()
--- a/quillring/forward/header_names.py
+++ b/quillring/forward/header_names.py
@@ -1,4 +1,4 @@
-"""The configurable names of the headers that the product exchanges with clients and replicas."""
+"""Configurable names of the HTTP headers exchanged with clients and replicas."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class HeaderNames:
-    """Header names in lower case; names not given keep their defaults."""
+    """Header names in lower case; a name that is not given keeps its default."""
 
     __slots__ = tuple(DEFAULT_HEADER_NAMES)
 
--- a/quillring/forward/load_messages.py
+++ b/quillring/forward/load_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which the nodes of a zone report their load on replicas to each other."""
+"""Messages with which nodes report their load on replicas to each other."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 from quillring.kernel.records import NamedTuple
 
 LOAD_REPORT = "load.report"
-"""A node's own load, to its zone's representative; with long prompts, to the whole zone."""
+"""A node's own load, sent to its zone's representative, or with a long prompt to the whole zone."""
 ZONE_LOAD_REPORT = "load.zone"
-"""The sum over a zone, to its nodes and to one node of each other zone, which passes it on."""
-MAX_ROWS = 10_000
+"""The sum of a zone, sent to its nodes and to one node of each other zone, which forwards it."""
+MAX_REPLICAS_PER_REPORT = 10_000
 
 
 class PromptStart(NamedTuple):
-    """A long prompt that was sent to a replica.
+    """The start of a long prompt: it was sent to a replica.
 
     Parameters
     ----------
     uncached_tokens
-        Tokens of the prompt that the replica has to process.
+        Prompt tokens that the replica has to process.
     parts
-        The long shared parts of the prompt, which the replica then has in its cache.
+        Long shared parts of the prompt, which are in the replica's cache afterwards.
     """
 
     replica: str
@@ -41,18 +41,18 @@
 
 
 class LoadReport(NamedTuple):
-    """Requests in flight by replica, and what happened to long prompts since the last report.
+    """Requests in flight by replica, and the long prompts since the last report.
 
     Parameters
     ----------
     source
-        The node, or the zone, whose load this is.
+        Name of the node or zone whose load is reported.
     batch_in_flight
-        Those of `in_flight` that are items of lots.
+        The batch requests (items of lots) among `in_flight`.
     silent
-        Replicas with requests in flight that have sent the source nothing for a while.
+        Replicas with requests in flight that have recently sent nothing to the source.
     incarnation, sequence
-        Order the reports of one sender. A receiver ignores those that come late.
+        Order of the reports of one sender. Receivers ignore reports that are not newer.
     """
 
     source: str
@@ -84,12 +84,12 @@
 
     @classmethod
     def from_wire(cls, body: list[Any]) -> LoadReport:
-        """Return the report of a message.
+        """Parse the body of a message.
 
         Raises
         ------
         BadWire
-            The message is malformed; nothing of it is used.
+            The message is malformed; no part of it is used.
         """
         try:
             fields: list[Any] = list(body)
@@ -98,7 +98,7 @@
             timings = [_timing_from_wire(row) for row in timings]
         except (TypeError, ValueError) as error:
             raise BadWire(reason="load report") from error
-        is_sound = (
+        is_valid = (
             isinstance(source, str)
             and _is_count(incarnation)
             and _is_count(sequence)
@@ -107,48 +107,48 @@
             and isinstance(silent, list)
             and all(isinstance(name, str) for name in silent)
         )
-        if not is_sound:
+        if not is_valid:
             raise BadWire(reason="load report")
         return cls(source, incarnation, sequence, in_flight, batch, silent, starts, timings)
 
 
 def _start_from_wire(row: Any) -> PromptStart:
-    """Return a started prompt of a report; raise ValueError or TypeError if it is malformed."""
+    """Parse a prompt start of a report; raise ValueError or TypeError if it is malformed."""
     replica, uncached_tokens, part_rows = row
     parts = tuple(PromptPart(name, token_count) for name, token_count in part_rows)
-    is_sound = (
+    is_valid = (
         isinstance(replica, str)
         and _is_count(uncached_tokens)
         and all(isinstance(part.name, str) and _is_count(part.token_count) for part in parts)
     )
-    if not is_sound:
+    if not is_valid:
         raise ValueError(row)
     return PromptStart(replica, uncached_tokens, parts)
 
 
 def _timing_from_wire(row: Any) -> PromptTiming:
-    """Return a timing of a report; raise ValueError or TypeError if it is malformed."""
+    """Parse a prompt timing of a report; raise ValueError or TypeError if it is malformed."""
     replica, uncached_tokens, seconds = row
-    is_sound = (
+    is_valid = (
         isinstance(replica, str)
         and _is_count(uncached_tokens)
         and isinstance(seconds, float)
         and 0 < seconds < math.inf
     )
-    if not is_sound:
+    if not is_valid:
         raise ValueError(row)
     return PromptTiming(replica, uncached_tokens, seconds)
 
 
 def _are_counts(value: Any) -> bool:
-    """Return whether a value maps a bounded number of names to whole numbers from 0 on."""
+    """Return whether a value maps a limited number of names to non-negative integers."""
     return (
         isinstance(value, dict)
-        and len(value) <= MAX_ROWS
+        and len(value) <= MAX_REPLICAS_PER_REPORT
         and all(isinstance(name, str) and _is_count(count) for name, count in value.items())
     )
 
 
 def _is_count(value: Any) -> bool:
-    """Return whether a value is a whole number from 0 on."""
+    """Return whether a value is a non-negative integer."""
     return isinstance(value, int) and not isinstance(value, bool) and value >= 0
--- a/quillring/forward/policy.py
+++ b/quillring/forward/policy.py
@@ -1,9 +1,11 @@
-"""The constants that decide where a request is sent, and the switches of the mechanisms.
+"""Weights of the load balancer's cost function, and switches for its mechanisms.
 
-Costs are compared between the replicas that could take a request, and the lowest one wins. The unit
-of cost is one request that is late for certain. The expected time to first token enters by the
-probability of being late, as a request that is in time (or late) either way gains little from a
-faster replica. A small part of it enters linearly, as work that is saved is capacity for others.
+A request goes to the candidate replica with the lowest cost. The unit of cost is one request that
+is certain to be late. The expected time to first token enters squared, as a fraction of its goal,
+because a request that is well in time gains little from a faster replica. It also enters linearly
+with a small weight, because saved work is capacity for other requests. Pauses of other streams
+enter by the probability of missing the gap goal, because a pause that stays within the goal, or
+exceeds it at every replica, makes little difference.
 """
 
 from __future__ import annotations
@@ -12,35 +14,39 @@
 
 
 class PlacementPolicy(NamedTuple):
-    """What the load balancer takes into account, and how much of it.
+    """Inputs that the load balancer takes into account, and their weights.
 
     Parameters
     ----------
     shares_load
         Nodes of a zone report their requests in flight and their long prompts to each other.
     tracks_prefixes
-        Replicas that are believed to have a long prompt prefix cached need not process it again.
+        Long prompt prefixes believed to be cached at a replica do not count as tokens to process.
     predicts_wait
-        The expected time to first token counts; otherwise only the requests in flight do.
+        The expected time to first token is part of the cost; otherwise only occupancy, zone and
+        the random cost are.
     wait_cost
-        Weight of the expected time to first token where it enters linearly.
+        Weight of the linear term of the expected time to first token.
     other_zone_cost, other_zone_cost_per_kilobyte
-        Cost of a replica in another zone than the node's, and for each kilobyte of the request.
+        Cost of a replica in another zone than this node, and its increase per kilobyte of the
+        request body.
     interruption_cost
-        Cost of each request in flight whose events pause for too long while a replica processes the
-        prompt: replicas decode and process prompts in turns.
+        Cost of each request in flight whose events pause for too long while the replica processes
+        this prompt, as replicas alternate between decoding and processing prompts.
     separation_cost
-        Cost of a replica at the other end of its zone's order than the size of the prompt asks for.
-        Short prompts prefer the first replicas and prompts that interrupt streams the last ones, as
-        in size-interval task assignment (Harchol-Balter, Crovella and Murta, 1999), but softly.
+        Cost of a replica at the opposite end of its zone's order from the one that suits the prompt
+        size. Short prompts prefer the first replicas, and prompts that interrupt streams the last
+        ones. This is size-interval task assignment (Harchol-Balter, Crovella and Murta, 1999) as a
+        preference instead of a strict rule.
     occupancy_cost
-        Cost of a replica all of whose slots are taken.
+        Cost of a replica with all slots in use; proportional to the share in use.
     random_cost
-        Largest random cost; nodes that know the same then choose different replicas.
+        Upper bound of a random cost, which makes nodes with equal information choose different
+        replicas.
     min_prefix_tokens
-        Shared prompt parts of at least so many tokens are tracked.
+        Shortest shared prompt part, in tokens, that is tracked.
     min_reported_tokens
-        Prompts with at least so many tokens to process are reported to the zone at once.
+        Prompts with at least this many tokens to process are reported to the zone immediately.
     cache_share
         Share of a replica's KV cache that long shared prefixes are expected to fill.
     """
--- a/quillring/forward/replica_health.py
+++ b/quillring/forward/replica_health.py
@@ -1,4 +1,4 @@
-"""Load and health of one replica as observed by this node's requests (outlier detection)."""
+"""Load and health of a replica as observed by this node's requests, for outlier ejection."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
     from quillring.forward.types import Replica
     from quillring.kernel.bounds import Bounds
 
-EJECTION_GROWTH = 1.6
+EJECTION_BACKOFF_FACTOR = 1.6
 CERTAIN_FAILURE_WEIGHT = 2
 
 
 def has_missed_heartbeats(replica: Replica, now: float, seconds: float) -> bool:
-    """Return whether `seconds` have passed since the last heartbeat or first sight of a replica."""
+    """Return whether a replica's last heartbeat, or its discovery, is at least `seconds` ago."""
     return now - max(replica.last_heartbeat_at, replica.first_seen_at) >= seconds
 
 
 class ReplicaHealth:
-    """Requests in flight, the estimated queue of prompts, and failures in a row.
+    """Requests in flight, estimated prompt queue and consecutive failures of one replica.
 
-    Two failures in a row, or a certain one, eject the replica, with exponential backoff up to twice
-    `bounds.propagation`. After that one trial request at a time shows whether it has recovered (a
-    half-open circuit breaker).
+    Two consecutive failures, or one certain failure, eject the replica, with exponential backoff up
+    to twice `bounds.propagation`. Afterwards, one trial request at a time tests whether the replica
+    has recovered (a half-open circuit breaker).
     """
 
     __slots__ = (
@@ -49,22 +49,24 @@
         self.last_byte_at = 0.0
 
     def may_get_request(self, now: float) -> bool:
-        """Return whether the replica is neither ejected nor busy with its trial request."""
+        """Return whether the replica is neither ejected nor running its trial request."""
         return now >= self.ejected_until and not self.has_trial_request
 
     def overdue_seconds(self, now: float) -> float:
-        """Return how long the first token of a request of this node is overdue.
+        """Return by how many seconds the earliest expected first token of this node is overdue.
 
-        A replica that is late is expected to be late by as much again.
+        Used as an estimate of the replica's further delay: it is assumed to last as long again.
         """
         if not self.expected_first_tokens:
             return 0.0
         return max(0.0, now - min(self.expected_first_tokens.values()))
 
     def record_failure(self, now: float, is_certain: bool, bounds: Bounds) -> None:
-        """Record a failure; the second in a row, or a certain one, ejects the replica."""
+        """Record a failure; a second consecutive one, or a certain one, ejects the replica."""
         self.consecutive_failures += CERTAIN_FAILURE_WEIGHT if is_certain else 1
         self.has_trial_request = False
         if self.consecutive_failures > 1:
-            backoff = bounds.heartbeat_interval / 2 * EJECTION_GROWTH**self.consecutive_failures
+            backoff = (
+                bounds.heartbeat_interval / 2 * EJECTION_BACKOFF_FACTOR**self.consecutive_failures
+            )
             self.ejected_until = now + min(bounds.propagation * 2, backoff)
--- a/quillring/forward/request.py
+++ b/quillring/forward/request.py
@@ -1,4 +1,4 @@
-"""One request to be forwarded, and its serialization for a replica."""
+"""A request to forward: parsing of its metadata, and serialization for a replica."""
 
 from __future__ import annotations
 
@@ -26,29 +26,29 @@
         "expect",
     )
 )
-"""Headers of one connection (RFC 9110, section 7.6.1), and those that are written anew."""
+"""Headers of one connection (RFC 9110, section 7.6.1), and headers that are generated again."""
 BODILESS_METHODS = ("GET", "HEAD", "DELETE")
-MAX_DIGITS = 15
+MAX_NUMBER_DIGITS = 15
 
 
 class PromptPart(NamedTuple):
-    """A part of a prompt that other requests may share, and its length in tokens."""
+    """A part of a prompt that other requests may share, with its length in tokens."""
 
     name: str
     token_count: int
 
 
 class TokenCounts(NamedTuple):
-    """Tokens of the prompt, and the maximum number of output tokens; 0 if not given."""
+    """Number of prompt tokens and maximum number of output tokens; 0 if not given."""
 
     prompt: int
     max_output: int
 
 
 class Request:
-    """Method, target, host, headers and body as received, and the prompt metadata in them.
+    """Method, target, host, headers and body as received, with the prompt metadata parsed.
 
-    `prompt_parts` are in order; the last one belongs to this request alone.
+    `prompt_parts` are in the order of the prompt; the last one is specific to this request.
     """
 
     __slots__ = (
@@ -101,7 +101,7 @@
         urgency: int | None,
         last_event_id: int | None,
     ) -> bytes:
-        """Serialize the request as HTTP/1.1 for one replica."""
+        """Serialize the request as HTTP/1.1 for a replica; `seconds_left` becomes its deadline."""
         lines = [f"{self.method} {self.target} HTTP/1.1"]
         lines.extend(f"{name}: {value}" for name, value in self.header_pairs)
         lines.append(f"{header_names.replica}: {replica_name}")
@@ -116,28 +116,30 @@
 
 
 def hop_by_hop_headers(headers: Mapping[str, str]) -> set[str] | frozenset[str]:
-    """Return the names of the headers not to forward, with those that `Connection` lists."""
+    """Return the names of headers not to forward, including those listed in `Connection`."""
     connection = headers.get("connection")
     if not connection:
         return HOP_BY_HOP_HEADERS
-    return HOP_BY_HOP_HEADERS.union(word.strip().lower() for word in connection.split(","))
+    return HOP_BY_HOP_HEADERS.union(name.strip().lower() for name in connection.split(","))
 
 
 def parse_number(text: str | None) -> int | None:
     """Return the non-negative integer of a header value, or None if it is malformed."""
     text = (text or "").strip()
-    return int(text) if text.isascii() and text.isdigit() and len(text) <= MAX_DIGITS else None
+    return (
+        int(text) if text.isascii() and text.isdigit() and len(text) <= MAX_NUMBER_DIGITS else None
+    )
 
 
 def parse_prompt_parts(text: str) -> tuple[PromptPart, ...]:
-    """Return the prompt parts of `name:tokens, ...`; malformed text gives an empty tuple."""
-    words = [word.strip().partition(":") for word in text.split(",") if word.strip()]
-    if not all(name and count.isascii() and count.isdigit() for name, _, count in words):
+    """Parse prompt parts from `name:tokens, ...`; return an empty tuple for malformed text."""
+    entries = [entry.strip().partition(":") for entry in text.split(",") if entry.strip()]
+    if not all(name and count.isascii() and count.isdigit() for name, _, count in entries):
         return ()
-    return tuple(PromptPart(name, int(count)) for name, _, count in words)
+    return tuple(PromptPart(name, int(count)) for name, _, count in entries)
 
 
 def parse_token_counts(text: str) -> TokenCounts:
-    """Return the counts of `prompt tokens, maximum output tokens`; 0 for a malformed one."""
+    """Parse `prompt tokens, maximum output tokens`; return 0 for a malformed count."""
     prompt, _, max_output = text.partition(",")
     return TokenCounts(parse_number(prompt) or 0, parse_number(max_output) or 0)
--- a/quillring/forward/route_table.py
+++ b/quillring/forward/route_table.py
@@ -27,7 +27,7 @@
     """One forwarding route of the configuration (an entry of `forwards`).
 
     `latency_goal_seconds` is the goal for the first byte, `gap_goal_seconds` the goal between two
-    pieces of a stream, `timeout_seconds` the longest time from arrival to the end of a request.
+    events of a stream, `timeout_seconds` the limit from the arrival of a request to its end.
     """
 
     __slots__ = (
@@ -63,11 +63,11 @@
 
     @property
     def is_retryable(self) -> bool:
-        """Return whether a request may run again after a replica may have started it."""
+        """Return whether a request may be sent again after a replica may have run it."""
         return self.kind == REPEATABLE or (self.kind == STREAM and self.is_resumable)
 
     def pick_service(self, key: str) -> str:
-        """Return the service for a key: a hash of it, split in proportion to the weights."""
+        """Return the service for a key: its hash selects one in proportion to the weights."""
         if len(self.split) == 1:
             return self.split[0].service
         total = sum(weight for _, weight in self.split)
@@ -80,7 +80,7 @@
 
 
 class ForwardRouteTable:
-    """Owns the routes by host and prefix; rebuilds them when the configuration changes."""
+    """The routes by host and prefix; rebuilt when the configuration changes."""
 
     __slots__ = ("node", "configuration", "by_host", "by_name")
 
@@ -111,7 +111,7 @@
         return not self.by_name
 
     def find(self, host: str, target: str) -> ForwardRoute | None:
-        """Return the route with the longest prefix of the path of the target, or None."""
+        """Return the route with the longest prefix that matches the target's path, or None."""
         self._rebuild_if_changed()
         host = host.lower()
         prefixes = self.by_host.get(host)
@@ -131,6 +131,6 @@
         return None
 
     def find_by_name(self, name: str) -> ForwardRoute | None:
-        """Return the route of a name, or None."""
+        """Return the route with a name, or None."""
         self._rebuild_if_changed()
         return self.by_name.get(name)
--- a/quillring/forward/types.py
+++ b/quillring/forward/types.py
@@ -1,4 +1,4 @@
-"""The protocol of a replica as forwarding uses it; imported for type checking only."""
+"""Protocol of a replica as used by forwarding; imported for type checking only."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Replica(Protocol):
-    """A replica that requests may be forwarded to."""
+    """A replica to which requests may be forwarded."""
 
     name: str
     service: str
@@ -19,5 +19,5 @@
     first_seen_at: float
 
     def is_cold(self, now: float) -> bool:
-        """Return whether the replica still warms up."""
+        """Return whether the replica is still warming up."""
         ...
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -9,7 +9,7 @@
 
 
 def slow_starts(rate):
-    """Return {name: slow_start} of nodes that all see the same graph, roster and layout."""
+    """Return SlowStart objects by node name, and the graph, roster and layout that they share."""
     members = {n: SimpleNamespace(name=n, role=n.partition("-")[0]) for n in EDGES}
     configuration = SimpleNamespace(configuration={"services": {"words": {"warm_rate": rate}}})
     nifty = SimpleNamespace(
@@ -20,21 +20,21 @@
     return {node.me.name: SlowStart(node) for node in nodes}, services
 
 
-def test_the_rate_shares_of_all_senders_add_up_to_what_a_cold_replica_bears():
-    made, services = slow_starts(16)
-    parts = [slow_start.rate_share(REPLICA) for slow_start in made.values()]
-    assert sum(parts) == 16 and sorted(parts)[-4:] == [4, 4, 4, 4]
-    now = sum(
+def test_rate_shares_of_all_senders_sum_to_the_rate_of_a_cold_replica():
+    slow_start_by_name, services = slow_starts(16)
+    rate_shares = [slow_start.rate_share(REPLICA) for slow_start in slow_start_by_name.values()]
+    assert sum(rate_shares) == 16 and sorted(rate_shares)[-4:] == [4, 4, 4, 4]
+    acquired_count = sum(
         slow_start.try_acquire(REPLICA, time / 100)
-        for slow_start in made.values()
+        for slow_start in slow_start_by_name.values()
         for time in range(100)
     )
-    assert now <= 16 * 1.5 + 5
+    assert acquired_count <= 16 * 1.5 + 5
 
 
-def test_a_rate_share_is_computed_once_for_a_graph_a_roster_and_a_configuration():
-    made, services = slow_starts(16)
-    slow_start = made["edge-1"]
+def test_rate_share_is_cached_until_the_graph_or_configuration_changes():
+    slow_start_by_name, services = slow_starts(16)
+    slow_start = slow_start_by_name["edge-1"]
     with mock.patch.object(module, "score", wraps=module.score) as scored:
         for time in range(50):
             slow_start.try_acquire(REPLICA, time / 100)
