--- a/tests/test_decision_log.py
+++ b/tests/test_decision_log.py
@@ -36,7 +36,7 @@
 )
 from quillring.verbs.process import LOG_LEVELS, log_writer
 from quillring.verbs.status_routes import show_decisions, show_traffic
-from tests.forward_stage import HEAD, beat, event, make, request, run
+from tests.forward_stage import HEAD, beat, event, make_stage, request, run
 from tests.test_nifty import beat as heartbeat
 from tests.test_nifty import member
 from tests.test_nifty import node as nifty_node
@@ -48,7 +48,7 @@
 
 
 def recorded(answers, sent=None, **fields):
-    runtime, node = make(answers, **fields)
+    runtime, node = make_stage(answers, **fields)
     node.find("decisions").ratio = 1.0
     lines = []
     node.log = lambda level, text, *words: lines.append((level, text % words))
@@ -76,7 +76,7 @@
 def test_a_record_goes_into_the_log_of_a_real_process(tmp_path):
     path = tmp_path / "ring.log"
     node_logger, ring = ring_log("edge-1", str(path))
-    _, node = make({})
+    _, node = make_stage({})
     node.log = log_writer(node_logger)
     DecisionLog(node, 1.0).add(RECORD)
     ring.dump()
@@ -117,7 +117,7 @@
 
 
 def test_nothing_is_recorded_unless_asked_for_and_never_without_bound():
-    runtime, node = make({0: [COMPLETE]}, replicas=1)
+    runtime, node = make_stage({0: [COMPLETE]}, replicas=1)
     run(runtime, node)
     assert not node.find("decisions").records
     log = DecisionLog(node, 1.0)
@@ -157,7 +157,7 @@
 
 def test_the_reason_names_a_cached_prefix_and_another_zone():
     sent = request(**{"X-Prompt-Chain": "ab:30000,cd:200", "X-Token-Count": "30200,80"})
-    runtime, node = make({0: [COMPLETE, COMPLETE]}, replicas=0)
+    runtime, node = make_stage({0: [COMPLETE, COMPLETE]}, replicas=0)
     beat(node, 0, domain="south")
     node.find("decisions").ratio = 1.0
     run(runtime, node, sent)
--- a/tests/test_event_bytes.py
+++ b/tests/test_event_bytes.py
@@ -4,7 +4,7 @@
 
 from proving.sim.scripted_runtime import BREAK, END
 from quillring.forward import EventReader
-from tests.forward_stage import HEAD, STREAM, address, both, make, run, text
+from tests.forward_stage import HEAD, STREAM, address, both, make_stage, run, stream_bytes
 from tests.http_lot_stage import HttpLotStage, accepted
 
 VERSIONED = b"weight-versions:7\nid: 1\ndata: p1\n\n"
@@ -23,9 +23,9 @@
     body = STREAMS[kind]
     for cut in range(len(body) + 1):
         steps = [HEAD, *((0.01, part) for part in (body[:cut], body[cut:]) if part), (0, END)]
-        runtime, node = make(both(steps))
+        runtime, node = make_stage(both(steps))
         run(runtime, node)
-        assert text(runtime) == body, cut
+        assert stream_bytes(runtime) == body, cut
         reader = EventReader()
         ids = [e.id for e in [*reader.feed(body[:cut]), *reader.feed(body[cut:])] if e.data]
         assert ids == list(range(len(ids))) and reader.last_event_id == ids[-1]
@@ -35,7 +35,7 @@
 def test_a_stream_goes_on_after_the_last_whole_event_wherever_a_replica_broke_off(cut):
     first = [HEAD, (0.01, b"id: 0\ndata: p0\n\n" + VERSIONED[:cut]), (0.01, BREAK)]
     second = [(0.01, (200, {**STREAM, "weight-versions": "7"})), (0.01, VERSIONED), (0, END)]
-    runtime, node = make({}, replicas=2)
+    runtime, node = make_stage({}, replicas=2)
     runtime.answers = {address(0): [first], address(1): [first]}
     original = runtime._send
 
@@ -46,7 +46,7 @@
 
     runtime._send = send
     run(runtime, node)
-    assert text(runtime) == b"id: 0\ndata: p0\n\n" + VERSIONED
+    assert stream_bytes(runtime) == b"id: 0\ndata: p0\n\n" + VERSIONED
     assert [b"last-event-id: 0\r\n" in sent[1] for sent in runtime.sent] == [False, True]
 
 
--- a/tests/test_forward.py
+++ b/tests/test_forward.py
@@ -5,33 +5,33 @@
 from quillring.kernel.errors import BackendError, OutcomeUnknown, Refused
 from tests.forward_stage import (
     HEAD,
-    PLAIN,
     PLAIN_HEAD,
+    PLAIN_HEADERS,
     address,
     beat,
     both,
     event,
-    make,
+    make_stage,
     request,
     run,
-    text,
+    stream_bytes,
 )
 
 
-def test_a_request_goes_on_unchanged_and_names_its_replica():
-    runtime, node = make(both([HEAD, (0.01, event(0)), (0, END)]))
+def test_request_is_forwarded_unchanged_with_replica_name_and_deadline_headers():
+    runtime, node = make_stage(both([HEAD, (0.01, event(0)), (0, END)]))
     run(runtime, node)
     data = runtime.sent[0][1].decode()
     assert data.startswith("POST /a/x?y=%20z HTTP/1.1\r\nHost: h\r\nX-Inquiry: q1\r\n")
     assert "x-replica-named: r" in data and "x-deadline-ms: 4000" in data
     assert data.endswith("Content-Length: 4\r\n\r\nbody")
-    assert runtime.emitted[0][0] == 200 and text(runtime) == event(0)
+    assert runtime.emitted[0][0] == 200 and stream_bytes(runtime) == event(0)
 
 
-def test_a_cut_stream_goes_on_at_another_replica_after_the_last_whole_event():
+def test_interrupted_stream_resumes_at_another_replica_after_last_complete_event():
     first = [HEAD, (0.01, event(0) + event(1) + b"id: 2\nda"), (0.01, BREAK)]
     second = [HEAD, (0.01, event(2)), (0, END)]
-    runtime, node = make(both(first, second))
+    runtime, node = make_stage(both(first, second))
     runtime.answers = {address(0): [first], address(1): [first]}
     sent_to = []
     original = runtime._send
@@ -44,33 +44,35 @@
 
     runtime._send = send
     run(runtime, node)
-    assert text(runtime) == event(0) + event(1) + event(2)
+    assert stream_bytes(runtime) == event(0) + event(1) + event(2)
     assert len(set(sent_to)) == 2
     assert b"last-event-id: 1" in runtime.sent[1][1]
 
 
-def test_a_stream_that_may_not_be_resumed_is_cut_and_never_sent_again():
-    runtime, node = make(both([HEAD, (0.01, event(0)), (0.01, BREAK)]), resumable=False)
+def test_interrupted_stream_that_is_not_resumable_is_not_retried():
+    runtime, node = make_stage(both([HEAD, (0.01, event(0)), (0.01, BREAK)]), resumable=False)
     with pytest.raises(OutcomeUnknown):
         run(runtime, node)
     assert len(runtime.sent) == 1 and not runtime.sent[0][2]
 
 
-def test_what_may_not_repeat_is_not_sent_twice_after_silence():
-    runtime, node = make(both([(9, SILENT)]), kind="once")
+def test_request_that_may_run_only_once_is_not_retried_after_a_timeout():
+    runtime, node = make_stage(both([(9, SILENT)]), kind="once")
     with pytest.raises(OutcomeUnknown):
         run(runtime, node)
     assert len(runtime.sent) == 1
 
 
-def test_a_refused_connection_reached_nothing_and_is_tried_elsewhere():
-    runtime, node = make({1: [[PLAIN_HEAD, (0.01, b"ok"), (0, END)]]}, kind="once", attempts=1)
+def test_request_is_sent_to_another_replica_after_a_refused_connection():
+    runtime, node = make_stage(
+        {1: [[PLAIN_HEAD, (0.01, b"ok"), (0, END)]]}, kind="once", attempts=1
+    )
     status, _, body = run(runtime, node)
     assert (status, body) == (200, b"ok")
 
 
-def test_a_silent_replica_is_left_in_time_for_the_next_event():
-    runtime, node = make(both([(0, SILENT)], [HEAD, (0.01, event(0)), (0, END)]))
+def test_attempt_at_a_stalled_replica_is_abandoned_and_retried():
+    runtime, node = make_stage(both([(0, SILENT)], [HEAD, (0.01, event(0)), (0, END)]))
     runtime.answers[address(0)] = [[HEAD, (0.01, event(0)), (9, SILENT)]]
     runtime.answers[address(1)] = [[HEAD, (0.01, event(0)), (9, SILENT)]]
     start_time = runtime.now()
@@ -80,23 +82,23 @@
     assert runtime.handles[0].is_closed and runtime.now() - start_time < 5.1
 
 
-def test_events_of_two_runs_are_never_joined():
-    runtime, node = make(both([HEAD, (0.01, event(5)), (0, END)]), attempts=1)
+def test_stream_fails_if_its_events_do_not_follow_the_last_event_id():
+    runtime, node = make_stage(both([HEAD, (0.01, event(5)), (0, END)]), attempts=1)
     with pytest.raises(OutcomeUnknown):
         run(runtime, node, request(**{"Last-Event-Id": "2"}))
-    assert text(runtime) == b""
+    assert stream_bytes(runtime) == b""
 
 
-def test_an_answer_without_its_seal_is_no_success():
+def test_stream_without_seal_header_is_not_forwarded():
     unsealed = (0.01, (200, {"content-type": "text/event-stream"}))
-    runtime, node = make(both([unsealed, (0.01, event(0)), (0, END)]), attempts=1)
+    runtime, node = make_stage(both([unsealed, (0.01, event(0)), (0, END)]), attempts=1)
     with pytest.raises(OutcomeUnknown):
         run(runtime, node)
     assert not runtime.emitted
 
 
-def test_a_replica_that_leaves_gets_nothing_and_refusals_come_at_once():
-    runtime, node = make(both([HEAD, (0.01, event(0)), (0, END)]))
+def test_leaving_replicas_receive_no_request_and_refusal_is_immediate():
+    runtime, node = make_stage(both([HEAD, (0.01, event(0)), (0, END)]))
     beat(node, 0, 2, state="leaving")
     beat(node, 1, 2, state="gone")
     start_time = runtime.now()
@@ -106,31 +108,33 @@
     assert refusal.value.detail["come_back_s"] > 0
 
 
-def test_a_wrong_replica_at_the_address_is_not_asked_again():
+def test_replica_with_a_misdirected_response_receives_no_further_request():
     misdirected = [(0.01, (421, {"x-inquiry": "q1"}))]
-    runtime, node = make(both(misdirected), attempts=3)
+    runtime, node = make_stage(both(misdirected), attempts=3)
     with pytest.raises(Refused):
         run(runtime, node)
     assert {sent[0] for sent in runtime.sent} == {address(0), address(1)}
     assert not node.find("placement").replicas("s")
 
 
-def test_a_word_of_not_run_lets_even_a_single_request_go_elsewhere_within_its_attempts():
-    shed = [(0.01, (503, {"x-inquiry": "q1", "x-not-run": "1"}))]
-    whole = [PLAIN_HEAD, (0.01, b"ok"), (0, END)]
-    runtime, node = make(both(shed, whole), kind="once", attempts=2)
-    runtime.answers = {address(0): [shed], address(1): [shed]}
+def test_not_run_response_permits_retry_of_a_request_that_may_run_only_once():
+    not_run = [(0.01, (503, {"x-inquiry": "q1", "x-not-run": "1"}))]
+    complete = [PLAIN_HEAD, (0.01, b"ok"), (0, END)]
+    runtime, node = make_stage(both(not_run, complete), kind="once", attempts=2)
+    runtime.answers = {address(0): [not_run], address(1): [not_run]}
     with pytest.raises(Refused):
         run(runtime, node)
     assert len(runtime.sent) == 2
 
 
-def test_a_failure_of_the_replicas_own_is_passed_on_when_it_may_not_repeat():
-    runtime, node = make(both([(0.01, (500, PLAIN)), (0, b"bad"), (0, END)]), kind="once")
+def test_server_error_is_forwarded_if_the_request_may_run_only_once():
+    runtime, node = make_stage(
+        both([(0.01, (500, PLAIN_HEADERS)), (0, b"bad"), (0, END)]), kind="once"
+    )
     assert run(runtime, node)[::2] == (500, b"bad")
 
 
-def test_events_are_split_wherever_the_bytes_were_cut():
+def test_events_are_parsed_at_any_chunk_boundary():
     data = event(0) + event(1) + event(2)
     for cut in range(len(data)):
         reader = EventReader()
--- a/tests/test_forward_once.py
+++ b/tests/test_forward_once.py
@@ -1,4 +1,4 @@
-"""What may not repeat goes out once; what may, on no more replicas than its route allows."""
+"""Limits on how often a forwarded request is sent: once, or as often as its route allows."""
 
 from unittest import mock
 
@@ -9,19 +9,19 @@
 from quillring.kernel.node import Node
 from tests.forward_stage import (
     HEAD,
-    PLAIN,
     PLAIN_HEAD,
+    PLAIN_HEADERS,
     address,
     beat,
     both,
     event,
-    make,
+    make_stage,
     request,
     run,
-    text,
+    stream_bytes,
 )
 
-WHOLE = [PLAIN_HEAD, (0.01, b"ok"), (0, END)]
+COMPLETE_RESPONSE = [PLAIN_HEAD, (0.01, b"ok"), (0, END)]
 FRAMED = {"transfer-encoding": "chunked"}
 
 
@@ -31,21 +31,27 @@
 
 @pytest.mark.parametrize("kind", ["once", "stream"])
 @pytest.mark.parametrize("fault", [[(0, BREAK)], [(9, SILENT)], [HEAD, (0.01, BREAK)]])
-def test_what_may_not_repeat_goes_out_once_on_a_new_connection(kind, fault):
-    runtime, node = make(both(fault, WHOLE), kind=kind, resumable=False, attempts=3, replicas=2)
+def test_request_that_may_run_only_once_is_sent_once_on_a_new_connection(kind, fault):
+    runtime, node = make_stage(
+        both(fault, COMPLETE_RESPONSE), kind=kind, resumable=False, attempts=3, replicas=2
+    )
     with pytest.raises(OutcomeUnknown):
         run(runtime, node)
     assert [may_reuse for _, _, may_reuse in runtime.sent] == [False]
 
 
-def test_what_may_repeat_is_sent_again_on_a_new_connection_where_the_kept_one_had_died():
-    runtime, node = make({0: [[(0, STALE)], WHOLE]}, kind="repeatable", attempts=1, replicas=1)
+def test_retryable_request_is_resent_on_a_new_connection_if_the_idle_one_was_dead():
+    runtime, node = make_stage(
+        {0: [[(0, STALE)], COMPLETE_RESPONSE]}, kind="repeatable", attempts=1, replicas=1
+    )
     assert run(runtime, node)[::2] == (200, b"ok")
     assert [may_reuse for _, _, may_reuse in runtime.sent] == [True, False]
 
 
-def test_a_replica_that_leaves_meanwhile_is_not_sent_again_what_its_connection_lost():
-    runtime, node = make({0: [[(0.5, STALE)], WHOLE]}, kind="repeatable", attempts=1, replicas=1)
+def test_request_is_not_resent_to_a_replica_that_left_after_the_dead_connection():
+    runtime, node = make_stage(
+        {0: [[(0.5, STALE)], COMPLETE_RESPONSE]}, kind="repeatable", attempts=1, replicas=1
+    )
     wait_for_head = runtime.perform
 
     def perform(effect):
@@ -59,18 +65,20 @@
     assert len(runtime.sent) == 1
 
 
-def test_a_replica_reached_over_a_dead_connection_counts_among_the_tries():
+def test_attempt_over_a_dead_connection_counts_towards_the_limit():
     answers = {n: [[(0, STALE)]] for n in range(6)}
-    runtime, node = make(answers, kind="repeatable", attempts=2, replicas=6)
+    runtime, node = make_stage(answers, kind="repeatable", attempts=2, replicas=6)
     with pytest.raises(OutcomeUnknown):
         run(runtime, node)
     assert len(replicas_reached(runtime)) == 2
 
 
 @pytest.mark.parametrize("status", [503, 421])
-def test_a_refusal_after_a_dead_connection_says_nothing_of_the_first_sending(status):
+def test_not_run_response_after_a_dead_connection_leaves_the_outcome_unknown(status):
     refusal = [(0.01, (status, {"x-inquiry": "q1", "x-not-run": "1"}))]
-    runtime, node = make({0: [[(0, STALE)], refusal]}, kind="repeatable", attempts=1, replicas=1)
+    runtime, node = make_stage(
+        {0: [[(0, STALE)], refusal]}, kind="repeatable", attempts=1, replicas=1
+    )
     with pytest.raises(OutcomeUnknown):
         run(runtime, node)
     assert len(runtime.sent) == 2 and runtime.handles[1].is_closed
@@ -79,12 +87,19 @@
 
 @pytest.mark.parametrize("attempts", [1, 2, 3])
 @pytest.mark.parametrize("kind", ["repeatable", "stream"])
-def test_no_more_replicas_run_a_request_than_its_route_allows(kind, attempts):
-    shed = [(0.01, (503, {"x-inquiry": "q1", "x-not-run": "1"}))]
-    ran = [[HEAD, (0.01, event(0)), (0, BREAK)]] if kind == "stream" else [[(0, BREAK)]]
-    ways = {0: ran, 1: [shed] * 9, 2: ran, 3: [], 4: ran, 5: ran}
+def test_number_of_replicas_that_run_a_request_stays_within_the_route_limit(kind, attempts):
+    not_run = [(0.01, (503, {"x-inquiry": "q1", "x-not-run": "1"}))]
+    failed_run = [[HEAD, (0.01, event(0)), (0, BREAK)]] if kind == "stream" else [[(0, BREAK)]]
+    responses_by_replica = {
+        0: failed_run,
+        1: [not_run] * 9,
+        2: failed_run,
+        3: [],
+        4: failed_run,
+        5: failed_run,
+    }
     for seed in range(20):
-        runtime, node = make(ways, kind=kind, attempts=attempts, replicas=6)
+        runtime, node = make_stage(responses_by_replica, kind=kind, attempts=attempts, replicas=6)
         runtime.random.seed(seed)
         with pytest.raises((OutcomeUnknown, Refused)):
             run(runtime, node)
@@ -93,32 +108,34 @@
 
 
 @pytest.mark.parametrize("status", [429, 503, 408])
-def test_a_promise_without_the_word_of_not_run_is_not_passed_on(status):
-    runtime, node = make(both([(0.01, (status, PLAIN)), (0, END)]), kind="once")
+def test_not_run_status_without_not_run_header_is_not_forwarded(status):
+    runtime, node = make_stage(both([(0.01, (status, PLAIN_HEADERS)), (0, END)]), kind="once")
     with pytest.raises(OutcomeUnknown):
         run(runtime, node)
     assert len(runtime.sent) == 1
 
 
-def test_a_success_without_the_replicas_seal_is_no_success():
+def test_success_without_seal_header_leaves_the_outcome_unknown():
     unsealed = [(0.01, (200, {"x-inquiry": "q1"})), (0, b"ok"), (0, END)]
-    runtime, node = make(both(unsealed), kind="once")
+    runtime, node = make_stage(both(unsealed), kind="once")
     with pytest.raises(OutcomeUnknown):
         run(runtime, node)
-    runtime, node = make(both(unsealed), kind="repeatable")
+    runtime, node = make_stage(both(unsealed), kind="repeatable")
     with pytest.raises(OutcomeUnknown):
         run(runtime, node)
     assert len(runtime.sent) == 2
 
 
-def test_a_failure_keeps_its_status_and_its_seal():
-    runtime, node = make(both([(0.01, (504, PLAIN)), (0, b"late"), (0, END)]), kind="once")
+def test_server_error_keeps_its_status_and_seal_header():
+    runtime, node = make_stage(
+        both([(0.01, (504, PLAIN_HEADERS)), (0, b"late"), (0, END)]), kind="once"
+    )
     status, pairs, body = run(runtime, node)
     assert (status, dict(pairs)["x-seal"], body) == (504, "s", b"late")
 
 
-def test_a_stream_whose_time_is_over_as_a_replica_appears_ends_at_once():
-    runtime, node = make({0: [[HEAD, (0.01, event(0)), (0, BREAK)]]}, replicas=1)
+def test_stream_ends_at_its_deadline_even_if_a_replica_appears_then():
+    runtime, node = make_stage({0: [[HEAD, (0.01, event(0)), (0, BREAK)]]}, replicas=1)
     real_perform = runtime.perform
 
     def perform(effect):
@@ -134,9 +151,9 @@
 
     def count(node, name):
         attempts.append(name)
-        assert len(attempts) < 100, "the same replica is tried without end"
+        assert len(attempts) < 100, "the same replica is tried endlessly"
 
     with mock.patch.object(Node, "count", count), pytest.raises(Refused):
         run(runtime, node, request(**{"X-Deadline-Ms": "4990"}))
-    assert text(runtime) == event(0)
+    assert stream_bytes(runtime) == event(0)
     assert runtime.now() < 1006
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -7,7 +7,7 @@
 from quillring.forward.request_handler import forward_request
 from quillring.kernel.effects import SendToClient
 from quillring.kernel.errors import BackendError, QuillringError
-from tests.forward_stage import HEAD, PLAIN_HEAD, both, event, make, request
+from tests.forward_stage import HEAD, PLAIN_HEAD, both, event, make_stage, request
 from tests.test_raw_clients import Stream
 from tests.test_raw_server import Client, serve  # noqa: F401
 
@@ -48,7 +48,7 @@
     kind, steps = WAYS[way]
     for stop_at in range(200):
         answers = both(*steps) if steps else {}
-        runtime, node = make(answers, kind=kind, attempts=2, replicas=2 if steps else 0)
+        runtime, node = make_stage(answers, kind=kind, attempts=2, replicas=2 if steps else 0)
         sent = request()
         forward = node.find("forwards").find("h", sent.target)
         coroutine = forward_request(node, forward, sent, node.now())
--- a/tests/test_items_yield.py
+++ b/tests/test_items_yield.py
@@ -10,14 +10,14 @@
     ConcurrencyLimits,
     slots_for,
 )
-from tests.forward_stage import make, request
+from tests.forward_stage import make_stage, request
 
 SLOTS = 8
 
 
 def free_slots(clients, items=0, share=CALM_SHARE):
     """Return what lots may take of a replica with requests of other nodes in flight."""
-    _, node = make({}, replicas=1)
+    _, node = make_stage({}, replicas=1)
     in_flight = {"r0": clients + items} if clients + items else {}
     report = LoadReport("north", 1, 1, in_flight, {"r0": items} if items else {}, [], [], [])
     node.find("placement").exchange.on_zone_load_report(report.to_wire(), "core-1")
@@ -26,7 +26,7 @@
 
 @pytest.mark.parametrize("share", [CALM_SHARE, NEAR_SHARE])
 def test_items_have_their_share_beside_few_clients_and_yield_to_many(share):
-    _, node = make({}, replicas=1)
+    _, node = make_stage({}, replicas=1)
     most = slots_for(node.find("replicas").table["r0"], share)
     counts = [free_slots(clients, share=share) for clients in range(SLOTS * 3)]
     assert counts[0] == most and counts[-1] == 1
@@ -41,7 +41,7 @@
 
 
 def test_own_items_are_not_counted_as_clients():
-    _, node = make({}, replicas=1)
+    _, node = make_stage({}, replicas=1)
     placement, replica = node.find("placement"), node.find("replicas").table["r0"]
     runs = [placement.start_request(replica, request(), is_batch=True) for _ in range(5)]
     asked = placement.start_request(replica, request())
--- a/tests/test_load_balancer.py
+++ b/tests/test_load_balancer.py
@@ -14,11 +14,11 @@
 from quillring.kernel.bounds import Bounds
 from quillring.kernel.errors import Refused
 from quillring.nifty import Member
-from tests.forward_stage import beat, make, request, run
+from tests.forward_stage import beat, make_stage, request, run
 
 
-def test_a_cold_replica_bears_its_rate_over_the_whole_fleet():
-    runtime, node = make({}, replicas=0)
+def test_requests_to_a_cold_replica_stay_close_to_its_rate():
+    runtime, node = make_stage({}, replicas=0)
     beat(node, 0, cold_ms=60_000)
     placement, count = node.find("placement"), 0
     for step in range(400):
@@ -32,61 +32,65 @@
 GOALS = LatencyGoals(0.25, 0.3)
 
 
-def choices(placement, sent, count=20):
+def chosen_names(placement, sent, count=20):
     return {placement.choose("s", sent, goals=GOALS).name for _ in range(count)}
 
 
-def test_long_shared_parts_keep_to_their_replica_until_it_has_too_much_to_process():
-    runtime, node = make({}, replicas=6)
+def test_requests_with_a_cached_long_prefix_go_to_its_replica_until_it_is_overloaded():
+    runtime, node = make_stage({}, replicas=6)
     placement, long = node.find("placement"), request(**LONG)
     first = placement.choose("s", long, goals=GOALS)
     placement.start_request(first, long).note_body_bytes(1)
-    assert choices(placement, long) == {first.name}
+    assert chosen_names(placement, long) == {first.name}
     other = request(**{"X-Prompt-Chain": "ef:30000,cd:900", "X-Token-Count": "30900,80"})
     placement.start_request(first, other)
-    assert first.name not in choices(placement, long)
+    assert first.name not in chosen_names(placement, long)
     runtime.time += 5
-    assert first.name not in choices(placement, long), "its first token is overdue"
+    assert first.name not in chosen_names(placement, long), (
+        "the first token of its request is overdue"
+    )
 
 
-def test_a_prompt_that_a_peer_sent_counts_like_an_own_one():
-    runtime, node = make({}, replicas=3)
+def test_long_prompt_reported_by_a_peer_adds_queued_work_and_a_cached_prefix():
+    runtime, node = make_stage({}, replicas=3)
     placement = node.find("placement")
     start = PromptStart("r1", 40_000, (PromptPart("ab", 13_000),))
     report = LoadReport("edge-2", 1, 1, {"r1": 1}, {}, [], [start], [])
     placement.exchange.on_load_report(report.to_wire(), "edge-2")
     short = request(**{"X-Token-Count": "500,80"})
-    assert "r1" not in choices(placement, short)
-    assert "r1" not in choices(placement, request(**LONG))
+    assert "r1" not in chosen_names(placement, short)
+    assert "r1" not in chosen_names(placement, request(**LONG))
     runtime.time += 2
-    assert choices(placement, request(**LONG)) == {"r1"}, "processed by now, and cached there"
+    assert chosen_names(placement, request(**LONG)) == {"r1"}, (
+        "r1 has processed the prompt and has it cached"
+    )
 
 
-def test_requests_in_flight_of_peers_count():
-    _, node = make({}, replicas=3)
+def test_requests_in_flight_of_peers_count_as_load():
+    _, node = make_stage({}, replicas=3)
     placement = node.find("placement")
     report = LoadReport("north", 1, 1, {"r0": 8, "r2": 9}, {}, [], [], [])
     placement.exchange.on_zone_load_report(report.to_wire(), "core-1")
-    assert choices(placement, request()) == {"r1"}
+    assert chosen_names(placement, request()) == {"r1"}
 
 
-def test_another_zone_is_chosen_for_what_saves_time_and_not_for_little():
-    _, node = make({}, replicas=0)
+def test_another_zone_is_chosen_only_if_its_cached_prefix_saves_much_time():
+    _, node = make_stage({}, replicas=0)
     beat(node, 0)
     beat(node, 1, domain="south")
     placement = node.find("placement")
-    assert choices(placement, request()) == {"r0"}
+    assert chosen_names(placement, request()) == {"r0"}
     table = node.find("replicas").table
     large = request(**{"X-Prompt-Chain": "gh:30000,cd:900", "X-Token-Count": "30900,80"})
     small = request(**{"X-Prompt-Chain": "kl:2100,cd:90", "X-Token-Count": "2190,80"})
     for sent in (large, small):
         placement.start_request(table["r1"], sent).note_body_bytes(1)
-    assert choices(placement, large) == {"r1"}
-    assert choices(placement, small) == {"r0"}
+    assert chosen_names(placement, large) == {"r1"}
+    assert chosen_names(placement, small) == {"r0"}
 
 
-def test_a_slow_replica_is_learnt_from_its_times_to_first_token():
-    runtime, node = make({}, replicas=2)
+def test_slow_replica_is_avoided_after_long_times_to_first_token():
+    runtime, node = make_stage({}, replicas=2)
     placement, table = node.find("placement"), node.find("replicas").table
     for number in range(8):
         for name, seconds in (("r0", 0.6), ("r1", 0.1)):
@@ -98,31 +102,31 @@
             in_flight.note_body_bytes(1)
             in_flight.finish()
         placement.exchange._report_zone_load()
-    assert choices(placement, request(**LONG)) == {"r1"}
+    assert chosen_names(placement, request(**LONG)) == {"r1"}
 
 
-def test_a_replica_is_unresponsive_only_if_its_silence_has_no_known_reason():
-    runtime, node = make({}, replicas=1)
+def test_silent_replica_is_unresponsive_unless_it_answers_a_peer_or_processes_a_prompt():
+    runtime, node = make_stage({}, replicas=1)
     placement, replica = node.find("placement"), node.find("replicas").table["r0"]
     placement.health(replica).last_byte_at = runtime.time
     runtime.time += 0.5
     assert placement.is_unresponsive(replica, 0.36)
     report = LoadReport("north", 1, 1, {"r0": 1}, {}, ["r0"], [], [])
     placement.exchange.on_zone_load_report(report.to_wire(), "core-1")
-    assert placement.is_unresponsive(replica, 0.36), "it is silent there too"
+    assert placement.is_unresponsive(replica, 0.36), "it is silent towards the peers too"
     report = LoadReport("north", 1, 2, {"r0": 1}, {}, [], [], [])
     placement.exchange.on_zone_load_report(report.to_wire(), "core-1")
-    assert not placement.is_unresponsive(replica, 0.36), "it answers a peer"
+    assert not placement.is_unresponsive(replica, 0.36), "it responds to a peer"
     runtime.time += 0.5
     assert placement.is_unresponsive(replica, 0.36)
     placement.health(replica).work.add(0.4, runtime.time - 0.5)
-    assert not placement.is_unresponsive(replica, 0.36), "it processes a prompt"
+    assert not placement.is_unresponsive(replica, 0.36), "it is processing a prompt"
     runtime.time += 0.5
     assert placement.is_unresponsive(replica, 0.36)
 
 
-def test_only_the_end_of_the_trial_request_lets_another_trial_begin():
-    runtime, node = make({}, replicas=1)
+def test_new_trial_request_starts_only_after_the_previous_trial_finished():
+    runtime, node = make_stage({}, replicas=1)
     placement, replica = node.find("placement"), node.find("replicas").table["r0"]
     former = placement.start_request(replica, request())
     placement.record_failure(replica, is_certain=True)
@@ -134,9 +138,9 @@
     assert placement.choose("s", request()) is replica
 
 
-def test_a_replica_that_turns_a_long_prompt_away_teaches_nothing_of_its_speed():
+def test_not_run_response_to_a_long_prompt_does_not_change_speed_estimates():
     not_run = [(0.001, (503, {"x-not-run": "1", "x-inquiry": "q1"}))]
-    runtime, node = make({0: [not_run, not_run]}, replicas=1, attempts=2)
+    runtime, node = make_stage({0: [not_run, not_run]}, replicas=1, attempts=2)
     placement, replica = node.find("placement"), node.find("replicas").table["r0"]
     before = placement.speed(replica).prompt_cost.seconds(13_900)
     with pytest.raises(Refused):
@@ -147,8 +151,8 @@
     assert placement.health(replica).work.wait_seconds(runtime.time) == 0
 
 
-def test_a_request_that_ends_before_its_first_token_leaves_no_work():
-    runtime, node = make({}, replicas=1)
+def test_work_of_a_request_that_ends_before_its_first_token_is_removed():
+    runtime, node = make_stage({}, replicas=1)
     placement, replica = node.find("placement"), node.find("replicas").table["r0"]
     in_flight = placement.start_request(replica, request(**LONG))
     health = placement.health(replica)
@@ -157,8 +161,8 @@
     assert health.work.wait_seconds(runtime.time) == 0 and not health.expected_first_tokens
 
 
-def test_what_is_believed_of_replicas_that_are_gone_is_forgotten():
-    _, node = make({}, replicas=2)
+def test_state_of_removed_replicas_is_dropped():
+    _, node = make_stage({}, replicas=2)
     placement, table = node.find("placement"), node.find("replicas").table
     for name in ("r0", "r1"):
         placement.start_request(table[name], request(**LONG)).finish()
@@ -170,8 +174,8 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_without_any_report_requests_spread_over_all_replicas(seed):
-    runtime, node = make({}, replicas=8)
+def test_requests_spread_evenly_over_replicas_without_any_load_report(seed):
+    runtime, node = make_stage({}, replicas=8)
     runtime.random.seed(seed)
     placement, counts = node.find("placement"), Counter()
     for _ in range(64):
@@ -181,8 +185,8 @@
     assert max(counts.values()) - min(counts.values()) <= 4
 
 
-def test_the_longest_prefix_of_the_host_counts():
-    runtime, node = make({})
+def test_route_with_the_longest_matching_prefix_of_the_host_is_found():
+    runtime, node = make_stage({})
     configuration = node.find("layout").configuration
     forwards = {
         "a": {**configuration["forwards"]["f"], "prefix": "/"},
@@ -201,19 +205,19 @@
     assert table.find("other", "/a/") is None
 
 
-def test_a_node_without_a_configuration_refuses_and_never_says_that_nothing_is_there():
+def test_node_without_a_configuration_responds_503_instead_of_not_found():
     runtime = ScriptedRuntime()
     me = Member("edge-1", 1, "edge", "north", "10.0.0.9", 7, 8, "")
     node = make_node(me, runtime, [], Bounds())
     with pytest.raises(Refused) as refusal:
         check_ready(node)
     assert refusal.value.status == 503 and refusal.value.detail["come_back_s"] > 0
-    check_ready(make({})[1])
+    check_ready(make_stage({})[1])
 
 
-def test_a_store_knows_the_replicas_again_after_power_was_lost():
+def test_replica_snapshot_is_restored_after_a_power_loss_with_a_truncated_file():
     disk = SimDisk(random.Random(1))
-    runtime, node = make({}, replicas=3)
+    runtime, node = make_stage({}, replicas=3)
     snapshot = ReplicaSnapshot(node, disk)
     beat(node, 1, 2, state="leaving")
     snapshot._write()
@@ -221,7 +225,7 @@
     snapshot._write()
     disk.lose_power()
     disk.durable["replicas.0"] = disk.durable["replicas.0"][:-1]
-    runtime, node = make({}, replicas=0)
+    runtime, node = make_stage({}, replicas=0)
     ReplicaSnapshot(node, disk).restore()
     known = node.find("replicas").table
     assert {name: replica.state for name, replica in known.items()} == {
--- a/tests/test_load_exchange.py
+++ b/tests/test_load_exchange.py
@@ -1,4 +1,4 @@
-"""Reports of load between nodes: who gets them, and what late, lost and malformed ones do."""
+"""Load reports between nodes: recipients, sums, and late, expired and malformed reports."""
 
 import random
 from typing import NamedTuple
@@ -40,21 +40,21 @@
 
 
 class FakeNifty:
-    """Records what is sent; all members but the lost ones are reached."""
+    """Records sent messages; all members are reachable except those set as unreachable."""
 
     def __init__(self, members, me):
         self.members = {member.name: member for member in members}
         self.roster = FakeRoster(self.members)
         self.me, self.sent = me, []
-        self.lose(())
+        self.set_unreachable(())
 
-    def lose(self, names):
-        self.lost_names = set(names)
-        reached = set(self.members) - self.lost_names - {self.me}
+    def set_unreachable(self, names):
+        self.unreachable_names = set(names)
+        reached = set(self.members) - self.unreachable_names - {self.me}
         self.graph = FakeGraph(dict.fromkeys(reached))
 
     def reaches(self, name):
-        return name in self.members and name not in self.lost_names
+        return name in self.members and name not in self.unreachable_names
 
     def find_member(self, name):
         return self.members.get(name)
@@ -79,7 +79,7 @@
 
 
 class Stage:
-    """An exchange of one node."""
+    """The load exchange of one node, with recorded messages and callbacks."""
 
     def __init__(self, name="edge-n1"):
         me = next(m for m in MEMBERS if m.name == name)
@@ -97,7 +97,9 @@
             self.timings.append,
         )
 
-    def take(self, origin, sequence, in_flight, incarnation=1, silent=(), starts=(), timings=()):
+    def receive_report(
+        self, origin, sequence, in_flight, incarnation=1, silent=(), starts=(), timings=()
+    ):
         report = LoadReport(
             origin, incarnation, sequence, in_flight, {}, [*silent], [*starts], [*timings]
         )
@@ -110,7 +112,7 @@
     ).to_wire()
 
 
-def test_a_long_prompt_is_reported_at_once_to_the_zones_senders_only():
+def test_long_prompt_is_reported_immediately_to_the_sending_nodes_of_the_zone_only():
     stage = Stage()
     stage.own = {"r0": 2}
     stage.exchange.note_start(START)
@@ -119,20 +121,20 @@
     assert (report.source, report.in_flight, report.starts) == ("edge-n1", {"r0": 2}, [START])
 
 
-def test_load_goes_to_the_representative_only_which_is_a_core_while_there_is_one():
+def test_load_is_reported_to_the_representative_only_which_is_a_core_if_one_is_reachable():
     stage = Stage()
     stage.own = {"r0": 1}
     stage.exchange._report_own_load()
     assert [(target, name) for target, name, _ in stage.nifty.sent] == [("core-n", LOAD_REPORT)]
-    stage.nifty.lose({"core-n"})
+    stage.nifty.set_unreachable({"core-n"})
     representative = stage.exchange._representative("north")
     assert representative in ("edge-n1", "edge-n2")
     other = Stage("edge-n2")
-    other.nifty.lose({"core-n"})
+    other.nifty.set_unreachable({"core-n"})
     assert other.exchange._representative("north") == representative
 
 
-def test_a_node_without_requests_says_so_once_and_is_silent_then():
+def test_node_without_requests_reports_zero_load_only_once():
     stage = Stage()
     stage.own = {"r0": 1}
     stage.exchange._report_own_load()
@@ -145,7 +147,7 @@
     assert len(stage.nifty.sent) == count
 
 
-def test_unchanged_load_is_repeated_before_it_expires():
+def test_unchanged_load_is_reported_again_before_it_expires():
     stage, representative = Stage(), Stage("core-n")
     stage.own = representative.own = {"r0": 1}
     reports = (stage.exchange._report_own_load, representative.exchange._report_zone_load)
@@ -160,12 +162,12 @@
     assert stage.node.bounds.heartbeat_interval < stage.node.bounds.link_timeout
 
 
-def test_the_representative_sums_the_zone_and_others_leave_their_own_requests_out():
+def test_representative_sums_the_zone_and_each_node_subtracts_its_own_requests():
     core, edge = Stage("core-n"), Stage("edge-n1")
     core.own, edge.own = {"r0": 1}, {"r0": 2, "r1": 1}
     edge.exchange._report_own_load()
     core.exchange.on_load_report(edge.nifty.sent[-1][2], "edge-n1")
-    core.take("edge-n2", 1, {"r1": 4})
+    core.receive_report("edge-n2", 1, {"r1": 4})
     core.exchange._report_zone_load()
     assert {target for target, _, _ in core.nifty.sent} == {"edge-n1", "edge-n2"}
     assert [core.exchange.peer_in_flight(name) for name in ("r0", "r1")] == [2, 5]
@@ -174,11 +176,11 @@
     assert edge.exchange.peer_in_flight("unknown") == 0
 
 
-def test_late_and_doubled_reports_change_nothing():
+def test_late_and_duplicate_reports_are_ignored():
     stage = Stage()
-    stage.take("edge-n2", 2, {"r0": 3}, starts=[START])
-    stage.take("edge-n2", 1, {"r0": 9}, starts=[START])
-    stage.take("edge-n2", 2, {"r0": 3}, starts=[START])
+    stage.receive_report("edge-n2", 2, {"r0": 3}, starts=[START])
+    stage.receive_report("edge-n2", 1, {"r0": 9}, starts=[START])
+    stage.receive_report("edge-n2", 2, {"r0": 3}, starts=[START])
     assert stage.starts == [(START, True)]
     assert stage.exchange.node_reports["edge-n2"].report.in_flight == {"r0": 3}
     for sequence, in_flight in ((2, {"r0": 3}), (1, {"r0": 9, "r1": 9}), (2, {"r0": 3})):
@@ -191,27 +193,27 @@
     assert [stage.exchange.peer_in_flight(name) for name in ("r0", "r1")] == [0, 1]
 
 
-@pytest.mark.parametrize("way", ["silent", "lost"])
-def test_the_load_of_a_lost_node_is_dropped(way):
+@pytest.mark.parametrize("reason", ["silent", "unreachable"])
+def test_load_of_an_unreachable_or_silent_node_is_dropped(reason):
     stage = Stage("core-n")
-    stage.take("edge-n1", 1, {"r0": 3})
-    stage.take("edge-n2", 1, {"r0": 2})
+    stage.receive_report("edge-n1", 1, {"r0": 3})
+    stage.receive_report("edge-n2", 1, {"r0": 2})
     stage.exchange.on_zone_load_report(zone_report(1, {"r0": 4}, "south"), "edge-s1")
-    if way == "lost":
-        stage.nifty.lose({"edge-n1", "edge-s1"})
+    if reason == "unreachable":
+        stage.nifty.set_unreachable({"edge-n1", "edge-s1"})
     else:
         stage.runtime.time += stage.node.bounds.link_timeout
-        stage.take("edge-n2", 2, {"r0": 2})
+        stage.receive_report("edge-n2", 2, {"r0": 2})
         stage.runtime.time += 0.01
     stage.exchange._drop_expired_reports()
     stage.exchange._report_zone_load()
     assert stage.exchange.peer_in_flight("r0") == 2
 
 
-def test_the_sum_and_the_long_prompts_reach_every_node_of_another_zone():
+def test_zone_sum_and_long_prompts_reach_every_node_of_another_zone():
     sender = Stage("core-n")
     sender.own = {"r0": 1}
-    sender.take("edge-n1", 1, {"r0": 4, "r1": 2}, starts=[START])
+    sender.receive_report("edge-n1", 1, {"r0": 4, "r1": 2}, starts=[START])
     sender.exchange._report_zone_load()
     sender.nifty.sent.clear()
     sender.exchange._report_to_other_zones()
@@ -227,31 +229,31 @@
     other.exchange.on_zone_load_report(body, "core-n")
     assert [other.exchange.peer_in_flight(name) for name in ("r0", "r1")] == [5, 2]
     assert other.starts == [(START, False)]
-    ((peer, _, passed_on),) = other.nifty.sent
+    ((peer, _, forwarded),) = other.nifty.sent
     last = Stage(peer)
-    last.exchange.on_zone_load_report(passed_on, target)
+    last.exchange.on_zone_load_report(forwarded, target)
     assert last.exchange.peer_in_flight("r0") == 5 and not last.nifty.sent
     sender.nifty.sent.clear()
     sender.exchange._report_to_other_zones()
     ((_, _, body),) = sender.nifty.sent
-    assert LoadReport.from_wire(body).starts == [], "each start is told once"
+    assert LoadReport.from_wire(body).starts == [], "each prompt start is reported once"
 
 
-def test_the_report_of_another_representative_replaces_the_first():
+def test_report_of_a_new_representative_replaces_the_previous_one():
     stage = Stage()
     stage.exchange.on_zone_load_report(zone_report(7, {"r0": 4}, "south"), "edge-s1")
     stage.exchange.on_zone_load_report(zone_report(1, {"r0": 3}, "south"), "edge-s2")
     assert stage.exchange.peer_in_flight("r0") == 3
 
 
-def test_the_sum_is_that_of_the_last_reports_of_all_nodes():
+def test_zone_sum_is_computed_from_the_last_report_of_each_node():
     chance = random.Random(5)
     for _ in range(50):
         stage, last = Stage("core-n"), {}
         for sequence in range(1, 40):
             origin = chance.choice(["edge-n1", "edge-n2"])
             in_flight = {f"r{n}": chance.randrange(1, 5) for n in chance.sample(range(4), 2)}
-            stage.take(origin, sequence, in_flight)
+            stage.receive_report(origin, sequence, in_flight)
             last[origin] = in_flight
         stage.exchange._report_zone_load()
         for number in range(4):
@@ -259,7 +261,7 @@
             assert stage.exchange.peer_in_flight(f"r{number}") == total
 
 
-def test_a_report_is_read_as_it_was_written():
+def test_report_round_trips_through_its_wire_format():
     report = LoadReport("edge-n2", 3, 4, {"r0": 3}, {"r0": 1}, ["r0"], [START], [TIMING])
     assert LoadReport.from_wire(report.to_wire()) == report
 
@@ -285,7 +287,7 @@
         [7, 1, 1, {}, {}, [], [], []],
     ],
 )
-def test_a_malformed_report_is_refused_and_changes_nothing(body):
+def test_malformed_report_is_rejected_without_side_effects(body):
     stage = Stage()
     for handler in (stage.exchange.on_load_report, stage.exchange.on_zone_load_report):
         with pytest.raises(BadWire):
@@ -294,7 +296,7 @@
 
 
 @given(JSON_LIKE)
-def test_any_other_value_is_a_report_or_refused(body):
+def test_arbitrary_value_is_parsed_or_rejected(body):
     try:
         report = LoadReport.from_wire(body)
     except BadWire:
@@ -302,10 +304,10 @@
     assert LoadReport.from_wire(report.to_wire()) == report
 
 
-def test_a_replica_is_silent_only_if_it_is_so_to_all_that_wait_for_it():
+def test_replica_is_silent_only_if_it_is_silent_towards_all_nodes_with_requests():
     core, edge = Stage("core-n"), Stage("edge-n1")
-    core.take("edge-n1", 1, {"r0": 1, "r1": 1}, silent=["r0", "r1"])
-    core.take("edge-n2", 1, {"r0": 1}, silent=[])
+    core.receive_report("edge-n1", 1, {"r0": 1, "r1": 1}, silent=["r0", "r1"])
+    core.receive_report("edge-n2", 1, {"r0": 1}, silent=[])
     core.exchange._report_zone_load()
     body = core.nifty.sent[0][2]
     assert LoadReport.from_wire(body).silent == ["r1"]
@@ -313,7 +315,7 @@
     assert edge.active == core.active == ["r0"]
 
 
-def test_items_of_lots_are_told_apart():
+def test_batch_requests_are_counted_separately():
     core, other = Stage("core-n"), Stage("edge-s1")
     core.own, core.items = {"r0": 3}, {"r0": 2}
     report = LoadReport("edge-n1", 1, 1, {"r0": 4}, {"r0": 1}, [], [], [])
@@ -328,9 +330,9 @@
     assert other.exchange.peer_batch_in_flight("r0") == 3
 
 
-def test_times_to_first_token_reach_the_nodes_of_the_zone_once():
+def test_times_to_first_token_are_reported_once_to_the_nodes_of_the_zone():
     core, edge = Stage("core-n"), Stage("edge-n1")
-    core.take("edge-n2", 1, {}, timings=[TIMING])
+    core.receive_report("edge-n2", 1, {}, timings=[TIMING])
     core.exchange._report_zone_load()
     edge.exchange.on_zone_load_report(core.nifty.sent[0][2], "core-n")
     assert edge.timings == core.timings == [TIMING]
@@ -339,6 +341,6 @@
     assert not core.nifty.sent
 
 
-def test_the_messages_are_handled_by_their_names():
+def test_handlers_are_registered_for_both_messages():
     stage = Stage()
     assert {LOAD_REPORT, ZONE_LOAD_REPORT} <= set(stage.node.handlers)
--- a/tests/test_placement_estimates.py
+++ b/tests/test_placement_estimates.py
@@ -1,4 +1,4 @@
-"""What the load balancer learns and believes: prompt costs, replica queues, cached prefixes."""
+"""Estimates of the load balancer: prompt costs, replica queues and cached prefixes."""
 
 import pytest
 from hypothesis import given
@@ -19,14 +19,14 @@
 SECONDS = st.floats(1e-6, 1e6)
 
 
-def test_work_drains_while_time_passes_and_a_first_token_corrects_it():
+def test_unfinished_work_drains_with_time_and_is_corrected_at_a_first_token():
     work = WorkQueue()
     work.add(0.2, now=10.0)
-    added_at_first = work.added_seconds
+    total_added_at_first_request = work.added_seconds
     work.add(0.3, now=10.0)
     assert work.wait_seconds(10.0) == pytest.approx(0.5)
     assert work.wait_seconds(10.4) == pytest.approx(0.1)
-    work.complete(added_at_first, now=10.5)
+    work.complete(total_added_at_first_request, now=10.5)
     assert work.wait_seconds(10.5) == pytest.approx(0.3)
     work.cancel(0.3, now=10.5)
     assert work.wait_seconds(10.5) == 0
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize(("linear", "quadratic"), [(6e-6, 9e-11), (2e-5, 0.0), (1e-6, 1e-9)])
-def test_the_cost_of_prompts_is_learnt_with_its_quadratic_part(linear, quadratic):
+def test_prompt_cost_fit_recovers_linear_and_quadratic_coefficients(linear, quadratic):
     cost = PromptCost()
     for number in range(300):
         tokens = 2_000 + 37_000 * (number * 7 % 11) // 11
@@ -48,7 +48,7 @@
 
 
 @given(st.lists(st.tuples(TOKENS, SECONDS), max_size=60), TOKENS, TOKENS)
-def test_whatever_is_recorded_costs_are_finite_positive_and_grow(samples, tokens, more):
+def test_costs_are_finite_positive_and_monotonic_for_any_samples(samples, tokens, more):
     speed = ServiceSpeed()
     for token_count, seconds in samples:
         speed.prompt_cost.record(token_count, seconds)
@@ -59,14 +59,14 @@
 
 
 @given(st.lists(st.floats(1e-9, 1e12), min_size=1))
-def test_the_slowness_of_a_replica_stays_within_its_bounds(ratios):
+def test_slowdown_of_a_replica_stays_within_its_bounds(ratios):
     work = WorkQueue()
     for ratio in ratios:
         work.record_slowness(ratio)
     assert MIN_SLOWNESS <= work.slowness <= MAX_SLOWNESS
 
 
-def test_a_part_counts_as_cached_only_behind_parts_that_are():
+def test_prompt_part_counts_as_cached_only_if_all_parts_before_it_are_cached():
     directory = PrefixDirectory()
     first, second = PromptPart("a", 3000), PromptPart("b", 5000)
     directory.record("r0", (first,), 10_000)
@@ -79,7 +79,7 @@
     assert directory.cached_tokens("r1", (second,)) == 5000
 
 
-def test_the_least_recently_used_prefix_is_forgotten_first():
+def test_least_recently_used_prefix_is_evicted_first():
     directory = PrefixDirectory()
     parts = [PromptPart(f"p{number}", 4000) for number in range(3)]
     directory.record("r", parts[:2], 10_000)
@@ -89,7 +89,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 40), st.integers(0, 9000)), max_size=200))
-def test_the_directory_keeps_its_count_and_its_bound(uses):
+def test_directory_token_count_is_consistent_and_within_capacity(uses):
     directory = PrefixDirectory()
     for number, token_count in uses:
         directory.record("r", (PromptPart(str(number), token_count),), 20_000)
@@ -98,7 +98,7 @@
         assert cache.total_tokens == sum(cache.tokens_by_part.values()) <= 20_000
 
 
-def test_a_flood_of_tiny_prefixes_takes_bounded_memory():
+def test_number_of_prefixes_per_replica_is_bounded():
     directory = PrefixDirectory()
     for number in range(MAX_PARTS_PER_REPLICA * 2):
         directory.record("r", (PromptPart(str(number), 0),), None)
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -10,7 +10,7 @@
 from quillring.kernel.http_messages import HttpRequest
 from quillring.verbs import process
 from tests import platform_path  # noqa: F401
-from tests.forward_stage import PLAIN_HEAD, both, make
+from tests.forward_stage import PLAIN_HEAD, both, make_stage
 
 from system_edge import handle_client, handle_ready  # isort: skip
 
@@ -29,7 +29,7 @@
     """Notes what the machine answers while `drain` lets time pass."""
 
     def __init__(self, grace):
-        self.runtime, self.node = make(both(*[WHOLE] * 99), kind="repeatable", attempts=1)
+        self.runtime, self.node = make_stage(both(*[WHOLE] * 99), kind="repeatable", attempts=1)
         self.node.offer("dialect", HeaderNames())
         self.node.bounds = Bounds(grace_period=grace)
         self.node.under_way = 1
