--- a/proving/placement/run.py
+++ b/proving/placement/run.py
@@ -190,7 +190,7 @@
                 balancer.record_failure(replica, is_certain=True)
                 return None
             yield self.env.timeout(delay)
-            in_flight.note_body_bytes(0)
+            in_flight.record_body_bytes(0)
             first_token_at = self.env.now
             yield end
             return Served(first_token_at, work.longest_gap)
--- a/quillring/forward/attempt.py
+++ b/quillring/forward/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: send a request to one replica, and classify whether it ran."""
+"""One forwarding attempt: send a request to one replica and classify whether it ran."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
     from quillring.kernel.node import Node
     from quillring.kernel.types import Coroutine
 
-GRACE_SECONDS = 0.05
-"""A response is waited for so long past the end of its request."""
+RESPONSE_GRACE_SECONDS = 0.05
+"""Time for which a response is still read after the deadline of its request."""
 MISDIRECTED_REQUEST = 421
-"""Status of a replica that is not the one named in the request (RFC 9110, section 15.5.20)."""
-BUSY_TIMEOUT_FACTOR = 4
-"""A replica that answers other requests gets so many times the first-byte timeout."""
+"""Status from a replica other than the one named in the request (RFC 9110, section 15.5.20)."""
+BUSY_FIRST_BYTE_TIMEOUT_FACTOR = 4
+"""Multiple of the first-byte timeout for a replica that responds to other requests."""
 
 
 def open_response(
@@ -34,23 +34,25 @@
     may_reuse: bool,
     first_byte_timeout: float | None = None,
 ) -> Coroutine:
-    """Send the request and return the response's handle once its head is there.
+    """Send the request and return the response handle once the response head is read.
 
     Parameters
     ----------
     end_time
         Deadline of the request, in seconds of the node's clock.
     may_reuse
-        The request may run again. Only then is an idle connection used; if that was dead, the
-        request is sent once more on a new one, after the replica and the deadline are rechecked.
+        Whether the request may run again. Only then may it be sent on an idle connection; if that
+        connection turns out to be dead, the request is sent once more on a new one, after the
+        replica's state and the deadline are checked again.
     first_byte_timeout
-        Seconds without any response byte until a replica is given up; BUSY_TIMEOUT_FACTOR times
-        as long if it responds to other requests.
+        Seconds without any response byte after which the attempt fails, multiplied by
+        BUSY_FIRST_BYTE_TIMEOUT_FACTOR if the replica responds to other requests. None or 0: only
+        the deadline applies.
 
     Raises
     ------
     NotSent
-        The request did not run.
+        The request has not run.
     BackendError
         The request may have run.
     """
@@ -73,10 +75,10 @@
     end_time: float,
     first_byte_timeout: float | None,
 ) -> Coroutine:
-    """Retry, on a new connection, a request that a dead connection may have delivered.
+    """Send a request again on a new connection after a dead one may have delivered it.
 
-    The first delivery may have run whatever the retry returns, so NotSent and a "not run" response
-    become BackendError.
+    The first delivery may have run, whatever the second one returns. NotSent and a "not run"
+    response therefore become BackendError.
     """
     fields = (node, replica, request, last_event_id, urgency, end_time)
     try:
@@ -85,7 +87,7 @@
         raise BackendError(**error.detail) from error
     if is_not_run(node.find("dialect"), handle):
         handle.close()
-        note_if_misdirected(node, replica, handle)
+        record_if_misdirected(node, replica, handle)
         raise BackendError(reason="not run this time")
     return handle
 
@@ -100,7 +102,16 @@
     may_reuse: bool,
     first_byte_timeout: float | None,
 ) -> Coroutine:
-    """Send the request on one connection and return the handle once the head is read."""
+    """Send the request on one connection and return its handle once the response head is read.
+
+    Raises
+    ------
+    NotSent
+        The request has not run; for example, the replica no longer accepts requests, or the
+        deadline has passed.
+    BackendError
+        The request may have run.
+    """
     if not node.find("replicas").may_receive_requests(replica):
         raise NotSent(replica=replica.name, reason="left")
     header_names = node.find("dialect")
@@ -124,31 +135,31 @@
 def wait_for_head(
     node: Node, replica: Replica, handle: Any, end_time: float, first_byte_timeout: float | None
 ) -> Coroutine:
-    """Return once the head is read; BackendError after the timeout."""
+    """Return once the response head is read; raise BackendError after the timeout."""
     if not first_byte_timeout:
-        yield ReadHead(handle, end_time - node.now() + GRACE_SECONDS)
+        yield ReadHead(handle, end_time - node.now() + RESPONSE_GRACE_SECONDS)
         return
     sent_at = node.now()
     try:
-        seconds_left = end_time - node.now() + GRACE_SECONDS
+        seconds_left = end_time - node.now() + RESPONSE_GRACE_SECONDS
         yield ReadHead(handle, min(seconds_left, first_byte_timeout))
         return
     except BackendError as error:
         is_unresponsive = node.find("placement").is_unresponsive(replica, node.now() - sent_at)
         if error.detail["reason"] != STALL or is_unresponsive or node.now() >= end_time:
             raise
-    seconds_left = end_time - node.now() + GRACE_SECONDS
-    yield ReadHead(handle, min(seconds_left, first_byte_timeout * BUSY_TIMEOUT_FACTOR))
+    seconds_left = end_time - node.now() + RESPONSE_GRACE_SECONDS
+    yield ReadHead(handle, min(seconds_left, first_byte_timeout * BUSY_FIRST_BYTE_TIMEOUT_FACTOR))
 
 
-def note_if_misdirected(node: Node, replica: Replica, handle: Any) -> None:
-    """Record a 421 response: another replica answered at the address."""
+def record_if_misdirected(node: Node, replica: Replica, handle: Any) -> None:
+    """Mark the replica as misdirected if the status is 421: another one answered at its address."""
     if handle.status == MISDIRECTED_REQUEST:
         node.find("replicas").note_misdirected(replica)
 
 
 def is_not_run(header_names: HeaderNames, handle: Any) -> bool:
-    """Return whether the replica states that it did not run the request and never will."""
+    """Return whether the response states that the request has not run and never will."""
     return handle.status == MISDIRECTED_REQUEST or header_names.not_run in handle.headers
 
 
--- a/quillring/forward/decision_log.py
+++ b/quillring/forward/decision_log.py
@@ -1,7 +1,7 @@
-"""Why requests went where they did, and where their time went: a bounded, sampled record.
+"""Sampled log of load-balancing decisions, with the time that each request took.
 
-Off unless the setting `decision_log_ratio` is above 0. The last records are kept in memory for
-operators; with logging at level `info` each is also one structured line of the node's log.
+Disabled unless the setting `decision_log_ratio` is above 0. The last MAX_RECORDS records are kept
+in memory for operators. At log level `info`, each is also written to the node's log as JSON.
 """
 
 from __future__ import annotations
@@ -25,23 +25,24 @@
 IN_TIME = "in_time"
 LATE_CAUSES = ("queued_here", "retried", "expected_wait", "long_prompt", "unexpected_wait")
 QUEUED_HERE, RETRIED, EXPECTED_WAIT, LONG_PROMPT, UNEXPECTED_WAIT = LATE_CAUSES
-LARGE_SHARE = 0.5
-"""A cause explains a late first token if it took at least this share of the latency goal."""
+MIN_CAUSE_SHARE = 0.5
+"""A delay is the cause of a late first token from this share of the latency goal on."""
 
 
 class DecisionRecord(NamedTuple):
-    """One forwarded request: where its last attempt went and why, and where its time went.
+    """One forwarded request: the replica of its last attempt, why it was chosen, and the timing.
 
     Parameters
     ----------
     reason
-        Why that replica: its cached prefix, or the least cost in the own or another zone.
+        Why the replica was chosen: its cached prefix, or the lowest cost in this node's zone or
+        in another zone; NOT_PLACED if no replica was chosen.
     expected_wait_seconds, uncached_tokens, known_in_flight
-        What the node believed of the replica when it sent the request.
+        The node's estimates for the replica when it sent the request.
     queued_seconds
-        From the arrival of the request until a replica was chosen for its last attempt.
+        Time from the arrival of the request to the start of its last attempt.
     first_token_seconds
-        From the arrival until the first token, None if there was none.
+        Time from the arrival to the first token; None if there was none.
     goal_seconds
         The latency goal of the route.
     """
@@ -62,23 +63,23 @@
     attempts: int
 
     def cause(self) -> str:
-        """Return why the first token was late, IN_TIME if it was not."""
-        large = self.goal_seconds * LARGE_SHARE
+        """Return why the first token was late, or IN_TIME if it was not."""
+        min_cause_seconds = self.goal_seconds * MIN_CAUSE_SHARE
         if self.first_token_seconds is not None and self.first_token_seconds <= self.goal_seconds:
             return IN_TIME
         if self.attempts > 1:
             return RETRIED
-        if self.queued_seconds >= large:
+        if self.queued_seconds >= min_cause_seconds:
             return QUEUED_HERE
-        if self.expected_wait_seconds >= large:
+        if self.expected_wait_seconds >= min_cause_seconds:
             return EXPECTED_WAIT
-        if self.expected_first_token_seconds >= large:
+        if self.expected_first_token_seconds >= min_cause_seconds:
             return LONG_PROMPT
         return UNEXPECTED_WAIT
 
 
 class DecisionLog:
-    """Keeps the last records of a share of this node's requests."""
+    """Keeps the last records of a random sample of this node's requests."""
 
     __slots__ = ("node", "ratio", "records")
 
@@ -87,18 +88,18 @@
         self.ratio = ratio
         self.records: deque[DecisionRecord] = deque(maxlen=MAX_RECORDS)
 
-    def is_sampled(self) -> bool:
-        """Return whether to record the next request."""
+    def should_sample(self) -> bool:
+        """Decide at random whether to record the next request."""
         return self.ratio > 0 and self.node.runtime.random.random() < self.ratio
 
     def add(self, record: DecisionRecord) -> None:
-        """Keep a record, and write it to the log as one JSON object."""
+        """Store a record and write it to the node's log as one JSON object."""
         self.records.append(record)
         fields = {**record._asdict(), "cause": record.cause()}
         self.node.log("info", "decision %s", json.dumps(fields))
 
-    def sums(self) -> list[dict[str, Any]]:
-        """Return how many records there are by route, cause and reason, the most first."""
+    def count_by_cause(self) -> list[dict[str, Any]]:
+        """Return the number of records by route, cause and reason, in descending order."""
         counts = Counter((r.route, r.cause(), r.reason) for r in self.records)
         return [
             {"route": route, "cause": cause, "reason": reason, "requests": count}
--- a/quillring/forward/load_balancer.py
+++ b/quillring/forward/load_balancer.py
@@ -1,8 +1,8 @@
 """Load balancing: expected time to first token, outlier ejection, slow start.
 
-The replica with the least cost gets a request. Its cost follows from the expected time to first
-token there (the prompts it still has to process, the tokens of this prompt that it does not have in
-its cache, a full batch), from its zone and from its load; see `quillring.forward.policy`.
+Each request goes to the replica with the lowest cost. The cost depends on the expected time to
+first token (prompts queued at the replica, prompt tokens that are not in its cache, a full batch),
+on the replica's zone and on its load; see `quillring.forward.policy`.
 """
 
 from __future__ import annotations
@@ -31,33 +31,33 @@
     from quillring.kernel.node import Node
 
 
-SILENCE_SECONDS = 0.2
-"""A replica that has sent nothing for so long is reported as silent."""
-FULL_SHARE = 0.85
-"""A replica counts as full from this share of its slots on, as what is known of it is not new."""
+SILENT_AFTER_SECONDS = 0.2
+"""Time without any byte from a replica after which it is reported as silent."""
+FULL_BATCH_SHARE = 0.85
+"""Share of its slots from which a replica counts as full; below 1, as load reports lag behind."""
 
 
 class LatencyGoals(NamedTuple):
-    """The latency goals of a route, in seconds: to the first token, and between two events."""
+    """Latency goals of a route, in seconds: until the first token, and between two events."""
 
-    first_token: float = 1.0
-    gap: float = 0.3
+    first_token_latency_seconds: float = 1.0
+    event_gap_seconds: float = 0.3
 
 
-DEFAULT_GOALS = LatencyGoals()
+DEFAULT_LATENCY_GOALS = LatencyGoals()
 
 
 class Estimate(NamedTuple):
-    """What a node expects of a request at a replica.
+    """Estimates for one request at one replica.
 
     Parameters
     ----------
     wait_seconds
-        Until the replica starts with the prompt.
+        Time until the replica starts to process the prompt.
     uncached_tokens, work_seconds
-        Tokens of the prompt that the replica has to process, and how long that takes it.
+        Prompt tokens that the replica has to process, and the time that this takes.
     first_token_seconds
-        From the sending of the request to its first token.
+        Time from sending the request to its first token.
     in_flight
         Requests in flight at the replica, of this node and its peers.
     """
@@ -70,7 +70,7 @@
 
 
 class InFlightRequest:
-    """A request in flight at a replica, counted in the load of the replica until `finish`."""
+    """A request in flight at a replica; counts towards the replica's load until `finish`."""
 
     __slots__ = (
         "load_balancer",
@@ -79,11 +79,11 @@
         "estimate",
         "started_at",
         "work_seconds",
-        "added_seconds",
+        "total_added_at_start",
         "first_token_at",
         "is_batch",
         "is_trial",
-        "is_over",
+        "is_finished",
     )
 
     def __init__(
@@ -103,53 +103,56 @@
         self.is_batch = is_batch
         health.batch_in_flight += is_batch
         self.is_trial = health.consecutive_failures > 0
-        self.is_over = False
+        self.is_finished = False
         if self.is_trial:
             health.has_trial_request = True
         health.in_flight += 1
         self.work_seconds = estimate.work_seconds
         health.work.add(self.work_seconds, self.started_at)
-        self.added_seconds = health.work.added_seconds
-        health.expected_first_tokens[id(self)] = self.started_at + estimate.first_token_seconds
+        self.total_added_at_start = health.work.total_added_seconds
+        health.expected_first_token_times[id(self)] = self.started_at + estimate.first_token_seconds
 
-    def note_head(self) -> None:
-        """Record the head of a response: the replica is healthy, be the request run or not."""
+    def record_response_head(self) -> None:
+        """Record a response head: the replica is healthy, whether or not it ran the request."""
         self.health.last_byte_at = self.load_balancer.node.now()
         self.health.consecutive_failures = 0
         self.health.has_trial_request = False
 
-    def note_body_bytes(self, byte_count: int) -> None:
-        """Record bytes of an answer: the replica is healthy, and the prompt is processed."""
+    def record_body_bytes(self, byte_count: int) -> None:
+        """Record bytes of a response body: the replica is healthy and has processed the prompt."""
         node = self.load_balancer.node
         node.traffic.record(REPLICA_RESPONSE, self.replica.zone, byte_count)
-        self.note_head()
+        self.record_response_head()
         if self.first_token_at is None:
-            self._note_first_token(node.now())
+            self._record_first_token(node.now())
 
-    def _note_first_token(self, now: float) -> None:
-        """Learn from the time to first token, and correct the replica's queue by it."""
+    def _record_first_token(self, now: float) -> None:
+        """Correct the replica's queue estimate, and record the time to first token as a sample.
+
+        Short prompts, and prompts that were expected to wait, give no sample.
+        """
         self.first_token_at = now
-        self.health.expected_first_tokens.pop(id(self), None)
-        self.health.work.complete(self.added_seconds, now)
+        self.health.expected_first_token_times.pop(id(self), None)
+        self.health.work.correct_at_first_token(self.total_added_at_start, now)
         token_count, balancer = self.estimate.uncached_tokens, self.load_balancer
         if token_count < balancer.policy.min_prefix_tokens or self.estimate.wait_seconds > 0:
             return
         timing = PromptTiming(self.replica.name, token_count, now - self.started_at)
         if balancer.policy.shares_load:
-            balancer.exchange.note_timing(timing)
+            balancer.exchange.report_prompt_timing(timing)
         else:
             balancer.record_timing(timing)
 
     def finish(self) -> None:
-        """Remove the request from the load of the replica; idempotent."""
-        if self.is_over:
+        """Remove the request from the replica's load; idempotent."""
+        if self.is_finished:
             return
-        self.is_over = True
+        self.is_finished = True
         self.health.in_flight -= 1
         self.health.batch_in_flight -= self.is_batch
         if self.is_trial:
             self.health.has_trial_request = False
-        self.health.expected_first_tokens.pop(id(self), None)
+        self.health.expected_first_token_times.pop(id(self), None)
         now = self.load_balancer.node.now()
         if self.first_token_at is None:
             self.health.work.cancel(self.work_seconds, now)
@@ -159,16 +162,17 @@
 
 
 def late_probability(expected: float) -> float:
-    """Return how likely something is late that is expected after `expected` times its goal.
+    """Return the probability of missing a goal, if `expected` times the goal is expected.
 
-    A smooth step that is a half at 1. What is late anyway gains little from a better place.
+    A smooth step function that is 0.5 at 1. It is flat far above 1, because a request that is late
+    at every replica gains little from a better one.
     """
     power = expected**4
     return power / (1 + power)
 
 
-def positions_by_zone(replicas: Sequence[Replica]) -> dict[str, float]:
-    """Return each replica's position in the order of its zone, from 0 to 1; alike on all nodes."""
+def positions_in_zone(replicas: Sequence[Replica]) -> dict[str, float]:
+    """Return the position of each replica in its zone's order, 0 to 1; the same on all nodes."""
     names_by_zone: dict[str, list[str]] = {}
     for replica in replicas:
         names_by_zone.setdefault(replica.zone, []).append(replica.name)
@@ -180,19 +184,19 @@
 
 
 class LoadBalancer:
-    """Chooses replicas for requests; owns their health as observed by this node's requests."""
+    """Chooses replicas for requests and tracks their health as observed by this node's requests."""
 
     __slots__ = (
         "node",
         "health_by_replica",
         "slow_start",
-        "changed",
+        "availability_changed",
         "names_by_service",
-        "positions",
+        "position_by_replica",
         "seen_table_version",
         "seen_configuration",
         "policy",
-        "prefixes",
+        "prefix_directory",
         "speed_by_service",
         "exchange",
     )
@@ -200,7 +204,7 @@
     def __init__(self, node: Node, policy: PlacementPolicy = DEFAULT_POLICY) -> None:
         self.node = node
         self.policy = policy
-        self.prefixes = PrefixDirectory()
+        self.prefix_directory = PrefixDirectory()
         self.speed_by_service: dict[str, ServiceSpeed] = {}
         self.exchange = LoadExchange(
             node,
@@ -213,21 +217,25 @@
         )
         self.health_by_replica: dict[str, ReplicaHealth] = {}
         self.slow_start = SlowStart(node)
-        self.changed = Signal()
+        self.availability_changed = Signal()
         self.names_by_service: dict[str, list[str]] = {}
-        self.positions: dict[str, float] = {}
+        self.position_by_replica: dict[str, float] = {}
         self.seen_table_version: int | None = None
         self.seen_configuration: Any = None
         node.find("replicas").on_change.append(self.wake)
 
     def wake(self) -> None:
         """Wake all requests that wait for a replica."""
-        if self.changed.watchers:
-            changed_signal, self.changed = self.changed, Signal()
+        if self.availability_changed.watchers:
+            changed_signal, self.availability_changed = self.availability_changed, Signal()
             changed_signal.set()
 
     def health(self, replica: Replica) -> ReplicaHealth:
-        """Return the health of a replica; a first call drops that of replicas no longer known."""
+        """Return the health of a replica; create it on the first call.
+
+        Creating an entry drops the entries of replicas that are no longer known and have no request
+        in flight, and the cached prefixes of all replicas that are no longer known.
+        """
         health = self.health_by_replica.get(replica.name)
         if health is None:
             known = self.node.find("replicas").table
@@ -237,24 +245,24 @@
                 if name in known or health.in_flight
             }
             health = self.health_by_replica[replica.name] = ReplicaHealth()
-            self.prefixes.forget_all_but(known)
+            self.prefix_directory.retain_only(known)
         return health
 
     def speed(self, replica: Replica) -> ServiceSpeed:
-        """Return the learnt speed of the replica's service."""
+        """Return the speed estimates of the replica's service."""
         speed = self.speed_by_service.get(replica.service)
         if speed is None:
             speed = self.speed_by_service[replica.service] = ServiceSpeed()
         return speed
 
     def record_timing(self, timing: PromptTiming) -> None:
-        """Learn from the time to first token of a long prompt, of this node or a peer."""
+        """Update the speed estimates with the timing of a long prompt of this node or a peer."""
         replica = self.node.find("replicas").table.get(timing.replica)
         if replica is None or not timing.uncached_tokens:
             return
         cost, work = self.speed(replica).prompt_cost, self.health(replica).work
-        work.record_slowness(timing.seconds / cost.seconds(timing.uncached_tokens))
-        cost.record(timing.uncached_tokens, timing.seconds / work.slowness)
+        work.record_slowdown(timing.seconds / cost.seconds(timing.uncached_tokens))
+        cost.record(timing.uncached_tokens, timing.seconds / work.slowdown)
 
     def _own_in_flight(self) -> dict[str, int]:
         """Return this node's requests in flight by replica."""
@@ -265,7 +273,7 @@
         }
 
     def _own_batch_in_flight(self) -> dict[str, int]:
-        """Return this node's items of lots in flight by replica."""
+        """Return this node's batch requests (items of lots) in flight by replica."""
         return {
             name: health.batch_in_flight
             for name, health in self.health_by_replica.items()
@@ -273,8 +281,8 @@
         }
 
     def _silent_replicas(self) -> list[str]:
-        """Return the replicas that have requests of this node and sent it nothing for a while."""
-        oldest_time = self.node.now() - SILENCE_SECONDS
+        """Return the replicas with requests of this node in flight that are silent towards it."""
+        oldest_time = self.node.now() - SILENT_AFTER_SECONDS
         return [
             name
             for name, health in self.health_by_replica.items()
@@ -282,41 +290,43 @@
         ]
 
     def _on_peer_activity(self, replica_name: str) -> None:
-        """Record that a replica answers requests of a peer."""
+        """Record that a replica responds to requests of a peer."""
         health = self.health_by_replica.get(replica_name)
         if health is not None:
-            health.last_byte_at = max(health.last_byte_at, self.node.now() - SILENCE_SECONDS)
+            health.last_byte_at = max(health.last_byte_at, self.node.now() - SILENT_AFTER_SECONDS)
 
     def in_flight(self, replica: Replica) -> int:
         """Return the requests in flight at a replica, of this node and its peers."""
         return self.health(replica).in_flight + self.exchange.peer_in_flight(replica.name)
 
     def client_in_flight(self, replica: Replica) -> int:
-        """Return the requests of clients in flight at a replica: all but the items of lots."""
-        own_items = self.health(replica).batch_in_flight
-        items = own_items + self.exchange.peer_batch_in_flight(replica.name)
-        return max(0, self.in_flight(replica) - items)
+        """Return the client requests in flight at a replica: all except batch requests."""
+        own_batch = self.health(replica).batch_in_flight
+        batch = own_batch + self.exchange.peer_batch_in_flight(replica.name)
+        return max(0, self.in_flight(replica) - batch)
 
     def _on_peer_prompt(self, start: PromptStart, is_in_zone: bool) -> None:
-        """Follow a long prompt that another node sent: its work, and what is cached after it."""
+        """Record a long prompt of another node: its cached parts and, within the zone, its work."""
         replica = self.node.find("replicas").table.get(start.replica)
         if replica is None:
             return
-        self.prefixes.record(start.replica, start.parts, self._cache_tokens(replica.service))
+        self.prefix_directory.record(
+            start.replica, start.parts, self._cache_tokens(replica.service)
+        )
         if is_in_zone:
             work = self.health(replica).work
             cost = self.speed(replica).prompt_cost
-            work.add(cost.seconds(start.uncached_tokens) * work.slowness, self.node.now())
+            work.add(cost.seconds(start.uncached_tokens) * work.slowdown, self.node.now())
 
     def _cache_tokens(self, service: str) -> float | None:
-        """Return the share of a replica's KV cache that long prefixes may fill, None if unknown."""
+        """Return the tokens available for long prefixes in a KV cache; None if unknown."""
         services = (self.node.find("layout").configuration or {}).get("services", {})
         engine = services.get(service, {}).get("engine") or {}
         kv_tokens = engine.get("kv_tokens")
         return kv_tokens * self.policy.cache_share if kv_tokens else None
 
     def replicas(self, service: str) -> list[Replica]:
-        """Return the replicas of a service that may be sent a request."""
+        """Return the replicas of a service that may receive requests."""
         replicas, configuration = self.node.find("replicas"), self.node.find("layout").configuration
         if (
             self.seen_table_version != replicas.table_version
@@ -327,9 +337,11 @@
                 if replicas.may_receive_requests(replica):
                     names_by_service.setdefault(replica.service, []).append(replica.name)
             self.names_by_service = names_by_service
-            self.positions = {}
+            self.position_by_replica = {}
             for names in names_by_service.values():
-                self.positions.update(positions_by_zone([replicas.table[n] for n in names]))
+                self.position_by_replica.update(
+                    positions_in_zone([replicas.table[n] for n in names])
+                )
             self.seen_table_version = replicas.table_version
             self.seen_configuration = configuration
         return [replicas.table[name] for name in self.names_by_service.get(service, ())]
@@ -340,9 +352,9 @@
         request: Request,
         avoided_names: Collection[str] = (),
         may_send_cold: bool = True,
-        goals: LatencyGoals = DEFAULT_GOALS,
+        goals: LatencyGoals = DEFAULT_LATENCY_GOALS,
     ) -> Replica | None:
-        """Return the replica for a request, or None if none may get it now."""
+        """Return the replica for a request, or None if no replica may receive it now."""
         now = self.node.now()
         candidates = [r for r in self.replicas(service) if r.name not in avoided_names]
         if not candidates:
@@ -361,7 +373,7 @@
     def _least_cost(
         self, candidates: Sequence[Replica], request: Request, goals: LatencyGoals
     ) -> Replica:
-        """Return the candidate with the least cost."""
+        """Return the candidate with the lowest cost."""
         parts, now = self._long_parts(request), self.node.now()
         own_zone, random = self.node.me.zone, self.node.runtime.random.random
         policy, best, least_cost = self.policy, candidates[0], math.inf
@@ -372,26 +384,26 @@
             cost = policy.random_cost * random()
             cost += policy.occupancy_cost * estimate.in_flight / replica.slots
             if policy.predicts_wait:
-                expected = estimate.first_token_seconds / goals.first_token
+                expected = estimate.first_token_seconds / goals.first_token_latency_seconds
                 cost += expected**2 + policy.wait_cost * expected
-                pause = late_probability(estimate.first_token_seconds / goals.gap)
+                pause = late_probability(estimate.first_token_seconds / goals.event_gap_seconds)
                 cost += policy.interruption_cost * estimate.in_flight * pause
                 if request.prompt_tokens:
-                    cost += policy.separation_cost * self._misplacement(replica, estimate, goals)
+                    cost += policy.separation_cost * self._size_mismatch(replica, estimate, goals)
             if replica.zone != own_zone:
                 cost += other_zone_cost
             if cost < least_cost:
                 best, least_cost = replica, cost
         return best
 
-    def _misplacement(self, replica: Replica, estimate: Estimate, goals: LatencyGoals) -> float:
-        """Return how far a replica is, from 0 to 1, from where prompts of this size belong."""
-        size = late_probability(estimate.work_seconds / goals.gap)
-        position = self.positions.get(replica.name, 0.0)
+    def _size_mismatch(self, replica: Replica, estimate: Estimate, goals: LatencyGoals) -> float:
+        """Return how far, from 0 to 1, a replica is from the position for this prompt size."""
+        size = late_probability(estimate.work_seconds / goals.event_gap_seconds)
+        position = self.position_by_replica.get(replica.name, 0.0)
         return position + size - 2 * position * size
 
     def _long_parts(self, request: Request) -> tuple[PromptPart, ...]:
-        """Return the long shared parts of a prompt; the last part is the request's own."""
+        """Return the long shared parts of a prompt; its last part is never shared."""
         if not self.policy.tracks_prefixes:
             return ()
         least = self.policy.min_prefix_tokens
@@ -400,16 +412,16 @@
     def _estimate(
         self, replica: Replica, request: Request, parts: Sequence[PromptPart], now: float
     ) -> Estimate:
-        """Return what is expected of a request at a replica."""
+        """Estimate the waiting time and the prompt processing of a request at a replica."""
         health, speed = self.health(replica), self.speed(replica)
-        cached_tokens = self.prefixes.cached_tokens(replica.name, parts) if parts else 0
+        cached_tokens = self.prefix_directory.cached_tokens(replica.name, parts) if parts else 0
         uncached_tokens = max(0, request.prompt_tokens - cached_tokens)
         in_flight = self.in_flight(replica)
         wait_seconds = health.work.wait_seconds(now) + health.overdue_seconds(now)
-        excess = in_flight + 1 - replica.slots * FULL_SHARE
+        excess = in_flight + 1 - replica.slots * FULL_BATCH_SHARE
         if excess > 0:
             wait_seconds += excess / replica.slots * speed.request_seconds
-        work_seconds = speed.prompt_cost.seconds(uncached_tokens) * health.work.slowness
+        work_seconds = speed.prompt_cost.seconds(uncached_tokens) * health.work.slowdown
         return Estimate(
             wait_seconds, uncached_tokens, work_seconds, wait_seconds + work_seconds, in_flight
         )
@@ -417,34 +429,34 @@
     def start_request(
         self, replica: Replica, request: Request, is_batch: bool = False
     ) -> InFlightRequest:
-        """Add a request to the load of a replica; after a failure it is the trial request.
+        """Add a request to a replica's load; after a failure it is the trial request.
 
         Parameters
         ----------
         is_batch
-            It is an item of a lot.
+            Whether the request is an item of a lot.
         """
         health = self.health(replica)
         parts = self._long_parts(request)
         estimate = self._estimate(replica, request, parts, self.node.now())
         in_flight_request = InFlightRequest(self, health, replica, estimate, is_batch)
         if parts:
-            self.prefixes.record(replica.name, parts, self._cache_tokens(replica.service))
+            self.prefix_directory.record(replica.name, parts, self._cache_tokens(replica.service))
         if self.policy.shares_load and estimate.uncached_tokens >= self.policy.min_reported_tokens:
             start = PromptStart(replica.name, estimate.uncached_tokens, parts)
-            self.exchange.note_start(start)
+            self.exchange.report_prompt_start(start)
         return in_flight_request
 
     def record_failure(self, replica: Replica, is_certain: bool) -> None:
-        """Record a failed request; a failure with `is_certain` ejects the replica at once."""
+        """Record a failed request; if `is_certain`, one failure is enough to eject the replica."""
         self.health(replica).record_failure(self.node.now(), is_certain, self.node.bounds)
         self.wake()
 
     def is_unresponsive(self, replica: Replica, seconds: float) -> bool:
         """Return whether the replica was silent for `seconds` without a known reason.
 
-        It was not if it sent something to this node or a peer, or has prompts to process: streams
-        pause meanwhile.
+        Bytes sent to this node or to a peer end the silence. Time in which the replica is expected
+        to process prompts does not count, because its streams pause meanwhile.
         """
         health, now = self.health(replica), self.node.now()
         busy_until = min(now, health.work.busy_until)
--- a/quillring/forward/prefix_directory.py
+++ b/quillring/forward/prefix_directory.py
@@ -1,7 +1,7 @@
-"""Which replicas are believed to have which long prompt prefixes in their KV cache.
+"""Directory of the long prompt prefixes that each replica is believed to have in its KV cache.
 
-Learnt from the requests that this node and its peers sent. Replicas evict the least recently used
-parts; the directory does the same for each replica, within the share of its cache that long
+It is built from the requests that this node and its peers sent. Replicas evict the least recently
+used parts; the directory does the same for each replica, within the share of the cache that long
 prefixes are expected to fill.
 """
 
@@ -20,7 +20,7 @@
 
 
 class ReplicaCache:
-    """The prefixes believed cached at one replica, the least recently used first."""
+    """The prefixes believed to be cached at one replica, least recently used first."""
 
     __slots__ = ("tokens_by_part", "total_tokens")
 
@@ -28,8 +28,8 @@
         self.tokens_by_part: OrderedDict[str, int] = OrderedDict()
         self.total_tokens = 0
 
-    def touch(self, part: PromptPart, capacity_tokens: float) -> None:
-        """Record that a part was used; evict the least recently used parts beyond the capacity."""
+    def record_use(self, part: PromptPart, capacity_tokens: float) -> None:
+        """Mark a part as most recently used; evict the least recently used beyond the capacity."""
         self.total_tokens += part.token_count - self.tokens_by_part.pop(part.name, 0)
         self.tokens_by_part[part.name] = part.token_count
         while self.tokens_by_part and (
@@ -40,29 +40,29 @@
 
 
 class PrefixDirectory:
-    """The believed contents of the KV cache of each replica."""
+    """The believed KV cache content of each replica."""
 
-    __slots__ = ("caches",)
+    __slots__ = ("cache_by_replica",)
 
     def __init__(self) -> None:
-        self.caches: dict[str, ReplicaCache] = {}
+        self.cache_by_replica: dict[str, ReplicaCache] = {}
 
     def record(
         self, replica: str, parts: Iterable[PromptPart], capacity_tokens: float | None
     ) -> None:
-        """Record that a replica got a request with these shared parts."""
-        cache = self.caches.get(replica)
+        """Record that a replica received a request with these shared parts."""
+        cache = self.cache_by_replica.get(replica)
         if cache is None:
-            cache = self.caches[replica] = ReplicaCache()
+            cache = self.cache_by_replica[replica] = ReplicaCache()
         for part in parts:
-            cache.touch(part, capacity_tokens or DEFAULT_CAPACITY_TOKENS)
+            cache.record_use(part, capacity_tokens or DEFAULT_CAPACITY_TOKENS)
 
     def cached_tokens(self, replica: str, parts: Iterable[PromptPart]) -> int:
-        """Return the tokens of the leading parts that a replica is believed to have cached.
+        """Return the number of leading prompt tokens believed to be cached at a replica.
 
-        A part is of use only if all parts before it are cached as well.
+        A cached part is usable only if all parts before it are cached as well.
         """
-        cache = self.caches.get(replica)
+        cache = self.cache_by_replica.get(replica)
         if cache is None:
             return 0
         token_count = 0
@@ -72,6 +72,8 @@
             token_count += part.token_count
         return token_count
 
-    def forget_all_but(self, replicas: Container[str]) -> None:
-        """Forget the replicas that are no longer known."""
-        self.caches = {name: cache for name, cache in self.caches.items() if name in replicas}
+    def retain_only(self, replicas: Container[str]) -> None:
+        """Remove all replicas except the given ones."""
+        self.cache_by_replica = {
+            name: cache for name, cache in self.cache_by_replica.items() if name in replicas
+        }
--- a/quillring/forward/queueing.py
+++ b/quillring/forward/queueing.py
@@ -1,4 +1,4 @@
-"""Queueing for a replica: bounded by a share of the latency goal, then refused."""
+"""Queueing of requests until a replica is available, limited by the latency goal."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
     from quillring.kernel.types import Coroutine
 
 QUEUE_TIMEOUT_SHARE = 0.2
-"""Share of the route's latency goal that a request queues at most."""
+"""Longest queueing time of a request, as a share of the route's latency goal."""
 POLL_INTERVAL_SECONDS = 0.05
 MIN_RETRY_AFTER_SECONDS = 0.05
 MIN_WAIT_SECONDS = 0.001
 
 
 def retry_after_seconds(node: Node, progress: RequestProgress) -> float:
-    """Return the seconds for Retry-After: a quarter of the time until the deadline."""
+    """Return the value of Retry-After in seconds: a quarter of the time until the deadline."""
     return max(MIN_RETRY_AFTER_SECONDS, (progress.end_time - node.now()) / 4)
 
 
@@ -36,10 +36,10 @@
     request: Request,
     progress: RequestProgress,
 ) -> Replica | None:
-    """Return an untried replica; once a stream has begun, a tried one if there is no other."""
+    """Return an untried replica; for a stream that has begun, a tried one if there is no other."""
     goals = LatencyGoals(route.latency_goal_seconds, route.gap_goal_seconds)
     replica = load_balancer.choose(service, request, progress.avoided_names, goals=goals)
-    if replica is None and progress.avoided_names and progress.has_head:
+    if replica is None and progress.avoided_names and progress.has_sent_head:
         return load_balancer.choose(service, request, goals=goals)
     return replica
 
@@ -54,8 +54,8 @@
 ) -> Coroutine:
     """Wait for a replica for the request and return it.
 
-    The wait is limited to QUEUE_TIMEOUT_SHARE of the latency goal after arrival, or to the deadline
-    for a stream that has begun. No replica is chosen after the deadline.
+    The wait ends QUEUE_TIMEOUT_SHARE of the latency goal after the arrival of the request, or at
+    the deadline for a stream that has begun. No replica is chosen after the deadline.
 
     Raises
     ------
@@ -64,7 +64,7 @@
     """
     load_balancer = node.find("placement")
     queue_until = progress.end_time
-    if not progress.has_head:
+    if not progress.has_sent_head:
         queue_until = min(
             queue_until, arrived_at + route.latency_goal_seconds * QUEUE_TIMEOUT_SHARE
         )
@@ -81,4 +81,4 @@
                 come_back_s=retry_after_seconds(node, progress),
             )
         seconds = min(POLL_INTERVAL_SECONDS, max(MIN_WAIT_SECONDS, queue_until - node.now()))
-        yield Wait(load_balancer.changed, seconds)
+        yield Wait(load_balancer.availability_changed, seconds)
--- a/quillring/forward/replica_health.py
+++ b/quillring/forward/replica_health.py
@@ -31,7 +31,7 @@
         "in_flight",
         "batch_in_flight",
         "work",
-        "expected_first_tokens",
+        "expected_first_token_times",
         "consecutive_failures",
         "ejected_until",
         "has_trial_request",
@@ -42,7 +42,7 @@
         self.in_flight = 0
         self.batch_in_flight = 0
         self.work = WorkQueue()
-        self.expected_first_tokens: dict[int, float] = {}
+        self.expected_first_token_times: dict[int, float] = {}
         self.consecutive_failures = 0
         self.ejected_until = 0.0
         self.has_trial_request = False
@@ -57,9 +57,9 @@
 
         Used as an estimate of the replica's further delay: it is assumed to last as long again.
         """
-        if not self.expected_first_tokens:
+        if not self.expected_first_token_times:
             return 0.0
-        return max(0.0, now - min(self.expected_first_tokens.values()))
+        return max(0.0, now - min(self.expected_first_token_times.values()))
 
     def record_failure(self, now: float, is_certain: bool, bounds: Bounds) -> None:
         """Record a failure; a second consecutive one, or a certain one, ejects the replica."""
--- a/quillring/forward/request_handler.py
+++ b/quillring/forward/request_handler.py
@@ -1,10 +1,10 @@
-"""The handling of a forwarded request: wait for a replica, attempt, respond or retry."""
+"""Handling of a forwarded request: wait for a replica, make an attempt, respond or retry."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, Any
 
-from quillring.forward.attempt import is_not_run, is_sealed, note_if_misdirected, open_response
+from quillring.forward.attempt import is_not_run, is_sealed, open_response, record_if_misdirected
 from quillring.forward.decision_log import (
     CACHED_PREFIX,
     NOT_PLACED,
@@ -38,21 +38,21 @@
 URGENCY_BY_RANK = (1, 3, 4, 5, 6)
 MAX_URGENCY = 9
 LONG_PROMPT_TOKENS = 4000
-SUCCESSES = range(200, 300)
-SERVER_ERRORS = range(500, 600)
+SUCCESS_STATUSES = range(200, 300)
+SERVER_ERROR_STATUSES = range(500, 600)
 NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
-"""Statuses that a client takes for the word that its request has not run."""
+"""Statuses from which clients conclude that their request has not run."""
 
 
 def urgency_of(route: ForwardRoute, request: Request) -> int:
-    """Return the urgency sent to a replica: by rank of the route, short prompts first."""
+    """Return the urgency sent to a replica: by the route's rank, with short prompts first."""
     is_long = request.prompt_tokens >= LONG_PROMPT_TOKENS
     rank = min(route.urgency, len(URGENCY_BY_RANK) - 1)
     return min(MAX_URGENCY, URGENCY_BY_RANK[rank] + is_long)
 
 
 def end_time_of(route: ForwardRoute, request: Request, arrived_at: float) -> float:
-    """Return the end time: the deadline of the request or the timeout of the route, if earlier."""
+    """Return the earlier of the request's deadline and the end of the route's timeout."""
     seconds = route.timeout_seconds
     if request.deadline_ms is not None:
         seconds = min(seconds, request.deadline_ms / 1000)
@@ -60,9 +60,10 @@
 
 
 def check_ready(node: Node) -> None:
-    """Raise Refused while no configuration is known, or while the node is closing.
+    """Raise Refused while the node has no configuration, or while it is closing.
 
-    A node that just started does not know the routes; one that closes might abort the request.
+    A node that has just started does not know the routes; one that is closing might abort the
+    request.
     """
     if node.is_closing:
         raise Refused(reason="closing", come_back_s=node.bounds.gossip_interval)
@@ -73,10 +74,10 @@
 def forward_request(
     node: Node, route: ForwardRoute, request: Request, arrived_at: float
 ) -> Coroutine:
-    """Forward a request; emit the head and bytes of a stream, or return a complete Response."""
+    """Forward a request; emit a stream's head and bytes, or return a complete Response."""
     progress = RequestProgress(end_time_of(route, request, arrived_at), request.last_event_id)
     decisions = node.find("decisions")
-    if not decisions.is_sampled():
+    if not decisions.should_sample():
         return (yield from forward_until_final(node, route, request, progress, arrived_at))
     try:
         return (yield from forward_until_final(node, route, request, progress, arrived_at))
@@ -87,7 +88,7 @@
 def forward_until_final(
     node: Node, route: ForwardRoute, request: Request, progress: RequestProgress, arrived_at: float
 ) -> Coroutine:
-    """Make attempts until one is final or none may follow."""
+    """Make attempts until one is final or no further attempt is allowed."""
     service = route.pick_service(request.id or request.target)
     while True:
         try:
@@ -106,7 +107,7 @@
 def decision_record(
     node: Node, route: ForwardRoute, request: Request, progress: RequestProgress, arrived_at: float
 ) -> DecisionRecord:
-    """Return the record of a request that is over."""
+    """Return the decision record of a finished request."""
     last, now = progress.in_flight_request, node.now()
     if last is None:
         goal = route.latency_goal_seconds
@@ -147,7 +148,7 @@
     Raises
     ------
     OutcomeUnknown
-        The attempt failed, the request may have run, and no other attempt may follow.
+        The attempt failed, the request may have run, and no further attempt is allowed.
     """
     progress.attempts += 1
     in_flight_request = node.find("placement").start_request(replica, request)
@@ -164,8 +165,8 @@
             route.is_retryable,
             first_byte_timeout(node, route, progress),
         )
-        in_flight_request.note_head()
-        return (yield from pass_response_on(node, route, progress, handle, in_flight_request))
+        in_flight_request.record_response_head()
+        return (yield from forward_response(node, route, progress, handle, in_flight_request))
     except NotSent as error:
         record_failed_attempt(node, progress, replica, error, True)
         progress.attempts -= 1
@@ -179,14 +180,14 @@
     return RETRY
 
 
-def pass_response_on(
+def forward_response(
     node: Node,
     route: ForwardRoute,
     progress: RequestProgress,
     handle: Any,
     in_flight_request: InFlightRequest,
 ) -> Coroutine:
-    """Check the head of a response and forward its body; BackendError if it is invalid."""
+    """Check the head of a response and forward its body; raise BackendError if it is invalid."""
     header_names = node.find("dialect")
     if is_not_run(header_names, handle):
         handle_not_run(node, route, progress, handle, in_flight_request.replica)
@@ -197,22 +198,22 @@
         yield from stream_events(node, route, progress, handle, in_flight_request)
         return STREAM_COMPLETE
     response = yield from read_response(node, progress, handle)
-    if handle.status in SUCCESSES:
-        in_flight_request.note_body_bytes(len(response.body))
-    if handle.status in SERVER_ERRORS and may_retry(node, route, progress):
+    if handle.status in SUCCESS_STATUSES:
+        in_flight_request.record_body_bytes(len(response.body))
+    if handle.status in SERVER_ERROR_STATUSES and may_retry(node, route, progress):
         progress.avoided_names.add(in_flight_request.replica.name)
         progress.last_response = response
         return RETRY
-    return AttemptOutcome(True, check_no_head(progress, response))
+    return AttemptOutcome(True, check_head_not_sent(progress, response))
 
 
 def check_head(header_names: HeaderNames, handle: Any) -> None:
     """Raise BackendError for a success without a seal, or a status that falsely means "not run".
 
-    Clients take NOT_RUN_STATUSES to mean that their request did not run; without the "not run"
-    header of the replica it may have run.
+    Clients conclude from NOT_RUN_STATUSES that their request has not run; without the replica's
+    "not run" header, it may have run.
     """
-    if handle.status in SUCCESSES and not is_sealed(header_names, handle):
+    if handle.status in SUCCESS_STATUSES and not is_sealed(header_names, handle):
         raise BackendError(reason="no seal")
     if handle.status in NOT_RUN_STATUSES:
         raise BackendError(reason="no word of not run", status=handle.status)
@@ -221,19 +222,20 @@
 def handle_not_run(
     node: Node, route: ForwardRoute, progress: RequestProgress, handle: Any, replica: Replica
 ) -> None:
-    """Record that a replica did not run the request; Refused if no attempt is left.
+    """Exclude a replica that did not run the request; raise Refused if no attempt is left.
 
-    A stream that has begun may exceed the limit, as replicas that refused it ran nothing.
+    A stream that has begun may exceed the limit of attempts, because a replica that refuses a
+    request does not run it.
     """
     progress.avoided_names.add(replica.name)
-    note_if_misdirected(node, replica, handle)
-    if progress.attempts >= route.max_attempts and not progress.has_head:
+    record_if_misdirected(node, replica, handle)
+    if progress.attempts >= route.max_attempts and not progress.has_sent_head:
         seconds = retry_after_seconds(node, progress) / 2
         raise Refused(reason="replicas are full", come_back_s=seconds)
 
 
-def check_no_head(progress: RequestProgress, response: Response) -> Response:
-    """Return the response; OutcomeUnknown if the head of a stream was already sent."""
-    if progress.has_head:
+def check_head_not_sent(progress: RequestProgress, response: Response) -> Response:
+    """Return the response; raise OutcomeUnknown if the head of a stream has been sent."""
+    if progress.has_sent_head:
         raise OutcomeUnknown(reason="a failure amid the stream")
     return response
--- a/quillring/forward/response.py
+++ b/quillring/forward/response.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from quillring.forward.attempt import GRACE_SECONDS
+from quillring.forward.attempt import RESPONSE_GRACE_SECONDS
 from quillring.forward.events import EventReader
 from quillring.forward.request import hop_by_hop_headers
 from quillring.forward.retry import SILENCE_TIMEOUT_FACTOR, STALL, may_retry
@@ -22,30 +22,30 @@
     from quillring.kernel.types import Coroutine
 
 LONG_SILENCE_TIMEOUT_FACTOR = 4
-"""The same for a replica that answers other requests meanwhile."""
+"""Like SILENCE_TIMEOUT_FACTOR, for a replica that responds to other requests meanwhile."""
 
 
 class Response(NamedTuple):
-    """Status, headers and body for the client; of a stream, its first bytes as the body."""
+    """Status, headers and body for the client; the body of a stream is its first bytes."""
 
     status: int
     header_pairs: list[tuple[str, str]]
     body: bytes
 
 
-def passed_headers(headers: Mapping[str, str]) -> list[tuple[str, str]]:
-    """Return the header pairs of a response without the hop-by-hop headers (RFC 9110, 7.6.1)."""
+def end_to_end_headers(headers: Mapping[str, str]) -> list[tuple[str, str]]:
+    """Return the headers of a response without the hop-by-hop headers (RFC 9110, 7.6.1)."""
     removed = hop_by_hop_headers(headers)
     return [(name, value) for name, value in headers.items() if name not in removed]
 
 
 def read_response(node: Node, progress: RequestProgress, handle: Any) -> Coroutine:
-    """Read the complete body and return a Response; BackendError if it is cut or late."""
+    """Read the complete body and return a Response; raise BackendError if it is cut off or late."""
     parts: list[bytes] = []
     while True:
-        part = yield ReadBody(handle, progress.end_time - node.now() + GRACE_SECONDS)
+        part = yield ReadBody(handle, progress.end_time - node.now() + RESPONSE_GRACE_SECONDS)
         if part is None:
-            return Response(handle.status, passed_headers(handle.headers), b"".join(parts))
+            return Response(handle.status, end_to_end_headers(handle.headers), b"".join(parts))
         parts.append(part)
 
 
@@ -56,13 +56,19 @@
     handle: Any,
     in_flight_request: InFlightRequest,
 ) -> Coroutine:
-    """Forward complete events as they arrive, until the complete end of the stream."""
+    """Forward complete events as they arrive, until the stream ends.
+
+    Raises
+    ------
+    BackendError
+        The stream failed or ended within an event.
+    """
     reader = EventReader(progress.last_event_id)
     while True:
-        data = yield from next_part(node, route, progress, handle, in_flight_request)
+        data = yield from read_next_bytes(node, route, progress, handle, in_flight_request)
         if data is None:
             break
-        in_flight_request.note_body_bytes(len(data))
+        in_flight_request.record_body_bytes(len(data))
         events = reader.feed(data)
         if events:
             yield from emit_stream(progress, handle, b"".join(event.raw for event in events))
@@ -70,38 +76,38 @@
             progress.last_event_id = reader.last_event_id
     if not reader.is_at_event_boundary:
         raise BackendError(reason="cut event")
-    if reader.unparsed or not progress.has_head:
+    if reader.unparsed or not progress.has_sent_head:
         yield from emit_stream(progress, handle, reader.unparsed)
 
 
 def emit_stream(progress: RequestProgress, handle: Any, data: bytes) -> Coroutine:
-    """Emit bytes of a stream; the first ones together with its head."""
-    if progress.has_head:
+    """Emit bytes of a stream to the client, the first ones together with the response head."""
+    if progress.has_sent_head:
         yield SendToClient(data)
         return
-    progress.has_head = True
-    yield SendToClient(Response(handle.status, passed_headers(handle.headers), data))
+    progress.has_sent_head = True
+    yield SendToClient(Response(handle.status, end_to_end_headers(handle.headers), data))
 
 
-def next_part(
+def read_next_bytes(
     node: Node,
     route: ForwardRoute,
     progress: RequestProgress,
     handle: Any,
     in_flight_request: InFlightRequest,
 ) -> Coroutine:
-    """Return the next bytes, or None at the end; BackendError if the replica stalls."""
+    """Return the next bytes, or None at the end; raise BackendError if the replica stalls."""
     timeout = route.gap_goal_seconds * SILENCE_TIMEOUT_FACTOR
     while True:
-        seconds_left = progress.end_time - node.now() + GRACE_SECONDS
+        seconds_left = progress.end_time - node.now() + RESPONSE_GRACE_SECONDS
         if not may_retry(node, route, progress):
             return (yield ReadBody(handle, seconds_left))
         try:
             return (yield ReadBody(handle, min(timeout, seconds_left)))
         except BackendError as error:
-            is_over = node.now() >= progress.end_time
-            is_long = timeout >= route.gap_goal_seconds * LONG_SILENCE_TIMEOUT_FACTOR
-            if error.detail["reason"] != STALL or is_over or is_long:
+            is_past_deadline = node.now() >= progress.end_time
+            is_long_timeout = timeout >= route.gap_goal_seconds * LONG_SILENCE_TIMEOUT_FACTOR
+            if error.detail["reason"] != STALL or is_past_deadline or is_long_timeout:
                 raise
             if node.find("placement").is_unresponsive(in_flight_request.replica, timeout):
                 raise
--- a/quillring/forward/retry.py
+++ b/quillring/forward/retry.py
@@ -1,4 +1,4 @@
-"""Progress of a forwarded request, and whether it may be retried at another replica."""
+"""Progress of a forwarded request, and the rules for a retry at another replica."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
     from quillring.kernel.node import Node
 
 SILENCE_TIMEOUT_FACTOR = 1.2
-"""A replica is left after so many times the route's gap goal without a byte."""
+"""Multiple of the route's gap goal without a byte after which the attempt is abandoned."""
 STALL = "stall"
-NOT_THE_REPLICAS_FAULT = ("left", "no time left")
+NON_REPLICA_FAILURE_REASONS = ("left", "no time left")
 
 
 class RequestProgress:
-    """The progress of one request: attempts made, replicas to avoid, what the client has.
+    """Progress of one request: attempts made, replicas to avoid, and what the client has received.
 
     `attempts` counts the attempts that may have reached a replica, including those with a "not run"
-    response; attempts that ended in NotSent are not counted. `in_flight_request` is that of the
+    response; attempts that ended in NotSent are not counted. `in_flight_request` belongs to the
     last attempt.
     """
 
@@ -33,7 +33,7 @@
         "attempts",
         "avoided_names",
         "last_event_id",
-        "has_head",
+        "has_sent_head",
         "end_time",
         "last_response",
         "in_flight_request",
@@ -43,16 +43,17 @@
         self.attempts = 0
         self.avoided_names: set[str] = set()
         self.last_event_id = last_event_id
-        self.has_head = False
+        self.has_sent_head = False
         self.end_time = end_time
         self.last_response: Response | None = None
         self.in_flight_request: InFlightRequest | None = None
 
 
 class AttemptOutcome(NamedTuple):
-    """The result of an attempt: final, with the response if it is not sent yet, or retry.
+    """Result of an attempt: final, or to be retried.
 
-    A stream that was forwarded to its end is final without a response.
+    A final outcome has the response that is still to be sent; None if a stream was forwarded to
+    its end.
     """
 
     is_final: bool
@@ -64,7 +65,7 @@
 
 
 def first_byte_timeout(node: Node, route: ForwardRoute, progress: RequestProgress) -> float | None:
-    """Return the seconds to wait for the first byte, or None if no retry is possible."""
+    """Return the seconds to wait for the first byte; None if a retry would not be allowed."""
     if not may_retry(node, route, progress):
         return None
     return route.gap_goal_seconds * SILENCE_TIMEOUT_FACTOR
@@ -89,9 +90,9 @@
 def record_failed_attempt(
     node: Node, progress: RequestProgress, replica: Replica, error: BackendError, is_certain: bool
 ) -> None:
-    """Exclude the replica from this request, and record the failure in its health."""
+    """Exclude the replica from this request, and record the failure if the replica caused it."""
     reason = error.detail.get("reason", "")
     node.count(f"forward_{error.kind}_{reason}")
     progress.avoided_names.add(replica.name)
-    if reason not in NOT_THE_REPLICAS_FAULT:
+    if reason not in NON_REPLICA_FAILURE_REASONS:
         node.find("placement").record_failure(replica, is_certain or reason == STALL)
--- a/quillring/forward/work_queue.py
+++ b/quillring/forward/work_queue.py
@@ -1,8 +1,8 @@
-"""Estimates of how long replicas need: the queue of one replica, and the speed of a service.
+"""Estimates of processing time: the prompt queue of a replica, and the speed of a service.
 
 Replicas process prompts in the order of arrival, some tokens at a time. The queue of a replica is
-modelled as work that drains while time passes: the virtual work (unfinished work) of a queue with
-one server. How much work a prompt is, is learnt from the time to first token of those sent before.
+modelled by the unfinished work (virtual work) of a single-server queue, which drains as time
+passes. The work of a prompt is learned from the time to first token of earlier prompts.
 """
 
 from __future__ import annotations
@@ -10,22 +10,22 @@
 MIN_SECONDS_PER_TOKEN, MAX_SECONDS_PER_TOKEN = 1e-7, 1e-3
 MAX_SECONDS_PER_PROMPT = 60.0
 SAMPLE_DECAY = 0.97
-"""A sample of a service counts for so much less with each one after it."""
+"""Factor by which each new sample of a service reduces the weight of the earlier ones."""
 PRIOR_PROMPTS = ((4_000, 0.04), (32_000, 0.32))
-"""Tokens and seconds of the prompts that an estimate starts from."""
-SPEED_WEIGHT = 0.25
-"""Weight of one sample in the moving average of a replica's speed."""
-MIN_SLOWNESS, MAX_SLOWNESS = 0.25, 20.0
+"""Tokens and seconds of the samples from which each estimate starts."""
+SLOWDOWN_SAMPLE_WEIGHT = 0.25
+"""Weight of one sample in the moving average of a replica's slowdown."""
+MIN_SLOWDOWN, MAX_SLOWDOWN = 0.25, 20.0
 PRIOR_REQUEST_SECONDS = 0.5
-REQUEST_SECONDS_WEIGHT = 0.05
+REQUEST_SECONDS_SAMPLE_WEIGHT = 0.05
 """Weight of one sample in the moving average of the duration of requests."""
 
 
 class PromptCost:
-    """Seconds that the replicas of a service need for a prompt, by its tokens.
+    """Model of the seconds that the replicas of a service need for a prompt of some tokens.
 
-    The seconds are `linear * tokens + quadratic * tokens**2`, as each token attends to all before
-    it: a least-squares fit over the samples, the older ones with less weight.
+    The seconds are `linear * tokens + quadratic * tokens**2`, because each token attends to all
+    tokens before it. The coefficients are a least-squares fit in which older samples weigh less.
     """
 
     __slots__ = ("moments", "products", "linear", "quadratic")
@@ -38,18 +38,18 @@
             self.record(token_count, seconds)
 
     def record(self, token_count: int, seconds: float) -> None:
-        """Record the time to first token of a prompt that did not have to wait."""
+        """Add the time to first token of a prompt that did not have to wait, and fit again."""
         tokens = token_count / 1000
         seconds = min(MAX_SECONDS_PER_PROMPT, seconds)
         squares, cubes, fourths = (SAMPLE_DECAY * moment for moment in self.moments)
         by_tokens, by_squares = (SAMPLE_DECAY * product for product in self.products)
-        # Weighted by 1 / tokens: the relative errors of short and of long prompts count alike.
+        # Weighted by 1 / tokens: relative errors of short and long prompts count equally.
         self.moments = (squares + tokens, cubes + tokens**2, fourths + tokens**3)
         self.products = (by_tokens + seconds, by_squares + seconds * tokens)
         self._fit()
 
     def _fit(self) -> None:
-        """Solve the normal equations; fall back to a proportional cost outside of the bounds."""
+        """Solve the normal equations; use a proportional cost if a coefficient is out of range."""
         squares, cubes, fourths = self.moments
         by_tokens, by_squares = self.products
         determinant = squares * fourths - cubes**2
@@ -64,13 +64,13 @@
         self.quadratic = quadratic / 1e6
 
     def seconds(self, token_count: int) -> float:
-        """Return the seconds expected for so many tokens, on a replica of usual speed."""
+        """Return the expected seconds for a number of tokens on a replica of usual speed."""
         seconds = self.linear * token_count + self.quadratic * token_count**2
         return min(MAX_SECONDS_PER_PROMPT, seconds)
 
 
 class ServiceSpeed:
-    """How fast the replicas of a service are, learnt from requests of this node and its peers."""
+    """Speed of the replicas of a service, learned from requests of this node and its peers."""
 
     __slots__ = ("prompt_cost", "request_seconds")
 
@@ -79,30 +79,31 @@
         self.request_seconds = PRIOR_REQUEST_SECONDS
 
     def record_request(self, seconds: float) -> None:
-        """Record how long a complete request took."""
+        """Add the duration of a complete request to the moving average."""
         seconds = min(MAX_SECONDS_PER_PROMPT, max(0.0, seconds))
-        self.request_seconds += REQUEST_SECONDS_WEIGHT * (seconds - self.request_seconds)
+        self.request_seconds += REQUEST_SECONDS_SAMPLE_WEIGHT * (seconds - self.request_seconds)
 
 
 class WorkQueue:
-    """The prompts that one replica is believed to still have to process.
+    """Estimated unfinished work of one replica: the prompts that it has yet to process.
 
     Attributes
     ----------
     busy_until
-        When the replica is expected to have processed all of them, in seconds of this node.
-    added_seconds
-        All work ever added. The work added after a request is what remains at its first token.
-    slowness
-        Seconds that the replica needs for what takes a replica of usual speed one second.
+        Time, on this node's clock, at which the replica is expected to have processed them all.
+    total_added_seconds
+        Total of the work ever added. At the first token of a request, only the work added after
+        that request remains.
+    slowdown
+        Processing time of the replica, divided by that of a replica of usual speed.
     """
 
-    __slots__ = ("busy_until", "added_seconds", "slowness")
+    __slots__ = ("busy_until", "total_added_seconds", "slowdown")
 
     def __init__(self) -> None:
         self.busy_until = 0.0
-        self.added_seconds = 0.0
-        self.slowness = 1.0
+        self.total_added_seconds = 0.0
+        self.slowdown = 1.0
 
     def wait_seconds(self, now: float) -> float:
         """Return how long a prompt that arrives now is expected to wait."""
@@ -111,17 +112,17 @@
     def add(self, seconds: float, now: float) -> None:
         """Add the work of one prompt."""
         self.busy_until = max(now, self.busy_until) + seconds
-        self.added_seconds += seconds
+        self.total_added_seconds += seconds
 
     def cancel(self, seconds: float, now: float) -> None:
         """Remove the work of a prompt that the replica will not process."""
         self.busy_until = max(now, self.busy_until - seconds)
 
-    def complete(self, added_seconds_at_start: float, now: float) -> None:
-        """Correct the estimate at a first token: only work added after that request is left."""
-        self.busy_until = now + max(0.0, self.added_seconds - added_seconds_at_start)
+    def correct_at_first_token(self, added_seconds_at_start: float, now: float) -> None:
+        """Set the work to what was added after a request, as its first token has arrived."""
+        self.busy_until = now + max(0.0, self.total_added_seconds - added_seconds_at_start)
 
-    def record_slowness(self, ratio: float) -> None:
-        """Record the time that a prompt took, divided by the time that is usual for it."""
-        ratio = min(MAX_SLOWNESS, max(MIN_SLOWNESS, ratio))
-        self.slowness += SPEED_WEIGHT * (ratio - self.slowness)
+    def record_slowdown(self, ratio: float) -> None:
+        """Add a sample: the time that a prompt took, divided by the usual time for it."""
+        ratio = min(MAX_SLOWDOWN, max(MIN_SLOWDOWN, ratio))
+        self.slowdown += SLOWDOWN_SAMPLE_WEIGHT * (ratio - self.slowdown)
--- a/quillring/lots/http_requests/item_executor.py
+++ b/quillring/lots/http_requests/item_executor.py
@@ -193,7 +193,7 @@
                 may_reuse=True,
                 first_byte_timeout=stall_seconds / 2,
             )
-            in_flight.note_head()
+            in_flight.record_response_head()
             return BROKEN if run.is_stopped else (yield from self._read_response(run, in_flight))
         except NotSent as error:
             self._record_failure(run, replica, error)
@@ -232,7 +232,7 @@
             return BROKEN
         reader = EventReader(run.last_event_id)
         while (data := (yield from self._next_part(handle, in_flight))) is not None:
-            in_flight.note_body_bytes(len(data))
+            in_flight.record_body_bytes(len(data))
             self._append_events(run, reader.feed(data))
         is_whole = reader.is_at_event_boundary and run.last_event_id is not None
         return WHOLE if is_whole else BROKEN
--- a/quillring/verbs/status_routes.py
+++ b/quillring/verbs/status_routes.py
@@ -57,7 +57,7 @@
     return {
         "name": node.me.name,
         "ratio": decisions.ratio,
-        "sums": decisions.sums(),
+        "sums": decisions.count_by_cause(),
         "decisions": records,
     }
 
--- a/tests/test_decision_log.py
+++ b/tests/test_decision_log.py
@@ -68,7 +68,7 @@
     assert record.cause() == IN_TIME
     ((level, line),) = lines
     assert level == "info" and json.loads(line.partition(" ")[2])["cause"] == IN_TIME
-    assert node.find("decisions").sums() == [
+    assert node.find("decisions").count_by_cause() == [
         {"route": "f", "cause": IN_TIME, "reason": OWN_ZONE, "requests": 1}
     ]
 
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -59,7 +59,7 @@
             health.in_flight == 0 for health in node.find("placement").health_by_replica.values()
         )
         assert all(
-            health.work.wait_seconds(runtime.time) == 0 and not health.expected_first_tokens
+            health.work.wait_seconds(runtime.time) == 0 and not health.expected_first_token_times
             for health in node.find("placement").health_by_replica.values()
         )
         if not came_so_far:
--- a/tests/test_load_balancer.py
+++ b/tests/test_load_balancer.py
@@ -40,7 +40,7 @@
     runtime, node = make_stage({}, replicas=6)
     placement, long = node.find("placement"), request(**LONG)
     first = placement.choose("s", long, goals=GOALS)
-    placement.start_request(first, long).note_body_bytes(1)
+    placement.start_request(first, long).record_body_bytes(1)
     assert chosen_names(placement, long) == {first.name}
     other = request(**{"X-Prompt-Chain": "ef:30000,cd:900", "X-Token-Count": "30900,80"})
     placement.start_request(first, other)
@@ -84,7 +84,7 @@
     large = request(**{"X-Prompt-Chain": "gh:30000,cd:900", "X-Token-Count": "30900,80"})
     small = request(**{"X-Prompt-Chain": "kl:2100,cd:90", "X-Token-Count": "2190,80"})
     for sent in (large, small):
-        placement.start_request(table["r1"], sent).note_body_bytes(1)
+        placement.start_request(table["r1"], sent).record_body_bytes(1)
     assert chosen_names(placement, large) == {"r1"}
     assert chosen_names(placement, small) == {"r0"}
 
@@ -99,7 +99,7 @@
             )
             in_flight = placement.start_request(table[name], sent)
             runtime.time += seconds
-            in_flight.note_body_bytes(1)
+            in_flight.record_body_bytes(1)
             in_flight.finish()
         placement.exchange._report_zone_load()
     assert chosen_names(placement, request(**LONG)) == {"r1"}
@@ -147,7 +147,7 @@
         run(runtime, node, request(**LONG))
     placement.exchange._report_zone_load()
     assert placement.speed(replica).prompt_cost.seconds(13_900) == before
-    assert placement.health(replica).work.slowness == 1
+    assert placement.health(replica).work.slowdown == 1
     assert placement.health(replica).work.wait_seconds(runtime.time) == 0
 
 
@@ -156,9 +156,9 @@
     placement, replica = node.find("placement"), node.find("replicas").table["r0"]
     in_flight = placement.start_request(replica, request(**LONG))
     health = placement.health(replica)
-    assert health.work.wait_seconds(runtime.time) > 0 and health.expected_first_tokens
+    assert health.work.wait_seconds(runtime.time) > 0 and health.expected_first_token_times
     in_flight.finish()
-    assert health.work.wait_seconds(runtime.time) == 0 and not health.expected_first_tokens
+    assert health.work.wait_seconds(runtime.time) == 0 and not health.expected_first_token_times
 
 
 def test_state_of_removed_replicas_is_dropped():
@@ -169,7 +169,7 @@
     del table["r0"]
     beat(node, 7)
     placement.choose("s", request())
-    assert set(placement.prefixes.caches) == {"r1"}
+    assert set(placement.prefix_directory.cache_by_replica) == {"r1"}
     assert set(placement.health_by_replica) == {"r1", "r7"}
 
 
--- a/tests/test_load_exchange.py
+++ b/tests/test_load_exchange.py
@@ -115,7 +115,7 @@
 def test_long_prompt_is_reported_immediately_to_the_sending_nodes_of_the_zone_only():
     stage = Stage()
     stage.own = {"r0": 2}
-    stage.exchange.note_start(START)
+    stage.exchange.report_prompt_start(START)
     assert {target for target, _, _ in stage.nifty.sent} == {"edge-n2", "core-n"}
     report = LoadReport.from_wire(stage.nifty.sent[0][2])
     assert (report.source, report.in_flight, report.starts) == ("edge-n1", {"r0": 2}, [START])
--- a/tests/test_placement_estimates.py
+++ b/tests/test_placement_estimates.py
@@ -8,8 +8,8 @@
 from quillring.forward.request import PromptPart
 from quillring.forward.work_queue import (
     MAX_SECONDS_PER_PROMPT,
-    MAX_SLOWNESS,
-    MIN_SLOWNESS,
+    MAX_SLOWDOWN,
+    MIN_SLOWDOWN,
     PromptCost,
     ServiceSpeed,
     WorkQueue,
@@ -22,11 +22,11 @@
 def test_unfinished_work_drains_with_time_and_is_corrected_at_a_first_token():
     work = WorkQueue()
     work.add(0.2, now=10.0)
-    total_added_at_first_request = work.added_seconds
+    total_added_at_first_request = work.total_added_seconds
     work.add(0.3, now=10.0)
     assert work.wait_seconds(10.0) == pytest.approx(0.5)
     assert work.wait_seconds(10.4) == pytest.approx(0.1)
-    work.complete(total_added_at_first_request, now=10.5)
+    work.correct_at_first_token(total_added_at_first_request, now=10.5)
     assert work.wait_seconds(10.5) == pytest.approx(0.3)
     work.cancel(0.3, now=10.5)
     assert work.wait_seconds(10.5) == 0
@@ -62,8 +62,8 @@
 def test_slowdown_of_a_replica_stays_within_its_bounds(ratios):
     work = WorkQueue()
     for ratio in ratios:
-        work.record_slowness(ratio)
-    assert MIN_SLOWNESS <= work.slowness <= MAX_SLOWNESS
+        work.record_slowdown(ratio)
+    assert MIN_SLOWDOWN <= work.slowdown <= MAX_SLOWDOWN
 
 
 def test_prompt_part_counts_as_cached_only_if_all_parts_before_it_are_cached():
@@ -74,7 +74,7 @@
     assert directory.cached_tokens("r0", (first, second)) == 3000
     assert directory.cached_tokens("r1", (first, second)) == 0
     assert directory.cached_tokens("r2", (first,)) == 0
-    directory.forget_all_but({"r1"})
+    directory.retain_only({"r1"})
     assert directory.cached_tokens("r0", (first,)) == 0
     assert directory.cached_tokens("r1", (second,)) == 5000
 
@@ -94,7 +94,7 @@
     for number, token_count in uses:
         directory.record("r", (PromptPart(str(number), token_count),), 20_000)
     if uses:
-        cache = directory.caches["r"]
+        cache = directory.cache_by_replica["r"]
         assert cache.total_tokens == sum(cache.tokens_by_part.values()) <= 20_000
 
 
@@ -102,4 +102,4 @@
     directory = PrefixDirectory()
     for number in range(MAX_PARTS_PER_REPLICA * 2):
         directory.record("r", (PromptPart(str(number), 0),), None)
-    assert len(directory.caches["r"].tokens_by_part) == MAX_PARTS_PER_REPLICA
+    assert len(directory.cache_by_replica["r"].tokens_by_part) == MAX_PARTS_PER_REPLICA
