--- a/proving/points/retention.py
+++ b/proving/points/retention.py
@@ -161,7 +161,7 @@
 def drop_oldest(self):
     """Stand-in for the guard: room is made by dropping the oldest, under way or not."""
     while self._is_full() and self.streams:
-        self.forget(min(self.streams.values(), key=lambda s: (s.has_ended, s.touched_at)))
+        self.forget(min(self.streams.values(), key=lambda s: (s.has_ended, s.last_used_at)))
 
 
 POINTS = [
--- a/proving/points/stream_resumption.py
+++ b/proving/points/stream_resumption.py
@@ -8,7 +8,7 @@
 from proving.sim.callers import Connection
 from quillring.edge import stream_handlers
 from quillring.edge.journal_messages import Term
-from quillring.edge.resume_token import LIFETIME_SECONDS, ResumeToken, make_token
+from quillring.edge.resume_token import TOKEN_LIFETIME_SECONDS, ResumeToken, make_token
 from quillring.edge.stream_handlers import resume_stream, serve_model
 from quillring.kernel.errors import NotFound, QuillringError
 from quillring.kernel.routes import Request
@@ -97,7 +97,7 @@
         "another sender": (head["resume"], "bob"),
         "no sender": (head["resume"], ""),
         "expired": (
-            make_token(secret, stream, node.runtime.wall_time() - LIFETIME_SECONDS - 1),
+            make_token(secret, stream, node.runtime.wall_time() - TOKEN_LIFETIME_SECONDS - 1),
             "ann",
         ),
         "cut off": (head["resume"][: chance.randrange(1, 20)], "ann"),
--- a/quillring/edge/journal.py
+++ b/quillring/edge/journal.py
@@ -1,4 +1,4 @@
-"""The stream journal: each piece is replicated to a backup before a client gets it."""
+"""The stream journal: each piece is replicated to a backup before it is sent to the client."""
 
 from __future__ import annotations
 
@@ -27,14 +27,17 @@
 MAX_STREAMS = 20_000
 MAX_BYTES = 256 << 20
 HANDOVER_AGE_FACTOR = 5
-"""Streams touched within so many recovery bounds are handed over before a planned stop."""
-HANDOVER_BATCH = 50
+"""Streams used within this multiple of `bounds.recovery` are handed over before a planned stop."""
+HANDOVER_BATCH_SIZE = 50
 HANDOVER_ATTEMPTS = 2
-HOLDER_ROLES = ("edge", "core")
+STORAGE_ROLES = ("edge", "core")
 
 
 class Journal:
-    """Owns the streams that this node runs or backs up; refuses new ones when it is full."""
+    """Owns the streams that this node runs or backs up; refuses new ones when it is full.
+
+    `size` is the sum of the approximate sizes of the streams, in bytes.
+    """
 
     __slots__ = ("node", "streams", "size")
 
@@ -46,20 +49,20 @@
         node.handle("journal.find", self.on_find)
         node.handle("journal.claim", self.on_claim)
 
-    def run(self, kept_seconds: float) -> Coroutine:
-        """Drop streams unused for `kept_seconds`, except those running here, in an endless loop."""
+    def run(self, retention_seconds: float) -> Coroutine:
+        """Periodically drop streams unused for `retention_seconds`, except those running here."""
         while True:
             yield Sleep(self.node.bounds.propagation)
-            oldest = self.node.now() - kept_seconds
+            oldest = self.node.now() - retention_seconds
             self.streams = {
                 name: stream
                 for name, stream in self.streams.items()
-                if stream.is_running or stream.touched_at > oldest
+                if stream.is_running or stream.last_used_at > oldest
             }
             self.size = sum(stream.size for stream in self.streams.values())
 
     def _make_room(self) -> None:
-        """Drop the oldest quarter of the ended streams if full; Refused if that is not enough.
+        """If full, drop the least recently used quarter of ended streams; Refused if still full.
 
         A stream that has not ended is never dropped for lack of space.
         """
@@ -67,7 +70,7 @@
             return
         ended_streams = sorted(
             (s for s in self.streams.values() if s.has_ended and not s.is_running),
-            key=lambda stream: stream.touched_at,
+            key=lambda stream: stream.last_used_at,
         )
         for stream in ended_streams[: max(1, len(ended_streams) // 4)]:
             self.forget(stream)
@@ -81,17 +84,17 @@
 
     def add(self, stream: JournaledStream) -> None:
         """Add a stream, replacing any earlier copy."""
-        former = self.streams.get(stream.name)
-        self.size += stream.size - (former.size if former is not None else 0)
+        previous = self.streams.get(stream.name)
+        self.size += stream.size - (previous.size if previous is not None else 0)
         self.streams[stream.name] = stream
 
     def _replace_from(self, stream: JournaledStream, start: int, pieces: Sequence[str]) -> None:
-        former_size = stream.size
+        previous_size = stream.size
         stream.replace_from(start, pieces)
-        self.size += stream.size - former_size
+        self.size += stream.size - previous_size
 
     def open(self, name: str, request: dict[str, Any], client_name: str) -> JournaledStream:
-        """Create a stream that runs on this node; Refused if the journal is full."""
+        """Create a stream to run on this node; Refused if the journal is full."""
         self._make_room()
         term = Term(1, self.node.me.name)
         stream = JournaledStream(name, request, client_name, self.node.now(), term)
@@ -99,7 +102,7 @@
         return stream
 
     def forget(self, stream: JournaledStream) -> None:
-        """Drop a stream for which no client has a resume token."""
+        """Drop this node's copy of a stream that has ended or that no client can resume."""
         if self.streams.get(stream.name) is stream:
             del self.streams[stream.name]
             self.size -= stream.size
@@ -107,14 +110,14 @@
     def backup_candidates(self, name: str, avoided_names: Collection[str] = ()) -> list[str]:
         """Return the reachable nodes in other zones that may back up a stream, edges first.
 
-        Nodes that are drained, or in a drained zone, come last.
+        Nodes that are being drained, or whose zone is, come last.
         """
         is_leaving = self.node.find("ownership").is_leaving
         me, nifty = self.node.me, self.node.find("nifty")
         members = [
             member
             for member in nifty.roster.members.values()
-            if member.role in HOLDER_ROLES
+            if member.role in STORAGE_ROLES
             and member.zone != me.zone
             and nifty.reaches(member.name)
             and member.name not in avoided_names
@@ -134,11 +137,11 @@
                 stream.backup = None
 
     def hand_over(self) -> Coroutine:
-        """Copy every recently used stream to another node before a planned stop."""
+        """Start copying every recently used stream to another node, before a planned stop."""
         oldest = self.node.now() - self.node.bounds.recovery * HANDOVER_AGE_FACTOR
-        streams = [s for s in self.streams.values() if s.touched_at > oldest]
-        for start in range(0, len(streams), HANDOVER_BATCH):
-            for stream in streams[start : start + HANDOVER_BATCH]:
+        streams = [s for s in self.streams.values() if s.last_used_at > oldest]
+        for start in range(0, len(streams), HANDOVER_BATCH_SIZE):
+            for stream in streams[start : start + HANDOVER_BATCH_SIZE]:
                 self.node.spawn(self._hand_over_stream(stream))
             yield Sleep(self.node.bounds.gossip_interval)
         self.node.count("streams_handed", len(streams))
@@ -151,30 +154,32 @@
                 yield from self.node.call(name, "journal.append", body)
                 return
             except QuillringError as error:
-                self.node.log("warning", "handover of stream %s: %s", stream.name, error)
+                self.node.log("warning", "handover of stream %s failed: %s", stream.name, error)
 
     def possible_holders(self) -> list[str]:
         """Return the names of all members that may store streams, reachable or not."""
         members = self.node.find("nifty").roster.members.values()
-        return [member.name for member in members if member.role in HOLDER_ROLES]
+        return [member.name for member in members if member.role in STORAGE_ROLES]
 
     def append(
         self, stream: JournaledStream, new_pieces: Sequence[str], has_ended: bool = False
     ) -> Coroutine:
-        """Append pieces here and at the backup; return once both have stored them.
+        """Append pieces here and at the backup; return once the backup has acknowledged them.
+
+        If the backup fails, the complete stream is copied to another node.
 
         Raises
         ------
         Fenced
-            The stream runs elsewhere under a later term.
+            The stream was taken over under a later term.
         Refused
-            No node in another zone can be the backup.
+            No reachable node in another zone can be the backup.
         """
         self._check_term(stream)
         start = len(stream.pieces)
         self._replace_from(stream, start, new_pieces)
         stream.has_ended = has_ended or stream.has_ended
-        stream.touched_at = self.node.now()
+        stream.last_used_at = self.node.now()
         self._drop_leaving_backup(stream)
         avoided_names: set[str] = set()
         while True:
@@ -192,7 +197,7 @@
                 raise
             except QuillringError as error:
                 self.node.count("holder_changes")
-                self.node.log("warning", "stream backup %s: %s", stream.backup, error)
+                self.node.log("warning", "stream backup on %s failed: %s", stream.backup, error)
                 avoided_names.add(stream.backup)
                 stream.backup = None
 
@@ -205,7 +210,10 @@
         return self.hold(AppendRequest.from_wire(body))
 
     def hold(self, request: AppendRequest) -> int:
-        """Store pieces as the backup; Fenced for an earlier term, NotFound for a gap."""
+        """Store pieces as the backup and return the number of pieces stored.
+
+        Raises Fenced if a later term is known, NotFound if pieces before `start` are missing.
+        """
         known = self.streams.get(request.stream_name)
         if known is not None and known.term > request.term:
             raise Fenced(stream=request.stream_name)
@@ -230,23 +238,23 @@
         if request.start + len(request.pieces) >= len(stream.pieces):
             self._replace_from(stream, request.start, request.pieces)
         stream.has_ended = request.has_ended or stream.has_ended
-        stream.touched_at = self.node.now()
+        stream.last_used_at = self.node.now()
         return len(stream.pieces)
 
     def _find(self, query: StreamQuery) -> JournaledStream:
-        """Return the stream of this client that is stored here; NotFound otherwise."""
+        """Return the stored stream; NotFound if it is missing or belongs to another client."""
         stream = self.streams.get(query.stream_name)
         if stream is None or stream.client_name != query.client_name:
             raise NotFound(field="stream")
         return stream
 
     def on_find(self, body: dict[str, Any], origin: str) -> list[Any]:
-        """Return the term, length and route of a stream stored here for this client."""
+        """Return the term, piece count and route of a stream stored here for this client."""
         stream = self._find(StreamQuery.from_wire(body))
         return FindReply(stream.term, len(stream.pieces), stream.request["entry"]).to_wire()
 
     def on_claim(self, body: dict[str, Any], origin: str) -> list[Any]:
-        """Fence a stream under a later term and return its copy; the earlier term can't append."""
+        """Fence earlier terms of a stream and return this node's copy, with its previous term."""
         query = StreamQuery.from_wire(body)
         stream = self._find(query)
         if query.term is None or stream.term >= query.term:
--- a/quillring/edge/journal_messages.py
+++ b/quillring/edge/journal_messages.py
@@ -1,4 +1,4 @@
-"""The messages of the stream journal, and their wire format."""
+"""Messages of the stream journal and their wire format."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 
     @classmethod
     def from_wire(cls, row: list[Any]) -> Term:
-        """Return the term of a row [number, node name]."""
+        """Read a term from a row [number, node name]."""
         number, node_name = row
         return cls(number, node_name)
 
 
 class AppendRequest(NamedTuple):
-    """Pieces of a stream from position `start` on, for its backup.
+    """Pieces of a stream from index `start` on, for its backup.
 
-    As one is sent for each piece, `append_body` writes the body without an intermediate tuple.
+    `append_body` builds the body without this tuple, since a request is sent for each piece.
     """
 
     stream_name: str
@@ -42,7 +42,7 @@
 
     @classmethod
     def from_wire(cls, body: dict[str, Any]) -> AppendRequest:
-        """Return the request of a body of `journal.append`."""
+        """Read the request from a body of `journal.append`."""
         return cls(
             body["stream"],
             body["inquiry"],
@@ -55,7 +55,7 @@
 
 
 def append_body(stream: JournaledStream, start: int) -> dict[str, Any]:
-    """Return the body of `journal.append` with the pieces of a stream from `start` on."""
+    """Return the body of `journal.append` with the pieces of a stream from index `start` on."""
     return {
         "stream": stream.name,
         "inquiry": stream.request,
@@ -83,25 +83,25 @@
 
     @classmethod
     def from_wire(cls, body: dict[str, Any]) -> StreamQuery:
-        """Return the query of a body of `journal.find` or `journal.claim`."""
+        """Read the query from a body of `journal.find` or `journal.claim`."""
         term = Term.from_wire(body["round"]) if "round" in body else None
         return cls(body["stream"], body["sender"], term)
 
 
 class FindReply(NamedTuple):
-    """The reply to `journal.find`; a node of the previous version sends no route."""
+    """The reply to `journal.find`; nodes of the previous version omit the route."""
 
     term: Term
     piece_count: int
     route_name: str | None
 
     def to_wire(self) -> list[Any]:
-        """Return the reply to `journal.find`."""
+        """Return the reply as a row [term, piece count, route]."""
         return [list(self.term), self.piece_count, self.route_name]
 
     @classmethod
     def from_wire(cls, row: list[Any]) -> FindReply:
-        """Return the reply of a row with or without a route."""
+        """Read the reply from a row with or without a route."""
         term, piece_count, *routes = row
         return cls(Term.from_wire(term), piece_count, routes[0] if routes else None)
 
@@ -115,11 +115,11 @@
     term: Term
 
     def to_wire(self) -> list[Any]:
-        """Return the reply to `journal.claim`."""
+        """Return the reply as a row [request, pieces, has ended, term]."""
         return [self.request, self.pieces, self.has_ended, list(self.term)]
 
     @classmethod
     def from_wire(cls, row: list[Any]) -> ClaimReply:
-        """Return the reply of a row [request, pieces, has ended, term]."""
+        """Read the reply from a row [request, pieces, has ended, term]."""
         request, pieces, has_ended, term = row
         return cls(request, pieces, has_ended, Term.from_wire(term))
--- a/quillring/edge/journaled_stream.py
+++ b/quillring/edge/journaled_stream.py
@@ -1,4 +1,4 @@
-"""One journaled stream: its request, its pieces so far, and the term that may append."""
+"""A journaled stream: its request, the pieces received so far, and the term that may append."""
 
 from __future__ import annotations
 
@@ -9,13 +9,14 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
 
-OVERHEAD_BYTES = 512
+STREAM_OVERHEAD_BYTES = 512
 
 
 class JournaledStream:
-    """One journaled stream; owns its pieces. `size` approximates their bytes, one per character.
+    """The copy of a journaled stream on one node.
 
-    `backup` is the name of the node with the second copy, or None.
+    `size` is an estimate of its memory use in bytes that counts one byte per character. `backup` is
+    the name of the node with the second copy, or None.
     """
 
     __slots__ = (
@@ -25,7 +26,7 @@
         "pieces",
         "has_ended",
         "term",
-        "touched_at",
+        "last_used_at",
         "backup",
         "size",
         "is_running",
@@ -45,13 +46,13 @@
         self.pieces: list[str] = []
         self.has_ended = False
         self.term = Term(*term)
-        self.touched_at = now
+        self.last_used_at = now
         self.backup: str | None = None
-        self.size: int = OVERHEAD_BYTES + len(request.get("prompt", ""))
+        self.size: int = STREAM_OVERHEAD_BYTES + len(request.get("prompt", ""))
         self.is_running = False
 
     def replace_from(self, start: int, pieces: Sequence[str]) -> None:
-        """Replace the pieces from position `start` on."""
+        """Replace the pieces from index `start` on."""
         if start < len(self.pieces):
             self.size -= sum(map(len, self.pieces[start:]))
         self.pieces[start:] = pieces
--- a/quillring/edge/replica_snapshot.py
+++ b/quillring/edge/replica_snapshot.py
@@ -1,7 +1,7 @@
-"""A store's snapshot of the replica table on disk, for a fast restart of the complete fleet.
+"""On-disk snapshot of the replica table on a store, for a fast restart of the complete fleet.
 
-It is best effort: a restored replica is not alive until its next heartbeat, and every request names
-the incarnation of the replica that it is meant for.
+The snapshot is best effort. An outdated entry is harmless: a restored replica is not alive until
+its next heartbeat, and every request names the incarnation of the replica that is to run it.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 
 
 class SnapshotFile(NamedTuple):
-    """The content of one file: its generation, and the last announcement of each replica."""
+    """The content of a snapshot file: its generation and the last announcement of each replica."""
 
     generation: int
     announcements: list[dict[str, Any]]
 
 
 class ReplicaSnapshot:
-    """Owns two snapshot files that are written alternately, each with a CRC-32 checksum."""
+    """Owns two snapshot files, written alternately, each with a CRC-32 checksum."""
 
     __slots__ = ("node", "disk", "generation", "written_version")
 
@@ -42,7 +42,7 @@
         self.written_version = node.find("replicas").table_version
 
     def restore(self) -> None:
-        """Publish the announcements of the newest valid file in gossip."""
+        """Publish the announcements of the newest valid snapshot file in gossip."""
         files = [file for file in map(self._read, FILE_NAMES) if file is not None]
         if not files:
             return
@@ -58,7 +58,7 @@
         self.written_version = self.node.find("replicas").table_version
 
     def _read(self, name: str) -> SnapshotFile | None:
-        """Return the content of a file, or None if it is missing or damaged."""
+        """Return the content of a file, or None if it is missing or fails its checksum."""
         data = self.disk.read(name)
         if data is None or len(data) < CHECKSUM_BYTES:
             return None
@@ -68,7 +68,7 @@
         return SnapshotFile._make(cbor2.loads(body))
 
     def run(self) -> Coroutine:
-        """Write the table, if it has changed, every half `bounds.propagation`."""
+        """Every half `bounds.propagation`, write a snapshot if the table has changed."""
         while True:
             yield Sleep(self.node.bounds.propagation / 2)
             if self.written_version != self.node.find("replicas").table_version:
@@ -83,4 +83,4 @@
         try:
             self.disk.write(FILE_NAMES[self.generation % 2], checksum + body)
         except DiskError as error:
-            self.node.log("warning", "replica snapshot: %s", error)
+            self.node.log("warning", "replica snapshot was not written: %s", error)
--- a/quillring/edge/stream_takeover.py
+++ b/quillring/edge/stream_takeover.py
@@ -1,4 +1,4 @@
-"""Takeover of a stream: find the newest copy, fence earlier terms, ensure a second copy."""
+"""Takeover of a stream: find its newest copy, fence earlier terms, ensure a second copy."""
 
 from __future__ import annotations
 
@@ -24,23 +24,23 @@
 ) -> Coroutine:
     """Find a stream on the reachable nodes, fence earlier terms, and return it to run here.
 
-    It is returned once a backup has all of it: pieces that an earlier runner failed to replicate
-    were never sent to the client, and must be replicated before they are.
+    It is returned once a backup has a complete copy. Pieces that the previous node failed to
+    replicate were never sent to the client, and must be replicated before they are sent.
 
-    A node may have a stale copy under an older term, which may have diverged; the newest term wins,
-    and copies older than `served_term`, in which the client was served, are ignored.
+    A copy under an older term may be stale and may have diverged. The copy with the newest term is
+    used; copies older than `served_term`, under which the client was served, are ignored.
 
     Parameters
     ----------
     check
-        Called with the reply of one holder before anything is fenced; may raise.
+        Called with the reply of one holder before any term is fenced; may raise.
 
     Raises
     ------
     NotFound
-        No node has the stream for this client.
+        No node has a stream of this name for this client.
     Refused
-        A node that may have the stream, or its newest copy, is unreachable.
+        A node that may have the stream, or one that has its newest copy, is unreachable.
     """
     found = yield from _find_holders(journal, StreamQuery(name, client_name))
     check(next(iter(found.values())))
@@ -62,7 +62,10 @@
 
 
 def _find_holders(journal: Journal, query: StreamQuery) -> Coroutine:
-    """Return {node: FindReply} of the nodes with the stream; NotFound or Refused if none."""
+    """Return {node: FindReply} of the nodes with a copy.
+
+    Raises NotFound if no node has one, Refused if a node that may have one did not answer.
+    """
     nifty = journal.node.find("nifty")
     possible_holders = journal.possible_holders()
     names = [name for name in possible_holders if nifty.reaches(name)]
@@ -74,15 +77,15 @@
         if not isinstance(reply, QuillringError)
     }
     if not found:
-        has_missed_one = any(not isinstance(reply, NotFound) for reply in replies.values())
-        if has_missed_one or len(names) < len(possible_holders):
+        has_other_error = any(not isinstance(reply, NotFound) for reply in replies.values())
+        if has_other_error or len(names) < len(possible_holders):
             raise Refused(reason="the stream's holders are out of reach")
         raise NotFound(field="stream")
     return found
 
 
 def _claim_copies(journal: Journal, holders: Collection[str], query: StreamQuery) -> Coroutine:
-    """Fence the stream at its holders; return {node: ClaimReply} of those that answered."""
+    """Fence earlier terms at the holders; return {node: ClaimReply} of those that agreed."""
     body = query.to_wire()
     replies = yield from journal.node.gather(
         [(name, "journal.claim", body) for name in holders], len(holders)
--- a/quillring/fleet.py
+++ b/quillring/fleet.py
@@ -3,7 +3,7 @@
 from quillring.classes import QuotaClient, QuotaServer, ServiceLevelMeter
 from quillring.edge import Dispatcher, Journal, ReplicaTable
 from quillring.edge.replica_snapshot import ReplicaSnapshot
-from quillring.edge.resume_token import LIFETIME_SECONDS
+from quillring.edge.resume_token import TOKEN_LIFETIME_SECONDS
 from quillring.forward import DecisionLog, ForwardRouteTable, HeaderNames, LoadBalancer
 from quillring.gossip import Gossip
 from quillring.kernel.errors import DiskError
@@ -102,7 +102,7 @@
     node.spawn(dispatch.run())
     node.spawn(node.find("placement").exchange.run())
     node.spawn(taker.run())
-    node.spawn(journal.run(LIFETIME_SECONDS))
+    node.spawn(journal.run(TOKEN_LIFETIME_SECONDS))
 
 
 @ROLES.entry("store")
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from quillring.edge.resume_token import LIFETIME_SECONDS, BadToken, make_token, read_token
+from quillring.edge.resume_token import TOKEN_LIFETIME_SECONDS, BadToken, make_token, read_token
 from quillring.lots.http_requests.lot_placement import lot_key
 from quillring.quorum.parts import CONFIG
 from tests.fleet_stage import SelfFounded
@@ -99,10 +99,10 @@
         name, term, client_name = "s", (1, "edge-1"), "ann"
 
     token = make_token(b"secret", Stream, 1000 + issuer)
-    for age in (0, 60, LIFETIME_SECONDS - 2 * MINUTE - 1):
+    for age in (0, 60, TOKEN_LIFETIME_SECONDS - 2 * MINUTE - 1):
         assert read_token(b"secret", token, "ann", 1000 + age + reader).stream_name == "s"
     with pytest.raises(BadToken):
-        read_token(b"secret", token, "ann", 1000 + LIFETIME_SECONDS + 2 * MINUTE + 1 + reader)
+        read_token(b"secret", token, "ann", 1000 + TOKEN_LIFETIME_SECONDS + 2 * MINUTE + 1 + reader)
 
 
 @pytest.mark.parametrize("step", [-MINUTE, MINUTE])
