--- a/proving/placement/nodes.py
+++ b/proving/placement/nodes.py
@@ -122,7 +122,7 @@
         layout = {"domains": {}, "services": services, "forwards": {}}
         node.find("gossip").publish("layout", [1], [1, 1, layout, []])
         balancer = node.offer("placement", LoadBalancer(node, policy))
-        node.find("replicas").on_change.append(balancer.wake)
+        node.find("replicas").change_listeners.append(balancer.wake)
         if policy.shares_load:
             node.spawn(balancer.exchange.run())
         return node
@@ -146,7 +146,7 @@
         """Let all nodes know that replicas live."""
         for node in self.nodes.values():
             for name in names:
-                node.find("replicas").note_heartbeat(name, 0, sequence)
+                node.find("replicas").record_heartbeat(name, 0, sequence)
 
     def delay(self, zone, other_zone):
         """Return the seconds one way between two zones."""
--- a/quillring/classes/__init__.py
+++ b/quillring/classes/__init__.py
@@ -1,4 +1,4 @@
-"""Classes of service: their terms, their shares of capacity, and lending of idle capacity."""
+"""Classes of service: terms, shares of capacity, and lending of idle capacity."""
 
 from quillring.classes.fair_share import allocate
 from quillring.classes.quota_client import QuotaClient
--- a/quillring/classes/class_terms.py
+++ b/quillring/classes/class_terms.py
@@ -1,6 +1,6 @@
-"""What a class of service allows; the defaults of omitted terms are defined only here.
+"""The terms of a class of service, and the defaults of omitted terms.
 
-A class allows nothing by default: its requests are neither run twice nor resumed.
+By default, the requests of a class are neither retried once they may have run nor resumed.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 
 
 def may_repeat(terms: Terms) -> bool:
-    """Return True if a request of the class may run again after a replica may have begun it."""
+    """Return whether a request may run again after a replica may have started it."""
     return bool(terms.get("repeatable", False))
 
 
 def may_resume(terms: Terms) -> bool:
-    """Return True if a client may resume an interrupted stream of the class."""
+    """Return whether a client may resume an interrupted stream of the class."""
     return bool(terms.get("resumable", False))
 
 
-def may_run_on(terms: Terms, has_pieces: object) -> bool:
-    """Return True if a stream may fail over to another replica once one may have begun it.
+def may_fail_over(terms: Terms, has_pieces: object) -> bool:
+    """Return whether a stream may fail over to another replica once one may have started it.
 
-    `has_pieces` is true if the stream has pieces already: failing over then also is a resumption.
+    `has_pieces` is truthy if the stream has produced pieces; failing over then also resumes it.
     """
     return may_repeat(terms) and (not has_pieces or may_resume(terms))
--- a/quillring/classes/fair_share.py
+++ b/quillring/classes/fair_share.py
@@ -1,4 +1,4 @@
-"""Division of a service's capacity: own shares first, then idle capacity by priority."""
+"""Division of a service's capacity: guaranteed shares first, then idle capacity by urgency."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 def allocate(
-    room: int, classes: Mapping[str, Mapping[str, Any]], demands: Mapping[str, int]
+    capacity: int, classes: Mapping[str, Mapping[str, Any]], demands: Mapping[str, int]
 ) -> dict[str, int]:
-    """Return {class: slots it may use}, out of `room` slots.
+    """Return {class: slots it may use}, out of `capacity` slots.
 
-    `classes` is {class: {share, urgency}}, `demands` {class: requests running or waiting}. A class
-    gets its demand up to its share; slots left idle are lent to the classes that demand more, in
-    descending order of urgency.
+    `classes` is {class: {share, urgency}}, `demands` is {class: requests running or queued}. A
+    class is granted its demand up to its share. Idle slots are lent to the classes that demand
+    more, in descending order of urgency.
     """
     share_sum = sum(classes[name]["share"] for name in demands) or 1
-    own_rooms = {name: classes[name]["share"] / share_sum * room for name in demands}
-    granted = {name: min(demands[name], math.floor(own_rooms[name])) for name in demands}
-    idle = room - sum(granted.values())
+    own_shares = {name: classes[name]["share"] / share_sum * capacity for name in demands}
+    granted = {name: min(demands[name], math.floor(own_shares[name])) for name in demands}
+    idle = capacity - sum(granted.values())
     for name in sorted(demands, key=lambda n: (-classes[n]["urgency"], n)):
         lent = min(idle, demands[name] - granted[name])
         granted[name] += lent
@@ -31,10 +31,10 @@
 
 
 def apportion(amount: int, demands: Mapping[str, int]) -> dict[str, int]:
-    """Return {name: its part of the amount}, proportional to demand and no more than it.
+    """Return {name: part of the amount}, proportional to the demand and never above it.
 
-    The integers add up to the amount, or to the total demand if that is less: the method of
-    largest remainders (Hamilton), ties broken by name.
+    The integer parts add up to the amount, or to the total demand if that is less. They are rounded
+    by the largest remainder method (Hamilton); ties are broken by name.
     """
     total = sum(demands.values())
     if total <= amount:
@@ -48,6 +48,6 @@
 
 
 def slow_start_slots(slots: int, age_seconds: float, warm_up_seconds: float) -> int:
-    """Return how many requests a cold replica may run: a linear slow start, at least 1."""
+    """Return how many requests a cold replica may run: at least 1, growing linearly with age."""
     warm_share = min(1, age_seconds / warm_up_seconds)
     return min(slots, max(1, int(slots * warm_share)))
--- a/quillring/classes/messages.py
+++ b/quillring/classes/messages.py
@@ -1,4 +1,4 @@
-"""The quota request between nodes that dispatch to replicas and the core that grants quotas."""
+"""Messages between nodes that dispatch to replicas and the core that grants their quotas."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 class QuotaRequest(NamedTuple):
-    """`grants.ask`: the requests that a client runs or has waiting for a service.
+    """`grants.ask`: the number of requests that a client node runs or queues for a service.
 
-    `demands` is {class: requests}, `held_cold_slots` {cold replica: slots in use or granted}.
+    `demands` is {class: requests}, `held_cold_slots` is {cold replica: slots in use or granted}.
     """
 
     service: str
@@ -35,10 +35,10 @@
 
 
 class Quota(NamedTuple):
-    """The reply to `grants.ask`: what a client may run of a service.
+    """The reply to `grants.ask`: how many requests of a service a client node may run.
 
-    `limits` is {class: requests}, `cold_slots` {cold replica: slots}; the slots are valid for
-    `lease_seconds` from when the request was sent.
+    `limits` is {class: requests}, `cold_slots` is {cold replica: slots}. The slots are leased for
+    `lease_seconds` from the time at which the request was sent.
     """
 
     limits: Mapping[str, int]
--- a/quillring/classes/quota_client.py
+++ b/quillring/classes/quota_client.py
@@ -1,4 +1,4 @@
-"""The quota client on an edge, or on a core that runs lots: requests quotas and keeps them."""
+"""The quota client of a node that dispatches requests: an edge, or a core that runs lots."""
 
 from __future__ import annotations
 
@@ -18,31 +18,31 @@
     from quillring.kernel.types import Coroutine
 
 REQUESTS_PER_HEARTBEAT = 4
-LIMITS_HOLD_PROPAGATIONS = 2
+LIMITS_VALID_PROPAGATIONS = 2
 
 
-class HeldQuota(NamedTuple):
-    """A quota, when it was requested, and when its limits and slots expire, in seconds."""
+class ReceivedQuota(NamedTuple):
+    """A quota with the times of its request and of its expiry, in seconds of the node's clock."""
 
     limits: Mapping[str, int]
     cold_slots: Mapping[str, int]
-    asked_at: float
-    limits_until: float
-    cold_until: float
+    requested_at: float
+    limits_expire_at: float
+    cold_slots_expire_at: float
 
 
 class QuotaClient:
-    """Owner of this node's quotas, by service; `on_quota` is called after each new one."""
+    """Requests and stores this node's quotas by service; calls `on_new_quota` after each reply."""
 
-    __slots__ = ("node", "quotas", "on_quota")
+    __slots__ = ("node", "quotas", "on_new_quota")
 
     def __init__(self, node: Node) -> None:
         self.node = node
-        self.quotas: dict[str, HeldQuota] = {}
-        self.on_quota: Callable[[], None] = lambda: None
+        self.quotas: dict[str, ReceivedQuota] = {}
+        self.on_new_quota: Callable[[], None] = lambda: None
 
     def run(self) -> Coroutine:
-        """Request quotas every heartbeat; of busy services, REQUESTS_PER_HEARTBEAT times."""
+        """Request quotas once per heartbeat, for busy services REQUESTS_PER_HEARTBEAT times."""
         ticks = 0
         while True:
             yield Sleep(self.node.bounds.heartbeat_interval / REQUESTS_PER_HEARTBEAT)
@@ -52,12 +52,12 @@
                 continue
             services = configuration["services"].items()
             for service in sorted(name for name, item in services if item["kind"] != "raw"):
-                is_busy = self.node.find("dispatch").demands(service)
+                is_busy = self.node.find("dispatch").count_demand(service)
                 if is_busy or ticks % REQUESTS_PER_HEARTBEAT == 0:
                     self.node.spawn(self._request(service))
 
     def _request(self, service: str) -> Coroutine:
-        """Request the quota from the core that leads the service's part; skip on any error."""
+        """Request the quota from the leader of the service's part; on error, keep the old one."""
         ownership, bounds = self.node.find("ownership"), self.node.bounds
         try:
             part = part_of(service, len(ownership.parts()) - 1)
@@ -66,8 +66,8 @@
         leader = ownership.known_leader(part)
         if leader is None or not self.node.find("nifty").reaches(leader):
             return
-        asked_at = self.node.now()
-        demands = self.node.find("dispatch").demands(service)
+        requested_at = self.node.now()
+        demands = self.node.find("dispatch").count_demand(service)
         body = QuotaRequest(service, demands, self._held_cold_slots(service)).to_wire()
         try:
             reply = yield from self.node.call(
@@ -76,17 +76,17 @@
         except QuillringError:
             return
         quota = Quota.from_wire(reply)
-        self.quotas[service] = HeldQuota(
+        self.quotas[service] = ReceivedQuota(
             quota.limits,
             quota.cold_slots,
-            asked_at,
-            asked_at + bounds.propagation * LIMITS_HOLD_PROPAGATIONS,
-            asked_at + quota.lease_seconds,
+            requested_at,
+            requested_at + bounds.propagation * LIMITS_VALID_PROPAGATIONS,
+            requested_at + quota.lease_seconds,
         )
-        self.on_quota()
+        self.on_new_quota()
 
     def _held_cold_slots(self, service: str) -> dict[str, int]:
-        """Return {cold replica: slots} in use here, or granted and valid, whichever are more."""
+        """Return {cold replica: slots}: the greater of those in use here and those granted."""
         granted = self._granted_cold_slots(service)
         held: dict[str, int] = {}
         for replica in self.node.find("replicas").table.values():
@@ -98,24 +98,24 @@
 
     def _granted_cold_slots(self, service: str) -> Mapping[str, int]:
         quota = self.quotas.get(service)
-        if quota is None or self.node.now() >= quota.cold_until:
+        if quota is None or self.node.now() >= quota.cold_slots_expire_at:
             return {}
         return quota.cold_slots
 
     def cold_slots(self, replica: Any) -> int:
-        """Return how many requests this node may have at a cold replica."""
+        """Return how many requests this node may run on a cold replica."""
         return self._granted_cold_slots(replica.service).get(replica.name, 0)
 
     def has_recent_quota(self, service: str) -> bool:
-        """Return True if the quota was requested less than a heartbeat interval ago."""
+        """Return whether the quota was requested less than a heartbeat interval ago."""
         quota = self.quotas.get(service)
         if quota is None:
             return False
-        return self.node.now() - quota.asked_at < self.node.bounds.heartbeat_interval
+        return self.node.now() - quota.requested_at < self.node.bounds.heartbeat_interval
 
     def limit(self, service: str, class_name: str) -> int | None:
-        """Return how many requests of the class this node may run, None without a valid quota."""
+        """Return how many requests of a class this node may run; None if no limit is valid."""
         quota = self.quotas.get(service)
-        if quota is None or self.node.now() >= quota.limits_until:
+        if quota is None or self.node.now() >= quota.limits_expire_at:
             return None
         return quota.limits.get(class_name)
--- a/quillring/classes/quota_server.py
+++ b/quillring/classes/quota_server.py
@@ -1,7 +1,7 @@
-"""The quota server of a service: divides its capacity among classes and clients.
+"""The quota server of a service: divides its capacity among classes and client nodes.
 
-The capacity ("room") of a service is the sum of its replicas' usable slots; a cold replica has
-fewer of them (slow start), and each of these is leased to one client at a time.
+The capacity of a service is the sum of the usable slots of its replicas. A cold replica has fewer
+usable slots (slow start), and each of them is leased to one client node at a time.
 """
 
 from __future__ import annotations
@@ -26,25 +26,25 @@
 
 
 class ClientDemand(NamedTuple):
-    """What a client last requested, and the cold slots it may be using until `cold_until`."""
+    """A client's last request, and the cold slots it may use until `cold_slots_expire_at`."""
 
-    asked_at: float
+    requested_at: float
     demands: Mapping[str, int]
     cold_slots: Mapping[str, int]
-    cold_until: float
+    cold_slots_expire_at: float
 
 
 class LeaderTerm(NamedTuple):
-    """The ballot under which this core leads a part, and since when, in seconds."""
+    """The ballot under which this core leads a part, and the start of the term in seconds."""
 
     ballot: Any
     since: float
 
 
 class QuotaServer:
-    """Grants quotas of the services whose part this core leads, while its lease is valid.
+    """Grants quotas for the services whose part this core leads, while its leader lease is valid.
 
-    `demands` is {service: {client: ClientDemand}}, `terms` {part: LeaderTerm}.
+    `demands` is {service: {client: ClientDemand}}, `terms` is {part: LeaderTerm}.
     """
 
     __slots__ = ("node", "demands", "terms")
@@ -70,9 +70,9 @@
             del self.terms[leader.part]
 
     def on_request(self, body: WireMap, origin: str) -> WireMap:
-        """Grant a client its limits by class and cold slots for one service.
+        """Grant a client its limits by class and its cold slots for one service.
 
-        Raises NotLeader unless this core leads the service's part and its lease is valid.
+        Raises NotLeader unless this core leads the service's part with a valid lease.
         """
         request = QuotaRequest.from_wire(body)
         service, held_slots = request.service, dict(request.held_cold_slots)
@@ -85,38 +85,40 @@
         demand = ClientDemand(now, request.demands, held_slots, now + self.lease_seconds)
         demands = self.demands.setdefault(service, {})
         demands[origin] = demand
-        led_seconds = now - self.terms[part].since
-        cold_slots = self._cold_slots(service, origin, now, led_seconds)
+        seconds_as_leader = now - self.terms[part].since
+        cold_slots = self._cold_slots(service, origin, now, seconds_as_leader)
         names = dict.fromkeys((*cold_slots, *held_slots))
-        may_hold = {name: max(cold_slots.get(name, 0), held_slots.get(name, 0)) for name in names}
-        demands[origin] = demand._replace(cold_slots=may_hold)
+        possibly_held = {
+            name: max(cold_slots.get(name, 0), held_slots.get(name, 0)) for name in names
+        }
+        demands[origin] = demand._replace(cold_slots=possibly_held)
         limits = self._limits(service, origin, now)
         return Quota(limits, cold_slots, self.lease_seconds).to_wire()
 
     def _limits(self, service: str, client: str, now: float) -> dict[str, int]:
         """Return {class: requests} for a client.
 
-        Counts the clients that asked within half of `bounds.propagation`; slots that remain idle
-        are divided equally and added to the limit of each class.
+        Only clients that sent a request within half of `bounds.propagation` count. The slots that
+        remain idle are divided equally among them; the part is added to the limit of each class.
         """
         configuration = self.node.find("layout").configuration or {"classes": {}}
         classes = configuration["classes"]
         replicas = self.node.find("replicas").available(service)
-        room = sum(self.usable_slots(replica) for replica in replicas)
-        oldest_seconds = self.node.bounds.propagation / 2
+        capacity = sum(self.usable_slots(replica) for replica in replicas)
+        max_age_seconds = self.node.bounds.propagation / 2
         by_client = {
             name: demand.demands
             for name, demand in self.demands[service].items()
-            if now - demand.asked_at < oldest_seconds
+            if now - demand.requested_at < max_age_seconds
         }
-        asked_names = {name for demands in by_client.values() for name in demands}
-        class_names = sorted(asked_names & set(classes))
-        by_class = {
+        requested_names = {name for demands in by_client.values() for name in demands}
+        class_names = sorted(requested_names & set(classes))
+        demand_by_class = {
             name: sum(demands.get(name, 0) for demands in by_client.values())
             for name in class_names
         }
-        granted = allocate(room, classes, by_class)
-        idle_slots = max(0, room - sum(granted.values())) // max(1, len(by_client))
+        granted = allocate(capacity, classes, demand_by_class)
+        idle_slots = max(0, capacity - sum(granted.values())) // max(1, len(by_client))
         limits = {}
         for name in class_names:
             demands_of_class = {n: demands.get(name, 0) for n, demands in by_client.items()}
@@ -124,7 +126,7 @@
         return limits
 
     def usable_slots(self, replica: Any) -> int:
-        """Return how many slots of a replica may be used now: a cold one has a slow start."""
+        """Return how many slots of a replica may be used now; a cold one starts slowly."""
         slots: int = replica.slots
         if replica.state != "cold":
             return slots
@@ -134,35 +136,35 @@
         return slow_start_slots(slots, age_seconds, warm_up_ms / 1000)
 
     def _cold_slots(
-        self, service: str, client: str, now: float, led_seconds: float
+        self, service: str, client: str, now: float, seconds_as_leader: float
     ) -> dict[str, int]:
-        """Return {replica: slots} for a client; slots that others may be using are never granted.
+        """Return {cold replica: slots} for a client, without slots that other clients may use.
 
-        A core that has led for less than a lease doesn't know yet what others use: it only grants
-        what the client has already.
+        A core that has led for less than a lease may not know all slots granted by its predecessor,
+        so it grants only those that the client already has.
         """
         replicas = self.node.find("replicas").available(service)
         cold_replicas = [replica for replica in replicas if replica.state == "cold"]
-        if led_seconds < self.lease_seconds:
+        if seconds_as_leader < self.lease_seconds:
             held = self.demands[service][client].cold_slots
             return {r.name: held[r.name] for r in cold_replicas if held.get(r.name)}
         by_client = {
             name: demand
             for name, demand in self.demands[service].items()
-            if demand.cold_until > now
+            if demand.cold_slots_expire_at > now
         }
         slots = {}
         for replica in cold_replicas:
-            count = self._slots_of(replica, client, by_client)
+            count = self._granted_slots(replica, client, by_client)
             if count:
                 slots[replica.name] = count
         return slots
 
-    def _slots_of(self, replica: Any, client: str, by_client: dict[str, ClientDemand]) -> int:
+    def _granted_slots(self, replica: Any, client: str, by_client: dict[str, ClientDemand]) -> int:
         """Return the slots of one cold replica that are granted to a client.
 
-        Slots are apportioned by demand plus one, so that idle clients weigh in too; if there are
-        fewer slots than clients, rendezvous hashing picks the clients that get one each.
+        Slots are apportioned by demand plus one, which gives idle clients a weight too. If there
+        are fewer slots than clients, rendezvous hashing selects the clients that get one slot each.
         """
         usable = self.usable_slots(replica)
         held_elsewhere = sum(
--- a/quillring/edge/__init__.py
+++ b/quillring/edge/__init__.py
@@ -1,4 +1,4 @@
-"""Requests of the product's own API: replicas, dispatcher, stream journal, resume tokens."""
+"""Serving of the native client API: replica table, dispatcher, stream journal, resume tokens."""
 
 from quillring.edge.dispatcher import Dispatcher
 from quillring.edge.journal import Journal
--- a/quillring/edge/admission.py
+++ b/quillring/edge/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: whether this node accepts new requests, of whatever kind."""
+"""Admission control: whether this node accepts new requests of any kind."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
     from quillring.kernel.node import Node
 
 
-def check_open(node: Node) -> None:
-    """Raise Refused while this node or its zone is drained."""
+def check_not_draining(node: Node) -> None:
+    """Raise Refused while this node or its zone is being drained."""
     if node.is_draining:
         raise Refused(reason="draining")
     if node.find("layout").is_zone_draining(node.me.zone):
@@ -19,6 +19,6 @@
 
 
 def check_admission(node: Node) -> None:
-    """Raise Refused while this node is drained or its configuration may be out of date."""
-    check_open(node)
+    """Raise Refused while this node is being drained or its configuration may be out of date."""
+    check_not_draining(node)
     node.find("freshness").check()
--- a/quillring/edge/dispatcher.py
+++ b/quillring/edge/dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher: bounded priority queues, prefix affinity, class limits, preemption."""
+"""Request dispatcher: bounded priority queues, prefix affinity, class limits, preemption."""
 
 from __future__ import annotations
 
@@ -19,41 +19,44 @@
     from quillring.kernel.types import Coroutine
 
 AFFINITY_LOAD_LIMIT = 0.75
-"""Share of a replica's slots up to which requests keep to it for their prefix."""
+"""Share of slots in use below which a replica is preferred for requests with its prefix."""
 DEFAULT_QUEUE_LENGTH = 64
 PREFIX_KEY_DIGITS = 16
 
 
 class Dispatcher:
-    """Chooses replicas for the requests of this node; owns their queue and their slot leases."""
+    """Chooses replicas for the requests of this node; owns the queue and the slot leases."""
 
-    __slots__ = ("node", "queue", "last_order", "leases", "queue_wait")
+    __slots__ = ("node", "queue", "last_arrival_number", "leases", "queue_wait")
 
     def __init__(self, node: Node) -> None:
         self.node = node
         self.queue: list[QueuedRequest] = []
-        self.last_order = 0
+        self.last_arrival_number = 0
         self.leases: dict[SlotLease, None] = {}
         self.queue_wait = QueueWaitEstimator()
-        node.find("replicas").on_change.append(self.wake)
-        node.find("taker").on_quota = self.wake
+        node.find("replicas").change_listeners.append(self.assign_free_slots)
+        node.find("taker").on_new_quota = self.assign_free_slots
 
     def run(self) -> Coroutine:
-        """Assign free slots every two gossip intervals, as warm-ups and ejections expire."""
+        """Assign free slots and refuse unservable requests every two gossip intervals.
+
+        The expiry of a warm-up or an ejection frees slots without any other event.
+        """
         while True:
             yield Sleep(self.node.bounds.gossip_interval * 2)
-            self.wake()
-            self._refuse_hopeless()
+            self.assign_free_slots()
+            self._refuse_unservable()
 
-    def _refuse_hopeless(self) -> None:
+    def _refuse_unservable(self) -> None:
         for request in list(self.queue):
             refusal = self.refusal_if_hopeless(request)
             if refusal is not None:
                 self.queue.remove(request)
                 request.signal.set(refusal)
 
-    def demands(self, service: str) -> dict[str, int]:
-        """Return {class: requests running or queued here} for a service."""
+    def count_demand(self, service: str) -> dict[str, int]:
+        """Return {class: number of requests running or queued on this node} for a service."""
         counts: dict[str, int] = {}
         for lease in self.leases:
             if lease.replica.service == service:
@@ -67,9 +70,9 @@
         self,
         service: str,
         class_name: str,
-        promise: dict[str, Any],
+        terms: dict[str, Any],
         prefix: str,
-        end_time: float,
+        deadline: float,
         avoided_names: Iterable[str] = (),
         was_preempted: bool = False,
         is_preemptible: bool = False,
@@ -78,30 +81,35 @@
 
         Parameters
         ----------
-        promise
-            Terms of the class of service: urgency, queue length, time to the first piece.
+        terms
+            Terms of the class of service: urgency, queue length, time limit for the first piece.
         prefix
             Key of a shared prompt prefix, or the empty string.
-        end_time
+        deadline
             Deadline of the request, in seconds of the node's clock.
+        avoided_names
+            Replicas on which the request must not run.
         was_preempted
-            The request ran already and lost its slot, so the queue length does not apply to it.
+            The request already ran and lost its slot; the limit of the queue length does not apply.
+        is_preemptible
+            The request can be resumed, so that its slot may be taken away between two pieces.
 
         Raises
         ------
         Refused
-            The queue is full, the expected wait exceeds the deadline, or the deadline passed.
+            The queue is full, no replica is usable, or no slot is expected or became free before
+            the deadline.
         """
-        self.last_order += 1
+        self.last_arrival_number += 1
         request = QueuedRequest(
-            promise,
-            self.last_order,
+            terms,
+            self.last_arrival_number,
             service,
             prefix,
             avoided_names,
             class_name,
             is_preemptible,
-            end_time,
+            deadline,
         )
         replica = None if self._is_outranked(request) else self._choose(request)
         if replica is not None:
@@ -110,30 +118,30 @@
         if refusal is not None:
             raise refusal
         if not was_preempted:
-            self._check_queue_length(class_name, promise)
+            self._check_queue_length(class_name, terms)
         return (yield from self._wait_in_queue(request))
 
-    def _check_queue_length(self, class_name: str, promise: dict[str, Any]) -> None:
+    def _check_queue_length(self, class_name: str, terms: dict[str, Any]) -> None:
         queued = sum(request.class_name == class_name for request in self.queue)
-        if queued >= promise.get("queue", DEFAULT_QUEUE_LENGTH):
+        if queued >= terms.get("queue", DEFAULT_QUEUE_LENGTH):
             self.node.count("queue_refusals")
             raise Refused(
                 reason="queue full",
                 class_name=class_name,
-                come_back_s=max(self.node.bounds.propagation, promise["first_piece_ms"] / 1000),
+                come_back_s=max(self.node.bounds.propagation, terms["first_piece_ms"] / 1000),
             )
 
     def _wait_in_queue(self, request: QueuedRequest) -> Coroutine:
-        """Return the lease of a queued request; release it if the request was cancelled."""
+        """Queue a request and return its lease; if cancelled, release a lease already assigned."""
         self.queue.append(request)
-        is_over = False
+        has_wait_ended = False
         try:
-            yield Wait(request.signal, request.end_time - self.node.now())
-            is_over = True
+            yield Wait(request.signal, request.deadline - self.node.now())
+            has_wait_ended = True
         finally:
             if request in self.queue:
                 self.queue.remove(request)
-            elif not is_over and isinstance(request.signal.value, SlotLease):
+            elif not has_wait_ended and isinstance(request.signal.value, SlotLease):
                 request.signal.value.release()
         if isinstance(request.signal.value, SlotLease):
             return request.signal.value
@@ -143,17 +151,17 @@
         )
 
     def refusal_if_hopeless(self, request: QueuedRequest) -> Refused | None:
-        """Return the Refused of a request that can't get a slot before its deadline, or None."""
+        """Return a Refused if the request is not expected to get a slot before its deadline."""
         replicas = self.node.find("replicas")
         if not any(
             replica.name not in request.avoided_names
-            for replica in replicas.available_before(request.service, request.end_time)
+            for replica in replicas.available_before(request.service, request.deadline)
         ):
             return Refused(reason="no replica", service=request.service)
         limit = self.node.find("taker").limit(request.service, request.class_name)
         slots = sum(replica.slots for replica in replicas.available(request.service))
         seconds = self.queue_wait.expected_wait(request, self.queue, self.leases, limit, slots)
-        if seconds is not None and self.node.now() + seconds > request.end_time:
+        if seconds is not None and self.node.now() + seconds > request.deadline:
             return Refused(
                 reason="no room in time",
                 class_name=request.class_name,
@@ -167,8 +175,8 @@
             for queued in self.queue
         )
 
-    def wake(self) -> None:
-        """Assign free slots to queued requests by priority; then preempt running ones if needed."""
+    def assign_free_slots(self) -> None:
+        """Assign free slots to queued requests by priority, then preempt running ones if needed."""
         for request in sorted(self.queue, key=lambda queued: queued.priority):
             replica = self._choose(request)
             if replica is not None:
@@ -178,7 +186,7 @@
             self._preempt_over_limit(service)
 
     def _preempt_over_limit(self, service: str) -> None:
-        """Preempt resumable requests of the classes that exceed their limit."""
+        """Preempt preemptible requests of the classes that exceed their limit."""
         quotas = self.node.find("taker")
         if not quotas.has_recent_quota(service):
             self._preempt_by_urgency(service)
@@ -191,13 +199,13 @@
             limit = quotas.limit(service, class_name)
             if limit is None:
                 continue
-            surplus = len(leases) - limit - sum(lease.is_preempted for lease in leases)
+            excess_count = len(leases) - limit - sum(lease.is_preempted for lease in leases)
             candidates = [x for x in leases if x.is_preemptible and not x.is_preempted]
-            for lease in candidates[: max(0, surplus)]:
+            for lease in candidates[: max(0, excess_count)]:
                 self._preempt(lease)
 
     def _preempt_by_urgency(self, service: str) -> None:
-        """Preempt the least urgent requests for queued urgent ones while no core sets limits."""
+        """Preempt the least urgent requests for more urgent queued ones, without a recent quota."""
         running = [lease for lease in self.leases if lease.replica.service == service]
         preempted_count = sum(lease.is_preempted for lease in running)
         candidates = sorted(
@@ -223,22 +231,22 @@
         return lease
 
     def release(self, lease: SlotLease) -> None:
-        """Free the slot of a finished request and assign it again."""
+        """Free the slot of a finished request and reassign free slots."""
         self.leases.pop(lease, None)
-        hold_seconds = self.node.now() - lease.acquired_at
-        self.queue_wait.record_hold_time(lease.replica.service, hold_seconds)
+        occupied_seconds = self.node.now() - lease.acquired_at
+        self.queue_wait.record_occupancy(lease.replica.service, occupied_seconds)
         known = self.node.find("replicas").find(lease.replica.name)
         if known is not None and known.incarnation == lease.replica.incarnation:
             known.in_flight = max(0, known.in_flight - 1)
-        self.wake()
+        self.assign_free_slots()
 
     def release_later(self, lease: SlotLease) -> Coroutine:
-        """Free the slot one heartbeat interval after an aborted request, when it has stopped."""
+        """Free the slot of an aborted request after one heartbeat interval, once it has stopped."""
         yield Sleep(self.node.bounds.heartbeat_interval)
         self.release(lease)
 
     def capacity(self, replica: Replica) -> int:
-        """Return how many requests this node may run at the replica; a grant if it is cold."""
+        """Return how many requests this node may run on a replica: for a cold one, as granted."""
         if replica.state == "cold":
             granted: int = self.node.find("taker").cold_slots(replica)
             return granted
@@ -273,5 +281,5 @@
 
 
 def prefix_key(text: str) -> str:
-    """Return the affinity key of a shared prompt prefix (a truncated SHA-256), or ""."""
+    """Return the affinity key of a shared prompt prefix: a truncated SHA-256; "" for none."""
     return hashlib.sha256(text.encode()).hexdigest()[:PREFIX_KEY_DIGITS] if text else ""
--- a/quillring/edge/heartbeat_relay.py
+++ b/quillring/edge/heartbeat_relay.py
@@ -1,7 +1,7 @@
-"""Batches of replica heartbeats: those that change nothing are aggregated instead of gossiped.
+"""Aggregation of replica heartbeats that carry no state change, to keep them out of gossip.
 
 The node that receives such a heartbeat reports it to two cores, chosen by rendezvous hashing, which
-send batches to all nodes. There are two, so that replicas do not time out when one fails.
+send batches to all nodes. The second core prevents replicas from timing out if the first one fails.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class Heartbeat(NamedTuple):
-    """A heartbeat of one incarnation of a replica; on the wire a list of these fields."""
+    """A heartbeat of one incarnation of a replica, sent as a list of these fields."""
 
     name: str
     incarnation: int
@@ -30,7 +30,7 @@
 
 
 class HeartbeatRelay:
-    """Reports heartbeats to the aggregators; owns the batch pending on this node."""
+    """Reports heartbeats to the aggregators; owns the pending batch if this node is one."""
 
     __slots__ = ("node", "pending", "graph", "roster", "aggregator_names")
 
@@ -43,7 +43,7 @@
         node.handle("replica.alive", self.on_batch)
 
     def aggregators(self) -> tuple[str, ...]:
-        """Return the reachable cores that aggregate heartbeats and send them to all nodes."""
+        """Return the reachable cores that aggregate heartbeats; cached per graph and roster."""
         nifty = self.node.find("nifty")
         if nifty.graph is not self.graph or nifty.roster is not self.roster:
             self.graph, self.roster = nifty.graph, nifty.roster
@@ -53,7 +53,7 @@
         return self.aggregator_names
 
     def report(self, heartbeat: Heartbeat) -> bool:
-        """Report a heartbeat to the aggregators; return False if there is none."""
+        """Report a heartbeat to the aggregators; return False if no aggregator is reachable."""
         rows: list[Any] = [list(heartbeat)]
         aggregators = self.aggregators()
         for aggregator in aggregators:
@@ -64,15 +64,15 @@
         return bool(aggregators)
 
     def on_reports(self, rows: Sequence[tuple[str, int, int]], origin: str) -> None:
-        """Add reported heartbeats to the next batch, sent after `bounds.report_delay`."""
+        """Add reported heartbeats to the pending batch, sent after `bounds.report_delay`."""
         if rows and not self.pending:
-            self.node.spawn(self._send_batch_soon())
+            self.node.spawn(self._send_batch_after_delay())
         for row in rows:
             heartbeat = Heartbeat(*row)
             known = self.pending.get(heartbeat.name, heartbeat)
             self.pending[heartbeat.name] = max(heartbeat, known)
 
-    def _send_batch_soon(self) -> Coroutine:
+    def _send_batch_after_delay(self) -> Coroutine:
         yield Sleep(self.node.bounds.report_delay)
         rows: list[Any] = [list(heartbeat) for heartbeat in self.pending.values()]
         self.pending = {}
@@ -82,6 +82,6 @@
 
     def on_batch(self, rows: Sequence[tuple[str, int, int]], origin: str) -> None:
         """Apply a batch of heartbeats from an aggregator."""
-        note_heartbeat = self.node.find("replicas").note_heartbeat
+        record_heartbeat = self.node.find("replicas").record_heartbeat
         for name, incarnation, sequence in rows:
-            note_heartbeat(name, incarnation, sequence)
+            record_heartbeat(name, incarnation, sequence)
--- a/quillring/edge/queue_wait.py
+++ b/quillring/edge/queue_wait.py
@@ -1,4 +1,4 @@
-"""An estimate of how long a queued request waits for a slot."""
+"""Estimate of how long a queued request waits for a slot."""
 
 from __future__ import annotations
 
@@ -9,31 +9,31 @@
 
     from quillring.edge.slot_lease import QueuedRequest, SlotLease
 
-SMOOTHING = 1 / 8
-"""Weight of the newest sample in the moving average."""
+SMOOTHING_FACTOR = 1 / 8
+"""Weight of the newest sample in the exponentially weighted moving average."""
 MIN_SAMPLES = 8
-OPTIMISM = 1.2
-"""The estimate is divided by this: a request is refused only when it is hopeless."""
+ESTIMATE_DIVISOR = 1.2
+"""The estimate is divided by this, since a request that might be served must not be refused."""
 
 
 class QueueWaitEstimator:
-    """The mean time for which requests of each service occupied a slot on this node.
+    """Tracks the mean time for which requests occupy a slot on this node, by service.
 
-    An exponentially weighted moving average, in seconds, by service.
+    `mean_occupied_seconds` is an exponentially weighted moving average for each service.
     """
 
-    __slots__ = ("mean_seconds", "sample_counts")
+    __slots__ = ("mean_occupied_seconds", "sample_counts")
 
     def __init__(self) -> None:
-        self.mean_seconds: dict[str, float] = {}
+        self.mean_occupied_seconds: dict[str, float] = {}
         self.sample_counts: dict[str, int] = {}
 
-    def record_hold_time(self, service: str, seconds: float) -> None:
-        """Add a sample: the seconds for which a slot was occupied."""
-        mean = self.mean_seconds.get(service, seconds)
-        self.mean_seconds = {
-            **self.mean_seconds,
-            service: mean + (seconds - mean) * SMOOTHING,
+    def record_occupancy(self, service: str, seconds: float) -> None:
+        """Add a sample: the seconds for which a request occupied a slot."""
+        mean = self.mean_occupied_seconds.get(service, seconds)
+        self.mean_occupied_seconds = {
+            **self.mean_occupied_seconds,
+            service: mean + (seconds - mean) * SMOOTHING_FACTOR,
         }
         self.sample_counts[service] = self.sample_counts.get(service, 0) + 1
 
@@ -45,24 +45,27 @@
         limit: int | None,
         slots: int,
     ) -> float | None:
-        """Return a low estimate of the seconds until the request's turn, or None if unknown.
+        """Return a low estimate of the seconds until the request gets a slot, or None if unknown.
 
-        The requests ahead of it, minus the running ones it may preempt and the free slots, are
-        divided by the slots of its class on this node. If a core granted the class a `limit`, that
-        replaces `slots`, and free slots do not count. Unknown: fewer than MIN_SAMPLES samples.
+        The number of requests up to and including it, minus the running ones that it may preempt
+        and the free slots, is divided by the slots of its class on this node and multiplied by the
+        mean occupancy. If a core granted the class a `limit`, it replaces `slots`, and free slots
+        do not count. The wait is unknown while the service has fewer than MIN_SAMPLES samples.
         """
         if self.sample_counts.get(request.service, 0) < MIN_SAMPLES:
             return None
         running = [lease for lease in leases if lease.replica.service == request.service]
-        preemptible = sum(x.is_preemptible and x.urgency < request.urgency for x in running)
+        preemptible_count = sum(x.is_preemptible and x.urgency < request.urgency for x in running)
         priority = request.priority
-        before = sum(
+        ahead_count = sum(
             queued.service == request.service
             and queued is not request
             and queued.priority < priority
             for queued in queue
         )
         capacity = max(len(running), slots if limit is None else limit, 1)
-        free = max(0, slots - len(running)) if limit is None else 0
-        turns = max(0, before + 1 - preemptible - free)
-        return turns / capacity * self.mean_seconds[request.service] / OPTIMISM
+        free_count = max(0, slots - len(running)) if limit is None else 0
+        slots_needed = max(0, ahead_count + 1 - preemptible_count - free_count)
+        return (
+            slots_needed / capacity * self.mean_occupied_seconds[request.service] / ESTIMATE_DIVISOR
+        )
--- a/quillring/edge/replicas.py
+++ b/quillring/edge/replicas.py
@@ -1,4 +1,4 @@
-"""This node's table of replicas: heartbeats, failure detection by timeout, and ejection."""
+"""Replica table of a node: heartbeats, failure detection by timeout, and ejection."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     from quillring.kernel.node import Node
 
     class Announcement(TypedDict):
-        """The heartbeat of a replica as sent over HTTP and gossip."""
+        """A replica's heartbeat with its state, as sent over HTTP and gossip."""
 
         name: str
         service: str
@@ -32,7 +32,7 @@
         cold_ms: NotRequired[float]
 
 
-NAME = {"type": "string", "pattern": "^[A-Za-z0-9][A-Za-z0-9._-]{0,80}$"}
+NAME_SCHEMA = {"type": "string", "pattern": "^[A-Za-z0-9][A-Za-z0-9._-]{0,80}$"}
 HEARTBEAT_SCHEMA = StrictValidator(
     {
         "type": "object",
@@ -48,9 +48,9 @@
             "sequence",
         ],
         "properties": {
-            "name": NAME,
+            "name": NAME_SCHEMA,
             "service": {"type": "string", "maxLength": 80},
-            "domain": NAME,
+            "domain": NAME_SCHEMA,
             "address": {"type": "string", "pattern": r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$"},
             "slots": {"type": "integer", "minimum": 1, "maximum": 10_000},
             "busy": {"type": "integer", "minimum": 0},
@@ -63,14 +63,14 @@
 )
 ENDED_STATES = ("leaving", "gone")
 COLD_TOLERANCE_SECONDS = 0.05
-MAX_SHOWN_SILENCE_SECONDS = 1e6
+MAX_REPORTED_SILENCE_SECONDS = 1e6
 
 
 class Replica:
     """The state of one replica as known to this node.
 
-    The first announcement of a replica may be old, as a node that joins receives all updates at
-    once; the replica counts as alive only from the second one on.
+    A node that joins receives the last announcement of every replica, however old. A replica
+    therefore counts as alive only from its second announcement on.
     """
 
     __slots__ = (
@@ -91,7 +91,7 @@
     )
 
     def __init__(
-        self, announcement: Announcement, now: float, former: Replica | None = None
+        self, announcement: Announcement, now: float, previous: Replica | None = None
     ) -> None:
         self.name = announcement["name"]
         self.service = announcement["service"]
@@ -103,27 +103,30 @@
         self.incarnation = announcement["incarnation"]
         self.sequence = announcement["sequence"]
         self.cold_until = now + announcement.get("cold_ms", 0) / 1000
-        self.last_heartbeat_at = now if former is not None else -math.inf
+        self.last_heartbeat_at = now if previous is not None else -math.inf
         self.first_seen_at = now
         self.in_flight = 0
         self.full_until = 0.0
         self.ejected_until = 0.0
-        if former is not None and former.incarnation == self.incarnation:
-            self.first_seen_at = former.first_seen_at
-            self.in_flight = former.in_flight
-            self.full_until = former.full_until
-            self.ejected_until = former.ejected_until
-
-    def has_ended_before(self, announcement: Announcement) -> bool:
-        """Return whether an announcement would revive an incarnation that has ended."""
+        if previous is not None and previous.incarnation == self.incarnation:
+            self.first_seen_at = previous.first_seen_at
+            self.in_flight = previous.in_flight
+            self.full_until = previous.full_until
+            self.ejected_until = previous.ejected_until
+
+    def would_be_revived_by(self, announcement: Announcement) -> bool:
+        """Return whether an announcement would revive this incarnation after it has ended."""
         return (
             self.state in ENDED_STATES
             and announcement["state"] not in ENDED_STATES
             and self.incarnation == announcement["incarnation"]
         )
 
-    def is_mere_heartbeat(self, announcement: Announcement, now: float) -> bool:
-        """Return whether an announcement changes nothing but the heartbeat sequence."""
+    def is_unchanged_by(self, announcement: Announcement, now: float) -> bool:
+        """Return whether an announcement changes at most the heartbeat sequence.
+
+        The end of the warm-up may be later by up to COLD_TOLERANCE_SECONDS.
+        """
         return (
             self.incarnation == announcement["incarnation"]
             and self.service == announcement["service"]
@@ -136,16 +139,16 @@
         )
 
     def is_cold(self, now: float) -> bool:
-        """Return whether the replica still warms up by its last announcement."""
+        """Return whether the replica is still warming up, according to its announcements."""
         return now < self.cold_until
 
     def path(self, path: str, **parameters: Any) -> str:
-        """Return a path whose query names this incarnation, which alone runs the request."""
+        """Return a path whose query names this incarnation, the only one to run the request."""
         return f"{path}?{urlencode({**parameters, 'incarnation': self.incarnation})}"
 
     def to_json(self, now: float) -> dict[str, Any]:
-        """Return the JSON object of the replica for operators."""
-        silent_seconds = min(now - self.last_heartbeat_at, MAX_SHOWN_SILENCE_SECONDS)
+        """Return the JSON object that operators see for the replica."""
+        silent_seconds = min(now - self.last_heartbeat_at, MAX_REPORTED_SILENCE_SECONDS)
         return {
             "name": self.name,
             "service": self.service,
@@ -160,12 +163,16 @@
 
 
 class ReplicaTable:
-    """All replicas by name; owns their state, updated by heartbeats here and by gossip."""
+    """All replicas by name; owns their state, which heartbeats and gossip update.
+
+    `change_listeners` are called after changes. `table_version` changes if a replica is added, is
+    found misdirected, or changes its state, address or slots.
+    """
 
     __slots__ = (
         "node",
         "table",
-        "on_change",
+        "change_listeners",
         "table_version",
         "misdirected_names",
         "heartbeat_relay",
@@ -176,7 +183,7 @@
         self.table: dict[str, Replica] = {}
         self.table_version = 0
         self.misdirected_names: frozenset[str] = frozenset()
-        self.on_change: list[Callable[[], None]] = []
+        self.change_listeners: list[Callable[[], None]] = []
         self.heartbeat_relay = HeartbeatRelay(node)
         node.find("gossip").subscribe("replica/", self._on_announcement)
 
@@ -200,25 +207,27 @@
             known.incarnation,
             known.sequence,
         )
-        if known is not None and known.is_mere_heartbeat(announcement, self.node.now()):
-            is_news = is_newer and not self.heartbeat_relay.report(heartbeat)
-            self.note_heartbeat(*heartbeat)
+        if known is not None and known.is_unchanged_by(announcement, self.node.now()):
+            must_publish = is_newer and not self.heartbeat_relay.report(heartbeat)
+            self.record_heartbeat(*heartbeat)
         else:
-            is_news = is_newer and (known is None or not known.has_ended_before(announcement))
-        if is_news:
-            self._spread(announcement)
+            must_publish = is_newer and (
+                known is None or not known.would_be_revived_by(announcement)
+            )
+        if must_publish:
+            self._broadcast(announcement)
         return {"taken": True}
 
-    def _spread(self, announcement: Announcement) -> None:
-        """Publish an announcement in gossip; if it is new, also send it to all nodes directly."""
+    def _broadcast(self, announcement: Announcement) -> None:
+        """Publish an announcement in gossip; if new, also send it directly to reachable nodes."""
         key = f"replica/{announcement['name']}"
         version = [announcement["incarnation"], announcement["sequence"]]
         if self.node.find("gossip").publish(key, version, announcement):
             for name in self.node.find("nifty").graph.routes:
                 self.node.send_oneway(name, "gossip.news", [[key, version, announcement]])
 
-    def note_heartbeat(self, name: str, incarnation: int, sequence: int) -> None:
-        """Record a heartbeat of the known incarnation of a replica; ignore an older one."""
+    def record_heartbeat(self, name: str, incarnation: int, sequence: int) -> None:
+        """Record a heartbeat; ignore it if it is outdated or of another incarnation."""
         known = self.table.get(name)
         if known is None or known.incarnation != incarnation or known.sequence >= sequence:
             return
@@ -228,12 +237,12 @@
             self._notify_listeners()
 
     def _on_announcement(self, key: str, announcement: Announcement) -> None:
-        former = self.table.get(announcement["name"])
-        if former is not None and former.has_ended_before(announcement):
+        previous = self.table.get(announcement["name"])
+        if previous is not None and previous.would_be_revived_by(announcement):
             return
-        replica = Replica(announcement, self.node.now(), former)
+        replica = Replica(announcement, self.node.now(), previous)
         self.table[replica.name] = replica
-        if former is None or (former.state, former.address, former.slots) != (
+        if previous is None or (previous.state, previous.address, previous.slots) != (
             replica.state,
             replica.address,
             replica.slots,
@@ -242,7 +251,7 @@
         self._notify_listeners()
 
     def _notify_listeners(self) -> None:
-        for listener in self.on_change:
+        for listener in self.change_listeners:
             listener()
 
     def find(self, name: str) -> Replica | None:
@@ -250,7 +259,7 @@
         return self.table.get(name)
 
     def is_alive(self, name: str) -> bool:
-        """Return whether a heartbeat of the replica came within `bounds.replica_timeout`."""
+        """Return whether a heartbeat of the replica arrived within `bounds.replica_timeout`."""
         replica = self.table.get(name)
         if replica is None:
             return False
@@ -258,7 +267,7 @@
         return silent_seconds < self.node.bounds.replica_timeout
 
     def is_usable(self, replica: Replica) -> bool:
-        """Return whether a replica is alive, not stopping, and in a zone that is not drained."""
+        """Return whether a replica is alive, not stopping, and not in a drained zone."""
         return (
             replica.state not in ENDED_STATES
             and self.is_alive(replica.name)
@@ -266,7 +275,7 @@
         )
 
     def may_receive_requests(self, replica: Replica) -> bool:
-        """Return whether a replica may be sent a request, whether alive or not."""
+        """Return whether a replica may be sent a request; it need not be alive."""
         known = self.table.get(replica.name)
         return (
             known is not None
@@ -275,37 +284,37 @@
             and not self.node.find("layout").is_emptied(replica.zone)
         )
 
-    def note_misdirected(self, replica: Replica) -> None:
-        """Record that another replica answered at its address; it gets no more requests."""
+    def mark_misdirected(self, replica: Replica) -> None:
+        """Record that another replica answers at its address; no more requests are sent to it."""
         self.misdirected_names = self.misdirected_names | {replica.name}
         self.table_version += 1
 
     def is_available(self, replica: Replica) -> bool:
-        """Return whether a replica may get new requests: usable and not ejected."""
+        """Return whether a replica may get new requests: it is usable and not ejected."""
         return self.is_usable(replica) and self.node.now() >= replica.ejected_until
 
     def available(self, service: str) -> list[Replica]:
         """Return the replicas of a service that may get new requests now."""
         return [r for r in self.available_before(service, math.inf) if self.is_available(r)]
 
-    def available_before(self, service: str, end_time: float) -> list[Replica]:
-        """Return the usable replicas of a service whose ejection ends before `end_time`."""
+    def available_before(self, service: str, deadline: float) -> list[Replica]:
+        """Return the usable replicas of a service whose ejection ends before `deadline`."""
         return [
             replica
             for replica in self.table.values()
             if replica.service == service
             and self.is_usable(replica)
-            and replica.ejected_until < end_time
+            and replica.ejected_until < deadline
         ]
 
-    def note_full(self, replica: Replica) -> None:
-        """Send no new request for one gossip interval to a replica without a free slot."""
+    def mark_full(self, replica: Replica) -> None:
+        """Send no new requests for one gossip interval to a replica that reported no free slot."""
         known = self.table.get(replica.name)
         if known is not None:
             known.full_until = self.node.now() + self.node.bounds.gossip_interval
 
     def eject(self, replica: Replica) -> None:
-        """Send no new request for `bounds.propagation` to a replica that stalled or failed."""
+        """Send no new requests for `bounds.propagation` to a replica that stalled or failed."""
         known = self.table.get(replica.name)
         if known is not None and known.incarnation == replica.incarnation:
             known.ejected_until = self.node.now() + self.node.bounds.propagation
--- a/quillring/edge/short_requests.py
+++ b/quillring/edge/short_requests.py
@@ -1,7 +1,7 @@
-"""Short requests with one complete response: idempotent reads, and writes with a key.
+"""Unary requests: idempotent reads, and writes with an idempotency key.
 
-The class in the configuration decides whether a request may run again; the paths of the two
-handlers are named after their first users.
+The class of service in the configuration determines whether a request may run again. The paths of
+the two handlers, tiles and seats, are those of their first users.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
     from quillring.kernel.routes import Request
     from quillring.kernel.types import Coroutine
 
-KEYED_WRITE = StrictValidator(
+KEYED_WRITE_SCHEMA = StrictValidator(
     {
         "type": "object",
         "additionalProperties": False,
@@ -50,19 +50,19 @@
     words = request.words
     zoom, column, row = (read_count(words[name], name) for name in ("zoom", "column", "row"))
     path = f"/v1/tiles/{zoom}/{column}/{row}"
-    answer = yield from send_short_request(node, words["entry"], "map", "GET", path, None, path)
-    return {"tile": answer["tile"]}
+    response = yield from send_short_request(node, words["entry"], "map", "GET", path, None, path)
+    return {"tile": response["tile"]}
 
 
 @route("POST", "/v1/seats")
 def serve_keyed_write(node: Node, request: Request) -> Coroutine:
-    """Serve a write, which is sent once; the client may retry it with the same key."""
-    check_body(KEYED_WRITE, request.body)
+    """Serve a write with an idempotency key, with which the client may retry it."""
+    check_body(KEYED_WRITE_SCHEMA, request.body)
     body = {"key": request.body["key"], "seat": request.body["seat"], "sender": request.client_name}
-    answer = yield from send_short_request(
+    response = yield from send_short_request(
         node, request.body["entry"], "checkout", "POST", "/v1/seats", body, body["key"]
     )
-    return {"key": body["key"], "seat": body["seat"], "confirmed": answer["confirmed"]}
+    return {"key": body["key"], "seat": body["seat"], "confirmed": response["confirmed"]}
 
 
 def send_short_request(
@@ -74,12 +74,12 @@
     body: dict[str, Any] | None,
     affinity: str,
 ) -> Coroutine:
-    """Send a request to a replica; retry if it did not run, or if it may run again.
+    """Send a request to a replica; retry if it was not run, or if its class allows a rerun.
 
     Parameters
     ----------
     kind
-        The kind of service that the route must lead to.
+        The kind of service to which the route must lead.
     affinity
         Affinity key: requests with the same key prefer the same replica.
 
@@ -88,74 +88,74 @@
     NotFound
         The route leads to a service of another kind.
     OutcomeUnknown
-        A replica failed, and the request may not run again or no other replica was free.
+        A replica failed, and the request may not run again or no other slot became free.
     Refused
         No slot became free before the deadline.
     """
     check_admission(node)
-    route, service, promise = node.find("layout").route(route_name)
+    route, service, terms = node.find("layout").route(route_name)
     if service["kind"] != kind:
         raise NotFound(field="entry", entry=route_name)
-    end_time = node.now() + promise["time_left_ms"] / 1000
-    first_piece_deadline = node.now() + promise["first_piece_ms"] / 1000
-    answered_at: float | None = None
-    request_name = f"{node.me.name}-{node.runtime.random.getrandbits(64):016x}"
+    deadline = node.now() + terms["time_left_ms"] / 1000
+    first_piece_deadline = node.now() + terms["first_piece_ms"] / 1000
+    responded_at: float | None = None
+    request_id = f"{node.me.name}-{node.runtime.random.getrandbits(64):016x}"
     avoided_names: set[str] = set()
     last_error: OutcomeUnknown | None = None
     try:
         while True:
             try:
                 lease = yield from node.find("dispatch").acquire(
-                    route["service"], route["class"], promise, affinity, end_time, avoided_names
+                    route["service"], route["class"], terms, affinity, deadline, avoided_names
                 )
             except Refused as refusal:
                 raise last_error or refusal from refusal
             try:
-                check_before_sending(node, lease.replica, end_time)
-                answer = yield from _fetch_answer(
-                    node, lease, method, path, body, request_name, end_time, may_repeat(promise)
+                check_before_sending(node, lease.replica, deadline)
+                response = yield from _fetch_response(
+                    node, lease, method, path, body, request_id, deadline, may_repeat(terms)
                 )
-                answered_at = node.now()
-                return answer
+                responded_at = node.now()
+                return response
             except Busy:
-                node.find("replicas").note_full(lease.replica)
+                node.find("replicas").mark_full(lease.replica)
             except BackendError as error:
                 node.count("replica_troubles")
                 avoided_names.add(lease.replica.name)
                 if not isinstance(error, NotSent):
                     node.find("replicas").eject(lease.replica)
                     last_error = OutcomeUnknown(reason="the replica broke off")
-                    if not may_repeat(promise):
+                    if not may_repeat(terms):
                         raise last_error from error
             finally:
                 lease.release()
     finally:
-        node.find("meter").record(route["class"], answered_at, first_piece_deadline)
+        node.find("meter").record(route["class"], responded_at, first_piece_deadline)
 
 
-def _fetch_answer(
+def _fetch_response(
     node: Node,
     lease: SlotLease,
     method: str,
     path: str,
     body: dict[str, Any] | None,
-    request_name: str,
-    end_time: float,
+    request_id: str,
+    deadline: float,
     is_repeatable: bool,
 ) -> Coroutine:
-    """Return the response body of the lease's replica; Busy or BackendError otherwise."""
+    """Return the response body of the leased replica; Busy if it is full, else BackendError."""
     lease.may_still_run = True
-    status, answer = yield FetchJson(
+    status, response = yield FetchJson(
         lease.replica.address,
         method,
-        lease.replica.path(path, inquiry=request_name),
-        body and {**body, "inquiry": request_name},
-        end_time - node.now(),
+        lease.replica.path(path, inquiry=request_id),
+        body and {**body, "inquiry": request_id},
+        deadline - node.now(),
         is_repeatable,
     )
     lease.may_still_run = False
     if status == 503:
         raise Busy(replica=lease.replica.name)
-    if status == 200 and isinstance(answer, dict) and answer.get("inquiry") == request_name:
-        return answer
+    if status == 200 and isinstance(response, dict) and response.get("inquiry") == request_id:
+        return response
     raise BackendError(reason="strange answer", status=status)
--- a/quillring/edge/slot_lease.py
+++ b/quillring/edge/slot_lease.py
@@ -1,10 +1,10 @@
-"""Leases of slots at replicas, and the requests queued for one."""
+"""Leases of replica slots, and requests queued for a lease."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, Any
 
-from quillring.classes.class_terms import may_run_on
+from quillring.classes.class_terms import may_fail_over
 from quillring.kernel.effects import Signal
 
 if TYPE_CHECKING:
@@ -15,9 +15,10 @@
 
 
 class SlotLease:
-    """The right to run one request in a slot of a replica, until release or preemption.
+    """The right to run one request in a slot of a replica until it is released.
 
-    `may_still_run` is True if the replica may still run the request after the lease ends.
+    `is_preempted` asks the holder to release it after the current piece. `may_still_run` is True
+    while the replica may be running the request, so that releasing the lease may not stop it.
     """
 
     __slots__ = (
@@ -44,7 +45,10 @@
         self.acquired_at: float = dispatcher.node.now()
 
     def release(self) -> None:
-        """Release the slot once; at a cold replica with a delay if the request may still run."""
+        """Release the slot; repeated calls do nothing.
+
+        On a cold replica, release it with a delay if the request may still run.
+        """
         if not self.is_held:
             return
         self.is_held = False
@@ -55,9 +59,9 @@
 
 
 class QueuedRequest:
-    """One request queued for a slot; `signal` is set with its SlotLease or a Refused.
+    """A request queued for a slot; `signal` is set to its SlotLease or to a Refused.
 
-    `priority` orders the queue: by urgency, highest first, then first in, first out.
+    `priority` sorts the queue by urgency, highest first, then by order of arrival.
     """
 
     __slots__ = (
@@ -69,26 +73,26 @@
         "signal",
         "class_name",
         "is_preemptible",
-        "end_time",
+        "deadline",
     )
 
     def __init__(
         self,
-        promise: dict[str, Any],
-        order: int,
+        terms: dict[str, Any],
+        arrival_number: int,
         service: str,
         prefix: str,
         avoided_names: Iterable[str],
         class_name: str,
         is_preemptible: bool,
-        end_time: float,
+        deadline: float,
     ) -> None:
-        self.urgency: int = promise["urgency"]
-        self.priority = (-self.urgency, order)
+        self.urgency: int = terms["urgency"]
+        self.priority = (-self.urgency, arrival_number)
         self.service = service
         self.prefix = prefix
         self.avoided_names = frozenset(avoided_names)
         self.class_name = class_name
-        self.is_preemptible: bool = is_preemptible and may_run_on(promise, True)
-        self.end_time = end_time
+        self.is_preemptible: bool = is_preemptible and may_fail_over(terms, True)
+        self.deadline = deadline
         self.signal = Signal()
--- a/quillring/edge/stream_handlers.py
+++ b/quillring/edge/stream_handlers.py
@@ -1,11 +1,11 @@
-"""Streamed requests to models: numbered pieces, journaled before they are sent, and resumable."""
+"""Resumable streaming requests to models: numbered pieces, journaled before they are sent."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, Any
 
-from quillring.classes.class_terms import may_resume, may_run_on
-from quillring.edge.admission import check_admission, check_open
+from quillring.classes.class_terms import may_fail_over, may_resume
+from quillring.edge.admission import check_admission, check_not_draining
 from quillring.edge.dispatcher import prefix_key
 from quillring.edge.resume_token import make_token, read_token
 from quillring.kernel.checks import StrictValidator, read_count
@@ -35,7 +35,7 @@
     from quillring.kernel.routes import Request
     from quillring.kernel.types import Coroutine
 
-MODEL_REQUEST = StrictValidator(
+MODEL_REQUEST_SCHEMA = StrictValidator(
     {
         "type": "object",
         "additionalProperties": False,
@@ -48,7 +48,7 @@
         },
     }
 )
-STALL_MS = 4000
+DEFAULT_STALL_MS = 4000
 UNLIMITED_MS = 1 << 40
 DEFAULT_MAX_PIECES = 64
 MIN_TIMEOUT_SECONDS = 0.001
@@ -56,15 +56,15 @@
 
 @route("POST", "/v1/inquiries")
 def serve_model(node: Node, request: Request) -> Coroutine:
-    """Serve one streamed request to a model."""
+    """Serve a streaming request to a model."""
     need_client_name(request)
-    check_body(MODEL_REQUEST, request.body)
+    check_body(MODEL_REQUEST_SCHEMA, request.body)
     check_admission(node)
-    _, service, promise = node.find("layout").route(request.body["entry"])
+    _, service, terms = node.find("layout").route(request.body["entry"])
     if service["kind"] != "model":
         raise BadRequest(field="entry", faults=[{"field": "entry", "fault": "not a model"}])
-    asked_ms = request.body.get("time_left_ms", UNLIMITED_MS)
-    seconds = min(asked_ms, promise["time_left_ms"]) / 1000
+    requested_ms = request.body.get("time_left_ms", UNLIMITED_MS)
+    seconds = min(requested_ms, terms["time_left_ms"]) / 1000
     stream_name = f"{node.me.name}-{node.runtime.random.getrandbits(96):024x}"
     stream = node.find("journal").open(stream_name, request.body, request.client_name)
     yield from run_stream(node, stream, 0, node.now() + seconds)
@@ -72,8 +72,8 @@
 
 @route("GET", "/v1/streams/{token}", query_words=("after",))
 def resume_stream(node: Node, request: Request) -> Coroutine:
-    """Serve a stream from the piece after the last one that the client has."""
-    check_open(node)
+    """Resume a stream after the first `after` pieces, which the client has received."""
+    check_not_draining(node)
     secret = node.find("ownership").founding()["secret"]
     token = read_token(
         secret, request.words["token"], request.client_name, node.runtime.wall_time()
@@ -91,35 +91,38 @@
     if len(stream.pieces) < sent_count:
         raise Conflict(field="after", held=len(stream.pieces))
     node.count("resumes")
-    _, _, promise = node.find("layout").route(stream.request["entry"])
+    _, _, terms = node.find("layout").route(stream.request["entry"])
     if not stream.has_ended:
         node.find("freshness").check()
-        if not may_run_on(promise, stream.pieces):
+        if not may_fail_over(terms, stream.pieces):
             raise OutcomeUnknown(stream=stream.name)
-    yield from run_stream(node, stream, sent_count, node.now() + promise["time_left_ms"] / 1000)
+    yield from run_stream(node, stream, sent_count, node.now() + terms["time_left_ms"] / 1000)
 
 
 def check_resumable(node: Node, route_name: str) -> None:
-    """Raise NotResumable if the class of the route forbids resuming a stream."""
-    route, _, promise = node.find("layout").route(route_name)
-    if not may_resume(promise):
+    """Raise NotResumable if the class of the route forbids resuming streams."""
+    route, _, terms = node.find("layout").route(route_name)
+    if not may_resume(terms):
         raise NotResumable(class_name=route["class"])
 
 
 class NotResumable(QuillringError):
-    """The class of this stream forbids resuming it."""
+    """The class of service of this stream forbids resuming it."""
 
     kind = "not_resumable"
     status = 410
 
 
 class ClientProgress:
-    """The progress of one streamed response to its client; times in seconds of `clock`."""
+    """Progress of a streamed response to its client; times are in seconds of `clock`.
+
+    `head` is the first line of the response, which names the stream and its resume token.
+    """
 
     __slots__ = (
         "sent_count",
         "head",
-        "has_head",
+        "is_head_sent",
         "was_preempted",
         "first_piece_deadline",
         "first_piece_at",
@@ -136,31 +139,31 @@
         self.sent_count = sent_count
         self.first_piece_deadline = first_piece_deadline
         self.head = head
-        self.has_head = False
+        self.is_head_sent = False
         self.was_preempted = False
         self.first_piece_at: float | None = None
         self.clock = clock
 
 
-def run_stream(node: Node, stream: JournaledStream, sent_count: int, end_time: float) -> Coroutine:
-    """Send the journaled pieces, then continue the stream at replicas until its end.
+def run_stream(node: Node, stream: JournaledStream, sent_count: int, deadline: float) -> Coroutine:
+    """Send the journaled pieces, then continue the stream on replicas until its end.
 
-    An error is raised if no head was sent; otherwise it is sent as the last line of the stream.
+    An error is raised if the head has not been sent, and otherwise sent as the last line.
     """
     secret = node.find("ownership").founding()["secret"]
     token = make_token(secret, stream, node.runtime.wall_time())
     head = {"stream": stream.name, "resume": token, "after": sent_count}
-    route, _, promise = node.find("layout").route(stream.request["entry"])
-    first_piece_deadline = node.now() + promise["first_piece_ms"] / 1000
+    route, _, terms = node.find("layout").route(stream.request["entry"])
+    first_piece_deadline = node.now() + terms["first_piece_ms"] / 1000
     progress = ClientProgress(sent_count, head, first_piece_deadline, node.now)
     avoided_names: set[str] = set()
     stream.is_running = True
     try:
         yield from send_journaled(stream, progress)
         while not stream.has_ended:
-            yield from try_replica(node, stream, progress, end_time, avoided_names)
+            yield from try_replica(node, stream, progress, deadline, avoided_names)
     except QuillringError as error:
-        if not progress.has_head:
+        if not progress.is_head_sent:
             raise
         node.count("broken_streams")
         yield SendToClient({"end": False, **error.to_json(), "pieces": progress.sent_count})
@@ -169,15 +172,15 @@
         stream.is_running = False
         if stream.term.number == 1:
             node.find("meter").record(route["class"], progress.first_piece_at, first_piece_deadline)
-        if not stream.pieces and not progress.has_head:
+        if not stream.pieces and not progress.is_head_sent:
             node.find("journal").forget(stream)
     yield SendToClient({"end": True, "pieces": len(stream.pieces)})
 
 
 def send_journaled(stream: JournaledStream, progress: ClientProgress) -> Coroutine:
-    """Send the journaled pieces that the client has not been sent, after the head."""
-    if not progress.has_head and (stream.has_ended or progress.sent_count < len(stream.pieces)):
-        progress.has_head, progress.first_piece_at = True, progress.clock()
+    """Send the head, unless already sent, and the journaled pieces that were not sent yet."""
+    if not progress.is_head_sent and (stream.has_ended or progress.sent_count < len(stream.pieces)):
+        progress.is_head_sent, progress.first_piece_at = True, progress.clock()
         yield SendToClient(progress.head)
     while progress.sent_count < len(stream.pieces):
         progress.sent_count += 1
@@ -189,38 +192,40 @@
     node: Node,
     stream: JournaledStream,
     progress: ClientProgress,
-    end_time: float,
+    deadline: float,
     avoided_names: set[str],
 ) -> Coroutine:
     """Run or continue the stream on one replica until it ends, fails or is preempted.
 
+    Returns without an error if another attempt may follow.
+
     Raises
     ------
     Refused
         No slot became free before the deadline.
     OutcomeUnknown
-        The replica failed, and the class forbids another attempt.
+        The replica failed, and the class of service forbids another attempt.
     TimedOut
         The replica failed, and the deadline has passed.
     """
-    route, service, promise = node.find("layout").route(stream.request["entry"])
+    route, service, terms = node.find("layout").route(stream.request["entry"])
     prefix = route.get("prefix", "")
-    wait_end = end_time if stream.pieces else min(end_time, progress.first_piece_deadline)
+    wait_deadline = deadline if stream.pieces else min(deadline, progress.first_piece_deadline)
     lease = yield from node.find("dispatch").acquire(
         route["service"],
         route["class"],
-        promise,
+        terms,
         prefix_key(prefix),
-        wait_end,
+        wait_deadline,
         avoided_names,
         progress.was_preempted,
         True,
     )
     progress.was_preempted = False
     replica, handle = lease.replica, None
-    stall_seconds = service.get("stall_ms", STALL_MS) / 1000
+    stall_seconds = service.get("stall_ms", DEFAULT_STALL_MS) / 1000
     try:
-        check_before_sending(node, replica, end_time)
+        check_before_sending(node, replica, deadline)
         lease.may_still_run = True
         handle = yield OpenStream(
             replica.address,
@@ -232,24 +237,24 @@
                 "from": len(stream.pieces),
                 "max_pieces": stream.request.get("max_pieces", DEFAULT_MAX_PIECES),
             },
-            min(end_time - node.now(), stall_seconds),
+            min(deadline - node.now(), stall_seconds),
         )
         if handle.status == 503:
             lease.may_still_run = False
             raise Busy(replica=replica.name)
-        yield from relay_pieces(node, stream, progress, handle, lease, stall_seconds, end_time)
+        yield from relay_pieces(node, stream, progress, handle, lease, stall_seconds, deadline)
     except Busy:
         node.count("busy_replicas")
-        node.find("replicas").note_full(replica)
+        node.find("replicas").mark_full(replica)
     except BackendError as error:
         node.count("replica_troubles")
-        node.log("warning", "replica %s: %s", replica.name, error)
+        node.log("warning", "attempt on replica %s failed: %s", replica.name, error)
         avoided_names.add(replica.name)
         if not isinstance(error, NotSent):
             node.find("replicas").eject(replica)
-            if node.now() >= end_time:
+            if node.now() >= deadline:
                 raise TimedOut(stream=stream.name) from error
-            if not may_run_on(promise, stream.pieces):
+            if not may_fail_over(terms, stream.pieces):
                 raise OutcomeUnknown(stream=stream.name) from error
     finally:
         lease.release()
@@ -257,18 +262,18 @@
             handle.close()
 
 
-def check_before_sending(node: Node, replica: Replica, end_time: float) -> None:
-    """Raise Refused or NotSent if the choice of the replica is no longer valid."""
+def check_before_sending(node: Node, replica: Replica, deadline: float) -> None:
+    """Raise Refused or NotSent if the request may no longer be sent to the chosen replica."""
     node.find("freshness").check()
-    if node.now() >= end_time:
+    if node.now() >= deadline:
         raise Refused(reason="no time left")
     if not node.find("replicas").is_available(replica):
         raise NotSent(replica=replica.name, reason="left")
 
 
-def check_line(line: Any, request_name: str, count: int) -> None:
-    """Raise BackendError unless a replica's line is the next one of this request."""
-    if not isinstance(line, dict) or line.get("inquiry") != request_name:
+def check_line(line: Any, request_id: str, count: int) -> None:
+    """Raise BackendError unless the line is the next one of this request after `count` pieces."""
+    if not isinstance(line, dict) or line.get("inquiry") != request_id:
         raise BackendError(reason="broken off" if line is None else "strange line")
     if line.get("end"):
         if line.get("pieces") != count:
@@ -284,15 +289,15 @@
     handle: Any,
     lease: SlotLease,
     stall_seconds: float,
-    end_time: float,
+    deadline: float,
 ) -> Coroutine:
     """Relay the numbered pieces of a replica; each is replicated before it is sent.
 
-    Returns at the end of the stream, or between two pieces if its slot was preempted.
+    Returns at the end of the stream, or after a piece if the slot lease was preempted.
     """
     journal = node.find("journal")
     while True:
-        seconds = max(MIN_TIMEOUT_SECONDS, min(end_time - node.now(), stall_seconds))
+        seconds = max(MIN_TIMEOUT_SECONDS, min(deadline - node.now(), stall_seconds))
         line = yield ReadLine(handle, seconds)
         check_line(line, stream.name, len(stream.pieces))
         if line.get("end"):
--- a/quillring/forward/attempt.py
+++ b/quillring/forward/attempt.py
@@ -144,7 +144,7 @@
 def note_if_misdirected(node: Node, replica: Replica, handle: Any) -> None:
     """Record a 421 response: another replica answered at the address."""
     if handle.status == MISDIRECTED_REQUEST:
-        node.find("replicas").note_misdirected(replica)
+        node.find("replicas").mark_misdirected(replica)
 
 
 def is_not_run(header_names: HeaderNames, handle: Any) -> bool:
--- a/quillring/forward/load_balancer.py
+++ b/quillring/forward/load_balancer.py
@@ -218,7 +218,7 @@
         self.positions: dict[str, float] = {}
         self.seen_table_version: int | None = None
         self.seen_configuration: Any = None
-        node.find("replicas").on_change.append(self.wake)
+        node.find("replicas").change_listeners.append(self.wake)
 
     def wake(self) -> None:
         """Wake all requests that wait for a replica."""
--- a/quillring/lots/prompts/scheduler.py
+++ b/quillring/lots/prompts/scheduler.py
@@ -10,7 +10,7 @@
 
 from quillring.classes.class_terms import may_repeat
 from quillring.edge.dispatcher import prefix_key
-from quillring.edge.stream_handlers import STALL_MS, check_before_sending, check_line
+from quillring.edge.stream_handlers import DEFAULT_STALL_MS, check_before_sending, check_line
 from quillring.kernel.effects import FetchJson, OpenStream, ReadLine, Signal, Sleep, Wait
 from quillring.kernel.errors import BackendError, Busy, NotSent, QuillringError
 from quillring.kernel.records import NamedTuple
@@ -197,13 +197,13 @@
             check_before_sending(node, lease.replica, end_time)
             if not self._is_wanted(leader, key):
                 return None
-            stall_seconds = service.get("stall_ms", STALL_MS) / 1000
+            stall_seconds = service.get("stall_ms", DEFAULT_STALL_MS) / 1000
             body = generation_request(key, prefix, lot["items"][key.number])
             return (yield from self._generate(key, lease, body, stall_seconds))
         except (Busy, NotSent) as error:
             self.unsent.add(key)
             if isinstance(error, Busy):
-                node.find("replicas").note_full(lease.replica)
+                node.find("replicas").mark_full(lease.replica)
             raise
         except BackendError:
             if not item.stop_signal.is_set:
--- a/tests/test_operator_orders.py
+++ b/tests/test_operator_orders.py
@@ -1,6 +1,6 @@
 import pytest
 
-from quillring.edge.admission import check_open
+from quillring.edge.admission import check_not_draining
 from quillring.kernel.errors import Conflict, NotFound, Refused
 from quillring.quorum.commands import apply_batch, first_state
 from quillring.rollout.operator_orders import is_retired, known_stores, retire_store
@@ -56,9 +56,9 @@
     assert node.find("ownership").is_leaving(core.me.name) == are_nodes_left
     if are_nodes_left:
         with pytest.raises(Refused):
-            check_open(node)
+            check_not_draining(node)
     else:
-        check_open(node)
+        check_not_draining(node)
 
 
 def test_a_retired_store_is_done_once_no_part_holds_it_and_all_groups_are_full():
