--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -1,4 +1,7 @@
-"""A process that wakes finds requests whose clients have gone; none of them may run."""
+"""Requests whose clients disconnected before they were read must not run.
+
+A process that was suspended finds such requests in its socket buffers when it resumes.
+"""
 
 import socket
 
@@ -9,14 +12,14 @@
 from quillring.kernel.client_connection import ClientConnection
 from quillring.kernel.http_messages import HttpLimits
 
-ORDER = b"POST /orders/1 HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"
+ORDER_REQUEST = b"POST /orders/1 HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"
 
 
-class StandInServer:
-    """A server that notes the requests it is asked to answer."""
+class FakeServer:
+    """A server that records the targets of the requests it handles."""
 
     def __init__(self):
-        self.asked = []
+        self.handled_targets = []
         self.node = self.runtime = self
         self.under_way = 0
         self.is_draining = False
@@ -34,23 +37,25 @@
         return request
 
     def lines(self, request):
-        self.asked.append(request.target)
+        self.handled_targets.append(request.target)
         return 200, [], b""
         yield
 
 
 @pytest.mark.parametrize("count", [1, 3])
-@pytest.mark.parametrize("has_gone", [True, False])
-def test_a_request_whose_client_has_gone_before_it_is_read_does_not_run(has_gone, count):
-    near, far = socket.socketpair()
-    far.sendall(ORDER * count)
-    if has_gone:
-        far.close()
-    server = StandInServer()
-    sock = gevent.socket.socket(near.family, near.type, fileno=near.detach())
-    connection = gevent.spawn(ClientConnection(server, sock).run)
-    while not has_gone and len(server.asked) < count:
+@pytest.mark.parametrize("is_disconnected", [True, False])
+def test_request_is_not_run_if_its_client_disconnected_before_it_was_read(is_disconnected, count):
+    server_socket, client_socket = socket.socketpair()
+    client_socket.sendall(ORDER_REQUEST * count)
+    if is_disconnected:
+        client_socket.close()
+    server = FakeServer()
+    gevent_socket = gevent.socket.socket(
+        server_socket.family, server_socket.type, fileno=server_socket.detach()
+    )
+    connection = gevent.spawn(ClientConnection(server, gevent_socket).run)
+    while not is_disconnected and len(server.handled_targets) < count:
         gevent.idle()
-    far.close()
+    client_socket.close()
     connection.join()
-    assert len(server.asked) == (0 if has_gone else count)
+    assert len(server.handled_targets) == (0 if is_disconnected else count)
--- a/tests/test_decision_log.py
+++ b/tests/test_decision_log.py
@@ -1,4 +1,4 @@
-"""The record of decisions, the counters of bytes, and how operators see both."""
+"""The decision log, the traffic counters, and the status routes that show both."""
 
 import contextlib
 import json
@@ -47,7 +47,7 @@
 )
 
 
-def recorded(answers, sent=None, **fields):
+def run_and_record(answers, sent=None, **fields):
     runtime, node = make(answers, **fields)
     node.find("decisions").ratio = 1.0
     lines = []
@@ -58,9 +58,9 @@
     return record, lines, node
 
 
-def test_a_request_is_recorded_with_its_place_its_times_and_what_was_believed():
+def test_record_has_the_placement_the_times_and_the_estimates_of_a_request():
     sent = request(**{"X-Prompt-Chain": "ab:300,cd:200", "X-Token-Count": "500,80"})
-    record, lines, node = recorded({0: [COMPLETE]}, sent, replicas=1)
+    record, lines, node = run_and_record({0: [COMPLETE]}, sent, replicas=1)
     assert (record.route, record.replica, record.reason) == ("f", "r0", OWN_ZONE)
     assert (record.prompt_tokens, record.uncached_tokens, record.attempts) == (500, 500, 1)
     assert record.first_token_seconds == pytest.approx(0.02)
@@ -73,7 +73,7 @@
     ]
 
 
-def test_a_record_goes_into_the_log_of_a_real_process(tmp_path):
+def test_record_is_written_to_the_log_of_a_process(tmp_path):
     path = tmp_path / "ring.log"
     node_logger, ring = ring_log("edge-1", str(path))
     _, node = make({})
@@ -84,7 +84,7 @@
     assert "INFO" in line and json.loads(line.partition("decision ")[2])["replica"] == "r0"
 
 
-def test_every_level_that_the_product_logs_at_is_one_of_the_process():
+def test_every_log_level_in_use_is_known_to_the_log_writer():
     levels = set()
     for source in Path(quillring.__file__).parent.rglob("*.py"):
         levels |= set(re.findall(r'\.log\(\s*"(\w+)"', source.read_text()))
@@ -93,9 +93,9 @@
 
 def test_a_retry_and_a_refusal_are_recorded():
     silent = [(0, SILENT)]
-    record, _, _ = recorded({0: [silent, COMPLETE], 1: [silent, COMPLETE]})
+    record, _, _ = run_and_record({0: [silent, COMPLETE], 1: [silent, COMPLETE]})
     assert record.attempts == 2 and record.cause() == RETRIED
-    record, _, _ = recorded({}, replicas=0)
+    record, _, _ = run_and_record({}, replicas=0)
     assert record.reason == NOT_PLACED and record.replica is None
     assert record.first_token_seconds is None and record.cause() == UNEXPECTED_WAIT
 
@@ -112,11 +112,11 @@
         ({"first_token_seconds": 0.3, "queued_seconds": 0.2, "attempts": 2}, RETRIED),
     ],
 )
-def test_the_cause_of_a_late_first_token(changes, cause):
+def test_cause_of_a_late_first_token(changes, cause):
     assert RECORD._replace(**changes).cause() == cause
 
 
-def test_nothing_is_recorded_unless_asked_for_and_never_without_bound():
+def test_recording_is_off_by_default_and_bounded():
     runtime, node = make({0: [COMPLETE]}, replicas=1)
     run(runtime, node)
     assert not node.find("decisions").records
@@ -127,7 +127,7 @@
 
 
 @pytest.mark.parametrize("ratio", [0, 0.1, 1])
-def test_the_share_is_a_checked_setting(ratio):
+def test_decision_log_ratio_is_a_validated_setting(ratio):
     fields = {
         "name": "edge-1",
         "role": "edge",
@@ -138,14 +138,14 @@
     }
     assert check_settings(fields).decision_log_ratio == 0
     assert check_settings({**fields, "decision_log_ratio": ratio}).decision_log_ratio == ratio
-    for wrong in (-0.1, 1.5, "all"):
+    for invalid_ratio in (-0.1, 1.5, "all"):
         with pytest.raises(ExceptionGroup):
-            check_settings({**fields, "decision_log_ratio": wrong})
+            check_settings({**fields, "decision_log_ratio": invalid_ratio})
 
 
-def test_operators_see_decisions_and_bytes():
+def test_status_routes_show_decisions_and_traffic():
     sent = request(**{"X-Prompt-Chain": "ab:3000,cd:200", "X-Token-Count": "3200,80"})
-    _, _, node = recorded({0: [COMPLETE]}, sent, replicas=1)
+    _, _, node = run_and_record({0: [COMPLETE]}, sent, replicas=1)
     shown = show_decisions(node, None)
     assert shown["decisions"][0]["replica"] == "r0" and shown["sums"][0]["requests"] == 1
     shown_bytes = show_traffic(node, None)["traffic"]
@@ -155,7 +155,7 @@
     assert rows[REPLICA_RESPONSE]["payload_bytes"] == sizes
 
 
-def test_the_reason_names_a_cached_prefix_and_another_zone():
+def test_reason_is_a_cached_prefix_or_another_zone():
     sent = request(**{"X-Prompt-Chain": "ab:30000,cd:200", "X-Token-Count": "30200,80"})
     runtime, node = make({0: [COMPLETE, COMPLETE]}, replicas=0)
     beat(node, 0, domain="south")
@@ -166,7 +166,7 @@
 
 
 def test_messages_and_heartbeats_are_counted_by_kind_and_zone():
-    made, nifty, runtime = nifty_node("a")
+    local_node, nifty, runtime = nifty_node("a")
     nifty.on_datagram(heartbeat(member("b"), 1, {"a"}, [1, 1, 3], "ab", 3))
     runtime.datagrams.clear()
     nifty.send_heartbeats()
@@ -174,14 +174,14 @@
     nifty.refresh()
     nifty.send("b", {"s": "x", "b": 1})
     nifty.send("b", {"r": 1, "b": 1})
-    rows = {row.kind: row for row in made.traffic.rows()}
+    rows = {row.kind: row for row in local_node.traffic.rows()}
     assert rows[HEARTBEAT].payload_bytes == sum(len(data) for _, data in runtime.datagrams)
     sizes = [len(data) for _, data in runtime.frames]
     assert [rows["x"].payload_bytes, rows[REPLY].payload_bytes] == sizes
     assert {row.zone for row in rows.values()} == {"north"}
 
 
-def test_the_counters_add_up():
+def test_traffic_counters_are_summed_by_kind_and_zone():
     counters = TrafficCounters()
     for number in range(10):
         counters.record("k", f"z{number % 2}", number)
--- a/tests/test_event_bytes.py
+++ b/tests/test_event_bytes.py
@@ -1,4 +1,4 @@
-"""Events reach the client byte for byte, whatever lines they hold and wherever they are cut."""
+"""Server-sent events are relayed byte for byte, whatever their lines and however they are split."""
 
 import pytest
 
@@ -7,10 +7,12 @@
 from tests.forward_stage import HEAD, STREAM, address, both, make, run, text
 from tests.http_lot_stage import HttpLotStage, accepted
 
-VERSIONED = b"weight-versions:7\nid: 1\ndata: p1\n\n"
+EVENT_WITH_NEW_VERSION = b"weight-versions:7\nid: 1\ndata: p1\n\n"
 STREAMS = {
     "plain": b"id: 0\ndata: p0\n\nid: 1\ndata: p1\n\n",
-    "a new version of the weights": b"id: 0\ndata: p0\n\n" + VERSIONED + b"id: 2\ndata: p2\n\n",
+    "a new version of the weights": b"id: 0\ndata: p0\n\n"
+    + EVENT_WITH_NEW_VERSION
+    + b"id: 2\ndata: p2\n\n",
     "comments": b": hello\n\nid: 0\ndata: p0\ndata:  more \n\n: bye\n\n",
     "lines that end with a return": b"id: 0\r\ndata: p0\r\n\r\nid: 1\r\ndata: p1\r\n\r\n",
     "both kinds of ends": b"id: 0\ndata: p0\r\n\nid: 1\r\ndata: p1\n\r\n",
@@ -19,7 +21,7 @@
 
 
 @pytest.mark.parametrize("kind", STREAMS)
-def test_a_stream_passes_byte_for_byte_wherever_it_was_cut(kind):
+def test_stream_is_relayed_byte_for_byte_wherever_it_is_split(kind):
     body = STREAMS[kind]
     for cut in range(len(body) + 1):
         steps = [HEAD, *((0.01, part) for part in (body[:cut], body[cut:]) if part), (0, END)]
@@ -31,26 +33,34 @@
         assert ids == list(range(len(ids))) and reader.last_event_id == ids[-1]
 
 
-@pytest.mark.parametrize("cut", range(len(VERSIONED)))
-def test_a_stream_goes_on_after_the_last_whole_event_wherever_a_replica_broke_off(cut):
-    first = [HEAD, (0.01, b"id: 0\ndata: p0\n\n" + VERSIONED[:cut]), (0.01, BREAK)]
-    second = [(0.01, (200, {**STREAM, "weight-versions": "7"})), (0.01, VERSIONED), (0, END)]
+@pytest.mark.parametrize("cut", range(len(EVENT_WITH_NEW_VERSION)))
+def test_stream_resumes_after_the_last_complete_event_wherever_a_replica_disconnects(cut):
+    interrupted_response = [
+        HEAD,
+        (0.01, b"id: 0\ndata: p0\n\n" + EVENT_WITH_NEW_VERSION[:cut]),
+        (0.01, BREAK),
+    ]
+    resumed_response = [
+        (0.01, (200, {**STREAM, "weight-versions": "7"})),
+        (0.01, EVENT_WITH_NEW_VERSION),
+        (0, END),
+    ]
     runtime, node = make({}, replicas=2)
-    runtime.answers = {address(0): [first], address(1): [first]}
-    original = runtime._send
+    runtime.answers = {address(0): [interrupted_response], address(1): [interrupted_response]}
+    original_send = runtime._send
 
     def send(effect):
         if runtime.sent:
-            runtime.answers[tuple(effect.address)] = [second]
-        return original(effect)
+            runtime.answers[tuple(effect.address)] = [resumed_response]
+        return original_send(effect)
 
     runtime._send = send
     run(runtime, node)
-    assert text(runtime) == b"id: 0\ndata: p0\n\n" + VERSIONED
+    assert text(runtime) == b"id: 0\ndata: p0\n\n" + EVENT_WITH_NEW_VERSION
     assert [b"last-event-id: 0\r\n" in sent[1] for sent in runtime.sent] == [False, True]
 
 
-def test_an_item_is_told_with_its_own_words_about_the_prompt():
+def test_items_of_a_lot_are_sent_with_the_model_of_their_prompt():
     with HttpLotStage(330) as stage:
         accepted(stage, "a", 2)
         stage.read_all("a")
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -1,4 +1,4 @@
-"""What a client leaves behind that goes away: no sending, no connection, no place."""
+"""A client that disconnects leaves no request, connection or slot in use."""
 
 import gevent
 import pytest
@@ -11,22 +11,22 @@
 from tests.test_raw_clients import Stream
 from tests.test_raw_server import Client, serve  # noqa: F401
 
-SHED = [(0.01, (503, {"x-inquiry": "q1", "x-not-run": "1"}))]
-CUT = [HEAD, (0.01, event(0) + b"id: 1\nda"), (0.01, BREAK)]
-WAYS = {
+NOT_RUN_RESPONSE = [(0.01, (503, {"x-inquiry": "q1", "x-not-run": "1"}))]
+INTERRUPTED_STREAM = [HEAD, (0.01, event(0) + b"id: 1\nda"), (0.01, BREAK)]
+SCENARIOS = {
     "whole": ("repeatable", [[PLAIN_HEAD, (0.01, b"o"), (0.01, b"k"), (0, END)]]),
     "silent": ("repeatable", [[(9, SILENT)]]),
     "between tries": ("repeatable", [[PLAIN_HEAD, (0.01, BREAK)]]),
     "dead connection": ("repeatable", [[(0, STALE)], [PLAIN_HEAD, (0.01, b"ok"), (0, END)]]),
-    "refused": ("repeatable", [SHED]),
-    "resumed stream": ("stream", [CUT]),
+    "refused": ("repeatable", [NOT_RUN_RESPONSE]),
+    "resumed stream": ("stream", [INTERRUPTED_STREAM]),
     "stalled stream": ("stream", [[HEAD, (0.01, event(0)), (9, SILENT)]]),
     "no replica": ("stream", []),
 }
 
 
 def run_until(runtime, coroutine, stop_at):
-    """Run a coroutine up to an effect; return True where it came that far."""
+    """Run a coroutine up to its effect number `stop_at`; return whether it was reached."""
     value, error = None, None
     for count in range(stop_at + 1):
         try:
@@ -43,16 +43,16 @@
     return False
 
 
-@pytest.mark.parametrize("way", WAYS)
-def test_a_client_that_leaves_at_any_moment_leaves_no_connection_and_no_place(way):
-    kind, steps = WAYS[way]
+@pytest.mark.parametrize("scenario", SCENARIOS)
+def test_client_disconnecting_at_any_point_leaks_no_connection_and_no_slot(scenario):
+    kind, steps = SCENARIOS[scenario]
     for stop_at in range(200):
         answers = both(*steps) if steps else {}
         runtime, node = make(answers, kind=kind, attempts=2, replicas=2 if steps else 0)
         sent = request()
         forward = node.find("forwards").find("h", sent.target)
         coroutine = forward_request(node, forward, sent, node.now())
-        came_so_far = run_until(runtime, coroutine, stop_at)
+        was_reached = run_until(runtime, coroutine, stop_at)
         coroutine.close()
         assert all(handle.is_closed for handle in runtime.handles)
         assert all(
@@ -62,35 +62,39 @@
             health.work.wait_seconds(runtime.time) == 0 and not health.expected_first_tokens
             for health in node.find("placement").health_by_replica.values()
         )
-        if not came_so_far:
+        if not was_reached:
             break
-    assert not came_so_far and stop_at > 0
+    assert not was_reached and stop_at > 0
 
 
 @pytest.mark.parametrize(
-    "behind",
+    "trailing_bytes",
     [b"", b"Connection: Upgrade\r\nUpgrade: x\r\n", b"NONSENSE"],
-    ids=["nothing", "an upgrade", "what is no request"],
+    ids=["nothing", "upgrade headers", "malformed request"],
 )
-def test_a_client_that_closes_ends_its_work_whatever_it_sent_behind(serve, behind):  # noqa: F811
+def test_client_disconnect_cancels_its_request_whatever_bytes_follow_it(serve, trailing_bytes):  # noqa: F811
     stream = Stream()
     client = Client(serve(stream.handle))
-    is_header = behind.endswith(b"\r\n")
-    client.send(b"GET /stream HTTP/1.1\r\nHost: h\r\n" + (behind if is_header else b"") + b"\r\n")
+    is_header_line = trailing_bytes.endswith(b"\r\n")
+    client.send(
+        b"GET /stream HTTP/1.1\r\nHost: h\r\n"
+        + (trailing_bytes if is_header_line else b"")
+        + b"\r\n"
+    )
     assert stream.has_begun.wait(5)
-    if not is_header:
-        client.send(behind + b"\r\n\r\n" if behind else b"")
+    if not is_header_line:
+        client.send(trailing_bytes + b"\r\n\r\n" if trailing_bytes else b"")
     for _ in range(20):
         gevent.idle()
     client.sock.close()
     assert stream.has_ended.wait(5)
 
 
-def test_what_came_before_no_request_is_still_answered(serve):  # noqa: F811
+def test_request_before_a_malformed_one_is_still_answered(serve):  # noqa: F811
     def handle(node, raw):
         yield SendToClient((200, [], b"one"))
 
     client = Client(serve(handle))
     client.send(b"GET / HTTP/1.1\r\nHost: h\r\n\r\nNONSENSE\r\n\r\n")
-    answer = client.read()
-    assert answer.startswith(b"HTTP/1.1 200") and b"HTTP/1.1 400" in answer
+    response = client.read()
+    assert response.startswith(b"HTTP/1.1 200") and b"HTTP/1.1 400" in response
--- a/tests/test_items_yield.py
+++ b/tests/test_items_yield.py
@@ -1,4 +1,4 @@
-"""Items of lots leave the slots that clients' requests take."""
+"""Items of lots give up slots to client requests."""
 
 import pytest
 
@@ -16,7 +16,7 @@
 
 
 def free_slots(clients, items=0, share=CALM_SHARE):
-    """Return what lots may take of a replica with requests of other nodes in flight."""
+    """Return the slots that lots may use on a replica with requests of other nodes in flight."""
     _, node = make({}, replicas=1)
     in_flight = {"r0": clients + items} if clients + items else {}
     report = LoadReport("north", 1, 1, in_flight, {"r0": items} if items else {}, [], [], [])
@@ -25,27 +25,27 @@
 
 
 @pytest.mark.parametrize("share", [CALM_SHARE, NEAR_SHARE])
-def test_items_have_their_share_beside_few_clients_and_yield_to_many(share):
+def test_items_get_their_share_with_few_client_requests_and_yield_to_many(share):
     _, node = make({}, replicas=1)
-    most = slots_for(node.find("replicas").table["r0"], share)
+    max_slots = slots_for(node.find("replicas").table["r0"], share)
     counts = [free_slots(clients, share=share) for clients in range(SLOTS * 3)]
-    assert counts[0] == most and counts[-1] == 1
+    assert counts[0] == max_slots and counts[-1] == 1
     assert counts == sorted(counts, reverse=True)
     for clients, count in enumerate(counts):
         assert count == 1 or count + clients <= SLOTS * (share + OCCUPANCY_MARGIN) + 1
 
 
 @pytest.mark.parametrize("items", [0, 3, 8])
-def test_items_of_other_leaders_are_shared_out_elsewhere_and_not_counted_as_clients(items):
+def test_items_of_other_leaders_are_not_counted_as_client_requests(items):
     assert free_slots(2, items) == free_slots(2)
 
 
-def test_own_items_are_not_counted_as_clients():
+def test_own_items_are_not_counted_as_client_requests():
     _, node = make({}, replicas=1)
     placement, replica = node.find("placement"), node.find("replicas").table["r0"]
-    runs = [placement.start_request(replica, request(), is_batch=True) for _ in range(5)]
-    asked = placement.start_request(replica, request())
+    batch_requests = [placement.start_request(replica, request(), is_batch=True) for _ in range(5)]
+    client_request = placement.start_request(replica, request())
     assert placement.in_flight(replica) == 6 and placement.client_in_flight(replica) == 1
-    for run in (*runs, asked):
-        run.finish()
+    for batch_request in (*batch_requests, client_request):
+        batch_request.finish()
     assert placement.in_flight(replica) == placement.client_in_flight(replica) == 0
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -1,4 +1,7 @@
-"""A machine told to stop: not ready at once, it serves on, and takes nothing that it may cut."""
+"""Draining: a process reports not ready at once, serves for a while, then refuses new requests.
+
+It must not accept a request late in the grace period, which could be cut off at the end.
+"""
 
 from unittest import mock
 
@@ -14,49 +17,51 @@
 
 from system_edge import handle_client, handle_ready  # isort: skip
 
-WHOLE = [PLAIN_HEAD, (0.01, b"ok"), (0, END)]
-LATEST_TAKEN, GRACE = 3.0, 8.0
+COMPLETE_RESPONSE = [PLAIN_HEAD, (0.01, b"ok"), (0, END)]
+ACCEPTING_SECONDS, GRACE_SECONDS = 3.0, 8.0
 
 
-def status_of(runtime, node, handle, method="POST", target="/a/x", **more):
-    lines = [("Host", "h"), ("X-Inquiry", "q1"), *more.items()]
+def status_of(runtime, node, handle, method="POST", target="/a/x", **extra_headers):
+    lines = [("Host", "h"), ("X-Inquiry", "q1"), *extra_headers.items()]
     raw = HttpRequest(method, target, lines, b"", True, node.now())
     status, headers, _ = runtime.run(handle(node, raw))
     return status, dict(headers)
 
 
-class Watch:
-    """Notes what the machine answers while `drain` lets time pass."""
+class DrainObserver:
+    """Records the responses of the node while `drain` sleeps."""
 
-    def __init__(self, grace):
-        self.runtime, self.node = make(both(*[WHOLE] * 99), kind="repeatable", attempts=1)
+    def __init__(self, grace_seconds):
+        self.runtime, self.node = make(
+            both(*[COMPLETE_RESPONSE] * 99), kind="repeatable", attempts=1
+        )
         self.node.offer("dialect", HeaderNames())
-        self.node.bounds = Bounds(grace_period=grace)
+        self.node.bounds = Bounds(grace_period=grace_seconds)
         self.node.under_way = 1
-        self.seen = []
+        self.observations = []
 
     def sleep(self, seconds):
         end_time = self.runtime.time + seconds
         while self.runtime.time < end_time - 0.001:
-            self.look()
+            self.observe()
             self.runtime.time += min(0.1, end_time - self.runtime.time)
 
-    def look(self):
-        at = round(self.runtime.time - 1000, 3)
+    def observe(self):
+        elapsed_seconds = round(self.runtime.time - 1000, 3)
         ready = status_of(self.runtime, self.node, handle_ready)[0]
         served, headers = status_of(self.runtime, self.node, handle_client)
-        self.seen.append((at, ready, served, "Retry-After" in headers))
+        self.observations.append((elapsed_seconds, ready, served, "Retry-After" in headers))
 
 
-@pytest.mark.parametrize("grace", [GRACE, 20.0])
-def test_a_stopping_machine_is_not_ready_at_once_serves_on_and_then_refuses_with_a_promise(grace):
-    watch = Watch(grace)
-    assert status_of(watch.runtime, watch.node, handle_ready)[0] == 200
+@pytest.mark.parametrize("grace_seconds", [GRACE_SECONDS, 20.0])
+def test_draining_process_is_not_ready_still_serves_then_refuses_with_retry_after(grace_seconds):
+    observer = DrainObserver(grace_seconds)
+    assert status_of(observer.runtime, observer.node, handle_ready)[0] == 200
     servers = [mock.Mock()]
-    with mock.patch.object(process.gevent, "sleep", watch.sleep):
-        process.drain(watch.node, servers)
-    assert {ready for _, ready, _, _ in watch.seen} == {503}
-    early = {row[2:] for row in watch.seen if row[0] < LATEST_TAKEN - 0.2}
-    late = {row[2:] for row in watch.seen if row[0] > LATEST_TAKEN}
+    with mock.patch.object(process.gevent, "sleep", observer.sleep):
+        process.drain(observer.node, servers)
+    assert {ready for _, ready, _, _ in observer.observations} == {503}
+    early = {row[2:] for row in observer.observations if row[0] < ACCEPTING_SECONDS - 0.2}
+    late = {row[2:] for row in observer.observations if row[0] > ACCEPTING_SECONDS}
     assert early == {(200, False)} and late == {(503, True)}
-    assert watch.seen[-1][0] > grace / 2 and servers[0].stop.called
+    assert observer.observations[-1][0] > grace_seconds / 2 and servers[0].stop.called
