--- a/quillring/forward/attempt.py
+++ b/quillring/forward/attempt.py
@@ -155,7 +155,7 @@
 def record_if_misdirected(node: Node, replica: Replica, handle: Any) -> None:
     """Mark the replica as misdirected if the status is 421: another one answered at its address."""
     if handle.status == MISDIRECTED_REQUEST:
-        node.find("replicas").note_misdirected(replica)
+        node.find("replicas").mark_misdirected(replica)
 
 
 def is_not_run(header_names: HeaderNames, handle: Any) -> bool:
