--- a/quillring/quorum/acceptor/acceptor.py
+++ b/quillring/quorum/acceptor/acceptor.py
@@ -1,4 +1,4 @@
-"""The Paxos acceptors on a store machine: one per part, with one log on disk for all."""
+"""The Paxos acceptors of a store: one per part, which share one log on disk."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
     CommitRecord,
     FoundRecord,
     HintRecord,
-    HintsHandedRecord,
+    HintsDeliveredRecord,
     InstallChunkRecord,
     InstallRecord,
     PromiseRecord,
     read_log_record,
 )
-from quillring.quorum.acceptor.snapshot_rows import load_rows, load_single_value, to_rows
+from quillring.quorum.acceptor.snapshot_rows import load_legacy_checkpoint, load_rows, to_rows
 from quillring.quorum.acceptor.snapshot_transfer import SnapshotTransfer
 from quillring.quorum.acceptor.state import AcceptorState
 from quillring.quorum.commands import answer_query, first_state
@@ -49,18 +49,18 @@
     from quillring.quorum.messages import LeaderRequest
     from quillring.store import CheckpointedLog
 
-FOUNDING_CALLS = ("found", "founding")
-LEADERS_CALLS = ("prepare", "accept", "commit", "install", "confirm", "catch_up")
-READERS_CALLS = ("image", "peek")
+FOUNDING_SERVICES = ("found", "founding")
+LEADER_SERVICES = ("prepare", "accept", "commit", "install", "confirm", "catch_up")
+READ_SERVICES = ("image", "peek")
 
 
 class Acceptors:
-    """The acceptors of one store; a promise or an acceptance is durable before the reply.
+    """The acceptors of one store; promises and accepted entries are durable before the reply.
 
     Owns the acceptor state of each part, the founding record, the hints for other stores, and the
     log that makes them durable. `identity` and `log` are set by the code that opens the data
-    folder, `node` by attach(). A listener is called with a part and its acceptor state after each
-    update by the part's leader.
+    folder, `node` by attach(). Each listener is called with a part and its acceptor state after
+    every update by the part's leader.
     """
 
     __slots__ = (
@@ -86,9 +86,12 @@
         self.snapshot_transfer = SnapshotTransfer(self)
 
     def attach(self, node: Node) -> None:
-        """Register the services on a node, whose member record has the identity found on disk."""
+        """Register the services on a node, and publish the state by gossip if the node has it.
+
+        The node's member record must have the identity that was read from disk.
+        """
         self.node = node
-        for name in (*FOUNDING_CALLS, *LEADERS_CALLS, *READERS_CALLS):
+        for name in (*FOUNDING_SERVICES, *LEADER_SERVICES, *READ_SERVICES):
             node.handle(f"quorum.{name}", getattr(self, f"on_{name}"))
         self.snapshot_transfer.attach(node)
         gossip = node.find("gossip")
@@ -96,10 +99,10 @@
             self.listeners.append(self._publish)
             for part, acceptor in self.parts.items():
                 self._publish(part, acceptor)
-            gossip.subscribe("founding", self._on_founding_news)
+            gossip.subscribe("founding", self._on_gossiped_founding)
 
     def _publish(self, part: str, acceptor: AcceptorState) -> None:
-        """Publish the committed group or configuration by gossip, so that no leader is needed."""
+        """Publish the committed group or configuration by gossip, so that no leader is asked."""
         if acceptor.state is None:
             return
         gossip = self.node.find("gossip")
@@ -108,12 +111,12 @@
         elif gossip.get(f"group/{part}") != acceptor.state["group"]:
             gossip.publish(f"group/{part}", [acceptor.applied], acceptor.state["group"])
 
-    def _on_founding_news(self, key: str, founding: WireMap) -> None:
+    def _on_gossiped_founding(self, key: str, founding: WireMap) -> None:
         if self.founding is None:
             self.node.spawn(self.persist(FoundRecord(founding)))
 
     def rows(self) -> list[list[Any]]:
-        """Return all state as immutable rows, for a checkpoint."""
+        """Return the complete state as immutable rows, for a checkpoint."""
         return to_rows(self)
 
     def load_rows(self, rows: Iterable[list[Any]]) -> None:
@@ -121,22 +124,22 @@
         load_rows(self, rows)
 
     def load(self, snapshot: WireMap) -> None:
-        """Replace the state by a checkpoint of the first format, which is one value."""
-        load_single_value(self, snapshot)
+        """Replace the state by a checkpoint of the first format, which is a single value."""
+        load_legacy_checkpoint(self, snapshot)
 
     def replay(self, fields: list[Any]) -> None:
-        """Apply one record of the log in its form on disk; for recovery."""
+        """Apply one log record, given in its form on disk; used in recovery."""
         self.apply(read_log_record(fields))
 
     def apply(self, record: LogRecord) -> None:
-        """Apply a record to the state in memory, at recovery as in operation."""
+        """Apply a record to the state in memory, both in recovery and in operation."""
         if isinstance(record, FoundRecord):
             self._apply_founding(record.founding)
         elif isinstance(record, HintRecord):
-            kept = self.hints.get(record.target, ())
-            self.hints = {**self.hints, record.target: [*kept, record.request]}
-        elif isinstance(record, HintsHandedRecord):
-            self._drop_hints(record.target, record.handed_count)
+            previous_hints = self.hints.get(record.target, ())
+            self.hints = {**self.hints, record.target: [*previous_hints, record.request]}
+        elif isinstance(record, HintsDeliveredRecord):
+            self._drop_hints(record.target, record.delivered_count)
         else:
             self._apply_to_part(record)
 
@@ -149,9 +152,9 @@
                     acceptor.state = first_state(group)
 
     def _drop_hints(self, target: str, count: int) -> None:
-        left_hints = self.hints.get(target, [])[count:]
-        others = {name: kept for name, kept in self.hints.items() if name != target}
-        self.hints = {**others, target: left_hints} if left_hints else others
+        remaining = self.hints.get(target, [])[count:]
+        others = {name: requests for name, requests in self.hints.items() if name != target}
+        self.hints = {**others, target: remaining} if remaining else others
 
     def _apply_to_part(self, record: PartRecord) -> None:
         acceptor = self.parts.get(record.part)
@@ -165,7 +168,7 @@
         elif isinstance(record, InstallRecord):
             acceptor.install(record.log_index, record.state)
         elif isinstance(record, InstallChunkRecord):
-            state = self.snapshot_transfer.take_chunk(record)
+            state = self.snapshot_transfer.add_chunk(record)
             if state is not None:
                 acceptor.install(record.log_index, state)
         self.snapshot_transfer.drop_outdated(record.part, acceptor)
@@ -173,17 +176,17 @@
     def persist(self, *records: LogRecord) -> Coroutine:
         """Apply records in memory, and return once they are durable; raises DiskError.
 
-        The records are written under one sync. After a DiskError the memory keeps the change.
+        All records are written with one sync. After a DiskError the state in memory stays changed.
         """
         for record in records:
             self.apply(record)
         yield from self.log.commit([record.to_disk() for record in records])
 
     def check_ballot(self, request: LeaderRequest) -> AcceptorState:
-        """Return the acceptor state of a request's part, once the request passed all checks.
+        """Check a leader's request, and return the acceptor state of its part.
 
-        Raises WrongIdentity if it is meant for an earlier identity of this store, Fenced when a
-        higher ballot was promised, and DiskError while writes to the disk fail.
+        Raises WrongIdentity if the request is for an earlier identity of this store, Fenced if a
+        higher ballot is promised, and DiskError while writes to the disk fail.
         """
         self._check_identity(request.identity)
         if self.log.error is not None:
@@ -198,9 +201,9 @@
             raise WrongIdentity(store=self.node.me.name, identity=self.identity)
 
     def on_found(self, body: WireMap, origin: str) -> Coroutine:
-        """Store the founding record durably; return the fleet's id.
+        """Store the founding record durably, unless one is stored; return the fleet's id.
 
-        Raises WrongIdentity, or Conflict when this store has the record of another founding.
+        Raises WrongIdentity, or Conflict if this store has the founding record of another fleet.
         """
         request = FoundRequest.from_wire(body)
         if self.founding is None:
@@ -211,11 +214,11 @@
         return (self.founding or request.founding)["fleet"]
 
     def on_founding(self, body: Any, origin: str) -> WireMap | None:
-        """Return the founding record that this store has, or None."""
+        """Return the founding record, or None if this store has none."""
         return self.founding
 
     def on_prepare(self, body: WireMap, origin: str) -> Coroutine:
-        """Promise a ballot durably; return the Promise, with the accepted entries (phase 1b)."""
+        """Promise a ballot durably (phase 1b); return the Promise, with the accepted entries."""
         request = PrepareRequest.from_wire(body)
         self.check_ballot(request)
         yield from self.persist(PromiseRecord(request.part, request.ballot))
@@ -228,7 +231,7 @@
         return promise.to_wire()
 
     def on_catch_up(self, body: WireMap, origin: str) -> Coroutine:
-        """Accept the entries that this store missed, and apply them; return the applied index."""
+        """Accept and apply the entries that this store missed; return the applied index."""
         request = CatchUpRequest.from_wire(body)
         self.check_ballot(request)
         part, ballot = request.part, request.ballot
@@ -237,7 +240,7 @@
         return self.notify_listeners(part)
 
     def on_accept(self, body: WireMap, origin: str) -> Coroutine:
-        """Accept an entry durably (phase 2b), and apply what its leader says is committed.
+        """Accept an entry durably (phase 2b), and apply the entries that the leader committed.
 
         Return the applied index.
         """
@@ -250,20 +253,23 @@
         return self.notify_listeners(request.part)
 
     def on_commit(self, body: WireMap, origin: str) -> Coroutine:
-        """Mark entries accepted under the ballot as committed, durably; return the index applied.
+        """Durably commit and apply entries accepted under the ballot; return the applied index.
 
-        Writes nothing if that is known and durable already.
+        Writes nothing if the entries are already applied and durable.
         """
         request = CommitRequest.from_wire(body)
         acceptor = self.check_ballot(request)
-        is_known = acceptor.promised == request.ballot and acceptor.applied >= request.committed
-        if is_known and self.log.is_idle:
+        is_applied = acceptor.promised == request.ballot and acceptor.applied >= request.committed
+        if is_applied and self.log.is_idle:
             return acceptor.applied
         yield from self.persist(CommitRecord(request.part, request.ballot, request.committed))
         return self.notify_listeners(request.part)
 
     def on_install(self, body: WireMap, origin: str) -> Coroutine:
-        """Install the leader's complete state of a part in place of missed entries."""
+        """Install a part's complete state, sent by the leader in place of missed entries.
+
+        Return the applied index.
+        """
         request = InstallRequest.from_wire(body)
         self.check_ballot(request)
         yield from self.persist(
@@ -272,9 +278,9 @@
         return self.notify_listeners(request.part)
 
     def on_confirm(self, body: WireMap, origin: str) -> bool:
-        """Return True if the leader's ballot is the highest promised here; writes nothing.
+        """Return True if the leader's ballot is the highest promised here, else raise Fenced.
 
-        Raises Fenced if it is not.
+        Writes nothing to disk.
         """
         request = ConfirmRequest.from_wire(body)
         acceptor = self.check_ballot(request)
@@ -283,7 +289,7 @@
         return True
 
     def on_image(self, body: WireMap, origin: str) -> list[Any]:
-        """Return the applied state of a part; raises NotFounded when there is none."""
+        """Return the applied index and state of a part; raises NotFounded if it has no state."""
         request = ImageRequest.from_wire(body)
         acceptor = self.parts.get(request.part)
         if acceptor is None or acceptor.state is None:
@@ -291,9 +297,9 @@
         return ImageReply(acceptor.applied, acceptor.state).to_wire()
 
     def on_peek(self, body: WireMap, origin: str) -> Coroutine:
-        """Answer a query from the applied state, and from the entries accepted beyond it.
+        """Answer a follower read: a query on the applied state and after each accepted entry.
 
-        The reply waits until those entries are durable. Raises NotFounded, WrongIdentity or
+        The reply is sent once those entries are durable. Raises NotFounded, WrongIdentity or
         DiskError.
         """
         request = FollowerReadRequest.from_wire(body)
@@ -316,9 +322,9 @@
         return reply.to_wire()
 
     def stamp(self) -> list[Any] | None:
-        """Return [ballot, committed index, identity] of the config part.
+        """Return [promised ballot, committed index, identity] of the config part.
 
-        None if this store is no member of that part, or while writes to its disk fail.
+        None if this store is not a member of that part, or while writes to its disk fail.
         """
         acceptor = self.parts.get(CONFIG)
         if acceptor is None or self.log.error is not None:
@@ -328,7 +334,7 @@
         return [acceptor.promised.to_wire(), acceptor.committed, self.identity]
 
     def notify_listeners(self, part: str) -> int:
-        """Notify the listeners of what is committed in a part; return the applied index."""
+        """Call the listeners with a part's acceptor state; return the applied index."""
         for listener in self.listeners:
             listener(part, self.parts[part])
         return self.parts[part].applied
--- a/quillring/quorum/acceptor/log_records.py
+++ b/quillring/quorum/acceptor/log_records.py
@@ -1,7 +1,7 @@
 """The typed records of a store's log, and their form on disk.
 
-On disk a record is a list: its kind, then its fields. Every record about a part names the ballot
-that it was written under; to apply it promises that ballot.
+On disk a record is a list of its kind and its fields. Every record about a part contains the ballot
+under which it was written; applying the record also promises that ballot.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 FOUND = "found"
 HINT = "hint"
-HINTS_HANDED = "handed"
+HINTS_DELIVERED = "handed"
 PROMISE = "promise"
 ACCEPT = "accept"
 COMMIT = "commit"
@@ -30,7 +30,7 @@
 
 
 class FoundRecord(NamedTuple):
-    """The founding record that this store belongs to."""
+    """The founding record of the fleet that this store belongs to."""
 
     founding: WireMap
 
@@ -46,7 +46,7 @@
 
 
 class HintRecord(NamedTuple):
-    """An accept request, in its wire form, that is kept for an unreachable acceptor."""
+    """A hint: an accept request in wire form, stored for the unreachable acceptor `target`."""
 
     target: str
     request: WireMap
@@ -62,32 +62,32 @@
         return [HINT, self.target, self.request]
 
 
-class HintsHandedRecord(NamedTuple):
-    """The oldest `handed_count` hints for an acceptor were delivered or are no longer needed."""
+class HintsDeliveredRecord(NamedTuple):
+    """The oldest `delivered_count` hints for an acceptor were delivered or are not needed."""
 
     target: str
-    handed_count: int
+    delivered_count: int
 
     @classmethod
-    def from_disk(cls, fields: Sequence[Any]) -> HintsHandedRecord:
+    def from_disk(cls, fields: Sequence[Any]) -> HintsDeliveredRecord:
         """Read the record."""
         _, target, count = fields
         return cls(target, count)
 
     def to_disk(self) -> list[Any]:
         """Return the record in its form on disk."""
-        return [HINTS_HANDED, self.target, self.handed_count]
+        return [HINTS_DELIVERED, self.target, self.delivered_count]
 
 
 class PromiseRecord(NamedTuple):
-    """A ballot that was promised."""
+    """A promise of a ballot."""
 
     part: str
     ballot: Ballot
 
     @classmethod
     def from_disk(cls, fields: Sequence[Any]) -> PromiseRecord:
-        """Read the record; one of an unknown kind counts as the promise of its ballot."""
+        """Read the record; fields after the ballot, as in records of unknown kinds, are ignored."""
         _, part, ballot, *_ = fields
         return cls(part, Ballot.from_wire(ballot))
 
@@ -97,7 +97,7 @@
 
 
 class AcceptRecord(NamedTuple):
-    """An entry that was accepted."""
+    """The acceptance of a log entry under a ballot."""
 
     part: str
     ballot: Ballot
@@ -116,7 +116,7 @@
 
 
 class CommitRecord(NamedTuple):
-    """All entries accepted under the ballot up to the index `committed` are chosen."""
+    """The commit, up to the index `committed`, of all entries accepted under the ballot."""
 
     part: str
     ballot: Ballot
@@ -134,7 +134,7 @@
 
 
 class InstallRecord(NamedTuple):
-    """The complete state after the entry `log_index`, in place of missed entries."""
+    """The complete state after the entry at `log_index`, installed in place of missed entries."""
 
     part: str
     ballot: Ballot
@@ -153,7 +153,7 @@
 
 
 class InstallChunkRecord(NamedTuple):
-    """A chunk of the state after the entry `log_index`, from `offset` up to `next_offset`.
+    """A chunk, from `offset` up to `next_offset`, of the state after the entry at `log_index`.
 
     `next_offset` is None in the last chunk, after which the state is installed.
     """
@@ -194,13 +194,13 @@
 PartRecord = PromiseRecord | AcceptRecord | CommitRecord | InstallRecord | InstallChunkRecord
 """A record about one part."""
 
-LogRecord = FoundRecord | HintRecord | HintsHandedRecord | PartRecord
+LogRecord = FoundRecord | HintRecord | HintsDeliveredRecord | PartRecord
 """Any record of a store's log."""
 
 _READERS: dict[str, Callable[[Sequence[Any]], LogRecord]] = {
     FOUND: FoundRecord.from_disk,
     HINT: HintRecord.from_disk,
-    HINTS_HANDED: HintsHandedRecord.from_disk,
+    HINTS_DELIVERED: HintsDeliveredRecord.from_disk,
     PROMISE: PromiseRecord.from_disk,
     ACCEPT: AcceptRecord.from_disk,
     COMMIT: CommitRecord.from_disk,
@@ -210,6 +210,6 @@
 
 
 def read_log_record(fields: Sequence[Any]) -> LogRecord:
-    """Return the typed record; one of an unknown kind is read as a promise of its ballot."""
+    """Return the typed record; a record of an unknown kind is read as a promise of its ballot."""
     kind, *_ = fields
     return _READERS.get(kind, PromiseRecord.from_disk)(fields)
--- a/quillring/quorum/acceptor/retirement_gate.py
+++ b/quillring/quorum/acceptor/retirement_gate.py
@@ -1,4 +1,4 @@
-"""Retirement, the store's side; `quorum.leader.retirement_check` explains why it is safe."""
+"""Retirement, store side; `quorum.leader.retirement_check` explains why it is safe."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class RetirementGate:
-    """Answers whether this store may join a part, and whether it has delivered all its hints."""
+    """Answers whether this store agrees to join a part, and which hints it has yet to deliver."""
 
     __slots__ = ("node", "acceptors")
 
@@ -27,18 +27,18 @@
         node.handle("quorum.leaving", self.on_leaving)
 
     def on_join(self, body: Any, origin: str) -> bool:
-        """Agree to become a member of a part; return True.
+        """Return True, which agrees to become a member of a part.
 
-        Raises Conflict when this store is retired, or has received no configuration yet.
+        Raises Conflict if this store is retired, or has not received a configuration yet.
         """
         if not self.node.find("layout").index or self._is_retired():
             raise Conflict(store=self.node.me.name, reason="retired or without news of it")
         return True
 
     def on_leaving(self, body: Any, origin: str) -> WireMap:
-        """Return whether this store knows of its retirement, and the targets of pending hints.
+        """Return whether this store is retired, and the reachable stores it has hints for.
 
-        Only reachable targets count.
+        It is retired once its own configuration orders that.
         """
         reaches = self.node.find("nifty").reaches
         hints = sorted(name for name in self.acceptors.hints if reaches(name))
--- a/quillring/quorum/acceptor/snapshot_rows.py
+++ b/quillring/quorum/acceptor/snapshot_rows.py
@@ -1,6 +1,6 @@
-"""The state of a store's acceptors as checkpoint rows, and back; a part's state takes many rows.
+"""Conversion of the state of a store's acceptors to checkpoint rows and back.
 
-On disk a row is a list: its kind, a name, then its fields.
+On disk a row is a list of its kind, a name and its fields. A part's state takes many rows.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 class StoreRow(NamedTuple):
-    """The store itself: its identity and the founding record that it belongs to."""
+    """The store's identity, and the founding record of its fleet."""
 
     identity: str
     founding: WireMap | None
@@ -45,7 +45,7 @@
 
 
 class HintRow(NamedTuple):
-    """An accept request that is kept for an unreachable acceptor."""
+    """A hint: an accept request in wire form, stored for the unreachable acceptor `target`."""
 
     target: str
     request: WireMap
@@ -56,7 +56,7 @@
 
 
 class PartRow(NamedTuple):
-    """The acceptor state of a part, without the applied state, whose rows follow."""
+    """A part's acceptor state without the applied state, which follows in rows of its own."""
 
     part: str
     acceptor: AcceptorState
@@ -68,7 +68,7 @@
 
 
 class IncomingRow(NamedTuple):
-    """A snapshot partly received from a leader, without its sections, whose rows follow."""
+    """A partly received snapshot without its sections, which follow in rows of their own."""
 
     part: str
     ballot: Ballot
@@ -89,7 +89,7 @@
 
 
 def to_rows(acceptors: Acceptors) -> list[list[Any]]:
-    """Return all state as immutable rows; later changes of the state do not affect them."""
+    """Return the complete state as rows that later changes of the state do not affect."""
     rows = [StoreRow(acceptors.identity, acceptors.founding).to_disk()]
     for target, requests in acceptors.hints.items():
         rows.extend(HintRow(target, request).to_disk() for request in requests)
@@ -108,7 +108,7 @@
     """Replace the state of the acceptors by the rows of a checkpoint."""
     loader = _RowLoader()
     for kind, name, *fields in rows:
-        loader.take(kind, name, fields)
+        loader.add_row(kind, name, fields)
     acceptors.identity, acceptors.founding = loader.store
     acceptors.parts, acceptors.hints = loader.parts, loader.hints
     acceptors.snapshot_transfer.incoming = loader.incoming_snapshots()
@@ -126,8 +126,8 @@
         self.incoming: dict[str, IncomingRow] = {}
         self.sections: dict[str, dict[str, Any]] = {}
 
-    def take(self, kind: str, name: str, fields: Sequence[Any]) -> None:
-        """Add a row; rows of an unknown kind are ignored."""
+    def add_row(self, kind: str, name: str, fields: Sequence[Any]) -> None:
+        """Add one row to the state; a row of an unknown kind is ignored."""
         if kind == STORE:
             (founding,) = fields
             self.store = StoreRow(name, founding)
@@ -149,7 +149,7 @@
             put_row(self.sections[name], fields)
 
     def incoming_snapshots(self) -> dict[str, IncomingSnapshot]:
-        """Return {part: the snapshot that was being received from its leader}."""
+        """Return {part: the partly received snapshot}."""
         return {
             part: IncomingSnapshot(
                 row.ballot,
@@ -160,8 +160,8 @@
         }
 
 
-def load_single_value(acceptors: Acceptors, snapshot: WireMap) -> None:
-    """Replace the state of the acceptors by a checkpoint of the first format, one value."""
+def load_legacy_checkpoint(acceptors: Acceptors, snapshot: WireMap) -> None:
+    """Replace the state of the acceptors by a checkpoint of the first format, a single value."""
     acceptors.identity, acceptors.founding = snapshot["identity"], snapshot["founding"]
     acceptors.parts = {
         part: AcceptorState.from_disk(fields) for part, fields in snapshot["parts"].items()
--- a/quillring/quorum/acceptor/snapshot_transfer.py
+++ b/quillring/quorum/acceptor/snapshot_transfer.py
@@ -1,4 +1,4 @@
-"""The acceptor's side of transfers of a part's state and entries, in bounded chunks."""
+"""Transfers of a part's state and entries in chunks of bounded size, acceptor side."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class IncomingSnapshot:
-    """A state that a leader sends chunk by chunk; `index` is the last entry applied to it."""
+    """A partly received snapshot from a leader; `index` is the last entry applied to the state."""
 
     __slots__ = ("ballot", "index", "builder")
 
@@ -36,9 +36,9 @@
 
 
 class SnapshotTransfer:
-    """Sends chunks of applied states, and assembles the states that leaders install.
+    """Sends chunks of applied states, and assembles the snapshots that leaders install.
 
-    Owns `incoming`: {part: the snapshot being received}.
+    Owns `incoming`: {part: the partly received snapshot}.
     """
 
     __slots__ = ("acceptors", "incoming")
@@ -48,17 +48,18 @@
         self.incoming: dict[str, IncomingSnapshot] = {}
 
     def attach(self, node: Node) -> None:
-        """Register the services for leaders on a node."""
+        """Register the services that leaders call on a node."""
         node.handle("quorum.piece", self.on_piece)
         node.handle("quorum.entries", self.on_entries)
         node.handle("quorum.accepted", self.on_accepted)
         node.handle("quorum.install_piece", self.on_install_piece)
 
-    def take_chunk(self, record: InstallChunkRecord) -> PartState | None:
-        """Add a chunk; return the complete state after the last one, else None.
+    def add_chunk(self, record: InstallChunkRecord) -> PartState | None:
+        """Add a chunk; return the complete state if it was the last chunk, else None.
 
-        A chunk that does not begin where the last one ended is ignored. Raises BadChunk when the
-        chunk does not end at its `next_offset`.
+        A first chunk replaces any snapshot that was being received. A chunk that does not begin
+        where the previous one ended is ignored. Raises BadChunk if the chunk does not end at its
+        `next_offset`.
         """
         if record.offset == SNAPSHOT_START:
             self.incoming[record.part] = IncomingSnapshot(
@@ -74,7 +75,7 @@
         return builder.whole()
 
     def drop_outdated(self, part: str, acceptor: AcceptorState) -> None:
-        """Drop a snapshot of a lower ballot than promised, or no newer than the applied index."""
+        """Drop a snapshot under a ballot below the promised one, or not above the applied index."""
         incoming = self.incoming.get(part)
         if incoming is not None and (
             incoming.ballot < acceptor.promised or incoming.index <= acceptor.applied
@@ -82,34 +83,34 @@
             del self.incoming[part]
 
     def _builder_of(self, part: str, ballot: Ballot, index: int) -> StateBuilder | None:
-        """Return the builder of this state under this ballot, or None if there is none."""
+        """Return the builder of the snapshot with this ballot and index, or None."""
         incoming = self.incoming.get(part)
         if incoming is None or incoming.ballot != ballot or incoming.index != index:
             return None
         return incoming.builder
 
     def on_piece(self, body: WireMap, origin: str) -> list[Any]:
-        """Return a chunk of the state at an index.
+        """Return a chunk of the state after the requested index.
 
-        Raises Conflict when another index is applied, NotFounded when there is no state.
+        Raises Conflict if the applied index differs, and NotFounded if the part has no state.
         """
         request = StateChunkRequest.from_wire(body)
-        acceptor, state = self._founded(request.part)
+        acceptor, state = self._acceptor_with_state(request.part)
         if acceptor.applied != request.log_index:
             raise Conflict(part=request.part, applied=acceptor.applied)
         return cut_chunk(state, request.offset).to_wire()
 
     def on_entries(self, body: WireMap, origin: str) -> list[Any] | None:
-        """Return applied entries after an index, CHUNK_BYTES at most but one at least.
+        """Return applied entries after an index: at least one, and up to CHUNK_BYTES in total.
 
-        None if some of them are no longer cached. Raises NotFounded when there is no state.
+        None if some of them are no longer cached. Raises NotFounded if the part has no state.
         """
         request = EntriesRequest.from_wire(body)
-        acceptor, _ = self._founded(request.part)
+        acceptor, _ = self._acceptor_with_state(request.part)
         return acceptor.log_cache.since(request.after, CHUNK_BYTES)
 
     def on_accepted(self, body: WireMap, origin: str) -> list[Any]:
-        """Return the entry accepted at an index, with its ballot; raises NotFounded without one."""
+        """Return the entry accepted at an index, with its ballot; raises NotFounded if none is."""
         request = AcceptedEntryRequest.from_wire(body)
         acceptor = self.acceptors.parts.get(request.part)
         if acceptor is None or request.log_index not in acceptor.entries:
@@ -117,25 +118,25 @@
         entry = acceptor.entries[request.log_index]
         return AcceptedEntryReply(entry.ballot, entry.batch).to_wire()
 
-    def _founded(self, part: str) -> tuple[AcceptorState, PartState]:
-        """Return the acceptor state of a part and its applied state; raises NotFounded."""
+    def _acceptor_with_state(self, part: str) -> tuple[AcceptorState, PartState]:
+        """Return a part's acceptor state and applied state; raises NotFounded without one."""
         acceptor = self.acceptors.parts.get(part)
         if acceptor is None or acceptor.state is None:
             raise NotFounded(part=part, store=self.acceptors.node.me.name)
         return acceptor, acceptor.state
 
     def on_install_piece(self, body: WireMap, origin: str) -> Coroutine:
-        """Store a chunk of a leader's state, durably; the last one installs the state.
+        """Store a chunk of a leader's snapshot durably; the last chunk installs the state.
 
-        Return the applied index. Raises Conflict, with the offset wanted, for any chunk but the
-        next one or the first.
+        Return the applied index. Raises Conflict, with the expected offset, for a chunk that is
+        neither the next one nor the first one.
         """
         request = InstallChunkRequest.from_wire(body)
         self.acceptors.check_ballot(request)
         builder = self._builder_of(request.part, request.ballot, request.log_index)
-        wanted_offset = SNAPSHOT_START if builder is None else builder.offset
-        if request.offset not in (wanted_offset, SNAPSHOT_START):
-            raise Conflict(part=request.part, place=wanted_offset.to_wire())
+        expected_offset = SNAPSHOT_START if builder is None else builder.offset
+        if request.offset not in (expected_offset, SNAPSHOT_START):
+            raise Conflict(part=request.part, place=expected_offset.to_wire())
         yield from self.acceptors.persist(
             InstallChunkRecord(
                 request.part,
--- a/quillring/quorum/acceptor/state.py
+++ b/quillring/quorum/acceptor/state.py
@@ -33,9 +33,11 @@
 class AcceptorState:
     """The state of one part's acceptor on a store.
 
-    `promised` is the highest ballot promised, `applied` the index of the last entry applied to
-    `state`, `entries` {index: entry} those accepted beyond it, `committed` the highest index known
-    to be chosen. `log_cache` keeps the entries applied last, for stores that missed a few.
+    - `promised`: the highest promised ballot;
+    - `applied`: the index of the last entry applied to `state`;
+    - `entries`: {index: entry} of the entries accepted beyond `applied`;
+    - `committed`: the highest index that is known to be chosen;
+    - `log_cache`: the most recently applied entries, for stores that missed a few.
     """
 
     __slots__ = ("promised", "applied", "state", "entries", "committed", "log_cache")
@@ -56,7 +58,7 @@
         self.log_cache = LogCache(LOG_CACHE_BYTES)
 
     def to_promise(self) -> Promise:
-        """Return the state in the form of a Promise, which is also that of a checkpoint."""
+        """Return the state as a Promise, the form in which checkpoints contain it, too."""
         accepted = tuple(
             AcceptedProposal(index, entry.ballot, entry.batch)
             for index, entry in sorted(self.entries.items())
@@ -74,21 +76,21 @@
 
     @classmethod
     def from_disk(cls, fields: Sequence[Any]) -> AcceptorState:
-        """Read the state from a checkpoint."""
+        """Read the state from its form in a checkpoint."""
         return cls.from_promise(Promise.from_wire(fields))
 
     def promise(self, ballot: Ballot) -> None:
-        """Promise a ballot, unless a higher one was promised."""
+        """Promise a ballot, unless a higher one is already promised."""
         if ballot > self.promised:
             self.promised = ballot
 
     def accept(self, ballot: Ballot, index: int, batch: Batch) -> None:
-        """Accept an entry, unless the entry of that index is applied already."""
+        """Accept an entry, unless an entry with that index is already applied."""
         if index > self.applied:
             self.entries[index] = AcceptedEntry(ballot, batch)
 
     def has_member(self, identity: str) -> bool:
-        """Return whether the applied state names the store of this identity as a member."""
+        """Return whether the store with this identity is in the group of the applied state."""
         if self.state is None:
             return False
         return any(GroupMember.from_wire(m).identity == identity for m in self.state["group"])
@@ -96,7 +98,7 @@
     def apply_committed(self, ballot: Ballot, committed: int) -> None:
         """Apply the entries up to `committed` that were accepted under the ballot; stop at a gap.
 
-        An entry accepted under another ballot counts as a gap, as it may not be the chosen one.
+        An entry accepted under another ballot is a gap, since it may not be the chosen one.
         """
         while self.applied < committed:
             entry = self.entries.get(self.applied + 1)
@@ -109,7 +111,7 @@
         self.committed = max(self.committed, self.applied)
 
     def install(self, index: int, state: PartState) -> None:
-        """Install a complete state in place of missed entries, unless it is no newer."""
+        """Install a complete state in place of missed entries, unless it is not newer."""
         if index <= self.applied:
             return
         self.applied, self.state = index, state
@@ -118,7 +120,7 @@
         self.log_cache.clear()
 
     def uncommitted_lots(self) -> list[list[Any]]:
-        """Return [[index, lot or None], ...] of the commands accepted and not applied here."""
+        """Return [[index, lot or None], ...], one per command in accepted, unapplied entries."""
         return [
             [index, command.get("lot")]
             for index, entry in self.entries.items()
@@ -127,10 +129,10 @@
         ]
 
     def uncommitted_answers(self, query: WireMap) -> tuple[UncommittedAnswer, ...]:
-        """Return the answer of a query after each accepted entry in turn.
+        """Return the answers to a query on the state after each accepted, unapplied entry.
 
-        It ends before a gap, and before a change of the group, as the new group chooses the entries
-        after it.
+        The answers end before the first gap, and before an entry that changes the group, since the
+        new group chooses the entries after it.
         """
         answers: list[UncommittedAnswer] = []
         if self.state is None:
--- a/tests/test_quorum_messages.py
+++ b/tests/test_quorum_messages.py
@@ -9,7 +9,7 @@
     CommitRecord,
     FoundRecord,
     HintRecord,
-    HintsHandedRecord,
+    HintsDeliveredRecord,
     InstallChunkRecord,
     InstallRecord,
     PromiseRecord,
@@ -144,7 +144,7 @@
 LOG_RECORDS = [
     (FoundRecord(FOUNDING), ["found", FOUNDING]),
     (HintRecord("store-2", HEADER), ["hint", "store-2", HEADER]),
-    (HintsHandedRecord("store-2", 2), ["handed", "store-2", 2]),
+    (HintsDeliveredRecord("store-2", 2), ["handed", "store-2", 2]),
     (PromiseRecord("part-0", BALLOT), ["promise", "part-0", [3, "core-1#7"]]),
     (
         AcceptRecord("part-0", BALLOT, 5, BATCH),
