--- a/tests/test_acceptor_properties.py
+++ b/tests/test_acceptor_properties.py
@@ -1,6 +1,7 @@
-"""Stateful property tests of one acceptor with its log: promises, entries, catching up, restarts.
+"""Stateful property tests of one acceptor with its log: promises, entries, catch-up, restarts.
 
-The profile `ci` is the same at every run. A longer one: QUILLRING_HYPOTHESIS=long.
+The default profile `ci` runs the same examples every time. QUILLRING_HYPOTHESIS=long selects a
+longer profile.
 """
 
 import os
@@ -32,29 +33,29 @@
 
 
 class AcceptorMachine(RuleBasedStateMachine):
-    """One store that takes calls of many owners; all owners agree on what is chosen.
+    """One store that receives calls from several leaders, which agree on the chosen entries.
 
-    What is chosen at an index is fixed, so an owner may propose only that; ballots, order, repeats,
-    gaps, restarts and the moment of each sync are free.
+    The chosen entry of each index is fixed, so a leader may propose only that entry. Ballots,
+    order, repetitions, gaps, restarts and the time of each sync are arbitrary.
     """
 
     def __init__(self):
         super().__init__()
         self.disk = HeldDisk()
         self.acceptors = None
-        self.highest_promise = (0, "")
+        self.highest_promised = (0, "")
         self.highest_applied = 0
-        self.accepted = set()
+        self.accepted_indexes = set()
 
     @initialize()
     def begin(self):
-        """Found the store."""
+        """Open the store and send it the founding acceptor."""
         self.open()
         founding = {"fleet": "f", "groups": {PART: GROUP}, "secret": b"", "size": 3}
         self.call("found", {"founding": founding})
 
     def open(self):
-        """Start from what is on disk."""
+        """Start the store from the contents of its disk."""
         self.acceptors = open_store(self.disk, "store-1", lambda: "1")
         self.runtime = CoroutineRuntime("store-1")
         self.acceptors.attach(Node(make_member("store-1", 1, "store-1.1"), self.runtime))
@@ -62,7 +63,7 @@
         self.runtime.run()
 
     def call(self, service, body):
-        """Call a handler; return the answer or the error, or None while its sync is held."""
+        """Call a handler; return its answer or its error, or None if it waits for a held sync."""
         outcomes = []
         handler = getattr(self.acceptors, f"on_{service}")
 
@@ -74,128 +75,130 @@
         return outcomes[0] if outcomes else None
 
     def call_as(self, ballot, service, **body):
-        """Call a handler under a ballot; one below the promise must be fenced."""
-        promised = self.record().promised
+        """Call a handler under a ballot; a ballot below the promised one must be fenced."""
+        promised = self.acceptor().promised
         answer = self.call(service, {"part": PART, "ballot": list(ballot), **body})
         if ballot < promised:
             assert isinstance(answer, Fenced)
         elif service != "confirm" and not isinstance(answer, (QuillringError, type(None))):
-            self.highest_promise = max(self.highest_promise, self.record().promised)
+            self.highest_promised = max(self.highest_promised, self.acceptor().promised)
         return answer
 
-    def record(self):
-        """Return what the store holds of the part."""
+    def acceptor(self):
+        """Return the store's acceptor state of the part."""
         return self.acceptors.parts[PART]
 
     @rule(ballot=BALLOTS)
     def prepare(self, ballot):
-        """An owner asks for a promise."""
+        """A leader requests a promise."""
         self.call_as(ballot, "prepare", brief=True)
 
     @rule(ballot=BALLOTS, index=st.integers(1, ENTRY_COUNT), lag=st.integers(0, 3))
     def accept(self, ballot, index, lag):
-        """An owner proposes the entry that is chosen at an index."""
+        """A leader proposes the chosen entry of an index."""
         committed = max(0, index - 1 - lag)
         body = {"index": index, "batch": batch_of(index), "committed": committed}
         if isinstance(self.call_as(ballot, "accept", **body), int):
-            self.accepted.add(index)
+            self.accepted_indexes.add(index)
 
     @rule(ballot=BALLOTS, index=st.integers(0, ENTRY_COUNT))
     def commit(self, ballot, index):
-        """An owner tells what is committed."""
+        """A leader sends its committed index."""
         self.call_as(ballot, "commit", committed=index)
 
     @rule(ballot=BALLOTS, first=st.integers(1, ENTRY_COUNT), count=st.integers(1, ENTRY_COUNT))
     def catch_up(self, ballot, first, count):
-        """An owner sends a run of entries; with a gap before them nothing is applied."""
+        """A leader sends consecutive entries; without a gap before them, all are applied."""
         last = min(ENTRY_COUNT, first + count - 1)
         entries = [[index, batch_of(index)] for index in range(first, last + 1)]
-        applied = self.record().applied
+        applied = self.acceptor().applied
         answer = self.call_as(ballot, "catch_up", entries=entries, committed=last)
         if isinstance(answer, int) and first <= applied + 1:
             assert answer >= last
 
     @rule(ballot=BALLOTS, index=st.integers(0, ENTRY_COUNT))
     def install(self, ballot, index):
-        """An owner sends its whole state."""
+        """A leader sends its complete state."""
         answer = self.call_as(ballot, "install", index=index, state=CHOSEN[index])
         if isinstance(answer, int):
             assert answer >= index
 
     @rule(ballot=BALLOTS)
     def confirm(self, ballot):
-        """An owner asks whether its ballot still holds."""
+        """A leader asks whether its ballot is still the highest promised."""
         answer = self.call_as(ballot, "confirm")
-        assert (answer is True) == (ballot == self.record().promised)
+        assert (answer is True) == (ballot == self.acceptor().promised)
 
     @rule()
-    def hold(self):
-        """From now on a sync takes its time."""
+    def hold_syncs(self):
+        """Hold back every sync from now on."""
         self.disk.is_held = True
 
     @rule()
     def sync(self):
-        """What waits becomes durable."""
+        """Complete the held syncs, so that pending records become durable."""
         self.disk.is_held = False
         for label in self.runtime.timers():
             self.runtime.fire(label)
-        self.note_durable()
+        self.note_acknowledged()
 
-    def note_durable(self):
-        """Remember what was answered, now that nothing waits."""
-        self.highest_promise = max(self.highest_promise, self.record().promised)
+    def note_acknowledged(self):
+        """Record the promised ballot, once no call waits for a sync."""
+        self.highest_promised = max(self.highest_promised, self.acceptor().promised)
 
     @rule()
     def crash(self):
-        """Lose the memory and what was not synced."""
+        """Lose memory and unsynced writes, and restart."""
         self.disk.lose_power()
         self.disk.is_held = False
         self.highest_applied = 0
         self.open()
 
     @rule()
-    def turn(self):
-        """Fold the log into a slot, once nothing waits."""
+    def write_checkpoint(self):
+        """Write a checkpoint of the log, if no call waits for a sync."""
         if self.acceptors.log.is_idle:
             self.acceptors.log.write_checkpoint()
 
     @rule(service=st.sampled_from(("prepare", "accept", "commit", "install", "confirm")))
     def wrong_identity(self, service):
-        """A call for a former self is refused and changes nothing."""
+        """A call for an earlier identity of the store is refused and changes nothing."""
         before = self.acceptors.rows()
         body = {"part": PART, "ballot": [9, "x"], "identity": "store-1.0", "index": 1}
         answer = self.call(service, {**body, "batch": [], "committed": 0, "state": CHOSEN[0]})
         assert isinstance(answer, WrongIdentity) and self.acceptors.rows() == before
 
     @invariant()
-    def applied_what_was_chosen(self):
-        """The state at an index is the one that follows from what was chosen."""
+    def applied_state_follows_from_chosen_entries(self):
+        """The applied state results from the chosen entries, and its index does not decrease."""
         if self.acceptors is not None:
-            record = self.record()
-            assert record.state == CHOSEN[record.applied]
-            assert record.applied >= self.highest_applied
-            self.highest_applied = record.applied
+            acceptor = self.acceptor()
+            assert acceptor.state == CHOSEN[acceptor.applied]
+            assert acceptor.applied >= self.highest_applied
+            self.highest_applied = acceptor.applied
 
     @invariant()
-    def kept_what_was_answered(self):
-        """No promise and no entry that was answered is ever forgotten."""
+    def acknowledged_promises_and_entries_are_kept(self):
+        """No acknowledged promise or accepted entry is ever lost."""
         if self.acceptors is not None:
-            record = self.record()
-            assert record.promised >= self.highest_promise
-            assert all(i <= record.applied or i in record.entries for i in self.accepted)
+            acceptor = self.acceptor()
+            assert acceptor.promised >= self.highest_promised
+            assert all(
+                i <= acceptor.applied or i in acceptor.entries for i in self.accepted_indexes
+            )
 
     @invariant()
-    def holds_only_what_is_to_come(self):
-        """Entries that were applied are not kept as accepted ones."""
+    def accepted_entries_are_beyond_the_applied_index(self):
+        """Applied entries are removed from the accepted ones."""
         if self.acceptors is not None:
-            record = self.record()
-            assert all(index > record.applied for index in record.entries)
+            acceptor = self.acceptor()
+            assert all(index > acceptor.applied for index in acceptor.entries)
 
 
-def run_machine(examples, steps, phases=tuple(Phase)):
+def run_machine(max_examples, step_count, phases=tuple(Phase)):
     profile = settings(
-        max_examples=examples,
-        stateful_step_count=steps,
+        max_examples=max_examples,
+        stateful_step_count=step_count,
         derandomize=True,
         database=None,
         deadline=None,
@@ -205,7 +208,7 @@
     run_state_machine_as_test(AcceptorMachine, settings=profile)
 
 
-def test_an_acceptor_keeps_its_rules_under_any_order_of_calls():
+def test_acceptor_invariants_hold_under_any_order_of_calls():
     run_machine(*PROFILES[os.environ.get("QUILLRING_HYPOTHESIS", "ci")])
 
 
@@ -219,13 +222,13 @@
         "accept-in-memory",
     ],
 )
-def test_a_guard_taken_out_is_noticed(bug):
+def test_removing_a_guard_violates_an_invariant(bug):
     with find_bug(bug).patch(), pytest.raises(AssertionError):
         run_machine(1000, 25, phases=(Phase.generate,))
 
 
 @pytest.mark.parametrize("applied", range(ENTRY_COUNT))
-def test_a_store_catches_up_from_any_index(applied):
+def test_store_catches_up_from_any_applied_index(applied):
     machine = AcceptorMachine()
     machine.begin()
     machine.call_as((1, "core-1#1"), "install", index=applied, state=CHOSEN[applied])
@@ -233,4 +236,4 @@
     answer = machine.call_as((1, "core-1#1"), "catch_up", entries=entries, committed=ENTRY_COUNT)
     assert answer == ENTRY_COUNT
     machine.crash()
-    assert machine.record().state == CHOSEN[ENTRY_COUNT]
+    assert machine.acceptor().state == CHOSEN[ENTRY_COUNT]
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -1,4 +1,4 @@
-"""What a spare keeps for a missing store, and hands over, is bounded."""
+"""The hints that a spare store stores and delivers for an unreachable store are bounded."""
 
 import pytest
 
@@ -9,13 +9,13 @@
 from quillring.quorum.snapshot_chunks import CHUNK_BYTES
 
 
-def is_handed_over(fleet):
+def are_hints_delivered(fleet):
     return not any(n.find("acceptors").hints for n in fleet.sim.up_nodes("store"))
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-@pytest.mark.parametrize("comes_back_empty", [False, True])
-def test_hints_that_a_store_needs_no_more_are_not_sent_to_it(comes_back_empty, seed):
+@pytest.mark.parametrize("loses_disk", [False, True])
+def test_hints_that_a_store_no_longer_needs_are_not_sent(loses_disk, seed):
     fleet = ManyChanges(seed, 2, 20)
     fleet.change(1)
     store = fleet.group()[0]
@@ -23,27 +23,27 @@
     fleet.run(2)
     assert fleet.change(100) == 100
     assert sum(len(n.find("acceptors").hints) for n in fleet.sim.up_nodes("store")) == 1
-    if comes_back_empty:
+    if loses_disk:
         fleet.sim.disks[store].lose_all()
-    handed = []
+    delivered_indexes = []
     node = fleet.start(store)
     real_accept = node.handlers["quorum.accept"]
 
     def accept(body, origin):
-        handed.append(body["index"])
+        delivered_indexes.append(body["index"])
         return real_accept(body, origin)
 
     node.handlers["quorum.accept"] = accept
-    _, sent = fleet.time_and_bytes(store, lambda: is_handed_over(fleet))
-    assert is_handed_over(fleet)
-    assert len(handed) < 10 and sent < CHUNK_BYTES // 2
+    _, sent_bytes = fleet.time_and_bytes(store, lambda: are_hints_delivered(fleet))
+    assert are_hints_delivered(fleet)
+    assert len(delivered_indexes) < 10 and sent_bytes < CHUNK_BYTES // 2
     fleet.run(1)
     assert fleet.change(1) == 1
     fleet.run(1)
     assert all(fleet.is_in_step(name) for name in fleet.group())
 
 
-def test_a_spare_keeps_no_more_hints_than_so_many_bytes(monkeypatch):
+def test_spare_store_refuses_hints_beyond_the_size_limit(monkeypatch):
     monkeypatch.setattr(hint_store, "MAX_HINT_BYTES", 100_000)
     fleet = ManyChanges(1, 2, 20)
     fleet.change(1)
@@ -52,8 +52,8 @@
     fleet.run(2)
     assert fleet.change(60) == 60
     spare = next(n for n in fleet.sim.up_nodes("store") if n.find("acceptors").hints)
-    kept = sum(len(records) for records in spare.find("acceptors").hints.values())
-    assert 10 < kept < 40
+    hint_count = sum(len(records) for records in spare.find("acceptors").hints.values())
+    assert 10 < hint_count < 40
     body = {"for": store, "record": {"part": CONFIG}}
     with pytest.raises(Refused):
         next(spare.find("hints").on_hint(body, "core-1"))
--- a/tests/test_transfer.py
+++ b/tests/test_transfer.py
@@ -1,4 +1,4 @@
-"""Pieces of a state, how they are put together, and nodes of the version before that know none."""
+"""Transfers of a state in chunks, and in one message with stores of the previous version."""
 
 from itertools import pairwise
 from types import SimpleNamespace
@@ -23,7 +23,7 @@
 from tests.fleet_stage import SelfFounded
 from tests.test_membership_repair import is_whole, members, owners, zone_order
 
-NEWS = SimpleNamespace(propagation=2.0, read_timeout=1.0)
+BOUNDS = SimpleNamespace(propagation=2.0, read_timeout=1.0)
 ROSTER = SimpleNamespace(members={})
 PEERS = {"nifty": SimpleNamespace(reaches=lambda name: False, roster=ROSTER)}
 ME = SimpleNamespace(zone="north")
@@ -37,72 +37,72 @@
 
 
 @settings(derandomize=True, max_examples=200, deadline=None, database=None)
-@given(state=STATES, limit=st.integers(min_value=1, max_value=400))
-def test_pieces_of_any_size_make_up_the_state_in_its_order(state, limit):
-    builder, place, sizes = StateBuilder(), SNAPSHOT_START, []
-    while place is not None:
-        data, following = cut_chunk(state, place, limit)
+@given(state=STATES, max_bytes=st.integers(min_value=1, max_value=400))
+def test_chunks_of_any_size_rebuild_the_state_in_its_order(state, max_bytes):
+    builder, offset, sizes = StateBuilder(), SNAPSHOT_START, []
+    while offset is not None:
+        data, next_offset = cut_chunk(state, offset, max_bytes)
         sizes.append(len(data))
-        builder.add(data, following)
-        place = following
-    assert builder.whole() == state and max(sizes) <= limit
+        builder.add(data, next_offset)
+        offset = next_offset
+    assert builder.whole() == state and max(sizes) <= max_bytes
     assert list(builder.whole()) == list(state)
 
 
-def test_a_state_whose_last_piece_is_missing_is_not_whole():
+def test_state_without_its_last_chunk_is_rejected():
     state = {"raw": {"a": b"x" * 100}}
-    builder, (data, following) = StateBuilder(), cut_chunk(state, SNAPSHOT_START, 50)
-    builder.add(data, following)
+    builder, (data, next_offset) = StateBuilder(), cut_chunk(state, SNAPSHOT_START, 50)
+    builder.add(data, next_offset)
     with pytest.raises(BadChunk):
         builder.whole()
 
 
 class ForgetfulStore:
-    """A store's side of an installation; it loses the newest piece once, after so many."""
+    """A store that receives a snapshot, and loses the newest chunk once, after `loses_after`."""
 
     def __init__(self, loses_after):
         self.loses_after = loses_after
-        self.former, self.builder, self.places = [], StateBuilder(), []
+        self.partials, self.builder, self.offsets = [], StateBuilder(), []
 
     def call(self, target, service, body, seconds):
-        place = ChunkOffset(*body["place"])
-        self.places.append(place)
-        if place not in (self.builder.offset, SNAPSHOT_START):
+        offset = ChunkOffset(*body["place"])
+        self.offsets.append(offset)
+        if offset not in (self.builder.offset, SNAPSHOT_START):
             raise Conflict(place=list(self.builder.offset))
-        self.former.append(self.builder.to_partial())
+        self.partials.append(self.builder.to_partial())
         self.builder.add(body["data"], body["following"])
-        if len(self.former) == self.loses_after:
-            self.builder = StateBuilder.from_partial(self.former[-1])
+        if len(self.partials) == self.loses_after:
+            self.builder = StateBuilder.from_partial(self.partials[-1])
         return 0
         yield
 
 
 @pytest.mark.parametrize("loses_after", [1, 2, 5, 7])
-def test_an_installation_goes_on_where_the_store_says_that_it_stopped(loses_after):
+def test_snapshot_transfer_resumes_at_the_offset_that_the_store_requests(loses_after):
     state = {"raw": {n: b"%d" % n * (CHUNK_BYTES // 2) for n in range(10, 20)}}
-    whole, store = ForgetfulStore(None), ForgetfulStore(loses_after)
-    for each in (whole, store):
-        node = SimpleNamespace(me=ME, call=each.call, find=PEERS.get, bounds=NEWS)
+    reliable, store = ForgetfulStore(None), ForgetfulStore(loses_after)
+    for each in (reliable, store):
+        node = SimpleNamespace(me=ME, call=each.call, find=PEERS.get, bounds=BOUNDS)
         node.count = lambda *words: None
         catch_up = FollowerCatchUp(
             QuorumCaller(node, "part-0", []), StateMachine(9, state), lambda: True
         )
         finish(catch_up.send_missing(GroupMember("store-1", "a", "north"), 0))
         assert each.builder.whole() == state
-    lost = whole.places[loses_after - 1]
-    assert len(whole.places) > 7 and store.places.count(lost) == 2
-    assert len(store.places) == len(whole.places) + 2
-    assert store.places.count(SNAPSHOT_START) == (2 if lost == SNAPSHOT_START else 1)
+    lost_offset = reliable.offsets[loses_after - 1]
+    assert len(reliable.offsets) > 7 and store.offsets.count(lost_offset) == 2
+    assert len(store.offsets) == len(reliable.offsets) + 2
+    assert store.offsets.count(SNAPSHOT_START) == (2 if lost_offset == SNAPSHOT_START else 1)
 
 
 def finish(coroutine):
-    """Run a coroutine to its end."""
+    """Run a coroutine to its end, resuming every wait at once."""
     for _ in coroutine:
         pass
 
 
-def forget_pieces(node):
-    """Make a node answer as one of the version before."""
+def remove_chunk_services(node):
+    """Remove the services from a node that the previous version lacks."""
     for name in (
         "quorum.piece",
         "quorum.entries",
@@ -116,28 +116,30 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_stores_of_the_version_before_are_asked_for_and_sent_the_whole(seed):
+def test_state_is_fetched_from_and_sent_to_stores_of_the_previous_version_in_one_message(seed):
     stage = SelfFounded(seed)
     stage.submit("core-1", zone_order("halls"))
     for node in stage.sim.up_nodes("store"):
-        forget_pieces(node)
-    former = stage.owner("config")
-    stage.sim.kill(former)
-    assert stage.wait_for(lambda: stage.owner("config") not in (None, former), 6) is not None
+        remove_chunk_services(node)
+    previous_owner = stage.owner("config")
+    stage.sim.kill(previous_owner)
+    assert (
+        stage.wait_for(lambda: stage.owner("config") not in (None, previous_owner), 6) is not None
+    )
     assert "halls" in owners(stage)["config"].state["layout"]["domains"]
-    emptied = members(stage)[0]
-    stage.sim.lose_disk(emptied)
-    forget_pieces(stage.start(emptied))
+    emptied_store = members(stage)[0]
+    stage.sim.lose_disk(emptied_store)
+    remove_chunk_services(stage.start(emptied_store))
     assert stage.wait_for(lambda: is_whole(stage), 8) is not None
 
 
-def test_a_member_that_does_not_answer_is_mended_after_growing_pauses_only():
+def test_catch_up_of_an_unresponsive_member_is_retried_with_growing_backoff():
     stage = SelfFounded(3)
-    owner, store = owners(stage)["config"], members(stage)[0]
-    times = []
+    leader, store = owners(stage)["config"], members(stage)[0]
+    call_times = []
 
     def unanswered(body, origin):
-        times.append(stage.env.now)
+        call_times.append(stage.env.now)
         raise TimedOut(target=store)
 
     for name in ("quorum.catch_up", "quorum.install_piece", "quorum.install"):
@@ -145,6 +147,6 @@
     stage.sim.nodes[store].handlers["quorum.accept"] = lambda body, origin: 0
     stage.submit("core-1", zone_order("halls"))
     stage.run(8)
-    pauses = [later - earlier for earlier, later in pairwise(times)]
-    assert owner.is_leader and 3 <= len(times) <= 7
-    assert pauses[-1] > 2 * pauses[0]
+    delays = [later - earlier for earlier, later in pairwise(call_times)]
+    assert leader.is_leader and 3 <= len(call_times) <= 7
+    assert delays[-1] > 2 * delays[0]
