--- a/proving/model/core_machine.py
+++ b/proving/model/core_machine.py
@@ -8,7 +8,7 @@
 from quillring.kernel.errors import NotLeader, QuillringError
 from quillring.quorum.founding.founding import found_fleet
 from quillring.quorum.founding.founding_vote import FoundingVoter, agree_on_founding
-from quillring.quorum.leader.follower_read import read_from_majority, value_of
+from quillring.quorum.leader.follower_read import read_from_majority, unwrap_answer
 from quillring.quorum.values import GroupMember, group_from_wire
 
 CONFIGURATION = {"ask": "layout"}
@@ -129,7 +129,7 @@
 
     def _peek(self, group):
         known = yield from read_from_majority(self.node, self.model.part, group, CONFIGURATION)
-        return None if known is None else value_of(known)
+        return None if known is None else unwrap_answer(known)
 
     def _begin_read(self, kind):
         self.busy.add(kind)
--- a/proving/model/phase_bugs.py
+++ b/proving/model/phase_bugs.py
@@ -4,14 +4,14 @@
 
 from proving.model.patches import all_of
 from quillring.quorum.leader.part_leader import PartLeader
-from quillring.quorum.leader.uncommitted import best_entries, fetch_batch
+from quillring.quorum.leader.uncommitted import candidate_entries, fetch_batch
 
 
 def stay_in_phase_two():
     """A new leader that finds a change of the group proposes there without asking it first."""
 
     def commit_uncommitted(self, promises):
-        best = best_entries(promises, self.index)
+        best = candidate_entries(promises, self.index)
         while (index := self.index + 1) in best:
             batch = yield from fetch_batch(self.node, self.part, index, best[index])
             yield from self.replicate(batch)
--- a/proving/points/failures.py
+++ b/proving/points/failures.py
@@ -217,7 +217,7 @@
     (
         "a store isolated, emptied and retired leaves all whole",
         isolated_store,
-        [(MembershipRepair, "is_emptied", never)],
+        [(MembershipRepair, "has_lost_data", never)],
     ),
     (
         "two stores without power after a confirmation lose nothing",
--- a/quillring/lots/http_requests/api.py
+++ b/quillring/lots/http_requests/api.py
@@ -44,7 +44,7 @@
     stored_tokens,
 )
 from quillring.lots.http_requests.messages import READ, HeldRead
-from quillring.quorum.leader.follower_read import read_from_majority, value_of
+from quillring.quorum.leader.follower_read import read_from_majority, unwrap_answer
 
 if TYPE_CHECKING:
     from quillring.kernel.node import Node
@@ -278,7 +278,7 @@
         node.log("debug", "raw.read %s: %s", part, error)
     known = yield from read_from_majority(node, part, ownership.group(part), read.query)
     if known is not None:
-        return value_of(known)
+        return unwrap_answer(known)
     return (yield from read_surely(node, part, read.query, bounds.read_timeout * LOG_READ_SHARE))
 
 
--- a/quillring/ownership/part_client.py
+++ b/quillring/ownership/part_client.py
@@ -16,7 +16,7 @@
 )
 from quillring.ownership.jitter import LONGEST_SHARE, sleep_with_jitter
 from quillring.ownership.messages import READ, SUBMIT, LeaderRecord, ReadRequest, SubmitRequest
-from quillring.quorum.leader.follower_read import read_from_majority, value_of
+from quillring.quorum.leader.follower_read import read_from_majority, unwrap_answer
 from quillring.quorum.parts import majority
 
 if TYPE_CHECKING:
@@ -89,7 +89,7 @@
                 known = yield from read_from_majority(self.node, part, group, query, seconds)
                 if known is not None:
                     self.node.count("peeks")
-                    return value_of(known)
+                    return unwrap_answer(known)
             yield from self._pause_before_retry(end_time)
         raise Refused(reason=last_error.kind, part=part)
 
--- a/quillring/quorum/leader/anti_entropy.py
+++ b/quillring/quorum/leader/anti_entropy.py
@@ -1,4 +1,4 @@
-"""Anti-entropy: followers that lag are brought up to date one at a time, with backoff.
+"""Anti-entropy: finds followers that lag and brings them up to date one at a time, with backoff.
 
 The term is from Demers et al., "Epidemic algorithms for replicated database maintenance", 1987.
 """
@@ -23,20 +23,24 @@
 
 
 class Backoff(NamedTuple):
-    """The pause after a follower's failed catch-up: its end, by the node's clock, and length."""
+    """The delay before the next attempt after a follower's failed catch-up.
+
+    `until` is its end in seconds of the node's clock, `seconds` its length.
+    """
 
     until: float
     seconds: float
 
 
 class AntiEntropy:
-    """Finds the followers that lag and has them catch up, during one term.
+    """Finds the followers that lag during one term, and brings them up to date.
 
-    Owns the backoff of each follower: it begins at half a heartbeat interval and doubles up to
-    twice `bounds.propagation`. `target` is the follower that is being brought up to date.
+    Owns `backoffs`, the retry delay of each follower whose catch-up failed: it starts at half a
+    heartbeat interval and doubles up to twice `bounds.propagation`. `target` is the name of the
+    follower that is being brought up to date, or None.
     """
 
-    __slots__ = ("caller", "machine", "catch_up", "is_leader", "target", "is_busy", "backoffs")
+    __slots__ = ("caller", "machine", "catch_up", "is_leader", "target", "is_repairing", "backoffs")
 
     def __init__(
         self,
@@ -50,43 +54,46 @@
         self.catch_up = catch_up
         self.is_leader = is_leader
         self.target: str | None = None
-        self.is_busy = False
+        self.is_repairing = False
         self.backoffs: dict[str, Backoff] = {}
 
     def run(self) -> Coroutine:
-        """Repair the followers twice per heartbeat interval while the term lasts."""
+        """Run a repair twice per heartbeat interval until the term ends."""
         while self.is_leader():
             yield Sleep(self.caller.node.bounds.heartbeat_interval / 2)
             yield from self.repair_followers()
 
     def repair_followers(self) -> Coroutine:
-        """Bring reachable followers up to date; return at once if that is under way."""
-        if self.is_busy:
+        """Bring reachable followers up to date; does nothing if a repair is already running.
+
+        A follower in backoff is skipped; a failed catch-up is logged, not raised.
+        """
+        if self.is_repairing:
             return
-        self.is_busy = True
+        self.is_repairing = True
         try:
-            yield from self._repair_late()
+            yield from self._repair_lagging()
         finally:
-            self.is_busy, self.target = False, None
+            self.is_repairing, self.target = False, None
 
     def applied_index_by_store(self) -> Coroutine:
-        """Send reachable followers the committed index; return {store: the index it applied}.
+        """Send the committed index to reachable followers; return {store name: its applied index}.
 
-        A follower that does not reply is left out.
+        A follower that does not reply, or replies an error, is left out.
         """
         node = self.caller.node
         reaches = node.find("nifty").reaches
         commits = self.caller.calls(CommitRequest, committed=self.machine.last_applied)
         calls = [call for call in commits if reaches(call[0])]
         replies = yield from node.gather(calls, len(calls))
-        return {t: r for t, r in replies.items() if not isinstance(r, QuillringError)}
+        return {n: r for n, r in replies.items() if not isinstance(r, QuillringError)}
 
-    def _repair_late(self) -> Coroutine:
+    def _repair_lagging(self) -> Coroutine:
         index = self.machine.last_applied
         applied = yield from self.applied_index_by_store()
         for member in self.caller.group:
-            is_late = applied.get(member.name, index) < index
-            if not (is_late and self.is_leader()) or self._is_backing_off(member):
+            is_lagging = applied.get(member.name, index) < index
+            if not (is_lagging and self.is_leader()) or self._is_backing_off(member):
                 continue
             self.target = member.name
             try:
@@ -100,8 +107,14 @@
         return backoff is not None and self.caller.node.now() < backoff.until
 
     def _back_off(self, member: GroupMember, error: QuillringError) -> None:
-        node, former = self.caller.node, self.backoffs.get(member.name)
-        seconds = node.bounds.heartbeat_interval / 2 if former is None else former.seconds * 2
+        node, previous = self.caller.node, self.backoffs.get(member.name)
+        seconds = node.bounds.heartbeat_interval / 2 if previous is None else previous.seconds * 2
         seconds = min(seconds, node.bounds.propagation * 2)
         self.backoffs[member.name] = Backoff(node.now() + seconds, seconds)
-        node.log("warning", "catch-up of %s in %s: %s", member.name, self.caller.part, error)
+        node.log(
+            "warning",
+            "catch-up of store %s in part %s failed: %s",
+            member.name,
+            self.caller.part,
+            error,
+        )
--- a/quillring/quorum/leader/catch_up.py
+++ b/quillring/quorum/leader/catch_up.py
@@ -1,8 +1,8 @@
-"""Catch-up of one follower: by log entries where they are cached, else by a snapshot.
+"""Catch-up of one follower, by log entries if they are still cached, otherwise by a snapshot.
 
-Entries are sent if the leader or another store has them in its log cache; the complete state only
-if they are gone or larger than the state. Both go in chunks of bounded size, one at a time, so that
-no message grows with a part's state.
+The leader sends entries that it or another store has in its log cache. It sends the complete state
+only if some entries are no longer cached, or if they take more bytes than the state. Both are sent
+in chunks of bounded size, one at a time, so that message size does not grow with a part's state.
 """
 
 from __future__ import annotations
@@ -36,12 +36,12 @@
     from quillring.quorum.snapshot_chunks import PartState
     from quillring.quorum.values import GroupMember
 
-MOST_RESUMPTIONS = 8
-MOST_ROUNDS = 3
+MAX_SNAPSHOT_RESUMPTIONS = 8
+MAX_CATCH_UP_ROUNDS = 3
 
 
 class FollowerCatchUp:
-    """Sends followers the entries or the snapshot that they miss, under the ballot of one term."""
+    """Sends a lagging follower the missing entries or a snapshot, under the ballot of one term."""
 
     __slots__ = ("caller", "machine", "is_leader")
 
@@ -53,7 +53,10 @@
         self.is_leader = is_leader
 
     def send_missing(self, member: GroupMember, applied: int) -> Coroutine:
-        """Send a store all that it misses after an index; raises the error of a failed call."""
+        """Send a store every entry after its index `applied`, or a snapshot in their place.
+
+        Raises the error of a failed call.
+        """
         if (yield from self._send_entries(member, applied)):
             self.caller.node.count("catch_ups")
             return
@@ -61,13 +64,14 @@
         yield from self._send_snapshot(member)
 
     def bring_up_to_date(self, member: GroupMember) -> Coroutine:
-        """Bring a store that does not vote yet up to date; return whether it is.
+        """Bring a store that is not a member yet up to date; return whether that succeeded.
 
-        There are MOST_ROUNDS attempts, as the leader may commit more entries meanwhile. The store
-        writes the state durably under the leader's ballot, so it also promises that ballot.
+        Up to MAX_CATCH_UP_ROUNDS rounds are run, since the leader may commit more entries during
+        each. The store writes the state durably under the leader's ballot, which also promises
+        that ballot.
         """
         caller = self.caller
-        for _ in range(MOST_ROUNDS):
+        for _ in range(MAX_CATCH_UP_ROUNDS):
             index = self.machine.last_applied
             commit = caller.call_to(member, CommitRequest, committed=index)
             replies = yield from caller.node.gather([commit], 1, caller.node.bounds.propagation)
@@ -80,18 +84,21 @@
                 yield from self.send_missing(member, applied)
             except QuillringError as error:
                 fields = (member.name, caller.part, error)
-                caller.node.log("warning", "catch-up of %s, to join %s: %s", *fields)
+                caller.node.log(
+                    "warning", "catch-up of store %s, which is to join part %s, failed: %s", *fields
+                )
                 return False
         return False
 
     def _send_entries(self, member: GroupMember, applied: int) -> Coroutine:
-        """Send the entries a store misses; return False when a snapshot is needed instead.
+        """Send the entries that a store lacks; return False when it needs a snapshot instead.
 
-        That is so when entries are gone, are larger than the state, or are not applied there.
+        It needs one when an entry is no longer cached, when the entries take more bytes than the
+        state, or when the store did not apply the entries that it was sent.
         """
         caller, machine = self.caller, self.machine
         if machine.log_cache.since(applied) is None:
-            yield from self._learn_entries(member, applied)
+            yield from self._fetch_earlier_entries(member, applied)
         if is_state_smaller(machine.known_state(), machine.log_cache.bytes_since(applied)):
             return False
         while applied < machine.last_applied:
@@ -106,8 +113,8 @@
             applied = now_applied
         return True
 
-    def _learn_entries(self, member: GroupMember, applied: int) -> Coroutine:
-        """Fetch the entries before the leader's own log cache from one other store, if any has."""
+    def _fetch_earlier_entries(self, member: GroupMember, applied: int) -> Coroutine:
+        """Extend the log cache backwards with entries from the first other store that has them."""
         caller, machine = self.caller, self.machine
         first = machine.log_cache.first or machine.last_applied + 1
         reaches = caller.node.find("nifty").reaches
@@ -124,9 +131,11 @@
                 return
 
     def _send_snapshot(self, member: GroupMember) -> Coroutine:
-        """Send the state chunk by chunk; a store that lost some of it replies the offset it needs.
+        """Send the state chunk by chunk.
 
-        Raises Conflict after MOST_RESUMPTIONS such replies.
+        A store that lost a chunk replies Conflict with the offset it needs, and sending resumes
+        there; raises Conflict after MAX_SNAPSHOT_RESUMPTIONS resumptions. A store of an earlier
+        version, which has no service for chunks, is sent the state in one message.
         """
         caller, index, state = self.caller, self.machine.last_applied, self.machine.known_state()
         seconds, resumptions = caller.node.bounds.propagation, 0
@@ -145,23 +154,23 @@
                 yield from caller.node.call(*call, seconds)
             except Conflict as error:
                 resumptions += 1
-                if resumptions > MOST_RESUMPTIONS:
+                if resumptions > MAX_SNAPSHOT_RESUMPTIONS:
                     raise
                 offset = ChunkOffset.from_wire(error.detail["place"])
                 continue
             except UnknownService:
-                whole = caller.call_to(member, InstallRequest, log_index=index, state=state)
-                yield from caller.node.call(*whole, seconds)
+                install_call = caller.call_to(member, InstallRequest, log_index=index, state=state)
+                yield from caller.node.call(*install_call, seconds)
                 return
             caller.node.count("pieces_sent")
             offset = next_offset
 
 
 def is_state_smaller(state: PartState, entries_bytes: int) -> bool:
-    """Return whether a state's encoding takes no more bytes than the entries do.
+    """Return whether the encoded state takes at most as many bytes as the entries.
 
-    Encoding stops beyond `entries_bytes`. False, without encoding, for entries of at most a quarter
-    of CHUNK_BYTES.
+    The state is encoded only as far as `entries_bytes`. For entries of at most a quarter of
+    CHUNK_BYTES the result is False and nothing is encoded.
     """
     if entries_bytes <= CHUNK_BYTES // 4:
         return False
--- a/quillring/quorum/leader/command_queue.py
+++ b/quillring/quorum/leader/command_queue.py
@@ -1,4 +1,4 @@
-"""The queue of commands to be replicated, and the batching of commands into log entries."""
+"""The queue of commands waiting to be replicated, and their batching into log entries."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
     from quillring.kernel.types import Coroutine
 
-ENTRY_COMMANDS = 64
-ENTRY_BYTES = 256 << 10
+MAX_ENTRY_COMMANDS = 64
+MAX_ENTRY_BYTES = 256 << 10
 
 
 class PendingCommand(NamedTuple):
-    """A command, and the signal that is set to its answer or its error."""
+    """A queued command, and the signal that is set to its answer or its error."""
 
     command: dict[str, Any]
     answer_signal: Signal
 
 
 class CommandQueue:
-    """The commands submitted to one term of a part's leader, in the order they will commit in."""
+    """The commands submitted during one term of a part's leader, in commit order."""
 
     __slots__ = ("part", "pending", "arrival_signal")
 
@@ -37,21 +37,21 @@
         self.arrival_signal = Signal()
 
     def append(self, command: dict[str, Any]) -> PendingCommand:
-        """Append a command to the queue."""
+        """Append a command to the queue; return it with its answer signal."""
         pending = PendingCommand(command, Signal())
         self.pending.append(pending)
         self.arrival_signal.set()
         return pending
 
-    def put_first(self, commands: list[dict[str, Any]]) -> list[PendingCommand]:
-        """Insert commands before all that are pending."""
+    def prepend(self, commands: list[dict[str, Any]]) -> list[PendingCommand]:
+        """Insert commands, in their order, before all pending ones; return them."""
         pending = [PendingCommand(command, Signal()) for command in commands]
         self.pending[:0] = pending
         self.arrival_signal.set()
         return pending
 
     def next_arrival(self, seconds: float) -> Wait:
-        """Return an effect that waits for the next command, for `seconds` at most."""
+        """Return an effect that waits up to `seconds` for the next command."""
         self.arrival_signal = Signal()
         return Wait(self.arrival_signal, seconds)
 
@@ -61,16 +61,17 @@
         return batch
 
     def reject_all(self, reason: str) -> None:
-        """Fail all pending commands with NotLeader, and wake the wait for the next command."""
+        """Fail all pending commands with NotLeader, and wake the coroutine waiting for commands."""
         rejected, self.pending = self.pending, []
         for pending in rejected:
             pending.answer_signal.set(NotLeader(part=self.part, reason=reason))
         self.arrival_signal.set()
 
     def answers_of(self, pending: list[PendingCommand], seconds: float) -> Coroutine:
-        """Wait for the answers to commands of one entry, and return them.
+        """Wait for the answers to the commands of one entry, and return them.
 
-        Raises the error of the first that failed, or NoMajority when none came within `seconds`.
+        Raises the error of the first command that failed, or NoMajority if the entry is not
+        answered within `seconds`.
         """
         yield Wait(pending[-1].answer_signal, seconds)
         return [self._answer_of(each.answer_signal) for each in pending]
@@ -86,14 +87,15 @@
 def split_batch(
     queue: list[PendingCommand],
 ) -> tuple[list[PendingCommand], list[PendingCommand]]:
-    """Return (the commands of the next entry, the rest).
+    """Return (the commands of the next entry, the remaining commands).
 
-    An entry has at most ENTRY_COMMANDS commands of at most ENTRY_BYTES encoded, but at least one.
+    An entry has up to MAX_ENTRY_COMMANDS commands, whose encodings take up to MAX_ENTRY_BYTES in
+    total. If the first command alone exceeds that size, it forms an entry by itself.
     """
     count, encoded_bytes = 0, 0
-    for pending in queue[:ENTRY_COMMANDS]:
+    for pending in queue[:MAX_ENTRY_COMMANDS]:
         encoded_bytes += len(cbor2.dumps(pending.command))
-        if count and encoded_bytes > ENTRY_BYTES:
+        if count and encoded_bytes > MAX_ENTRY_BYTES:
             break
         count += 1
     return queue[:count], queue[count:]
--- a/quillring/quorum/leader/follower_read.py
+++ b/quillring/quorum/leader/follower_read.py
@@ -26,8 +26,8 @@
 ) -> Coroutine:
     """Return the QueryAnswer that the replies of a majority of stores determine, or None.
 
-    Takes `seconds` at most, by default half of `bounds.read_timeout`. If the first majority to
-    reply does not determine the answer, the replies of all stores are awaited in a second attempt.
+    Takes at most `seconds`, by default half of `bounds.read_timeout`. If the replies of the first
+    majority do not determine the answer, a second attempt waits for the replies of all stores.
     """
     seconds = node.bounds.read_timeout / 2 if seconds is None else seconds
     calls = []
@@ -54,13 +54,13 @@
 ) -> QueryAnswer | None:
     """Return the answer that the replies of a majority determine, or None.
 
-    Every chosen entry is known to one of the majority: applied there, or accepted beyond. An entry
-    that a majority accepted under one ballot is chosen: each of them has it on disk, and a higher
-    ballot can only propose the same entry again. The answer after it is taken from a store whose
-    entries before it are chosen as well. Any other accepted entry may be chosen or not; if it
-    concerns the lot that is asked for, or no particular lot, only a leader can decide, and the
-    result is None. So it is when the newest state names another group than the one asked, since a
-    new group chooses the entries that follow.
+    For each chosen entry, any majority includes a store that has applied or accepted it. An entry
+    that a majority accepted under one ballot is chosen, because each of them has it on disk and a
+    higher ballot can only propose the same entry again. The answer after such an entry is taken
+    from a store whose entries before it are chosen as well. Any other accepted entry may or may not
+    be chosen. If such an entry concerns the lot in the query, or no particular lot, only a leader
+    can decide, and the result is None. The result is also None if the newest state names a group
+    other than the one queried, since the new group chooses the entries that follow.
     """
     if len(replies) < majority(group):
         return None
@@ -71,11 +71,11 @@
     chosen = _chosen_beyond(replies, applied, majority(group))
     if chosen:
         applied, answer = chosen[-1].log_index, chosen[-1].answer
-    unsure_lots = {
+    undecided_lots = {
         lot for reply in replies for index, lot in reply.uncommitted_lots if index > applied
     }
-    concerns_all = None in unsure_lots or (unsure_lots and "lot" not in query)
-    if concerns_all or query.get("lot") in unsure_lots:
+    affects_every_query = None in undecided_lots or (undecided_lots and "lot" not in query)
+    if affects_every_query or query.get("lot") in undecided_lots:
         return None
     return answer
 
@@ -85,7 +85,8 @@
 ) -> list[UncommittedAnswer]:
     """Return the longest run of entries beyond `applied` that `needed` stores accepted.
 
-    Only stores whose applied index is `applied` give runs; so every run begins right after it.
+    Only replies of stores whose applied index is `applied` are searched for a run, so that every
+    run begins at the next index.
     """
     votes: Counter[tuple[int, Ballot]] = Counter(
         (entry.log_index, entry.ballot) for reply in replies for entry in reply.uncommitted or ()
@@ -102,8 +103,8 @@
     return max(runs, key=len)
 
 
-def value_of(answer: QueryAnswer) -> Any:
-    """Return the value of a query's answer, or raise the error that it carries."""
+def unwrap_answer(answer: QueryAnswer) -> Any:
+    """Return the value of a query's answer, or raise the error that the answer contains."""
     if answer.error_kind is not None:
         raise error_from_wire(answer.error_kind, answer.answer)
     return answer.answer
--- a/quillring/quorum/leader/hinted_handoff.py
+++ b/quillring/quorum/leader/hinted_handoff.py
@@ -1,4 +1,4 @@
-"""Hinted handoff, the leader's side: requests for unreachable members go to a spare store."""
+"""Hinted handoff, leader side: requests for unreachable members are sent to a spare store."""
 
 from __future__ import annotations
 
@@ -16,24 +16,27 @@
 
 
 def send_hints(caller: QuorumCaller, request_type: RequestType, **fields: Any) -> None:
-    """Send the requests that unreachable members miss to the part's spare store, one way."""
+    """Send the request for each unreachable member to the part's spare store, without a reply.
+
+    Does nothing if every member is reachable, or if there is no spare store.
+    """
     node, reaches = caller.node, caller.node.find("nifty").reaches
-    missing = [member for member in caller.group if not reaches(member.name)]
-    if not missing:
+    unreachable = [member for member in caller.group if not reaches(member.name)]
+    if not unreachable:
         return
     spare_name = pick_spare(node, caller.part, {member.name for member in caller.group})
     if spare_name is None:
         return
-    for member in missing:
+    for member in unreachable:
         target, _, body = caller.call_to(member, request_type, **fields)
         node.count("hints_sent")
         node.send_oneway(spare_name, "quorum.hint", HintRequest(target, body).to_wire())
 
 
 def pick_spare(node: Node, part: str, member_names: set[str]) -> str | None:
-    """Return the reachable non-member store that keeps the hints of a part, or None.
+    """Return the name of the reachable non-member store that stores a part's hints, or None.
 
-    Chosen by rendezvous hashing; stores ordered to retire are left out.
+    It is picked by rendezvous hashing among the stores that are not ordered to retire.
     """
     nifty = node.find("nifty")
     spares: list[str] = [
--- a/quillring/quorum/leader/in_flight.py
+++ b/quillring/quorum/leader/in_flight.py
@@ -1,8 +1,8 @@
-"""The entry in flight: proposed by the leader, and not yet known to be chosen.
+"""The log entry in flight: proposed by the leader, and not yet known to be chosen.
 
-A majority may have accepted it while the leader still waits for their replies; a follower read
-then counts it as chosen (`follower_read`). To stay linearizable with such a read, a read at the
-leader that begins meanwhile waits for the entry.
+A majority may have accepted the entry while the leader still waits for their replies, and a
+follower read then counts it as chosen (`follower_read`). To be linearizable with such a read, a
+read at the leader that begins while the entry is in flight waits for it.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class InFlight:
-    """The entry in flight in one term of a part's leader; at most one, as the window is one."""
+    """The entry in flight during one term of a part's leader; at most one, as the window is one."""
 
     __slots__ = ("node", "part", "batch", "committed_signal")
 
@@ -32,23 +32,23 @@
         self.committed_signal: Signal | None = None
 
     def begin(self, batch: list[dict[str, Any]]) -> None:
-        """Record that an entry with these commands is proposed now."""
+        """Record the start of the proposal of an entry with these commands."""
         self.batch, self.committed_signal = batch, Signal()
 
     def end(self) -> None:
-        """Record that the entry was applied, or its proposal failed; wake the waiting reads."""
+        """Record that the entry was applied or its proposal failed, and wake the waiting reads."""
         committed_signal, self.batch, self.committed_signal = self.committed_signal, (), None
         if committed_signal is not None:
             committed_signal.set()
 
     def wait(self, lot: str | None = None) -> Coroutine:
-        """Return when the entry in flight has ended, at once when there is none.
+        """Wait until the entry in flight is applied or has failed; return at once if there is none.
 
-        With a lot's key, only an entry with a command about that lot is waited for. Raises
-        NoMajority after twice `bounds.call_timeout`.
+        If a lot's key is given, the wait is skipped unless the entry has a command about that lot.
+        Raises NoMajority after twice `bounds.call_timeout`.
         """
-        is_of_others = lot is not None and all(c.get("lot") != lot for c in self.batch)
-        if self.committed_signal is None or is_of_others:
+        is_unrelated = lot is not None and all(c.get("lot") != lot for c in self.batch)
+        if self.committed_signal is None or is_unrelated:
             return
         committed_signal = self.committed_signal
         yield Wait(committed_signal, self.node.bounds.call_timeout * 2)
--- a/quillring/quorum/leader/membership_change.py
+++ b/quillring/quorum/leader/membership_change.py
@@ -1,12 +1,16 @@
-"""Changes of a part's group: the joining store catches up first, then one entry swaps it in.
+"""Changes of a part's group: a joining store catches up, then one log entry makes it a member.
 
 A member is replaced by one log entry with two commands, add and remove, so that no entry is ever
-committed by an enlarged group that still has the dead member. Majorities of the two groups need not
-all intersect ({a, dead} and {b, new} do not). What makes the change safe is its place in the log:
-entry i + 1 is chosen by the group in the state after entry i, entry i is chosen by a majority of
-the previous group, and no leader proposes to a group before a majority of that very group promised
-its ballot (Lamport, Malkhi, Zhou: "Reconfiguring a State Machine", section 3, with a window of
-one). So any majority of the previous group includes a store that accepted the change.
+committed by an enlarged group that still includes the dead member. A majority of the old group and
+a majority of the new one need not intersect: {a, dead} and {b, new} do not. The change is safe
+because it is an entry of the log (Lamport, Malkhi, Zhou: "Reconfiguring a State Machine",
+section 3, with a window of one):
+
+- entry i + 1 is chosen by the group in the state after entry i;
+- entry i, which changes the group, is chosen by a majority of the previous group;
+- a leader proposes to a group only after a majority of that same group promised its ballot.
+
+So any majority of the previous group includes a store that accepted the change.
 """
 
 from __future__ import annotations
@@ -25,50 +29,50 @@
 
 
 class GroupChange(NamedTuple):
-    """A change of one part's group: a store joins, a store leaves, or one takes another's place.
+    """A change of one part's group: a store joins, a store leaves, or one replaces another.
 
-    `is_gone` says that the leaving store is unreachable, or that its disk fails or was emptied, so
-    that it does not count as a holder of entries.
+    `group` is the new group. `is_leaving_lost` is True if the leaving store is unreachable, or if
+    its disk fails or was emptied, so that it does not count as having any entry.
     """
 
     group: tuple[GroupMember, ...]
     joining: GroupMember | None = None
     leaving: GroupMember | None = None
-    is_gone: bool = False
+    is_leaving_lost: bool = False
 
     def commands(self, former_group: Group) -> list[dict[str, Any]]:
-        """Return the commands of the one log entry, each of which changes one member."""
+        """Return the commands of the change, for one log entry; each adds or removes one member."""
         steps: list[Iterable[GroupMember]] = []
         if self.joining is not None and self.leaving is not None:
             steps.append([*former_group, self.joining])
         steps.append(self.group)
         return [{"do": "group.change", "group": group_to_wire(group)} for group in steps]
 
-    def is_durable(
+    def keeps_committed_entries(
         self, applied: dict[str, int], index: int, reaches: Callable[[str], bool]
     ) -> bool:
-        """Return whether the new group has durably all entries committed up to an index.
+        """Return whether the new group has every entry committed up to an index on disk.
 
-        `applied` is {store name: index it applied}. Entries after the index that are chosen while
-        the leaving store is gone were accepted by a majority of the previous group without it,
-        hence by a store of every majority of the new one; so a majority that is up to date is
-        enough, and a slow member does not delay the change. A working store that leaves may be one
-        of the few that have an entry, so then every reachable member has to be up to date.
+        `applied` is {store name: its applied index}. If the leaving store is lost, the entries
+        chosen after the index were accepted by a majority of the previous group without it, hence
+        by a store of every majority of the new group. So an up-to-date majority of the new group
+        is enough, and a slow member does not delay the change. A leaving store that works may be
+        one of the few that have an entry, so every reachable member has to be up to date first.
         """
         others = [member.name for member in self.group if member != self.joining]
-        current = [name for name in others if applied.get(name, -1) >= index]
-        if self.is_gone:
-            return len(current) + (self.joining is not None) >= majority(self.group)
-        return all(name in current for name in others if reaches(name))
+        up_to_date = [name for name in others if applied.get(name, -1) >= index]
+        if self.is_leaving_lost:
+            return len(up_to_date) + (self.joining is not None) >= majority(self.group)
+        return all(name in up_to_date for name in others if reaches(name))
 
 
-def new_group(
+def make_group_change(
     group: Group,
     joining: GroupMember | None = None,
     leaving: GroupMember | None = None,
-    is_gone: bool = False,
+    is_leaving_lost: bool = False,
 ) -> GroupChange:
-    """Return the change by which one store joins a group, one leaves, or both at once."""
+    """Return the change of a group in which one store joins, one leaves, or both."""
     staying = [member for member in group if member != leaving]
     joined = [joining] if joining is not None else []
-    return GroupChange((*staying, *joined), joining, leaving, is_gone)
+    return GroupChange((*staying, *joined), joining, leaving, is_leaving_lost)
--- a/quillring/quorum/leader/part_leader.py
+++ b/quillring/quorum/leader/part_leader.py
@@ -1,7 +1,8 @@
 """The leader of one part: the distinguished proposer of its replicated log, one entry at a time.
 
-Multi-Paxos with a window of one (Lamport, "Paxos made simple", section 3): phase 1 runs once for a
-ballot at a majority of the acceptors, then each log entry needs one call of phase 2.
+This is Multi-Paxos with a window of one (Lamport, "Paxos made simple", section 3). Phase 1 runs
+once per ballot at a majority of the acceptors; after that, each log entry takes one round of
+phase 2.
 """
 
 from __future__ import annotations
@@ -19,7 +20,11 @@
 from quillring.quorum.leader.quorum_call import QuorumCaller
 from quillring.quorum.leader.state_fetch import StateFetcher
 from quillring.quorum.leader.state_machine import StateMachine
-from quillring.quorum.leader.uncommitted import best_entries, fetch_batch, highest_ballot_beyond
+from quillring.quorum.leader.uncommitted import (
+    candidate_entries,
+    fetch_batch,
+    highest_ballot_beyond,
+)
 from quillring.quorum.messages import (
     BRIEF_WITHOUT_BATCHES,
     AcceptRequest,
@@ -45,13 +50,14 @@
 
 
 class PartLeader:
-    """One term of a part's leader, under one ballot; once it has ended, it never leads again.
+    """One term of a part's leader, under one ballot; a term that has ended is never resumed.
 
-    A core that leads the part again creates a new term, whose higher ballot fences the last one.
+    A core that leads the part again creates a new term, whose higher ballot fences this one. The
+    new term continues from the ballot and the state machine of `former`, the core's last term.
     Owns the command queue, the entry in flight, and the leader's copy of the state machine.
-    `confirmed_at` is when the latest call began in which a majority confirmed the ballot, in
-    seconds of the node's clock. A listener is called with the leader and the commands of an entry
-    that was applied, and with no commands when the term begins or ends.
+    `confirmed_at` is the start of the latest call in which a majority confirmed the ballot, in
+    seconds of the node's clock. Each listener is called with the leader and the commands of every
+    applied entry, and with an empty list of commands when the term begins or ends.
     """
 
     __slots__ = (
@@ -86,15 +92,17 @@
         self.in_flight = InFlight(node, part)
         self.election_progress = ElectionProgress(node, part)
         self.state_fetcher = StateFetcher(node, part, self.machine, self.election_progress)
-        self.catch_up = FollowerCatchUp(self.caller, self.machine, self.holds_term)
-        self.anti_entropy = AntiEntropy(self.caller, self.machine, self.catch_up, self.holds_term)
+        self.catch_up = FollowerCatchUp(self.caller, self.machine, self.is_term_active)
+        self.anti_entropy = AntiEntropy(
+            self.caller, self.machine, self.catch_up, self.is_term_active
+        )
         self.is_leader = False
         self.confirmed_at = -math.inf
         self.listeners: list[Listener] = []
 
     @property
     def group(self) -> tuple[GroupMember, ...]:
-        """The members of the group; after a change of the group, the new ones."""
+        """The current members of the group, as of the last adopted membership change."""
         return self.caller.group
 
     @property
@@ -104,7 +112,7 @@
 
     @property
     def index(self) -> int:
-        """The index of the last entry that was applied here."""
+        """The index of the last entry applied to the leader's state."""
         return self.machine.last_applied
 
     @property
@@ -112,14 +120,14 @@
         """The state after the entry `index`; None before the first election."""
         return self.machine.state
 
-    def holds_term(self) -> bool:
-        """Return whether this term leads the part, as far as this core knows."""
+    def is_term_active(self) -> bool:
+        """Return whether this term leads the part, as far as this core knows; it may be fenced."""
         return self.is_leader
 
     def has_lease(self) -> bool:
         """Return whether a majority confirmed the ballot within the last two heartbeat intervals.
 
-        That allows the start of background work, not a read without confirmation.
+        A lease permits starting background work. It does not permit a read without confirmation.
         """
         lease_seconds = self.node.bounds.heartbeat_interval * 2
         return self.is_leader and self.node.now() - self.confirmed_at < lease_seconds
@@ -133,10 +141,10 @@
     def run_election_with_retry(
         self, declines_leadership: Callable[[list[Any]], bool]
     ) -> Coroutine:
-        """Run an election; if it is fenced by a higher ballot, run it once more at once.
+        """Run an election; if a higher ballot fences it, retry once without delay.
 
-        It is not run again if `declines_leadership(higher ballot)` is True. Raises the same errors
-        as run_election().
+        There is no retry if `declines_leadership(higher ballot)` is True. Raises the same errors as
+        run_election().
         """
         try:
             yield from self.run_election()
@@ -146,14 +154,14 @@
             yield from self.run_election()
 
     def run_election(self) -> Coroutine:
-        """Win a ballot at a majority, commit the uncommitted entries of earlier terms, then lead.
+        """Get a majority's promises, commit the uncommitted entries of earlier terms, then lead.
 
-        Raises Fenced, NoMajority, or NotFounded when no member of the majority has the part.
+        Raises Fenced, NoMajority, or NotFounded if no member of the majority has the part's state.
         """
         self.is_leader = False
         self.election_progress.begin()
         me = self.node.me
-        self.caller.raise_ballot(f"{me.name}#{me.incarnation}")
+        self.caller.advance_ballot(f"{me.name}#{me.incarnation}")
         while True:
             names = [member.name for member in self.group]
             self.election_progress.enter(PROMISES, names, self.ballot)
@@ -172,18 +180,19 @@
         self._notify_listeners([])
 
     def _prepare(self) -> Coroutine:
-        """Ask the group to promise the ballot (phase 1); return {member: Promise} of a majority."""
+        """Ask the group to promise the ballot (phase 1); return {member name: Promise}."""
         replies = yield from self._call_majority(PrepareRequest, brief=BRIEF_WITHOUT_BATCHES)
         return {name: Promise.from_wire(fields) for name, fields in replies.items()}
 
     def _commit_uncommitted(self, promises: dict[str, Promise]) -> Coroutine:
-        """Propose again every entry that may have been chosen; return False after a group change.
+        """Propose again every entry that may have been chosen; return whether that completed.
 
-        An empty entry follows, so that the term has committed one of its own.
+        It stops, and returns False, after an entry that changes the group. At the end an empty
+        entry is committed, so that the term has committed an entry under its own ballot.
         """
-        best = best_entries(promises, self.index)
-        while (index := self.index + 1) in best:
-            batch = yield from fetch_batch(self.node, self.part, index, best[index])
+        candidates = candidate_entries(promises, self.index)
+        while (index := self.index + 1) in candidates:
+            batch = yield from fetch_batch(self.node, self.part, index, candidates[index])
             yield from self.replicate(batch)
             if self.caller.adopt_group(self.machine.group()):
                 return False
@@ -195,8 +204,8 @@
     def submit(self, command: dict[str, Any]) -> Coroutine:
         """Commit one command and return its answer.
 
-        Raises NotLeader if the term is over, NoMajority without an answer within
-        `bounds.propagation` seconds, or the command's own error.
+        Raises NotLeader if the term is over, NoMajority if there is no answer within
+        `bounds.propagation` seconds, or the error that the command itself results in.
         """
         if not self.is_leader:
             raise NotLeader(part=self.part)
@@ -205,11 +214,11 @@
         return answer
 
     def submit_first(self, commands: list[dict[str, Any]]) -> Coroutine:
-        """Commit commands in one entry, before all pending ones; return their answers.
+        """Commit commands in one entry, ahead of all pending ones; return their answers.
 
         Raises NotLeader, NoMajority, or the error of the first command that failed.
         """
-        pending = self.queue.put_first(commands)
+        pending = self.queue.prepend(commands)
         return (yield from self.queue.answers_of(pending, self.node.bounds.propagation))
 
     def run(self) -> Coroutine:
@@ -234,9 +243,10 @@
     def replicate(self, batch: Batch) -> Coroutine:
         """Have a majority accept the next entry (phase 2), apply it, return its commands' answers.
 
-        In the config part, a majority has also marked it as committed. Raises Fenced or NoMajority.
+        In the config part, it returns after a majority has marked the entry as committed, too.
+        Raises Fenced or NoMajority.
         """
-        asked_at, index = self.node.now(), self.index + 1
+        started_at, index = self.node.now(), self.index + 1
         fields: dict[str, Any] = {"log_index": index, "batch": batch, "committed": index - 1}
         send_hints(self.caller, AcceptRequest, **fields)
         self.in_flight.begin(batch)
@@ -245,7 +255,7 @@
             answers = self.machine.apply(index, batch)
         finally:
             self.in_flight.end()
-        self.confirmed_at = asked_at
+        self.confirmed_at = started_at
         if self.part == CONFIG:
             yield from self._call_majority(CommitRequest, committed=index)
         else:
@@ -270,10 +280,10 @@
                 pending.answer_signal.set(answer)
 
     def _prepare_changed_group(self) -> Coroutine:
-        """Run phase 1 of the term's ballot at the group just adopted.
+        """Run phase 1 of the term's ballot at the newly adopted group.
 
-        Raises NoMajority, or Fenced when an entry was accepted beyond the last one applied: only a
-        new term can commit it.
+        Raises NoMajority, or Fenced if a member accepted an entry beyond the last applied one, as
+        only a new term can commit that entry.
         """
         promises = yield from self._prepare()
         higher_ballot = highest_ballot_beyond(promises, self.index)
@@ -288,7 +298,7 @@
         return self.caller.call_majority(request_type, **fields)
 
     def step_down(self, error: QuillringError) -> None:
-        """End the term: replicate nothing more, and fail all queued commands with NotLeader."""
+        """End the term: stop replication, and fail all queued commands with NotLeader."""
         self.is_leader = False
         self.election_progress.end(error)
         self.queue.reject_all(error.kind)
@@ -301,29 +311,29 @@
     # Lease and linearizable reads.
 
     def linearizable_state(self) -> Coroutine:
-        """Return the state, after a majority confirmed that no higher ballot was promised.
+        """Return the state, once a majority has confirmed that it promised no higher ballot.
 
-        Raises NotLeader, Fenced, or NoMajority; the latter also when the entry in flight and the
-        confirmation took longer than `bounds.read_timeout`.
+        Raises NotLeader, Fenced, or NoMajority. NoMajority is also raised if the wait for the entry
+        in flight and the confirmation together take longer than `bounds.read_timeout`.
         """
-        asked_at = self.node.now()
+        started_at = self.node.now()
         yield from self.in_flight.wait()
         if not self.is_leader:
             raise NotLeader(part=self.part)
         read_state = self.state
         yield from self._confirm()
-        if self.node.now() - asked_at > self.node.bounds.read_timeout:
+        if self.node.now() - started_at > self.node.bounds.read_timeout:
             raise NoMajority(part=self.part, reason="the confirmation is old")
         return read_state
 
     def _confirm(self) -> Coroutine:
-        """Have a majority confirm the ballot; the lease then runs from the start of the call.
+        """Have a majority confirm the ballot; the lease is renewed from the start of the call.
 
         Raises Fenced or NoMajority.
         """
-        asked_at = self.node.now()
+        started_at = self.node.now()
         yield from self._call_majority(ConfirmRequest)
-        self.confirmed_at = max(asked_at, self.confirmed_at)
+        self.confirmed_at = max(started_at, self.confirmed_at)
 
     # Followers.
 
@@ -332,5 +342,5 @@
         return self.anti_entropy.repair_followers()
 
     def applied_index_by_store(self) -> Coroutine:
-        """Send reachable followers the committed index; return {store: the index it applied}."""
+        """Send the committed index to reachable followers; return {store name: applied index}."""
         return self.anti_entropy.applied_index_by_store()
--- a/quillring/quorum/leader/quorum_call.py
+++ b/quillring/quorum/leader/quorum_call.py
@@ -1,4 +1,4 @@
-"""Calls of a part's leader to the acceptors of its group, and the replies of a majority."""
+"""Calls from a part's leader to the acceptors of its group, and the replies of a majority."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     from quillring.quorum.values import WireGroup
 
     class Request(Protocol):
-        """A request of a leader: a named tuple of part, ballot, identity and its own fields."""
+        """A leader's request: a named tuple of part, ballot, identity, and fields of its type."""
 
         def to_wire(self) -> WireMap:
             """Return the request in its wire form."""
@@ -43,14 +43,14 @@
     InstallRequest: "quorum.install",
     InstallChunkRequest: "quorum.install_piece",
 }
-"""The service of the acceptors that answers each request."""
+"""The acceptor service that handles each type of request."""
 
 
 class QuorumCaller:
     """Calls the acceptors of one part's group under one ballot.
 
-    `highest_seen_ballot_number` is the highest number with which an acceptor fenced a call; the
-    next election uses a higher one.
+    `highest_seen_ballot_number` is the highest ballot number by which an acceptor fenced a call;
+    the next election uses a higher one.
     """
 
     __slots__ = ("node", "part", "group", "ballot", "highest_seen_ballot_number")
@@ -69,30 +69,30 @@
         self.ballot = ballot
         self.highest_seen_ballot_number = highest_seen_ballot_number
 
-    def raise_ballot(self, leader: str) -> None:
-        """Take a ballot above all that this core used or was fenced by."""
+    def advance_ballot(self, leader: str) -> None:
+        """Switch to a ballot above every one that this core used or was fenced by."""
         number = max(self.highest_seen_ballot_number, self.ballot.number) + 1
         self.ballot = Ballot(number, leader)
 
     def adopt_group(self, wire_group: WireGroup) -> bool:
-        """Replace the group by that of the state; return whether it changed."""
+        """Replace the group by the one in the state, in wire form; return whether it changed."""
         if tuple(map(tuple, wire_group)) == self.group:
             return False
         self.group = group_from_wire(wire_group)
         return True
 
     def call_to(self, member: GroupMember, request_type: RequestType, **fields: Any) -> Call:
-        """Return the call of a request to one store, which need not be in the group yet.
+        """Return the call that sends a request to one store, which need not be a member yet.
 
-        `fields` are those of the request beside part, ballot and identity.
+        `fields` are the fields of the request other than part, ballot and identity.
         """
         request = request_type(self.part, self.ballot, member.identity, **fields)
         return member.name, SERVICES[request_type], request.to_wire()
 
     def calls(self, request_type: RequestType, **fields: Any) -> list[Call]:
-        """Return the calls of a request to each member of the group.
+        """Return the calls that send a request to each member of the group.
 
-        The bodies differ in the identity only, so that the request is encoded once.
+        The bodies differ only in the identity, so the other fields are converted to wire form once.
         """
         service = SERVICES[request_type]
         body = request_type(self.part, self.ballot, "", **fields).to_wire()
@@ -101,10 +101,10 @@
         ]
 
     def call_majority(self, request_type: RequestType, **fields: Any) -> Coroutine:
-        """Call the group; return {member name: reply} of a majority at least, without errors.
+        """Call the group; return {member name: reply} of the members that succeeded.
 
-        Raises Fenced when a member that replied promised a higher ballot, NoMajority when too few
-        succeed within `bounds.call_timeout` seconds.
+        Raises Fenced if a member replied that it promised a higher ballot, and NoMajority if fewer
+        than a majority succeed within `bounds.call_timeout` seconds.
         """
         needed = majority(self.group)
         replies = yield from self.node.gather(
--- a/quillring/quorum/leader/retirement_check.py
+++ b/quillring/quorum/leader/retirement_check.py
@@ -1,13 +1,13 @@
-"""Check of a store's retirement: when no part needs the store any more, and why that stays so.
+"""Retirement check: whether a retired store may be removed, and why the answer stays valid.
 
-A store is free when these are observed in this order:
+A store is safe to remove once these two conditions are observed, in this order:
 
-1. The store itself, if it is reachable, knows that it is retired and has no hints for a reachable
-   member. From then on it refuses to join a part (`quorum.join`), whoever asks.
+1. The store, if it is reachable, knows that it is retired and has no hints for a reachable member.
+   From then on it refuses every request to join a part (`quorum.join`).
 2. The leader of each part finds that its group is at full strength without the store, that every
-   member is up to date under its ballot, and that no change under way adds the store. A leader that
-   asked the store to join before step 1 either reports that here, or is fenced by the members that
-   replied.
+   member is up to date under the leader's ballot, and that no change in progress adds the store. A
+   leader that asked the store to join before step 1 either reports the pending join here, or is
+   fenced by the members that replied.
 
 So no later leader can add the store again, and each part tolerates as many losses as its size
 allows.
@@ -30,43 +30,51 @@
 
 
 class GroupStatus(NamedTuple):
-    """A part's group as its leader reports it: all members, those that lag, those about to join."""
+    """A part's group as reported by its leader: names of members, lagging and joining stores."""
 
     group: tuple[str, ...]
-    late: tuple[str, ...]
+    lagging: tuple[str, ...]
     joining: tuple[str, ...]
 
     @classmethod
     def from_wire(cls, fields: dict[str, list[str]]) -> GroupStatus:
-        """Read the reply to `part.whole`; earlier versions omit `joining`."""
+        """Parse the reply to `part.whole`; earlier versions omit `joining`."""
         return cls(tuple(fields["group"]), tuple(fields["late"]), tuple(fields.get("joining", ())))
 
     def to_wire(self) -> dict[str, list[str]]:
         """Return the reply to `part.whole` in its wire form."""
-        return {"group": list(self.group), "late": list(self.late), "joining": list(self.joining)}
+        return {
+            "group": list(self.group),
+            "late": list(self.lagging),
+            "joining": list(self.joining),
+        }
 
     def is_whole_without(self, store: str, size: int) -> bool:
         """Return whether the group is at full strength and up to date without the store.
 
-        False also when the store is about to join.
+        The result is False if the group has fewer than `size` members, if a member lags, or if the
+        store is a member or about to join.
         """
-        is_apart = store not in self.group and store not in self.joining
-        return is_apart and not self.late and len(self.group) >= size
+        is_unrelated = store not in self.group and store not in self.joining
+        return is_unrelated and not self.lagging and len(self.group) >= size
 
 
 def group_status(leader: PartLeader) -> Coroutine:
-    """Return the GroupStatus of a part led here, by the entries committed when the call begins."""
+    """Return the GroupStatus of a part led here; a member that lacks an entry is lagging.
+
+    Only entries committed before the call began are considered.
+    """
     index = leader.index
     applied = yield from leader.applied_index_by_store()
     repair = leader.node.find("repair")
     joining = repair.joining.get(leader.part) if repair is not None else None
     names = tuple(member.name for member in leader.group)
-    late = tuple(name for name in names if applied.get(name, -1) < index)
-    return GroupStatus(names, late, () if joining is None else (joining,))
+    lagging = tuple(name for name in names if applied.get(name, -1) < index)
+    return GroupStatus(names, lagging, () if joining is None else (joining,))
 
 
-def may_join(node: Node, store: str) -> Coroutine:
-    """Ask a store whether it may become a member; True if its version lacks that service."""
+def agrees_to_join(node: Node, store: str) -> Coroutine:
+    """Ask a store whether it agrees to become a member; True if its version lacks the service."""
     try:
         yield from node.call(store, "quorum.join", None)
     except UnknownService:
@@ -76,22 +84,23 @@
     return True
 
 
-def is_free(node: Node, store: str, seconds: float) -> Coroutine:
-    """Return whether no part needs a store that is ordered to retire.
+def is_safe_to_remove(node: Node, store: str, seconds: float) -> Coroutine:
+    """Return whether a store that is ordered to retire is no longer needed by any part.
 
-    Raises the error of a part whose leader can't be asked within `seconds`.
+    Raises the error of a part whose leader can't be reached within `seconds`.
     """
-    if not (yield from _is_ready(node, store)):
+    if not (yield from _is_ready_to_leave(node, store)):
         return False
-    statuses = yield from ask_all_parts(node, seconds)
+    statuses = yield from fetch_group_statuses(node, seconds)
     size = node.find("ownership").size()
     return all(status.is_whole_without(store, size) for status in statuses)
 
 
-def _is_ready(node: Node, store: str) -> Coroutine:
+def _is_ready_to_leave(node: Node, store: str) -> Coroutine:
     """Return whether the store knows that it is retired and has no pending hints.
 
-    True for an unreachable store, as it can't agree to join.
+    True for an unreachable store, since it can't agree to join, and for one whose version lacks the
+    service.
     """
     if not node.find("nifty").reaches(store):
         return True
@@ -104,13 +113,14 @@
     return answer["retired"] and not answer["hints"]
 
 
-def ask_all_parts(node: Node, seconds: float) -> Coroutine:
+def fetch_group_statuses(node: Node, seconds: float) -> Coroutine:
     """Ask the leaders of all parts concurrently; return the GroupStatus of each.
 
     Raises
     ------
     QuillringError
-        The error of a part whose leader could not be asked; TimedOut where one did not answer.
+        The error of a part whose leader could not be reached, or TimedOut if a leader did not
+        answer.
     """
     ownership, done_signal = node.find("ownership"), Signal()
     parts = ownership.parts()
@@ -127,9 +137,9 @@
     for part in parts:
         node.spawn(ask_part(part))
     yield Wait(done_signal, seconds * 2)
-    unheard = [part for part in parts if part not in outcomes]
-    if unheard:
-        raise TimedOut(service="part.whole", parts=unheard)
+    unanswered = [part for part in parts if part not in outcomes]
+    if unanswered:
+        raise TimedOut(service="part.whole", parts=unanswered)
     for outcome in outcomes.values():
         if isinstance(outcome, QuillringError):
             raise outcome
--- a/quillring/quorum/leader/state_fetch.py
+++ b/quillring/quorum/leader/state_fetch.py
@@ -1,7 +1,7 @@
 """How a new leader gets the newest applied state: its own copy, missing entries, or a snapshot.
 
-Only what the core lacks is fetched. A snapshot comes in chunks of bounded size, one at a time, so
-that no message grows with a part's state.
+Only missing data is fetched. A snapshot is fetched in chunks of bounded size, one at a time, so
+that message size does not grow with a part's state.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class StateFetcher:
-    """Brings the state machine of a new leader up to the newest state of a majority's promises."""
+    """Brings a new leader's state machine to the newest state that a majority's promises report."""
 
     __slots__ = ("node", "part", "machine", "progress")
 
@@ -37,10 +37,10 @@
     def adopt_newest(self, promises: dict[str, Promise]) -> Coroutine:
         """Bring the state machine to the newest applied index among the promises of a majority.
 
-        The state of this core's last term is used as it is, since the state after an index is the
-        same everywhere; only the entries since are fetched. If these are gone, one of the newest
-        stores sends a snapshot; stores of this core's zone are asked first. Raises NoMajority when
-        none of them sends it.
+        The state of this core's last term is reused, since the state after an index is the same at
+        every node; only later entries are fetched. If these are no longer cached, a snapshot is
+        fetched from one of the stores with the newest state, those in this core's zone first.
+        Raises NoMajority if none of them provides it.
         """
         known = {store: p for store, p in promises.items() if p.state is not None}
         newest = max(promise.applied for promise in known.values())
@@ -48,9 +48,9 @@
         if machine.state is not None and machine.last_applied >= newest:
             return
         holders = [store for store, promise in known.items() if promise.applied == newest]
-        whole = [known[store].state for store in holders if known[store].state is not True]
-        if whole:
-            machine.install(newest, whole[0])
+        sent_states = [known[store].state for store in holders if known[store].state is not True]
+        if sent_states:
+            machine.install(newest, sent_states[0])
             return
         for store in nearest_first(self.node, holders):
             self.progress.enter(STATE, [store])
@@ -61,11 +61,17 @@
                 machine.log_cache.clear()
                 return
             except QuillringError as error:
-                self.node.log("warning", "snapshot of %s from %s: %s", self.part, store, error)
+                self.node.log(
+                    "warning",
+                    "fetching the state of part %s from store %s failed: %s",
+                    self.part,
+                    store,
+                    error,
+                )
         raise NoMajority(part=self.part, reason="no store gave the state")
 
     def _adopt_entries(self, store: str, last: int) -> Coroutine:
-        """Apply entries up to an index from a store's log cache; return False if some are gone."""
+        """Apply a store's cached entries up to `last`; return False if some are not cached."""
         machine = self.machine
         entries = yield from fetch_entries(self.node, self.part, store, machine.last_applied, last)
         for index, batch in entries or ():
@@ -73,9 +79,10 @@
         return machine.last_applied >= last
 
     def _fetch_snapshot(self, store: str, index: int) -> Coroutine:
-        """Return a store's state at an index, fetched chunk by chunk.
+        """Return a store's state after an index, fetched chunk by chunk.
 
-        Raises Conflict when the store has applied more meanwhile, BadChunk for bad chunks.
+        Raises Conflict if the store has applied further entries meanwhile, and BadChunk if the
+        chunks don't form a state.
         """
         builder, seconds = StateBuilder(), self.node.bounds.propagation / 2
         offset: ChunkOffset | None = SNAPSHOT_START
@@ -84,7 +91,7 @@
             try:
                 reply = yield from self.node.call(store, "quorum.piece", body, seconds)
             except UnknownService:
-                return (yield from self._fetch_whole(store, index, seconds))
+                return (yield from self._fetch_complete_state(store, index, seconds))
             chunk = Chunk.from_wire(reply)
             self.node.count("pieces_fetched")
             self.progress.fetched_bytes += len(chunk.data)
@@ -92,10 +99,10 @@
             offset = chunk.next_offset
         return builder.whole()
 
-    def _fetch_whole(self, store: str, index: int, seconds: float) -> Coroutine:
-        """Return the state of a store of an earlier version, which sends it in one message.
+    def _fetch_complete_state(self, store: str, index: int, seconds: float) -> Coroutine:
+        """Return the state from a store of an earlier version, which sends it in one message.
 
-        Raises Conflict when the store has applied another index.
+        Raises Conflict if the store's applied index is not `index`.
         """
         body = ImageRequest(self.part).to_wire()
         fields = yield from self.node.call(store, "quorum.image", body, seconds)
@@ -106,7 +113,7 @@
 
 
 def nearest_first(node: Node, stores: list[str]) -> list[str]:
-    """Return store names, those in the node's own zone first, then by name."""
+    """Return store names sorted: the stores in the node's own zone first, then by name."""
     members, own_zone = node.find("nifty").roster.members, node.me.zone
 
     def distance(store: str) -> tuple[bool, str]:
@@ -117,9 +124,9 @@
 
 
 def fetch_entries(node: Node, part: str, store: str, after: int, last: int) -> Coroutine:
-    """Return a store's entries [[index, batch], ...] after `after` up to `last`, both indexes.
+    """Return a store's entries after the index `after` up to `last`, as [[index, batch], ...].
 
-    None if the store no longer has some of them, or its version lacks the service.
+    None if the store no longer caches some of them, or if its version lacks the service.
     """
     entries: list[WireEntry] = []
     while after < last:
--- a/quillring/rollout/operator_orders.py
+++ b/quillring/rollout/operator_orders.py
@@ -6,7 +6,7 @@
 
 from quillring.kernel.errors import Conflict, NotFound
 from quillring.quorum.commands import COMMANDS
-from quillring.quorum.leader.retirement_check import is_free
+from quillring.quorum.leader.retirement_check import is_safe_to_remove
 from quillring.quorum.parts import CONFIG, is_enough
 from quillring.rollout.messages import (
     ORDER_STORE,
@@ -134,5 +134,5 @@
         raise NotFound(field="store", store=store)
     if order is None or not order.get("retired"):
         return False
-    is_unneeded = yield from is_free(node, store, end_time - node.now())
+    is_unneeded = yield from is_safe_to_remove(node, store, end_time - node.now())
     return is_unneeded
--- a/tests/test_election_progress.py
+++ b/tests/test_election_progress.py
@@ -1,7 +1,7 @@
 """What operators see of parts that change hands: `parts`, and the log of the core."""
 
 from quillring.kernel.errors import NotLeader
-from quillring.quorum.leader.election_progress import ENDED, OWNED, STATE
+from quillring.quorum.leader.election_progress import ENDED, LEADING, STATE
 from quillring.verbs.part_routes import show_parts
 from tests.http_lot_stage import HttpLotStage
 from tests.test_elections import LINK, filled, lose_all_power
@@ -34,7 +34,7 @@
         stage.sim.net.link_bytes_per_second = LINK
         stage.run(10)
         row = parts_seen(stage, stage.up("edge"))[part]
-        assert row["takeover"]["phase"] == OWNED and row["owner"] == row["takeover"]["core"]
+        assert row["takeover"]["phase"] == LEADING and row["owner"] == row["takeover"]["core"]
         assert row["takeover"]["bytes_fetched"] > LINK and row["takeover"]["seconds"] > 1
 
 
--- a/tests/test_elections.py
+++ b/tests/test_elections.py
@@ -2,7 +2,7 @@
 
 from quillring.kernel.errors import Refused
 from quillring.lots.http_requests import api
-from quillring.quorum.leader.command_queue import ENTRY_BYTES, PendingCommand, split_batch
+from quillring.quorum.leader.command_queue import MAX_ENTRY_BYTES, PendingCommand, split_batch
 from tests.http_lot_stage import FORWARD, HttpLotStage
 
 LINK = 8 << 20
@@ -92,7 +92,7 @@
         batch, queue = split_batch(queue)
         sizes.append(len(batch))
     assert sizes == [2, 2, 2, 2, 1]
-    huge = PendingCommand({"do": "raw.accept", "body": bytes(ENTRY_BYTES * 2)}, None)
+    huge = PendingCommand({"do": "raw.accept", "body": bytes(MAX_ENTRY_BYTES * 2)}, None)
     assert [len(part) for part in split_batch([huge, huge])] == [1, 1]
 
 
--- a/tests/test_follower_read.py
+++ b/tests/test_follower_read.py
@@ -8,14 +8,14 @@
 from quillring.quorum.acceptor import Acceptors
 from quillring.quorum.acceptor.state import AcceptedEntry, AcceptorState
 from quillring.quorum.commands import first_state
-from quillring.quorum.leader.follower_read import find_answer, value_of
+from quillring.quorum.leader.follower_read import find_answer, unwrap_answer
 from quillring.quorum.leader.part_leader import PartLeader
 from quillring.quorum.messages import FollowerReadReply, QueryAnswer
 from quillring.quorum.values import Ballot, group_from_wire
 
 GROUP = [["store-1", "a", "north"], ["store-2", "b", "east"], ["store-3", "c", "south"]]
-OTHER = [["store-4", "d", "west"], *GROUP[1:]]
-ASKED = {"ask": "lot.results", "lot": "l", "sender": "s", "from": 0, "count": 9}
+OTHER_GROUP = [["store-4", "d", "west"], *GROUP[1:]]
+QUERY = {"ask": "lot.results", "lot": "l", "sender": "s", "from": 0, "count": 9}
 
 
 def accept(lot):
@@ -23,26 +23,29 @@
 
 
 def reply(applied=0, group=GROUP, **entries):
-    """What a store answers that holds these entries: i3=(ballot, batch)."""
-    held = {int(name[1:]): entry for name, entry in entries.items()}
-    accepted = {index: AcceptedEntry(*entry) for index, entry in held.items()}
-    record = AcceptorState(Ballot(9, "z"), applied, first_state(group), accepted)
-    later = [[i, c.get("lot")] for i, (_, batch) in held.items() for c in batch]
+    """Return the wire reply of a store that has accepted these entries: i3=(ballot, batch).
+
+    Each answer in it is the index of the entry after which the query was answered.
+    """
+    by_index = {int(name[1:]): entry for name, entry in entries.items()}
+    accepted = {index: AcceptedEntry(*entry) for index, entry in by_index.items()}
+    acceptor = AcceptorState(Ballot(9, "z"), applied, first_state(group), accepted)
+    uncommitted_lots = [[i, c.get("lot")] for i, (_, batch) in by_index.items() for c in batch]
     return [
         applied,
         group,
-        later,
+        uncommitted_lots,
         None,
         applied,
         [
-            [later.log_index, later.ballot.to_wire(), None, later.log_index]
-            for later in record.uncommitted_answers(ASKED)
+            [answer.log_index, answer.ballot.to_wire(), None, answer.log_index]
+            for answer in acceptor.uncommitted_answers(QUERY)
         ],
     ]
 
 
-ONE, TWO = Ballot(1, "core-1#1"), Ballot(2, "core-2#1")
-CHANGE = [{"do": "group.change", "group": GROUP[1:]}]
+BALLOT_1, BALLOT_2 = Ballot(1, "core-1#1"), Ballot(2, "core-2#1")
+CHANGE_GROUP = [{"do": "group.change", "group": GROUP[1:]}]
 
 
 @pytest.mark.parametrize(
@@ -50,96 +53,101 @@
     [
         ([reply(4), reply(3)], 4),
         ([reply(4)], None),
-        ([reply(4, i5=(ONE, accept("l"))), reply(4)], None),
-        ([reply(4, i5=(ONE, accept("l"))), reply(4, i5=(ONE, accept("l")))], 5),
-        ([reply(4, i5=(ONE, accept("l"))), reply(4, i5=(TWO, accept("l")))], None),
+        ([reply(4, i5=(BALLOT_1, accept("l"))), reply(4)], None),
+        ([reply(4, i5=(BALLOT_1, accept("l"))), reply(4, i5=(BALLOT_1, accept("l")))], 5),
+        ([reply(4, i5=(BALLOT_1, accept("l"))), reply(4, i5=(BALLOT_2, accept("l")))], None),
         (
             [
-                reply(4, i5=(ONE, accept("l"))),
-                reply(4, i5=(TWO, accept("l"))),
-                reply(4, i5=(TWO, accept("l"))),
+                reply(4, i5=(BALLOT_1, accept("l"))),
+                reply(4, i5=(BALLOT_2, accept("l"))),
+                reply(4, i5=(BALLOT_2, accept("l"))),
             ],
             5,
         ),
-        ([reply(4, i5=(ONE, accept("m"))), reply(4)], 4),
-        ([reply(4, i5=(ONE, [])), reply(4, i6=(ONE, accept("l")))], None),
+        ([reply(4, i5=(BALLOT_1, accept("m"))), reply(4)], 4),
+        ([reply(4, i5=(BALLOT_1, [])), reply(4, i6=(BALLOT_1, accept("l")))], None),
         (
             [
-                reply(4, i5=(ONE, accept("m")), i6=(ONE, accept("l"))),
-                reply(4, i5=(TWO, accept("m")), i6=(ONE, accept("l"))),
+                reply(4, i5=(BALLOT_1, accept("m")), i6=(BALLOT_1, accept("l"))),
+                reply(4, i5=(BALLOT_2, accept("m")), i6=(BALLOT_1, accept("l"))),
             ],
             None,
         ),
         (
             [
-                reply(4, i5=(ONE, accept("m")), i6=(ONE, accept("l"))),
-                reply(4, i5=(ONE, accept("m")), i6=(ONE, accept("l"))),
+                reply(4, i5=(BALLOT_1, accept("m")), i6=(BALLOT_1, accept("l"))),
+                reply(4, i5=(BALLOT_1, accept("m")), i6=(BALLOT_1, accept("l"))),
             ],
             6,
         ),
         (
             [
                 reply(4),
-                reply(3, i4=(ONE, accept("m")), i5=(TWO, accept("l"))),
-                reply(3, i4=(ONE, accept("m")), i5=(TWO, accept("l"))),
+                reply(3, i4=(BALLOT_1, accept("m")), i5=(BALLOT_2, accept("l"))),
+                reply(3, i4=(BALLOT_1, accept("m")), i5=(BALLOT_2, accept("l"))),
             ],
             None,
         ),
-        ([reply(4, i5=(ONE, CHANGE)), reply(4, i5=(ONE, CHANGE))], None),
-        ([reply(4, OTHER), reply(4, OTHER)], None),
-        ([reply(4, i5=(ONE, accept("l")))[:5], reply(4, i5=(ONE, accept("l")))[:5]], None),
+        ([reply(4, i5=(BALLOT_1, CHANGE_GROUP)), reply(4, i5=(BALLOT_1, CHANGE_GROUP))], None),
+        ([reply(4, OTHER_GROUP), reply(4, OTHER_GROUP)], None),
+        (
+            [reply(4, i5=(BALLOT_1, accept("l")))[:5], reply(4, i5=(BALLOT_1, accept("l")))[:5]],
+            None,
+        ),
     ],
 )
-def test_an_entry_is_chosen_when_a_majority_holds_it_under_one_ballot(replies, answer):
+def test_entry_counts_as_chosen_when_a_majority_accepted_it_under_one_ballot(replies, answer):
     expected = None if answer is None else QueryAnswer(None, answer)
     group = group_from_wire(GROUP)
-    read = [FollowerReadReply.from_wire(fields) for fields in replies]
-    assert find_answer(read, group, ASKED) == expected
-    assert find_answer(read[::-1], group, ASKED) == expected
+    parsed_replies = [FollowerReadReply.from_wire(fields) for fields in replies]
+    assert find_answer(parsed_replies, group, QUERY) == expected
+    assert find_answer(parsed_replies[::-1], group, QUERY) == expected
 
 
-def test_a_error_that_is_the_answer_is_raised():
+def test_answer_that_is_an_error_is_raised():
     with pytest.raises(NotFound):
-        value_of(QueryAnswer("not_found", {"field": "lot"}))
+        unwrap_answer(QueryAnswer("not_found", {"field": "lot"}))
 
 
-def test_an_entry_that_a_store_has_not_synced_is_told_of_only_afterwards():
-    acceptors, synced = Acceptors(), Signal()
+def test_reply_with_an_unsynced_entry_is_sent_only_after_the_sync():
+    acceptors, sync_signal = Acceptors(), Signal()
 
     class SlowLog:
         error, is_idle = None, False
 
         def commit(self, records):
-            yield Wait(synced, 1)
+            yield Wait(sync_signal, 1)
 
     acceptors.identity, acceptors.log = "a", SlowLog()
     acceptors.parts["part-1"] = AcceptorState(
-        ONE, 4, first_state(GROUP), {5: AcceptedEntry(ONE, accept("l"))}
+        BALLOT_1, 4, first_state(GROUP), {5: AcceptedEntry(BALLOT_1, accept("l"))}
     )
-    body = {"part": "part-1", "identity": "a", "query": ASKED, "beyond": True}
+    body = {"part": "part-1", "identity": "a", "query": QUERY, "beyond": True}
     coroutine = acceptors.on_peek(body, "edge-1")
     assert isinstance(next(coroutine), Wait)
-    with pytest.raises(StopIteration) as ended:
+    with pytest.raises(StopIteration) as stop:
         coroutine.send(True)
-    assert ended.value.value[:3] == [4, GROUP, [[5, "l"]]]
-    assert [row[:2] for row in ended.value.value[5]] == [[5, list(ONE)]]
+    assert stop.value.value[:3] == [4, GROUP, [[5, "l"]]]
+    assert [row[:2] for row in stop.value.value[5]] == [[5, list(BALLOT_1)]]
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_lot_accepted_by_a_majority_is_read_though_its_owner_died_before_telling(seed):
+def test_lot_accepted_by_a_majority_is_readable_although_its_leader_died_before_the_commit(seed):
     stage = Stage(seed)
     name = stage.node("edge-1").find("gossip").get("owner/part-1")["owner"]
     node = stage.node(name)
-    owner = node.find("ownership").leaders["part-1"]
-    stores = [stage.node(store[0]).find("acceptors").parts["part-1"] for store in owner.group]
+    leader = node.find("ownership").leaders["part-1"]
+    acceptor_states = [
+        stage.node(store[0]).find("acceptors").parts["part-1"] for store in leader.group
+    ]
     with mock.patch.object(PartLeader, "_send_commit", lambda self: None):
-        stage.start(stage.sim.run_script(node, owner.submit(accept("part-1.new")[0])))
-        while not all(record.entries for record in stores):
+        stage.start(stage.sim.run_script(node, leader.submit(accept("part-1.new")[0])))
+        while not all(acceptor.entries for acceptor in acceptor_states):
             stage.env.step()
         stage.sim.kill(name)
-    assert all(record.entries for record in stores)
+    assert all(acceptor.entries for acceptor in acceptor_states)
     start_time, reader = stage.env.now, stage.node("edge-1")
-    coroutine = reader.find("ownership").read("part-1", {**ASKED, "lot": "part-1.new"})
+    coroutine = reader.find("ownership").read("part-1", {**QUERY, "lot": "part-1.new"})
     answer, error = stage.finish(stage.start(stage.sim.run_script(reader, coroutine)))
     assert error is None and answer["results"] == []
     assert stage.env.now - start_time < stage.sim.bounds.read_timeout
--- a/tests/test_histories_found.py
+++ b/tests/test_histories_found.py
@@ -3,7 +3,7 @@
 from quillring.kernel.errors import Conflict
 from quillring.lots.http_requests import api
 from quillring.lots.http_requests.lot_placement import place_of_lot
-from quillring.quorum.leader.follower_read import read_from_majority, value_of
+from quillring.quorum.leader.follower_read import read_from_majority, unwrap_answer
 from quillring.quorum.parts import CONFIG
 from tests.http_lot_stage import FORWARD, HOST, HttpLotStage
 
@@ -81,7 +81,7 @@
         stage.up("edge"), lambda node: read_from_majority(node, part, group, query)
     )
     assert error is None and known is not None
-    return value_of(known)
+    return unwrap_answer(known)
 
 
 def test_an_owner_shows_no_older_configuration_than_its_stores_told():
--- a/tests/test_killed_process.py
+++ b/tests/test_killed_process.py
@@ -94,10 +94,10 @@
         repair = MembershipRepair(core)
         stage.sim.kill(victim)
         stage.run(0.5)
-        repair._note_lost()
+        repair._update_lost_since()
         assert not core.find("nifty").reaches(victim) and victim not in repair.lost_since
         stage.run(2)
-        repair._note_lost()
+        repair._update_lost_since()
         assert victim in repair.lost_since
 
 
--- a/tests/test_leader_classes.py
+++ b/tests/test_leader_classes.py
@@ -1,4 +1,4 @@
-"""The classes that a part's leader is made of, each on its own."""
+"""Unit tests of the classes that make up a part's leader."""
 
 from types import SimpleNamespace
 
@@ -14,23 +14,26 @@
 from quillring.quorum.values import Ballot, group_from_wire
 
 GROUP = [["store-1", "a", "north"], ["store-2", "b", "east"], ["store-3", "c", "south"]]
-OTHER = [*GROUP[:2], ["store-4", "d", "south"]]
-JOIN = {"do": "group.change", "group": [*GROUP, OTHER[2]]}
+CHANGED_GROUP = [*GROUP[:2], ["store-4", "d", "south"]]
+JOIN_COMMAND = {"do": "group.change", "group": [*GROUP, CHANGED_GROUP[2]]}
 
 
 def finish(coroutine):
-    """Run a coroutine that waits for nothing to its end; return its result."""
+    """Run a coroutine to its end, resuming every wait at once; return its result."""
     try:
         while True:
             next(coroutine)
-    except StopIteration as ended:
-        return ended.value
+    except StopIteration as stop:
+        return stop.value
 
 
-def caller_with(replies):
-    """Return a caller whose group answers so: {store name: reply or error}."""
+def caller_with_replies(replies):
+    """Return a caller whose members give these replies: {store name: reply or error}.
 
-    def gather(calls, need, seconds, repeats):
+    A member without a reply times out.
+    """
+
+    def gather(calls, needed, seconds, repeats):
         return {name: replies.get(name, TimedOut(target=name)) for name, _, _ in calls}
         yield
 
@@ -38,8 +41,8 @@
     return QuorumCaller(node, "part-1", GROUP, Ballot(4, "core-1#1"))
 
 
-def test_each_member_is_called_under_the_ballot_and_its_own_identity():
-    calls = caller_with({}).calls(AcceptRequest, log_index=7, batch=[], committed=6)
+def test_call_to_each_member_contains_the_ballot_and_the_identity_of_the_member():
+    calls = caller_with_replies({}).calls(AcceptRequest, log_index=7, batch=[], committed=6)
     assert calls == [
         (
             name,
@@ -60,42 +63,42 @@
     ] * 3
 
 
-def test_the_good_replies_of_a_majority_are_returned():
-    caller = caller_with({"store-1": True, "store-3": True})
+def test_successful_replies_of_a_majority_are_returned():
+    caller = caller_with_replies({"store-1": True, "store-3": True})
     assert finish(caller.call_majority(ConfirmRequest)) == {"store-1": True, "store-3": True}
 
 
-def test_one_good_reply_of_three_is_no_majority():
+def test_one_successful_reply_of_three_raises_no_majority():
     with pytest.raises(NoMajority) as caught:
-        finish(caller_with({"store-2": True}).call_majority(ConfirmRequest))
+        finish(caller_with_replies({"store-2": True}).call_majority(ConfirmRequest))
     assert caught.value.detail["heard"] == ["store-2"]
 
 
-def test_a_higher_ballot_fences_the_leader_whatever_the_others_answer_and_is_outbid_next():
+def test_higher_ballot_fences_the_leader_despite_a_majority_and_the_next_ballot_exceeds_it():
     fenced = Fenced(part="part-1", ballot=[9, "core-2#1"])
-    caller = caller_with({"store-1": True, "store-2": True, "store-3": fenced})
+    caller = caller_with_replies({"store-1": True, "store-2": True, "store-3": fenced})
     with pytest.raises(Fenced) as caught:
         finish(caller.call_majority(ConfirmRequest))
     assert caught.value.detail["ballot"] == [9, "core-2#1"]
-    caller.raise_ballot("core-1#1")
+    caller.advance_ballot("core-1#1")
     assert caller.ballot == Ballot(10, "core-1#1")
 
 
-def test_a_group_is_adopted_only_where_it_differs():
-    caller = caller_with({})
+def test_group_is_adopted_only_if_it_differs():
+    caller = caller_with_replies({})
     assert not caller.adopt_group(GROUP)
-    assert caller.adopt_group(OTHER) and caller.group == group_from_wire(OTHER)
+    assert caller.adopt_group(CHANGED_GROUP) and caller.group == group_from_wire(CHANGED_GROUP)
 
 
-def test_commands_put_first_stand_before_all_that_wait_in_their_own_order():
+def test_prepended_commands_precede_pending_ones_in_their_given_order():
     queue = CommandQueue("part-1")
     queue.append({"n": 1})
-    queue.put_first([{"n": 2}, {"n": 3}])
+    queue.prepend([{"n": 2}, {"n": 3}])
     assert [pending.command["n"] for pending in queue.take_batch()] == [2, 3, 1]
     assert queue.pending == []
 
 
-def test_what_waits_when_a_term_ends_is_told_that_there_is_no_leader_here():
+def test_pending_commands_fail_with_not_leader_when_the_term_ends():
     queue = CommandQueue("part-1")
     pending = queue.append({"n": 1})
     queue.reject_all("fenced")
@@ -104,12 +107,12 @@
     assert queue.pending == [] and queue.arrival_signal.is_set
 
 
-def test_a_copied_state_machine_goes_its_own_way():
+def test_copied_state_machine_changes_independently_of_the_original():
     machine = StateMachine(0, first_state(GROUP))
     machine.apply(1, [])
     other = machine.copy()
-    other.apply(2, [JOIN])
+    other.apply(2, [JOIN_COMMAND])
     assert (machine.last_applied, other.last_applied) == (1, 2)
-    assert machine.group() == GROUP and other.group() == JOIN["group"]
+    assert machine.group() == GROUP and other.group() == JOIN_COMMAND["group"]
     assert machine.log_cache.since(1) == []
     assert [index for index, _ in other.log_cache.since(0)] == [1, 2]
--- a/tests/test_retirement_answers.py
+++ b/tests/test_retirement_answers.py
@@ -6,7 +6,7 @@
 
 from quillring.kernel.effects import Signal, Sleep, Wait
 from quillring.kernel.errors import QuillringError, TimedOut
-from quillring.quorum.leader.retirement_check import ask_all_parts, is_free
+from quillring.quorum.leader.retirement_check import fetch_group_statuses, is_safe_to_remove
 
 PARTS = ("config", "p0", "p1", "p2")
 WHOLE = {"group": ["s1", "s2", "s3"], "late": [], "joining": []}
@@ -58,9 +58,9 @@
 
 def test_all_parts_that_answer_are_returned():
     stage = PartsStage(dict.fromkeys(PARTS, 0.01))
-    assert len(stage.drive(ask_all_parts(stage, 1.0))) == len(PARTS)
+    assert len(stage.drive(fetch_group_statuses(stage, 1.0))) == len(PARTS)
     stage = PartsStage(dict.fromkeys(PARTS, 0.01))
-    assert stage.drive(is_free(stage, "s9", 1.0)) is True
+    assert stage.drive(is_safe_to_remove(stage, "s9", 1.0)) is True
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -71,7 +71,7 @@
         delays[part] = 9.0
     stage = PartsStage(delays)
     with pytest.raises(TimedOut):
-        stage.drive(is_free(stage, "s9", chance.choice([0.0, 1e-6, 1e-4, 1.0])))
+        stage.drive(is_safe_to_remove(stage, "s9", chance.choice([0.0, 1e-6, 1e-4, 1.0])))
 
 
 def test_an_answer_of_a_part_that_failed_is_raised():
@@ -83,4 +83,4 @@
 
     stage.call_leader = call_leader
     with pytest.raises(QuillringError):
-        stage.drive(ask_all_parts(stage, 1.0))
+        stage.drive(fetch_group_statuses(stage, 1.0))
