--- a/quillring/ownership/__init__.py
+++ b/quillring/ownership/__init__.py
@@ -1,4 +1,4 @@
-"""Leadership of parts: rendezvous hashing ranks the live cores, and a Paxos ballot elects one."""
+"""Leadership of parts: rendezvous hashing ranks the reachable cores, and Paxos elects a leader."""
 
 from quillring.ownership.candidates import order_candidates
 from quillring.ownership.ownership import Ownership
--- a/quillring/ownership/candidates.py
+++ b/quillring/ownership/candidates.py
@@ -1,7 +1,7 @@
 """Candidates for the leadership of a part: the reachable cores in order of preference.
 
-The order is by rendezvous hashing (Thaler and Ravishankar, 1998). In a partial network partition,
-bridges come first: cores that are linked with all live nodes, on both sides.
+The cores are ranked by rendezvous hashing (Thaler and Ravishankar, 1998). In a partial network
+partition, bridges rank first: these are the cores that have links to all live nodes.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
     leaving_names: Collection[str] = (),
     backing_off_names: Collection[str] = (),
 ) -> list[str]:
-    """Return the names of the reachable cores, the one that should lead the key first.
+    """Return the names of the reachable cores, ranked by preference as the leader for `key`.
 
-    Cores that back off come after those that do not, and cores that are leaving come last. Each
-    observer sees the links of a core that backs off go up and down at other times, so the bridges
-    of a partition are computed without these cores.
+    Cores that back off rank after those that do not, and cores that are leaving rank last. Nodes
+    observe the unstable links of a core that backs off at different times, so the bridges of a
+    partition are computed without such cores.
     """
-    reached_cores = [name for name in cores if name in graph.reachable()]
+    reachable_cores = [name for name in cores if name in graph.reachable()]
     bridge_names = graph.bridges_without(frozenset(backing_off_names))
 
-    def claim(name: str) -> tuple[bool, bool, bool, bytes]:
+    def preference(name: str) -> tuple[bool, bool, bool, bytes]:
         return (
             name not in leaving_names,
             name not in backing_off_names,
@@ -40,4 +40,4 @@
             score(key, name),
         )
 
-    return sorted(reached_cores, key=claim, reverse=True)
+    return sorted(reachable_cores, key=preference, reverse=True)
--- a/quillring/ownership/election_timing.py
+++ b/quillring/ownership/election_timing.py
@@ -1,4 +1,4 @@
-"""When a core may run an election, so that few cores compete for the same part."""
+"""Timing of elections, which keeps cores from competing for the same part."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 
 
 class FirstCandidate(NamedTuple):
-    """The first candidate for a part, and the node's time (in seconds) since which it is that."""
+    """The first candidate for a part, and since when, in seconds of the node's clock."""
 
     name: str | None
     since: float
 
 
 class ElectionTiming:
-    """The first candidate for each part, and how long it has been that, as one node sees it.
+    """Tracks the first candidate for each part and how long it has been first, for one node.
 
-    While nodes start, or detect the failure of one at different times, their orders of the
-    candidates differ: several cores may each take themselves for the first. Owns the times from
-    which `Elections` decides whether the order is stable.
+    While nodes start, or detect a failure at different times, their rankings of the candidates
+    differ, and several cores may each consider themselves the first candidate. `Elections` uses the
+    times recorded here to decide whether the ranking is stable.
     """
 
     __slots__ = ("node", "first_candidates", "reachable_names", "reachable_since", "started_at")
@@ -44,7 +44,7 @@
         self.started_at = node.now()
 
     def on_graph(self, graph: Graph) -> None:
-        """Record the set of reachable stores and cores, and the time of its last change."""
+        """Record which stores and cores are reachable, and when that last changed."""
         members = self.node.find("nifty").roster.members
         reachable_names = frozenset(
             name
@@ -56,12 +56,12 @@
             self.reachable_since = self.node.now()
 
     def forget_observations(self) -> None:
-        """Reset all times, after a pause so long that the other nodes declared this one dead."""
+        """Reset all times, after a pause so long that other nodes have declared this one dead."""
         self.first_candidates = {}
         self.started_at = self.reachable_since = self.node.now()
 
     def observe_first_candidate(self, part: str, name: str | None) -> float:
-        """Record the first candidate for a part; return for how many seconds it has been that."""
+        """Record the first candidate for a part; return for how many seconds it has been first."""
         now = self.node.now()
         known = self.first_candidates.get(part)
         if known is None or known.name != name:
@@ -69,11 +69,12 @@
         return now - known.since
 
     def is_stable(self, seconds: float) -> bool:
-        """Return whether a core that has been first candidate for `seconds` should stay the first.
+        """Return whether the first candidate counts as stable after `seconds` in that position.
 
-        That takes STABLE_HEARTBEATS, or PARTITIONED_STABLE_HEARTBEATS while the graph is
-        partitioned: when a node comes back, each core receives its heartbeats before it learns that
-        the others do too, and takes itself for the only bridge for up to three heartbeats.
+        It does after STABLE_HEARTBEATS heartbeat intervals, or PARTITIONED_STABLE_HEARTBEATS while
+        the graph is partitioned. When a node returns, each core receives its heartbeats before it
+        learns that the other cores do as well, and so considers itself the only bridge for up to
+        three heartbeat intervals.
         """
         is_cut = self.node.find("nifty").graph.is_cut
         heartbeats = PARTITIONED_STABLE_HEARTBEATS if is_cut else STABLE_HEARTBEATS
@@ -82,20 +83,21 @@
     def is_starting(self) -> bool:
         """Return whether this node started recently and the set of reachable nodes still changes.
 
-        True within STARTUP_HEARTBEATS of the start, if the set changed in the last heartbeat.
+        True for STARTUP_HEARTBEATS heartbeat intervals after the start, if the set changed within
+        the last interval.
         """
         now, interval = self.node.now(), self.node.bounds.heartbeat_interval
-        started_lately = now - self.started_at < interval * STARTUP_HEARTBEATS
-        return started_lately and now - self.reachable_since < interval
+        has_started_recently = now - self.started_at < interval * STARTUP_HEARTBEATS
+        return has_started_recently and now - self.reachable_since < interval
 
     def reaches_majority(self, group: Group) -> bool:
         """Return whether a majority of a group's stores is reachable."""
         return sum(store.name in self.reachable_names for store in group) >= majority(group)
 
     def is_contended(self, ballot: list[Any]) -> bool:
-        """Return whether the higher ballot is that of another reachable core's live incarnation.
+        """Return whether a ballot is from the current incarnation of another reachable core.
 
-        False for this core's own ballot, and for a core that is leaving or backs off.
+        False if that core is leaving or backs off.
         """
         name, _, incarnation = str(ballot[1]).rpartition("#")
         member = self.node.find("nifty").roster.members.get(name)
--- a/quillring/ownership/elections.py
+++ b/quillring/ownership/elections.py
@@ -1,4 +1,4 @@
-"""The control loop of a core: which parts it runs elections for, and which it transfers."""
+"""The control loop of a core that starts elections and leadership transfers."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
     from quillring.ownership.ownership import Ownership
     from quillring.quorum.leader.part_leader import PartLeader
 
-MIN_INTERVAL_SHARE = 0.8
-INTERVAL_JITTER_SHARE = 0.4
+MIN_INTERVAL_FACTOR = 0.8
+INTERVAL_JITTER_FACTOR = 0.4
 
 
 class Candidacy(NamedTuple):
-    """Whether this core is the first candidate for a part, and whether the order is stable."""
+    """Whether this core is the first candidate for a part, and whether the ranking is stable."""
 
     is_first: bool
     is_stable: bool
 
 
 class Elections:
-    """Reviews every part about once per heartbeat interval, and on each relevant change.
+    """Reviews every part about once per heartbeat interval, and at once on relevant changes.
 
-    Owns the set of parts for which an election of this core is under way.
+    `parts_in_election` has the parts for which this core runs an election at the moment.
     """
 
     __slots__ = ("node", "ownership", "timing", "parts_in_election", "wake_signal")
@@ -42,8 +42,8 @@
         self.parts_in_election: set[str] = set()
         self.wake_signal = Signal()
 
-    def watch(self) -> None:
-        """Subscribe to changes of the graph and of gossip keys that call for a review at once."""
+    def subscribe_to_changes(self) -> None:
+        """Subscribe to changes of the graph and of gossip keys that require a review at once."""
         nifty, gossip = self.node.find("nifty"), self.node.find("gossip")
         nifty.listeners.append(self.timing.on_graph)
         nifty.listeners.append(self.wake)
@@ -51,16 +51,16 @@
             gossip.subscribe(prefix, self.wake)
 
     def wake(self, *change: Any) -> None:
-        """Review the parts at once."""
+        """Make the control loop review the parts at once."""
         self.wake_signal.set()
 
     def run(self) -> Coroutine:
-        """Lead the parts this core is the first candidate for, and transfer the others; endless."""
+        """Run elections for the parts this core should lead, transfer the others; never returns."""
         bounds, backoff = self.node.bounds, self.ownership.backoff
-        self.node.spawn(backoff.lag.run())
+        self.node.spawn(backoff.loop_lag.run())
         while True:
-            jitter = INTERVAL_JITTER_SHARE * self.node.runtime.random.random()
-            seconds = bounds.heartbeat_interval * (MIN_INTERVAL_SHARE + jitter)
+            jitter = INTERVAL_JITTER_FACTOR * self.node.runtime.random.random()
+            seconds = bounds.heartbeat_interval * (MIN_INTERVAL_FACTOR + jitter)
             due_at = self.node.now() + seconds
             if (yield Wait(self.wake_signal, seconds)):
                 self.wake_signal = Signal()
@@ -73,7 +73,7 @@
                 self._review(part)
 
     def _review(self, part: str) -> None:
-        """Run an election for a part that this core should lead; transfer one it should not."""
+        """Start an election for a part this core should lead, or transfer one it should not."""
         leader = self.ownership.leaders.get(part)
         candidacy = self._observe_candidacy(part)
         if leader is not None and leader.is_leader:
@@ -85,11 +85,11 @@
                 self._begin_election(part, candidacy.is_stable)
 
     def _observe_candidacy(self, part: str) -> Candidacy:
-        """Return whether this core is the first candidate, and whether that is stable.
+        """Return whether this core is the first candidate, and whether the ranking is stable.
 
-        While nodes detect a failure at different times, the graph looks partitioned and the order
-        of the candidates changes; meanwhile a part keeps a working leader. On a core that is
-        leaving, any order counts as stable, so it transfers its parts at once.
+        While nodes detect a failure at different times, the graph appears partitioned and the
+        ranking changes; a working leader is not replaced in the meantime. On a core that is
+        leaving, every ranking counts as stable, so that it transfers its parts at once.
         """
         first_name = next(iter(self.ownership.candidates(part)), None)
         me, is_draining = self.node.me.name, self.node.is_draining
@@ -103,8 +103,8 @@
         name = self.ownership.known_leader(part)
         if name is None or name == self.node.me.name:
             return False
-        is_in_reach = self.node.find("nifty").reaches(name)
-        return is_in_reach and not self.ownership.declines_leadership(name)
+        is_reachable = self.node.find("nifty").reaches(name)
+        return is_reachable and not self.ownership.declines_leadership(name)
 
     def _transfer(self, part: str, leader: PartLeader) -> None:
         for name in self.ownership.candidates(part)[:1]:
@@ -117,14 +117,14 @@
             self.node.spawn(self._run_election(part, is_stable))
 
     def _run_election(self, part: str, is_stable: bool) -> Coroutine:
-        """Win a ballot for a part and lead it until the term ends."""
+        """Run an election for a part and, if it succeeds, lead the part until the term ends."""
         leader, backoff = self.ownership.new_leader(part), self.ownership.backoff
 
-        def leave_to_winner(ballot: list[Any]) -> bool:
+        def should_concede(ballot: list[Any]) -> bool:
             return not is_stable and self.timing.is_contended(ballot)
 
         try:
-            yield from leader.run_election_with_retry(leave_to_winner)
+            yield from leader.run_election_with_retry(should_concede)
         except QuillringError as error:
             leader.election_progress.end(error)
             if isinstance(error, NoMajority):
@@ -137,7 +137,7 @@
         self.node.spawn(self._lead(leader))
 
     def _lead(self, leader: PartLeader) -> Coroutine:
-        """Lead a part until the term ends; back off if this process caused the loss by stalling."""
+        """Lead a part until the term ends; back off if it ended because this process stalled."""
         error = yield from leader.run()
         if isinstance(error, (Fenced, NoMajority)):
             self.ownership.backoff.note_lost_term()
@@ -145,8 +145,8 @@
     def _pause_after(self, error: QuillringError) -> float:
         """Return the mean pause after a failed election, in seconds.
 
-        It is longest where another live core holds the higher ballot, so that its announcement
-        arrives before the next attempt.
+        The pause is longest if another live core has the higher ballot, so that the announcement of
+        that core arrives before the next attempt.
         """
         interval = self.node.bounds.heartbeat_interval
         if not isinstance(error, Fenced):
--- a/quillring/ownership/jitter.py
+++ b/quillring/ownership/jitter.py
@@ -10,10 +10,10 @@
     from quillring.kernel.node import Node
     from quillring.kernel.types import Coroutine
 
-LONGEST_SHARE = 1.5
-"""The longest pause, as a share of the seconds that were given."""
+MAX_PAUSE_FACTOR = 1.5
+"""The longest possible pause, as a multiple of the mean pause."""
 
 
 def sleep_with_jitter(node: Node, seconds: float) -> Coroutine:
-    """Sleep for a random time, uniform between 0.5 and 1.5 times `seconds`."""
-    yield Sleep(seconds * (LONGEST_SHARE - 1 + node.runtime.random.random()))
+    """Sleep for a time drawn uniformly between 0.5 and 1.5 times `seconds`."""
+    yield Sleep(seconds * (MAX_PAUSE_FACTOR - 1 + node.runtime.random.random()))
--- a/quillring/ownership/leadership_transfer.py
+++ b/quillring/ownership/leadership_transfer.py
@@ -25,16 +25,16 @@
 
 
 class OfferedState(NamedTuple):
-    """The immutable state of a part under transfer, and the index of the last entry applied."""
+    """The immutable state of a part under transfer, and the index of its last applied entry."""
 
     log_index: int
     state: Any
 
 
 class LeadershipTransfer:
-    """Both sides of a planned leadership transfer, with a minimal time without a leader.
+    """Both sides of a planned leadership transfer, which keeps the time without a leader short.
 
-    Owns `offered`: {part: the state that the successor may fetch} while a transfer is under way.
+    `offered` has the state that the successor may fetch, by part, while a transfer is in progress.
     """
 
     __slots__ = ("node", "ownership", "offered")
@@ -44,22 +44,22 @@
         self.ownership = ownership
         self.offered: dict[str, OfferedState] = {}
 
-    def handle_calls(self) -> None:
-        """Register the services of a transfer; for cores only."""
+    def register_services(self) -> None:
+        """Register the handlers of the transfer's services; for cores only."""
         self.node.handle(PREPARE_TRANSFER, self.on_prepare)
         self.node.handle(STATE_CHUNK, self.on_state_chunk)
 
     def begin(self, part: str, leader: PartLeader, successor: str) -> None:
-        """Begin the transfer of a part to another core, unless one is under way."""
+        """Begin the transfer of a part to another core, unless one is already in progress."""
         if part not in self.offered:
             self.offered[part] = OfferedState(leader.index, leader.state)
             self.node.spawn(self._transfer(part, leader, successor))
 
     def _transfer(self, part: str, leader: PartLeader, successor: str) -> Coroutine:
-        """Let the successor fetch the state; then step down and notify it.
+        """Have the successor fetch the state, then step down and notify it.
 
-        A successor that fails to fetch the state gets the part all the same, if it is still the
-        first candidate.
+        If the successor fails to fetch the state, this core steps down nevertheless. It does not
+        step down if the successor is no longer the first candidate.
         """
         request = PrepareTransferRequest(part, self.offered[part].log_index)
         seconds = self.node.bounds.propagation * 2
@@ -69,7 +69,11 @@
             self.node.count("handovers_without_state")
         except QuillringError as error:
             self.node.log(
-                "warning", "leadership transfer of %s: %s is not ready: %s", part, successor, error
+                "warning",
+                "leadership transfer of %s: %s did not fetch the state: %s",
+                part,
+                successor,
+                error,
             )
         finally:
             del self.offered[part]
@@ -78,7 +82,7 @@
             self.node.send_oneway(successor, LEADERSHIP_OFFER, LeadershipOffer(part).to_wire())
 
     def on_state_chunk(self, body: WireMap, origin: str) -> list[Any]:
-        """Return a chunk of the offered state; raises Conflict if another index is asked for."""
+        """Return a chunk of the offered state; raises Conflict if none is offered at that index."""
         request = StateChunkRequest.from_wire(body)
         offered = self.offered.get(request.part)
         if offered is None or offered.log_index != request.log_index:
@@ -88,25 +92,26 @@
         return StateChunkReply(data, next_offset).to_wire()
 
     def on_prepare(self, body: WireMap, origin: str) -> Coroutine:
-        """Fetch the state of a part from its leader, to succeed it; return True."""
+        """Fetch the state of a part from its leader, as its successor; return True."""
         request = PrepareTransferRequest.from_wire(body)
         part, index = request.part, request.log_index
         leaders = self.ownership.leaders
-        former = leaders.get(part)
-        if former is not None and (former.is_leader or former.index >= index):
+        previous = leaders.get(part)
+        if previous is not None and (previous.is_leader or previous.index >= index):
             return True
         state = yield from self._fetch_state(origin, part, index)
-        is_unchanged = leaders.get(part) is former
+        is_unchanged = leaders.get(part) is previous
         if is_unchanged and part not in self.ownership.elections.parts_in_election:
-            successor = PartLeader(self.node, part, self.ownership.group(part), former)
+            successor = PartLeader(self.node, part, self.ownership.group(part), previous)
             successor.machine.install(index, state)
             leaders[part] = successor
         return True
 
     def _fetch_state(self, source: str, part: str, index: int) -> Coroutine:
-        """Return the state of a part at an index, fetched from its leader in chunks.
+        """Fetch the state of a part at an index from its leader, in chunks.
 
-        Raises Conflict when the leader no longer offers that state, BadChunk when it is incomplete.
+        Raises Conflict when the leader no longer offers that state, BadChunk when the chunks do not
+        form a complete state.
         """
         builder, seconds = StateBuilder(), self.node.bounds.read_timeout
         offset: ChunkOffset | None = SNAPSHOT_START
--- a/quillring/ownership/messages.py
+++ b/quillring/ownership/messages.py
@@ -1,4 +1,4 @@
-"""Messages about parts between cores and their clients, and their wire form."""
+"""The messages about parts between cores and their clients, and the wire form of each."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 SUBMIT = "part.submit"
 READ = "part.read"
-WHOLE = "part.whole"
-STATUS = "part.takeovers"
+GROUP_STATUS = "part.whole"
+LEADERSHIP_STATUS = "part.takeovers"
 PREPARE_TRANSFER = "part.ready"
 STATE_CHUNK = "part.piece"
 LEADERSHIP_OFFER = "part.free"
@@ -52,13 +52,13 @@
         return {"part": self.part, "query": self.query}
 
 
-class WholeRequest(NamedTuple):
-    """`part.whole`: report which stores of a part have applied all committed entries."""
+class GroupStatusRequest(NamedTuple):
+    """`part.whole`: return the status of a part's group; the reply is a GroupStatus."""
 
     part: str
 
     @classmethod
-    def from_wire(cls, body: WireMap) -> WholeRequest:
+    def from_wire(cls, body: WireMap) -> GroupStatusRequest:
         """Read the request from its wire form."""
         return cls(body["part"])
 
@@ -68,7 +68,7 @@
 
 
 class LeadershipOffer(NamedTuple):
-    """`part.free`, sent one way: the previous leader of a part has stepped down."""
+    """`part.free`, sent without a reply: the previous leader of a part has stepped down."""
 
     part: str
 
@@ -83,7 +83,7 @@
 
 
 class PrepareTransferRequest(NamedTuple):
-    """`part.ready`: fetch a part's state at an index, to become its leader; the reply is True."""
+    """`part.ready`: fetch a part's state at an index, as the next leader; the reply is True."""
 
     part: str
     log_index: int
@@ -99,7 +99,7 @@
 
 
 class StateChunkRequest(NamedTuple):
-    """`part.piece`: return a chunk of a part's state at an index, from an offset on."""
+    """`part.piece`: return the chunk at an offset of a part's state at an index."""
 
     part: str
     log_index: int
@@ -116,7 +116,7 @@
 
 
 class StateChunkReply(NamedTuple):
-    """The reply to `part.piece`: bytes, and the offset after them; None at the state's end."""
+    """The reply to `part.piece`: bytes, and the offset after them, or None at the end."""
 
     data: bytes
     next_offset: ChunkOffset | None
@@ -133,7 +133,7 @@
 
 
 class LeaderRecord(NamedTuple):
-    """The gossip record `owner/<part>`: the leader under the highest ballot known."""
+    """The gossip record `owner/<part>`: the leader of a part and its ballot."""
 
     leader: str
     ballot: list[Any]
@@ -151,8 +151,9 @@
 class LeadershipStatus(NamedTuple):
     """A core's election and replication progress in a part, in the reply to `part.takeovers`.
 
-    `election` is the progress of its election as operators see it, `applied_index` the index of
-    the last entry it applied, `repairs` the store that it brings up to date, if any.
+    `election` is the progress of the core's last election as shown to operators, `applied_index`
+    the index of the last entry that it applied, and `repairs` the store that its anti-entropy
+    brings up to date, if any.
     """
 
     election: WireMap
@@ -161,7 +162,7 @@
 
     @classmethod
     def of_leader(cls, leader: PartLeader) -> LeadershipStatus:
-        """Return the status of a core's leader of a part, whether it leads now or not."""
+        """Return the status of a core's newest term in a part, whether it leads now or not."""
         target = leader.anti_entropy.target
         return cls(
             leader.election_progress.to_json(), leader.index, [] if target is None else [target]
@@ -173,7 +174,7 @@
 
 
 class ReportedStatus(NamedTuple):
-    """A core's status of a part as received; shown to operators with all fields it has."""
+    """A core's status of a part as received, with all fields, for display to operators."""
 
     ballot: list[Any]
     fields: WireMap
--- a/quillring/ownership/ownership.py
+++ b/quillring/ownership/ownership.py
@@ -1,4 +1,4 @@
-"""Which core leads which part, as one node sees it; on a core also its own terms as leader."""
+"""Which core leads which part, from the view of one node; on a core also its own terms."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from quillring.ownership.leadership_backoff import LeadershipBackoff
 from quillring.ownership.leadership_transfer import LeadershipTransfer
 from quillring.ownership.messages import (
+    GROUP_STATUS,
     LEADERSHIP_OFFER,
+    LEADERSHIP_STATUS,
     READ,
-    STATUS,
     SUBMIT,
-    WHOLE,
+    GroupStatusRequest,
     LeaderRecord,
     LeadershipOffer,
     LeadershipStatus,
     ReadRequest,
     SubmitRequest,
-    WholeRequest,
 )
 from quillring.ownership.part_client import PartClient
 from quillring.quorum.commands import QUERIES
@@ -44,18 +44,19 @@
 
 
 class DecodedGroup(NamedTuple):
-    """A group's wire form and its decoded form, cached since every call to a part needs it."""
+    """A group in wire form and decoded; cached, as every call to a part needs it."""
 
     wire_group: WireGroup
     group: Group
 
 
 class Ownership:
-    """The directory of parts, the client that reaches their leaders, and this core's own terms.
+    """The directory of the parts, the client that calls their leaders, and this core's own terms.
 
-    Owns `leaders`: {part: this core's newest term as its leader or candidate}. A listener is called
-    with a leader and the commands of the entry that it applied, and with no commands when a term
-    begins or ends. A submit check may raise before a command is queued.
+    `leaders` has, by part, this core's newest term as leader or candidate. `leader_listeners` are
+    called with a leader and the commands of each entry that it applies, and with an empty list when
+    a term begins or ends. `submit_checks` are called before a command is queued and may raise an
+    error to reject it.
     """
 
     __slots__ = (
@@ -83,14 +84,14 @@
         if node.me.role == "core":
             node.handle(SUBMIT, self.on_submit)
             node.handle(READ, self.on_read)
-            node.handle(WHOLE, self.on_whole)
+            node.handle(GROUP_STATUS, self.on_group_status)
             node.handle(LEADERSHIP_OFFER, self.on_leadership_offer)
-            node.handle(STATUS, self.on_status)
-            self.leadership_transfer.handle_calls()
-            self.elections.watch()
+            node.handle(LEADERSHIP_STATUS, self.on_status)
+            self.leadership_transfer.register_services()
+            self.elections.subscribe_to_changes()
 
     def submit(self, part: str, command: WireMap, seconds: float | None = None) -> Coroutine:
-        """Commit a command in a part, wherever its leader is; see `PartClient.submit`."""
+        """Commit a command in a part, on whichever core leads it; see `PartClient.submit`."""
         return self.client.submit(part, command, seconds)
 
     def read(self, part: str, query: WireMap, seconds: float | None = None) -> Coroutine:
@@ -123,12 +124,12 @@
         return sorted(self.founding()["groups"])
 
     def group(self, part: str) -> Group:
-        """Return the stores of a part by the newest gossip received, else by the founding record.
+        """Return the stores of a part from the newest gossip or, without any, the founding record.
 
-        Raises NotFounded where neither is known.
+        Raises NotFounded if neither is known.
         """
-        heard_group = self.node.find("gossip").get(f"group/{part}")
-        wire_group = heard_group or self.founding()["groups"][part]
+        gossiped_group = self.node.find("gossip").get(f"group/{part}")
+        wire_group = gossiped_group or self.founding()["groups"][part]
         decoded = self.decoded_groups.get(part)
         if decoded is None or decoded.wire_group is not wire_group:
             decoded = DecodedGroup(wire_group, group_from_wire(wire_group))
@@ -136,7 +137,7 @@
         return decoded.group
 
     def size(self) -> int:
-        """Return how many stores a group at full strength has."""
+        """Return the number of stores in a complete group."""
         size: int = self.founding().get("size", GROUP_SIZE)
         return size
 
@@ -146,7 +147,7 @@
         return sorted(member.name for member in members if member.role == "core")
 
     def candidates(self, part: str) -> list[str]:
-        """Return the reachable cores, the preferred leader of the part first."""
+        """Return the reachable cores, ranked by preference as leader of the part."""
         cores = self.cores()
         leaving_names = {name for name in cores if self.is_leaving(name)}
         backing_off_names = {name for name in cores if self.backoff.is_backing_off(name)}
@@ -154,7 +155,7 @@
         return order_candidates(part, cores, graph, leaving_names, backing_off_names)
 
     def is_leaving(self, name: str) -> bool:
-        """Return whether a member drains, or its zone does, so that it takes no new work."""
+        """Return whether a member or its zone is draining, so that the member gets no new work."""
         member = self.node.find("nifty").roster.members.get(name)
         if member is None:
             return False
@@ -163,27 +164,27 @@
         return bool(self.node.find("layout").is_zone_draining(member.zone))
 
     def declines_leadership(self, name: str) -> bool:
-        """Return whether other cores should lead a core's parts, as it is leaving or backs off."""
+        """Return whether a core is leaving or backs off; other cores should then lead its parts."""
         return self.is_leaving(name) or self.backoff.is_backing_off(name)
 
     def announce_drain(self) -> None:
-        """Announce by gossip that this node drains; valid for its present incarnation."""
+        """Announce by gossip that the current incarnation of this node is draining."""
         me = self.node.me
         self.node.find("gossip").publish(f"draining/{me.name}", [me.incarnation], me.incarnation)
 
     def run(self) -> Coroutine:
-        """Run the elections of this core, without end; for cores only."""
+        """Run the elections of this core; for cores only. Never returns."""
         return self.elections.run()
 
     def new_leader(self, part: str) -> PartLeader:
-        """Return a new term of this core for a part, with the state and ballot of its last one."""
-        former = self.leaders.get(part)
-        leader = self.leaders[part] = PartLeader(self.node, part, self.group(part), former)
+        """Create a new term of this core in a part, with the previous one's state and ballot."""
+        previous = self.leaders.get(part)
+        leader = self.leaders[part] = PartLeader(self.node, part, self.group(part), previous)
         leader.listeners.extend([*self.leader_listeners, self._publish_leader])
         return leader
 
     def _publish_leader(self, leader: PartLeader, batch: list[WireMap]) -> None:
-        """Publish by gossip who leads the part and which stores replicate it."""
+        """Publish by gossip which core leads the part and which stores replicate it."""
         if not leader.is_leader or leader.state is None:
             return
         gossip, part = self.node.find("gossip"), leader.part
@@ -193,7 +194,10 @@
             gossip.publish(f"group/{part}", [leader.index], leader.state["group"])
 
     def on_submit(self, body: WireMap, origin: str) -> Coroutine:
-        """Commit a command in a part led here; raises NotLeader, or the error of a submit check."""
+        """Commit a command in a part that this core leads.
+
+        Raises NotLeader, or the error of a submit check.
+        """
         request = SubmitRequest.from_wire(body)
         leader = self._leader(request.part)
         for check in self.submit_checks:
@@ -201,7 +205,7 @@
         return leader.submit(request.command)
 
     def on_read(self, body: WireMap, origin: str) -> Coroutine:
-        """Answer a query from a part led here, after a majority confirmed the ballot.
+        """Answer a query from a part that this core leads, after a majority confirmed its ballot.
 
         Raises NotLeader, Fenced, NoMajority, or the query's own error.
         """
@@ -210,14 +214,14 @@
         answer_query = QUERIES.find(request.query["ask"])
         return answer_query(state, request.query)
 
-    def on_whole(self, body: WireMap, origin: str) -> Coroutine:
-        """Return the GroupStatus of a part led here; raises NotLeader."""
-        leader = self._leader(WholeRequest.from_wire(body).part)
+    def on_group_status(self, body: WireMap, origin: str) -> Coroutine:
+        """Return the GroupStatus of a part that this core leads; raises NotLeader."""
+        leader = self._leader(GroupStatusRequest.from_wire(body).part)
         status = yield from group_status(leader)
         return status.to_wire()
 
     def on_status(self, body: Any, origin: str) -> WireMap:
-        """Return the LeadershipStatus of each part that this core led or tried to lead."""
+        """Return the LeadershipStatus of each part in which this core had a term."""
         return {
             part: LeadershipStatus.of_leader(leader).to_wire()
             for part, leader in self.leaders.items()
@@ -226,7 +230,8 @@
     def on_leadership_offer(self, body: str, origin: str) -> Coroutine:
         """Review the parts at once, as the leader of one stepped down in favour of this core.
 
-        A term of this core in that part ends first if its ballot turns out to be fenced.
+        If this core regards itself as the leader already, its ballot is confirmed first, and the
+        term ends if the ballot is fenced.
         """
         leader = self.leaders.get(LeadershipOffer.from_wire(body).part)
         if leader is not None and leader.is_leader:
--- a/quillring/ownership/status.py
+++ b/quillring/ownership/status.py
@@ -1,4 +1,4 @@
-"""What operators see of the parts, their leaders and the elections under way."""
+"""The status of the parts, their leaders and elections, for display to operators."""
 
 from __future__ import annotations
 
@@ -6,7 +6,12 @@
 
 from quillring.kernel.errors import QuillringError
 from quillring.kernel.records import NamedTuple
-from quillring.ownership.messages import STATUS, LeaderRecord, ReportedStatus, statuses_from_wire
+from quillring.ownership.messages import (
+    LEADERSHIP_STATUS,
+    LeaderRecord,
+    ReportedStatus,
+    statuses_from_wire,
+)
 
 if TYPE_CHECKING:
     from quillring.kernel.node import Node
@@ -14,7 +19,7 @@
 
 
 class PartStatus(NamedTuple):
-    """A part with its stores, its leader and ballot by the newest gossip, and its last election."""
+    """A part with its stores, its leader by the newest gossip, and its newest election."""
 
     part: str
     stores: list[str]
@@ -22,7 +27,7 @@
     newest_election: ReportedStatus | None
 
     def to_json(self) -> WireMap:
-        """Return what operators see."""
+        """Return the status in the form shown to operators."""
         leader, election = self.leader, self.newest_election
         return {
             "part": self.part,
@@ -34,10 +39,10 @@
 
 
 def newest_elections(node: Node) -> Coroutine:
-    """Ask the reachable cores; return {part: the status under the highest ballot}."""
+    """Ask the reachable cores; return for each part the status with the highest ballot."""
     nifty = node.find("nifty")
     names = [name for name in node.find("ownership").cores() if nifty.reaches(name)]
-    calls: list[tuple[str, str, Any]] = [(name, STATUS, None) for name in names]
+    calls: list[tuple[str, str, Any]] = [(name, LEADERSHIP_STATUS, None) for name in names]
     replies = yield from node.gather(calls, len(calls), node.bounds.call_timeout)
     newest: dict[str, ReportedStatus] = {}
     for reply in replies.values():
--- a/tests/test_ownership_messages.py
+++ b/tests/test_ownership_messages.py
@@ -1,4 +1,4 @@
-"""The messages about parts in the very form in which nodes of all versions exchange them."""
+"""The wire form of the messages about parts, which nodes of all versions share."""
 
 from types import SimpleNamespace
 
@@ -7,6 +7,7 @@
 
 from quillring.ownership import messages
 from quillring.ownership.messages import (
+    GroupStatusRequest,
     LeaderRecord,
     LeadershipOffer,
     LeadershipStatus,
@@ -16,7 +17,6 @@
     StateChunkReply,
     StateChunkRequest,
     SubmitRequest,
-    WholeRequest,
     statuses_from_wire,
 )
 from quillring.ownership.status import PartStatus
@@ -44,7 +44,7 @@
         {"part": "part-1", "query": {"ask": "lot.fence"}},
         "a2647061727466706172742d31657175657279a16361736b696c6f742e66656e6365",
     ),
-    (WholeRequest("part-1"), {"part": "part-1"}, "a1647061727466706172742d31"),
+    (GroupStatusRequest("part-1"), {"part": "part-1"}, "a1647061727466706172742d31"),
     (LeadershipOffer("part-1"), "part-1", "66706172742d31"),
     (
         PrepareTransferRequest("part-1", 40),
@@ -67,34 +67,34 @@
 
 
 @pytest.mark.parametrize(
-    "message, wire_form, packed", SAMPLES, ids=lambda value: type(value).__name__
+    "message, wire_form, encoded_hex", SAMPLES, ids=lambda value: type(value).__name__
 )
-def test_a_message_has_the_form_that_all_versions_know(message, wire_form, packed):
+def test_messages_keep_their_wire_form(message, wire_form, encoded_hex):
     assert message.to_wire() == wire_form
-    assert cbor2.dumps(message.to_wire()).hex() == packed
-    assert type(message).from_wire(cbor2.loads(bytes.fromhex(packed))) == message
+    assert cbor2.dumps(message.to_wire()).hex() == encoded_hex
+    assert type(message).from_wire(cbor2.loads(bytes.fromhex(encoded_hex))) == message
 
 
-def test_the_services_keep_their_names():
+def test_service_names_are_unchanged():
     names = {name: value for name, value in vars(messages).items() if name.isupper()}
     assert {name: value for name, value in names.items() if isinstance(value, str)} == {
         "SUBMIT": "part.submit",
         "READ": "part.read",
-        "WHOLE": "part.whole",
-        "STATUS": "part.takeovers",
+        "GROUP_STATUS": "part.whole",
+        "LEADERSHIP_STATUS": "part.takeovers",
         "PREPARE_TRANSFER": "part.ready",
         "STATE_CHUNK": "part.piece",
         "LEADERSHIP_OFFER": "part.free",
     }
 
 
-def test_a_field_of_a_newer_version_is_passed_over():
+def test_unknown_fields_of_newer_versions_are_ignored():
     assert SubmitRequest.from_wire({"part": "p", "command": {}, "new": 1}) == ("p", {})
     assert PrepareTransferRequest.from_wire({"part": "p", "index": 1, "new": 1}) == ("p", 1)
 
 
 @pytest.mark.parametrize("target, repairs", [("store-2", ["store-2"]), (None, [])])
-def test_the_status_of_a_leader_is_what_operators_know(target, repairs):
+def test_leadership_status_has_the_fields_shown_to_operators(target, repairs):
     leader = SimpleNamespace(
         index=12,
         anti_entropy=SimpleNamespace(target=target),
@@ -105,22 +105,24 @@
     assert list(status) == list(STATUS)
 
 
-def test_a_status_of_another_version_is_shown_as_it_came():
+def test_a_status_with_unknown_fields_is_passed_on_unchanged():
     row = {"ballot": [3, "core-1#9"], "unheard": 1}
     assert statuses_from_wire({"part-1": row}) == {"part-1": ReportedStatus([3, "core-1#9"], row)}
 
 
-def test_a_part_is_shown_with_the_fields_that_operators_know():
+def test_part_status_has_the_fields_shown_to_operators():
     leader = LeaderRecord("core-1", [3, "core-1#9"])
-    shown = PartStatus("part-1", ["store-1"], leader, ReportedStatus([3, "c"], STATUS)).to_json()
-    assert shown == {
+    status_fields = PartStatus(
+        "part-1", ["store-1"], leader, ReportedStatus([3, "c"], STATUS)
+    ).to_json()
+    assert status_fields == {
         "part": "part-1",
         "group": ["store-1"],
         "owner": "core-1",
         "ballot": [3, "core-1#9"],
         "takeover": STATUS,
     }
-    assert list(shown) == ["part", "group", "owner", "ballot", "takeover"]
+    assert list(status_fields) == ["part", "group", "owner", "ballot", "takeover"]
     assert PartStatus("part-1", [], None, None).to_json() == {
         "part": "part-1",
         "group": [],
--- a/tests/test_part_client.py
+++ b/tests/test_part_client.py
@@ -21,10 +21,10 @@
 
 
 class ScriptedClient(PartClient):
-    """A node whose calls of an owner end, one after another, as they are told here."""
+    """A client whose calls to a leader return or raise the given outcomes, one after another."""
 
-    def __init__(self, ends):
-        self.time, self.ends = 0.0, list(ends)
+    def __init__(self, outcomes):
+        self.time, self.outcomes = 0.0, list(outcomes)
         runtime = SimpleNamespace(random=SimpleNamespace(random=lambda: 0.5))
         node = SimpleNamespace(
             bounds=Bounds(), now=lambda: self.time, call=self.call, runtime=runtime
@@ -32,31 +32,31 @@
         super().__init__(node, SimpleNamespace(founding=lambda: {}))
 
     def call(self, target, service, body, seconds):
-        end = self.ends.pop(0)
-        if isinstance(end, Exception):
-            raise end
-        return end
+        outcome = self.outcomes.pop(0)
+        if isinstance(outcome, Exception):
+            raise outcome
+        return outcome
         yield
 
     def why_unavailable(self, part):
-        return None if self.ends else Unreachable(part=part)
+        return None if self.outcomes else Unreachable(part=part)
 
     def _call_targets(self, part):
         return ["core-1"]
 
-    def asked(self, service):
+    def call_and_wait(self, service):
         coroutine = self.call_leader("part-1", service, {}, None)
         try:
             while True:
                 effect = next(coroutine)
                 assert isinstance(effect, Sleep)
                 self.time += effect.seconds
-        except StopIteration as ended:
-            return ended.value
+        except StopIteration as stopped:
+            return stopped.value
 
 
 @pytest.mark.parametrize(
-    "ends, service, error",
+    "outcomes, service, error",
     [
         ([Conflict()], "part.submit", Conflict),
         ([NotLeader(), Fenced(), Unreachable(), Conflict()], "part.submit", Conflict),
@@ -68,26 +68,30 @@
         ([TimedOut()], "part.whole", Refused),
     ],
 )
-def test_a_refusal_after_a_call_that_may_have_run_leaves_the_outcome_unknown(ends, service, error):
+def test_an_error_after_an_attempt_that_may_have_run_leaves_the_outcome_unknown(
+    outcomes, service, error
+):
     with pytest.raises(error) as raised:
-        ScriptedClient(ends).asked(service)
+        ScriptedClient(outcomes).call_and_wait(service)
     assert type(raised.value) is error
 
 
-def test_what_can_never_be_taken_is_refused_as_such_even_after_a_call_that_may_have_run():
+def test_a_final_error_is_raised_even_after_an_attempt_that_may_have_run():
     with pytest.raises(BadConfiguration):
-        ScriptedClient([TimedOut(), BadConfiguration(faults=[])]).asked("part.submit")
+        ScriptedClient([TimedOut(), BadConfiguration(faults=[])]).call_and_wait("part.submit")
 
 
-def test_a_success_after_a_call_that_may_have_run_is_a_success():
-    assert ScriptedClient([TimedOut(), {"written": True}]).asked("part.submit") == {"written": True}
+def test_a_success_after_an_attempt_that_may_have_run_is_returned():
+    assert ScriptedClient([TimedOut(), {"written": True}]).call_and_wait("part.submit") == {
+        "written": True
+    }
 
 
 @pytest.mark.parametrize(
     "count, late, is_whole",
     [(5, [], True), (3, [], False), (5, ["store-1"], False), (0, [], False)],
 )
-def test_a_part_is_whole_when_its_group_has_the_size_of_the_founding(count, late, is_whole):
+def test_a_part_is_whole_when_its_group_is_complete_and_no_store_is_late(count, late, is_whole):
     def ask(part, service, body, seconds):
         if not count:
             raise NotLeader(part=part)
@@ -96,6 +100,6 @@
 
     ownership = SimpleNamespace(call_leader=ask, parts=lambda: ["part-1"], size=lambda: 5)
     coroutine = show_whole(SimpleNamespace(find=lambda name: ownership, bounds=Bounds()), None)
-    with pytest.raises(StopIteration) as ended:
+    with pytest.raises(StopIteration) as stopped:
         next(coroutine)
-    assert ended.value.value["is_whole"] is is_whole
+    assert stopped.value.value["is_whole"] is is_whole
--- a/tests/test_slow_cores.py
+++ b/tests/test_slow_cores.py
@@ -4,7 +4,7 @@
 
 from quillring.kernel.effects import Sleep
 from quillring.ownership.leadership_backoff import (
-    JITTER_SHARE,
+    JITTER_FACTOR,
     MAX_BACKOFF_HEARTBEATS,
     MIN_BACKOFF_HEARTBEATS,
 )
@@ -97,7 +97,7 @@
     fleet, name = slowed(seed, 0.03)
     fleet.run(SLOW_SECONDS)
     fleet.sim.nodes[name].runtime.step_seconds = 0
-    longest = fleet.sim.bounds.heartbeat_interval * MAX_BACKOFF_HEARTBEATS * (1 + JITTER_SHARE)
+    longest = fleet.sim.bounds.heartbeat_interval * MAX_BACKOFF_HEARTBEATS * (1 + JITTER_FACTOR)
     assert fleet.wait_for(lambda: fleet.owner() == name, longest + fleet.sim.bounds.propagation)
 
 
@@ -124,7 +124,7 @@
     assert newer not in (None, name)
     assert fleet.wait_for(lambda: ownership.backoff.is_backing_off(name), 1)
     fleet.run(
-        fleet.sim.bounds.heartbeat_interval * MIN_BACKOFF_HEARTBEATS * (1 - JITTER_SHARE) - 0.1
+        fleet.sim.bounds.heartbeat_interval * MIN_BACKOFF_HEARTBEATS * (1 - JITTER_FACTOR) - 0.1
     )
     assert fleet.owner() == newer
 
@@ -154,29 +154,29 @@
     fleet = SelfFounded(71)
     node = fleet.sim.nodes["core-1"]
     backoff, beat = node.find("ownership").backoff, fleet.sim.bounds.heartbeat_interval
-    backoff.lag = AlwaysLate()
+    backoff.loop_lag = AlwaysLate()
     lengths = []
     for _ in range(8):
         backoff.note_lost_term()
         backoff.note_lost_term()
-        lengths.append((backoff.until - node.now()) / beat)
-        backoff.lag.is_late = False
-        fleet.run(backoff.until - node.now() + beat * 2)
+        lengths.append((backoff.ends_at - node.now()) / beat)
+        backoff.loop_lag.is_late = False
+        fleet.run(backoff.ends_at - node.now() + beat * 2)
         assert not backoff.is_backing_off("core-1")
-        backoff.lag.is_late = True
+        backoff.loop_lag.is_late = True
     wanted = [4, 8, 16, 32, 64, 64, 64, 64]
     for length, middle in zip(lengths, wanted, strict=True):
-        assert middle * (1 - JITTER_SHARE) <= length <= middle * (1 + JITTER_SHARE)
+        assert middle * (1 - JITTER_FACTOR) <= length <= middle * (1 + JITTER_FACTOR)
     fleet.run(beat * MAX_BACKOFF_HEARTBEATS + 1)
     backoff.note_lost_term()
-    assert (backoff.until - node.now()) / beat <= MIN_BACKOFF_HEARTBEATS * (1 + JITTER_SHARE)
+    assert (backoff.ends_at - node.now()) / beat <= MIN_BACKOFF_HEARTBEATS * (1 + JITTER_FACTOR)
 
 
 def test_where_all_cores_rest_the_first_of_them_still_acts():
     fleet = SelfFounded(81)
     for name in fleet.sim.names("core"):
         backoff = fleet.sim.nodes[name].find("ownership").backoff
-        backoff.lag = AlwaysLate()
+        backoff.loop_lag = AlwaysLate()
         backoff.note_lost_term()
     fleet.run(1)
     fleet.sim.kill(fleet.owner())
