--- a/proving/histories/calls.py
+++ b/proving/histories/calls.py
@@ -30,7 +30,7 @@
 from quillring.kernel.errors import Conflict, NotFound, Refused
 from quillring.lots.http_requests import api
 from quillring.lots.http_requests.lot_table import HeldTooMuch, QuotaExceeded
-from quillring.quorum.parts import CONFIG
+from quillring.quorum.parts import CONFIG_PART
 from quillring.rollout.commands import BadConfiguration
 from quillring.rollout.messages import OrderStore, OrderZone
 from quillring.rollout.operator_orders import retire_store
@@ -90,9 +90,9 @@
     match order:
         case Adopt():
             command = command_of(order, f"{node.runtime.random.getrandbits(96):024x}")
-            return ownership.submit(CONFIG, command, seconds)
+            return ownership.submit(CONFIG_PART, command, seconds)
         case FetchConfiguration():
-            return ownership.read(CONFIG, {"ask": "edition"}, seconds)
+            return ownership.read(CONFIG_PART, {"ask": "edition"}, seconds)
         case MarkZone():
             zone_order = OrderZone(name, order.is_emptied, includes_nodes=False)
             return submit_order(node, zone_order, seconds)
--- a/proving/histories/models.py
+++ b/proving/histories/models.py
@@ -21,7 +21,7 @@
     Unknown,
     ZoneSeen,
 )
-from quillring.quorum.parts import is_enough
+from quillring.quorum.parts import can_survive_zone_loss
 
 IMPOSSIBLE = ()
 EFFECTLESS = (NotTaken, Conflicting, ZoneSeen, StoresSeen)
@@ -120,7 +120,7 @@
             return (state,)
         retired = state | {order.store}
         remaining = [zone for name, zone in self.zones.items() if name not in retired]
-        if is_enough(remaining, self.group_size):
+        if can_survive_zone_loss(remaining, self.group_size):
             return (retired,)
         return (state,) if isinstance(answer, Unknown) else IMPOSSIBLE
 
--- a/proving/model/scopes.py
+++ b/proving/model/scopes.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from proving.model.errors import UnknownName
-from quillring.quorum.parts import CONFIG
+from quillring.quorum.parts import CONFIG_PART
 
 
 class Bounds(NamedTuple):
@@ -47,7 +47,7 @@
     operators: dict
     bounds: Bounds
     depth: int
-    part: str = CONFIG
+    part: str = CONFIG_PART
     is_founded: bool = True
     owners: tuple = ("core-1",)
     has_seeds: bool = False
--- a/proving/model/store_machine.py
+++ b/proving/model/store_machine.py
@@ -7,7 +7,7 @@
 from proving.sim.disk import SimDisk
 from quillring.fleet import open_store
 from quillring.quorum import Acceptors
-from quillring.quorum.founding.founding_vote import FILES, FoundingVoter, Witness
+from quillring.quorum.founding.founding_vote import VOTE_FILES, FoundingVoter, Witness
 from quillring.store import CheckpointedLog
 
 SYNC_SECONDS = 1.0
@@ -131,7 +131,7 @@
         memory = cbor2.dumps(self.acceptors.rows())
         log_caches = [record.log_cache for record in self.acceptors.parts.values()]
         elector = self.elector
-        kept = [self.disk.durable.get(name) for name in FILES]
+        kept = [self.disk.durable.get(name) for name in VOTE_FILES]
         votes = (elector.vote.to_wire(), elector.is_first_start, kept)
         durable = self._durable_form()
         return super().form(memory, log_caches, durable, self.disk.is_held, self.disks, votes)
--- a/proving/points/configuration.py
+++ b/proving/points/configuration.py
@@ -4,7 +4,7 @@
 
 from proving.points.scenario_fleet import Stage
 from quillring.quorum import commands
-from quillring.quorum.parts import CONFIG
+from quillring.quorum.parts import CONFIG_PART
 from quillring.rollout import schema
 from quillring.rollout.freshness import Freshness
 
@@ -20,7 +20,7 @@
         "base_version": version,
         "change": change,
     }
-    coroutine = node.find("ownership").submit(CONFIG, command)
+    coroutine = node.find("ownership").submit(CONFIG_PART, command)
     answer, error = stage.finish(stage.start(stage.sim.run_script(node, coroutine)), seconds)
     if answer:
         stage.monitor.accept(answer["version"])
@@ -85,7 +85,7 @@
             "base_version": 1,
             "change": {"entries": {f"race-{number}": route}},
         }
-        coroutine = node.find("ownership").submit(CONFIG, command)
+        coroutine = node.find("ownership").submit(CONFIG_PART, command)
         tasks.append(stage.start(stage.sim.run_script(node, coroutine)))
     outcomes = [stage.finish(task) for task in tasks]
     stage.run(3)
--- a/proving/points/isolated_cores_and_slow_disks.py
+++ b/proving/points/isolated_cores_and_slow_disks.py
@@ -5,7 +5,7 @@
 from quillring.kernel.errors import Refused
 from quillring.ownership import Ownership
 from quillring.ownership.part_client import PartClient
-from quillring.quorum.parts import CONFIG
+from quillring.quorum.parts import CONFIG_PART
 
 CUT_SECONDS = 20
 TRY_SECONDS = 0.8
@@ -42,7 +42,7 @@
     def read(self, due_version):
         """Process: read the configuration; an older one than was due is a violation."""
         begun_at, node = self.stage.env.now, self.stage.node(self.name)
-        coroutine = node.find("ownership").read(CONFIG, {"ask": "layout"}, TRY_SECONDS)
+        coroutine = node.find("ownership").read(CONFIG_PART, {"ask": "layout"}, TRY_SECONDS)
         answer, error = yield from self.stage.sim.run_script(node, coroutine)
         self.note("read", begun_at, error)
         if answer is not None and answer["version"] < due_version:
@@ -61,7 +61,7 @@
             "base_version": base_version,
             "change": {"entries": {name: {"service": "words", "class": "traveller"}}},
         }
-        coroutine = node.find("ownership").submit(CONFIG, command, TRY_SECONDS)
+        coroutine = node.find("ownership").submit(CONFIG_PART, command, TRY_SECONDS)
         answer, error = yield from self.stage.sim.run_script(node, coroutine)
         self.note("change", begun_at, error)
         if answer is not None:
@@ -82,7 +82,7 @@
 def control_machine(stage):
     """Return the core that owns the configuration and one of its stores."""
     owner = stage.node("edge-1").find("gossip").get("owner/config")["owner"]
-    stores = stage.node(owner).find("ownership").group(CONFIG)
+    stores = stage.node(owner).find("ownership").group(CONFIG_PART)
     return [owner, stores[0][0]]
 
 
@@ -114,7 +114,7 @@
     """Return how long after the cut the machine answers a read again."""
     healed_at, node = stage.env.now, stage.node(calls.name)
     while stage.env.now - healed_at < 10:
-        coroutine = node.find("ownership").read(CONFIG, {"ask": "layout"}, TRY_SECONDS)
+        coroutine = node.find("ownership").read(CONFIG_PART, {"ask": "layout"}, TRY_SECONDS)
         answer, _ = stage.finish(stage.start(stage.sim.run_script(node, coroutine)))
         if answer is not None:
             return round(stage.env.now - healed_at, 2)
--- a/proving/points/lots.py
+++ b/proving/points/lots.py
@@ -12,7 +12,7 @@
 from quillring.quorum import acceptor, commands
 from quillring.quorum.identity import WrongIdentity
 from quillring.quorum.leader import part_leader, quorum_call
-from quillring.quorum.parts import CONFIG
+from quillring.quorum.parts import CONFIG_PART
 from quillring.rollout.freshness import Freshness
 from quillring.store import checkpointed_log
 
@@ -183,7 +183,7 @@
     stage.run(0.5)
     node = stage.sim.start("store-1")
     stage.run(0.5)
-    body = {"part": CONFIG, "ballot": [99, "core-9"], "identity": identity}
+    body = {"part": CONFIG_PART, "ballot": [99, "core-9"], "identity": identity}
     call = stage.node("core-1").call("store-1", "quorum.prepare", body)
     _, error = stage.finish(stage.start(stage.sim.run_script(stage.node("core-1"), call)))
     if not isinstance(error, WrongIdentity):
--- a/proving/points/many_configurations.py
+++ b/proving/points/many_configurations.py
@@ -4,7 +4,7 @@
 
 from proving.sim.many_changes import ManyChanges, frozen_store, new_owner, restarted_store
 from quillring.quorum.leader.anti_entropy import AntiEntropy
-from quillring.quorum.parts import CONFIG
+from quillring.quorum.parts import CONFIG_PART
 
 CHANGES = 120
 
@@ -26,7 +26,7 @@
         if owner is None or owner.state["layout"]["edition"] != number + CHANGES:
             fleet.sim.history.violate(f"{case.__name__}: an owner leads with an old state")
     nodes = [fleet.sim.nodes[name] for name in fleet.group()]
-    states = {cbor2.dumps(n.find("acceptors").parts[CONFIG].state) for n in nodes}
+    states = {cbor2.dumps(n.find("acceptors").parts[CONFIG_PART].state) for n in nodes}
     if len(states) != 1:
         fleet.sim.history.violate("the stores hold different states")
     return violations, figures
--- a/proving/points/reads.py
+++ b/proving/points/reads.py
@@ -8,7 +8,7 @@
 from quillring.ownership import part_client
 from quillring.plans.api import confirm, propose, show_one
 from quillring.plans.runner import PlanRunner
-from quillring.quorum.parts import CONFIG
+from quillring.quorum.parts import CONFIG_PART
 from quillring.rollout import Freshness
 from quillring.rollout.snapshot import ConfigurationSnapshot
 
@@ -81,7 +81,7 @@
         stage.start(asked(propose, "POST", {}, {"kind": "empty_domain", "target": zone}))
     )
     name = plan["plan"]
-    owner_name = stage.node("edge-1").find("gossip").get(f"owner/{CONFIG}")["owner"]
+    owner_name = stage.node("edge-1").find("gossip").get(f"owner/{CONFIG_PART}")["owner"]
     stage.finish(
         stage.start(
             asked(confirm, "POST", {"plan": name}, {"accept": ["less_room"], "id": "operator"})
--- a/proving/points/removed_members.py
+++ b/proving/points/removed_members.py
@@ -10,7 +10,7 @@
 from quillring.quorum.acceptor import Acceptors
 from quillring.quorum.founding import bootstrap
 from quillring.quorum.founding.bootstrap import found_at_first_start
-from quillring.quorum.parts import CONFIG, majority
+from quillring.quorum.parts import CONFIG_PART, majority
 from quillring.rollout import Freshness
 
 SIX_STORES = {
@@ -29,15 +29,15 @@
         return False if is_lost else real_publish(self, key, version, value)
 
     with mock.patch.object(Gossip, "publish", publish):
-        left = members(stage, CONFIG)[1:]
+        left = members(stage, CONFIG_PART)[1:]
         for store in left:
             adopt(stage, "core-1", {"stores": {store: {"retired": True}}})
-            wait_for(stage, lambda s=store: members(stage, CONFIG) and s not in owned(stage))
+            wait_for(stage, lambda s=store: members(stage, CONFIG_PART) and s not in owned(stage))
         stage.run(1)
         was_fresh = edge.find("freshness").is_fresh()
         sim.cut(["edge-1", *left], names_but(stage, "edge-1", *left))
         stage.run(4)
-        asker = owner_of(stage, CONFIG).node.me.name
+        asker = owner_of(stage, CONFIG_PART).node.me.name
         answer, error = adopt(stage, asker, {"domains": {"north": {"emptied": True}}})
         stage.run(1)
         is_fresh = edge.find("freshness").is_fresh()
@@ -48,7 +48,7 @@
 
 def owned(stage):
     """Return the members of the config part."""
-    return members(stage, CONFIG)
+    return members(stage, CONFIG_PART)
 
 
 def is_fresh_by_heard_group(self):
@@ -58,7 +58,7 @@
         self.node.now() - self.node.bounds.configuration_freshness,
     )
     try:
-        group = self.node.find("ownership").group(CONFIG)
+        group = self.node.find("ownership").group(CONFIG_PART)
     except NotFounded:
         return False
     good = [
@@ -71,7 +71,7 @@
 
 def stamp_of_any(self):
     """Stand-in for the guard: a store that was removed goes on giving its stamp."""
-    record = self.parts.get(CONFIG)
+    record = self.parts.get(CONFIG_PART)
     if record is None or record.state is None:
         return None
     return [list(record.promised), record.committed, self.identity]
@@ -89,7 +89,7 @@
     sim.env.run(until=20)
     node = sim.nodes["core-2"]
     command = {"do": "domain.mark", "domain": "north", "emptied": True}
-    coroutine = node.find("ownership").submit(CONFIG, command, 3)
+    coroutine = node.find("ownership").submit(CONFIG_PART, command, 3)
     task = sim.env.process(sim.run_script(node, coroutine))
     sim.env.run(until=24)
     sim.heal()
--- a/proving/sim/fleet.py
+++ b/proving/sim/fleet.py
@@ -170,7 +170,7 @@
     def found(self):
         """Process: found the fleet and adopt the example layout."""
         from quillring.quorum.founding.founding import found_fleet
-        from quillring.quorum.parts import CONFIG
+        from quillring.quorum.parts import CONFIG_PART
 
         while True:
             yield self.env.timeout(0.5)
@@ -187,7 +187,7 @@
         }
         while True:
             answer, error = yield from self.run_script(
-                node, node.find("ownership").submit(CONFIG, command)
+                node, node.find("ownership").submit(CONFIG_PART, command)
             )
             if error is None:
                 break
--- a/proving/sim/many_changes.py
+++ b/proving/sim/many_changes.py
@@ -16,7 +16,7 @@
 from quillring.fleet import open_store
 from quillring.kernel.bounds import Bounds
 from quillring.quorum.founding.bootstrap import found_at_first_start
-from quillring.quorum.parts import CONFIG, GROUP_SIZE
+from quillring.quorum.parts import CONFIG_PART, GROUP_SIZE
 
 READY_AT = 8
 STEP = 0.01
@@ -60,7 +60,7 @@
         node, taken = self.sim.nodes[core], 0
         for _ in range(count):
             command = self.configuration()
-            coroutine = node.find("ownership").submit(CONFIG, command, PATIENCE)
+            coroutine = node.find("ownership").submit(CONFIG_PART, command, PATIENCE)
             task = self.env.process(self.sim.run_script(node, coroutine))
             self.env.run(until=task)
             taken += task.value[1] is None
@@ -100,9 +100,9 @@
     def owner(self):
         """Return the owner of the configuration with the highest term, or None."""
         owners = [
-            node.find("ownership").leaders[CONFIG]
+            node.find("ownership").leaders[CONFIG_PART]
             for node in self.sim.up_nodes("core")
-            if CONFIG in node.find("ownership").leaders
+            if CONFIG_PART in node.find("ownership").leaders
         ]
         return max((o for o in owners if o.is_leader), key=lambda o: o.ballot, default=None)
 
@@ -116,7 +116,7 @@
 
     def is_in_step(self, store):
         """Tell whether a store of the group has applied the newest configuration."""
-        record = self.sim.nodes[store].find("acceptors").parts.get(CONFIG)
+        record = self.sim.nodes[store].find("acceptors").parts.get(CONFIG_PART)
         if record is None or record.state is None:
             return False
         return (record.state["layout"] or {}).get("edition") == self.number
--- a/proving/sim/operators.py
+++ b/proving/sim/operators.py
@@ -1,7 +1,7 @@
 """Operators of a simulated run: they change the configuration, race, and submit invalid ones."""
 
 from quillring.kernel.errors import Conflict
-from quillring.quorum.parts import CONFIG
+from quillring.quorum.parts import CONFIG_PART
 
 
 class Operators:
@@ -19,7 +19,7 @@
             "change": change,
         }
         answer, error = yield from sim.run_script(
-            node, node.find("ownership").submit(CONFIG, command)
+            node, node.find("ownership").submit(CONFIG_PART, command)
         )
         if answer:
             self.monitor.accept(answer["version"])
--- a/proving/sim/quorum_fuzz.py
+++ b/proving/sim/quorum_fuzz.py
@@ -9,7 +9,7 @@
 from proving.sim.fleet import SimFleet
 from proving.sim.monitor import Monitor
 from quillring.kernel.errors import DiskError
-from quillring.quorum.parts import CONFIG
+from quillring.quorum.parts import CONFIG_PART
 
 SIZES = {"sizes": {"edge": 1, "core": 3, "store": 6}, "replicas": []}
 HEAL_AT, END_AT = 40.0, 62.0
@@ -117,7 +117,7 @@
                     "change": {"stores": {store: row}},
                 }
                 answer, _ = yield from sim.run_script(
-                    node, node.find("ownership").submit(CONFIG, command, 3)
+                    node, node.find("ownership").submit(CONFIG_PART, command, 3)
                 )
                 if answer:
                     self.monitor.accept(answer["version"])
--- a/proving/sim/repair_time.py
+++ b/proving/sim/repair_time.py
@@ -14,7 +14,7 @@
 from quillring.quorum import snapshot_chunks
 from quillring.quorum.founding.bootstrap import found_at_first_start
 from quillring.quorum.leader import catch_up
-from quillring.quorum.parts import CONFIG
+from quillring.quorum.parts import CONFIG_PART
 
 SCALE = 16
 MEBIBYTE = 1 << 20
@@ -38,7 +38,7 @@
         self.sim.env.run(until=READY_AT / 2)
         node = self.sim.nodes["core-1"]
         command = {"do": "domain.mark", "domain": "none", "emptied": False}
-        coroutine = node.find("ownership").submit(CONFIG, command)
+        coroutine = node.find("ownership").submit(CONFIG_PART, command)
         self.sim.env.process(self.sim.run_script(node, coroutine))
         self.sim.env.run(until=READY_AT)
         self.fill(mebibytes * MEBIBYTE // SCALE)
@@ -62,9 +62,9 @@
             record
             for node in self.sim.up_nodes("store")
             for part, record in node.find("acceptors").parts.items()
-            if part != CONFIG
+            if part != CONFIG_PART
         ]
-        machines = [owner.machine for part, owner in self.owners().items() if part != CONFIG]
+        machines = [owner.machine for part, owner in self.owners().items() if part != CONFIG_PART]
         for holder in [*records, *machines]:
             holder.state = {**holder.state, "ballast": ballast}
 
--- a/quillring/classes/quota_client.py
+++ b/quillring/classes/quota_client.py
@@ -8,7 +8,7 @@
 from quillring.kernel.effects import Sleep
 from quillring.kernel.errors import NotFounded, QuillringError
 from quillring.kernel.records import NamedTuple
-from quillring.quorum.parts import part_of
+from quillring.quorum.parts import part_for_key
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
@@ -60,7 +60,7 @@
         """Request the quota from the core that leads the service's part; skip on any error."""
         ownership, bounds = self.node.find("ownership"), self.node.bounds
         try:
-            part = part_of(service, len(ownership.parts()) - 1)
+            part = part_for_key(service, len(ownership.parts()) - 1)
         except NotFounded:
             return
         leader = ownership.known_leader(part)
--- a/quillring/classes/quota_server.py
+++ b/quillring/classes/quota_server.py
@@ -13,7 +13,7 @@
 from quillring.kernel.errors import NotLeader
 from quillring.kernel.records import NamedTuple
 from quillring.nifty.graph import score
-from quillring.quorum.parts import part_of
+from quillring.quorum.parts import part_for_key
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -77,7 +77,7 @@
         request = QuotaRequest.from_wire(body)
         service, held_slots = request.service, dict(request.held_cold_slots)
         ownership = self.node.find("ownership")
-        part = part_of(service, len(ownership.parts()) - 1)
+        part = part_for_key(service, len(ownership.parts()) - 1)
         leader = ownership.leaders.get(part)
         if leader is None or not leader.has_lease():
             raise NotLeader(part=part)
--- a/quillring/lots/http_requests/lot_placement.py
+++ b/quillring/lots/http_requests/lot_placement.py
@@ -7,7 +7,7 @@
 from quillring.kernel.errors import NotFound
 from quillring.kernel.records import NamedTuple
 from quillring.lots.http_requests.lot_table import HELD_LIMIT_BYTES
-from quillring.quorum.parts import part_of
+from quillring.quorum.parts import part_for_key
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -56,7 +56,7 @@
 def place_of_lot(node: Node, host: str, lot_name: str) -> LotPlacement:
     """Return the placement of a host's lot; raise NotFounded while the fleet is not founded."""
     count, key = count_parts(node), lot_key(host, lot_name)
-    return LotPlacement(key, part_of(key, count), part_of(bare_host(host), count))
+    return LotPlacement(key, part_for_key(key, count), part_for_key(bare_host(host), count))
 
 
 def held_limit_of_part(node: Node) -> int:
--- a/quillring/lots/prompts/api.py
+++ b/quillring/lots/prompts/api.py
@@ -18,7 +18,7 @@
     QueryStatus,
     ReleaseLot,
 )
-from quillring.quorum.parts import part_of
+from quillring.quorum.parts import part_for_key
 
 if TYPE_CHECKING:
     from quillring.kernel.node import Node
@@ -60,7 +60,7 @@
     route, service, _promise = node.find("layout").route(request.body["entry"])
     if service["kind"] != "model":
         raise BadRequest(field="entry", faults=[{"field": "entry", "fault": "not a model"}])
-    part = part_of(route["service"], len(node.find("ownership").parts()) - 1)
+    part = part_for_key(route["service"], len(node.find("ownership").parts()) - 1)
     random_key = f"{node.runtime.random.getrandbits(96):024x}"
     key = request.body.get("key") or random_key
     command = AcceptLot(
--- a/quillring/plans/api.py
+++ b/quillring/plans/api.py
@@ -16,7 +16,7 @@
     read_plan_query,
 )
 from quillring.plans.planner import INTENTS, FleetView, NodePlace, ReplicaLoad, make_plan
-from quillring.quorum.parts import CONFIG
+from quillring.quorum.parts import CONFIG_PART
 from quillring.rollout.messages import READ_CONFIGURATION, CurrentConfiguration
 
 if TYPE_CHECKING:
@@ -75,27 +75,27 @@
     """
     check_body(INTENT, request.body)
     ownership = node.find("ownership")
-    answer = yield from ownership.read(CONFIG, READ_CONFIGURATION)
+    answer = yield from ownership.read(CONFIG_PART, READ_CONFIGURATION)
     current = CurrentConfiguration.from_wire(answer)
     if current.configuration is None:
         raise NotFound(field="layout")
     plan = make_plan(view_fleet(node, current.version, current.configuration), request.body)
     name = f"{node.runtime.random.getrandbits(48):012x}"
     command = ProposePlan(name, plan.to_state()).to_wire()
-    return (yield from ownership.submit(CONFIG, command))
+    return (yield from ownership.submit(CONFIG_PART, command))
 
 
 @route("GET", "/v1/plans")
 def show_all(node: Node, request: Request) -> Coroutine:
     """Return all kept plans."""
-    return (yield from node.find("ownership").read(CONFIG, READ_PLANS))
+    return (yield from node.find("ownership").read(CONFIG_PART, READ_PLANS))
 
 
 @route("GET", "/v1/plans/{plan}")
 def show_one(node: Node, request: Request) -> Coroutine:
     """Return one plan with its progress."""
     query = read_plan_query(request.words["plan"])
-    return (yield from node.find("ownership").read(CONFIG, query))
+    return (yield from node.find("ownership").read(CONFIG_PART, query))
 
 
 @route("POST", "/v1/plans/{plan}/confirm")
@@ -105,11 +105,11 @@
     check_body(CONFIRM, body)
     command_id = body.get("id") or f"{node.runtime.random.getrandbits(96):024x}"
     command = ConfirmPlan(request.words["plan"], body.get("accept", []), command_id)
-    return (yield from node.find("ownership").submit(CONFIG, command.to_wire()))
+    return (yield from node.find("ownership").submit(CONFIG_PART, command.to_wire()))
 
 
 @route("POST", "/v1/plans/{plan}/stop")
 def stop(node: Node, request: Request) -> Coroutine:
     """Stop a plan between two steps."""
     command = StopPlan(request.words["plan"])
-    return (yield from node.find("ownership").submit(CONFIG, command.to_wire()))
+    return (yield from node.find("ownership").submit(CONFIG_PART, command.to_wire()))
--- a/quillring/plans/runner.py
+++ b/quillring/plans/runner.py
@@ -8,7 +8,7 @@
 from quillring.kernel.errors import QuillringError
 from quillring.kernel.registry import Registry
 from quillring.plans.messages import RUNNING, CompleteStep, KeptPlan, WaitStep
-from quillring.quorum.parts import CONFIG
+from quillring.quorum.parts import CONFIG_PART
 
 if TYPE_CHECKING:
     from quillring.kernel.node import Node
@@ -74,7 +74,7 @@
         """Execute the next step of every running plan, once every heartbeat interval."""
         while True:
             yield Sleep(self.node.bounds.heartbeat_interval)
-            leader = self.node.find("ownership").leaders.get(CONFIG)
+            leader = self.node.find("ownership").leaders.get(CONFIG_PART)
             if leader is None or not leader.has_lease():
                 continue
             for name, plan in list(leader.state.get("plans", {}).items()):
--- a/quillring/quorum/acceptor/acceptor.py
+++ b/quillring/quorum/acceptor/acceptor.py
@@ -19,7 +19,7 @@
 from quillring.quorum.acceptor.snapshot_rows import load_rows, load_single_value, to_rows
 from quillring.quorum.acceptor.snapshot_transfer import SnapshotTransfer
 from quillring.quorum.acceptor.state import AcceptorState
-from quillring.quorum.commands import answer_query, first_state
+from quillring.quorum.commands import answer_query, initial_state
 from quillring.quorum.identity import WrongIdentity
 from quillring.quorum.messages import (
     BRIEF_WITHOUT_BATCHES,
@@ -36,7 +36,7 @@
     PrepareRequest,
     QueryAnswer,
 )
-from quillring.quorum.parts import CONFIG
+from quillring.quorum.parts import CONFIG_PART
 from quillring.quorum.values import group_from_wire
 
 if TYPE_CHECKING:
@@ -103,7 +103,7 @@
         if acceptor.state is None:
             return
         gossip = self.node.find("gossip")
-        if part == CONFIG:
+        if part == CONFIG_PART:
             self.node.find("layout").update(acceptor.applied, acceptor.state)
         elif gossip.get(f"group/{part}") != acceptor.state["group"]:
             gossip.publish(f"group/{part}", [acceptor.applied], acceptor.state["group"])
@@ -146,7 +146,7 @@
             if any(member.identity == self.identity for member in group_from_wire(group)):
                 acceptor = self.parts.setdefault(part, AcceptorState())
                 if acceptor.state is None:
-                    acceptor.state = first_state(group)
+                    acceptor.state = initial_state(group)
 
     def _drop_hints(self, target: str, count: int) -> None:
         left_hints = self.hints.get(target, [])[count:]
@@ -320,7 +320,7 @@
 
         None if this store is no member of that part, or while writes to its disk fail.
         """
-        acceptor = self.parts.get(CONFIG)
+        acceptor = self.parts.get(CONFIG_PART)
         if acceptor is None or self.log.error is not None:
             return None
         if not acceptor.has_member(self.identity):
--- a/quillring/quorum/acceptor/snapshot_rows.py
+++ b/quillring/quorum/acceptor/snapshot_rows.py
@@ -14,7 +14,7 @@
     ChunkOffset,
     PartialState,
     StateBuilder,
-    put_row,
+    add_row,
     state_rows,
 )
 from quillring.quorum.values import Ballot
@@ -73,18 +73,20 @@
     part: str
     ballot: Ballot
     log_index: int
-    rest: bytes
+    incomplete_row: bytes
     offset: ChunkOffset
 
     @classmethod
     def from_disk(cls, part: str, fields: Sequence[Any]) -> IncomingRow:
         """Read the fields of the row."""
-        ballot, index, (_, rest, offset) = fields
-        return cls(part, Ballot.from_wire(ballot), index, rest, ChunkOffset.from_wire(offset))
+        ballot, index, (_, incomplete_row, offset) = fields
+        return cls(
+            part, Ballot.from_wire(ballot), index, incomplete_row, ChunkOffset.from_wire(offset)
+        )
 
     def to_disk(self) -> list[Any]:
         """Return the row in its form on disk."""
-        partial = [{}, self.rest, self.offset.to_wire()]
+        partial = [{}, self.incomplete_row, self.offset.to_wire()]
         return [INCOMING, self.part, [self.ballot.to_wire(), self.log_index, partial]]
 
 
@@ -98,7 +100,9 @@
         rows.extend([PART_STATE, part, *fields] for fields in state_rows(acceptor.state or {}))
     for part, incoming in acceptors.snapshot_transfer.incoming.items():
         partial = incoming.builder.to_partial()
-        row = IncomingRow(part, incoming.ballot, incoming.index, partial.rest, partial.offset)
+        row = IncomingRow(
+            part, incoming.ballot, incoming.index, partial.incomplete_row, partial.offset
+        )
         rows.append(row.to_disk())
         rows.extend([INCOMING_STATE, part, *fields] for fields in state_rows(partial.sections))
     return rows
@@ -140,13 +144,13 @@
         elif kind == PART_STATE:
             acceptor = self.parts[name]
             acceptor.state = acceptor.state or {}
-            put_row(acceptor.state, fields)
+            add_row(acceptor.state, fields)
         elif kind == INCOMING:
             (incoming,) = fields
             self.incoming[name] = IncomingRow.from_disk(name, incoming)
             self.sections[name] = {}
         elif kind == INCOMING_STATE:
-            put_row(self.sections[name], fields)
+            add_row(self.sections[name], fields)
 
     def incoming_snapshots(self) -> dict[str, IncomingSnapshot]:
         """Return {part: the snapshot that was being received from its leader}."""
@@ -154,7 +158,9 @@
             part: IncomingSnapshot(
                 row.ballot,
                 row.log_index,
-                StateBuilder.from_partial(PartialState(self.sections[part], row.rest, row.offset)),
+                StateBuilder.from_partial(
+                    PartialState(self.sections[part], row.incomplete_row, row.offset)
+                ),
             )
             for part, row in self.incoming.items()
         }
--- a/quillring/quorum/acceptor/snapshot_transfer.py
+++ b/quillring/quorum/acceptor/snapshot_transfer.py
@@ -106,7 +106,7 @@
         """
         request = EntriesRequest.from_wire(body)
         acceptor, _ = self._founded(request.part)
-        return acceptor.log_cache.since(request.after, CHUNK_BYTES)
+        return acceptor.log_cache.entries_after(request.after, CHUNK_BYTES)
 
     def on_accepted(self, body: WireMap, origin: str) -> list[Any]:
         """Return the entry accepted at an index, with its ballot; raises NotFounded without one."""
--- a/quillring/quorum/commands.py
+++ b/quillring/quorum/commands.py
@@ -1,4 +1,4 @@
-"""The commands and queries of the replicated state machine: pure functions in registries."""
+"""Registries of the commands and queries of the replicated state machine, all pure functions."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 QUERIES = Registry("query")
 
 
-def first_state(group: WireGroup) -> PartState:
-    """Return the state of a part that was just founded."""
+def initial_state(group: WireGroup) -> PartState:
+    """Return the state of a part to which no command was applied, replicated by `group`."""
     return {"group": group, "lots": {}, "layout": None, "version": 0}
 
 
 def apply_batch(state: PartState, batch: Batch) -> tuple[PartState, list[Any]]:
-    """Return (new state, answers); a refused command changes nothing, its answer is the error.
+    """Apply the commands of one log entry; return the new state and one answer per command.
 
-    One batch is one entry of the log. In it at most one store may join the group and at most one
-    may leave, so that one step can replace a member; `quorum.leader.membership_change` explains why
-    that is safe.
+    A rejected command leaves the state unchanged, and its answer is the error. Within one entry at
+    most one store may join the group and at most one may leave, which is enough to replace a member
+    in one step; `quorum.leader.membership_change` explains why that is safe.
     """
     answers: list[Any] = []
     first_group: Any = state.get("group")
@@ -48,7 +48,7 @@
 
 
 def is_one_swap(group: WireGroup, next_group: WireGroup) -> bool:
-    """Return whether at most one store joins and at most one leaves from one group to the next."""
+    """Return whether `next_group` adds at most one store to `group` and removes at most one."""
     if group == next_group:
         return True
     old_members, new_members = {tuple(s) for s in group}, {tuple(s) for s in next_group}
@@ -56,7 +56,7 @@
 
 
 def answer_query(state: PartState, query: WireMap) -> list[Any]:
-    """Return [None, answer] of a query, or [the error's kind, its detail]."""
+    """Answer a query from a state; return [None, answer], or [error kind, error detail]."""
     try:
         return [None, QUERIES.find(query["ask"])(state, query)]
     except QuillringError as error:
@@ -64,14 +64,14 @@
 
 
 class BadCommand(QuillringError):
-    """A malformed command; it changes nothing, deterministically at every replica."""
+    """A malformed command; every replica rejects it and leaves its state unchanged."""
 
     kind = "bad_command"
 
 
 @COMMANDS.entry("group.change")
 def change_group(state: PartState, command: WireMap) -> tuple[PartState, WireMap]:
-    """Add one store to the part's group or remove one; raises QuillringError for other changes."""
+    """Add one store to the part's group, or remove one; raises QuillringError for other changes."""
     old_names = {tuple(store) for store in state["group"]}
     new_names = {tuple(store) for store in command["group"]}
     if len(old_names ^ new_names) != 1:
--- a/quillring/quorum/disk_health.py
+++ b/quillring/quorum/disk_health.py
@@ -1,4 +1,4 @@
-"""Gossip about stores whose disk writes fail: leaders replace them like unreachable stores."""
+"""Gossip of disk failures, so that leaders replace the stores whose disk writes fail."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class DiskReport(NamedTuple):
-    """A store's report about its own disk, valid for one incarnation."""
+    """A store's report about its own disk; it is valid only for the given incarnation."""
 
     incarnation: int
     is_failing: bool
@@ -34,7 +34,7 @@
 
 
 class DiskHealth:
-    """Publishes when this store's disk begins to fail and when it works again.
+    """Publishes a report when this store's disk begins to fail, and when it has recovered.
 
     Owns the gossip key `disk/<store>`.
     """
@@ -48,7 +48,7 @@
         self.sequence = 0
 
     def run(self) -> Coroutine:
-        """Check the disk twice per heartbeat interval and publish each change; endless."""
+        """Check the disk twice per heartbeat interval and publish each change; never returns."""
         while True:
             yield Sleep(self.node.bounds.heartbeat_interval / 2)
             is_failing = self.log.error is not None
@@ -59,17 +59,19 @@
     def _publish(self) -> None:
         self.sequence += 1
         me = self.node.me
-        self.node.log("warning", "disk of %s: %s", me.name, self.log.error or "takes data again")
+        self.node.log(
+            "warning", "disk of %s: %s", me.name, self.log.error or "writes succeed again"
+        )
         report = DiskReport(me.incarnation, self.is_failing)
         version = [me.incarnation, self.sequence]
         self.node.find("gossip").publish(f"disk/{me.name}", version, report.to_wire())
 
 
 def is_disk_failing(node: Node, name: str) -> bool:
-    """Return whether a store reported under its present incarnation that its disk fails."""
-    news = node.find("gossip").get(f"disk/{name}")
+    """Return whether a store reported a failing disk under its current incarnation."""
+    report_fields = node.find("gossip").get(f"disk/{name}")
     member = node.find("nifty").roster.members.get(name)
-    if news is None or member is None:
+    if report_fields is None or member is None:
         return False
-    report = DiskReport.from_wire(news)
+    report = DiskReport.from_wire(report_fields)
     return report.is_failing and report.incarnation == member.incarnation
--- a/quillring/quorum/founding/__init__.py
+++ b/quillring/quorum/founding/__init__.py
@@ -1,4 +1,4 @@
-"""Founding (bootstrap): the groups of all parts are chosen once, at the fleet's first start."""
+"""Founding (bootstrap): chooses the groups of all parts, once, at the first start of the fleet."""
 
 from quillring.quorum.founding.bootstrap import found_at_first_start
 from quillring.quorum.founding.founding import found_fleet
--- a/quillring/quorum/founding/bootstrap.py
+++ b/quillring/quorum/founding/bootstrap.py
@@ -1,4 +1,4 @@
-"""The first start of a fleet: the first seed founds it; later seeds try in turn if it fails."""
+"""The first start of a fleet: the first seed founds it, and the other seeds stand by in turn."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from quillring.kernel.errors import QuillringError
 from quillring.quorum.founding.founding import found_fleet, roster_stores
 from quillring.quorum.founding.founding_vote import agree_on_founding
-from quillring.quorum.parts import GROUP_SIZE, is_enough
+from quillring.quorum.parts import GROUP_SIZE, can_survive_zone_loss
 
 if TYPE_CHECKING:
     from quillring.kernel.node import Node
     from quillring.kernel.types import Coroutine
     from quillring.quorum.values import GroupMember
 
-STEADY_HEARTBEATS = 2
-TURN_HEARTBEATS = 8
+ROSTER_STABLE_HEARTBEATS = 2
+SEED_TURN_HEARTBEATS = 8
 
 
 def found_at_first_start(
@@ -24,10 +24,12 @@
 ) -> Coroutine:
     """Found the fleet at its first start, once the set of reachable stores is stable.
 
-    `size` is how many stores replicate each part. The first seed tries at once, each later one
-    after another turn of TURN_HEARTBEATS heartbeats without a founding. A majority of the seeds has
-    to agree on the record, so that two sides of a partition cannot both found. With too few stores
-    or zones for the size, it takes the largest odd number of stores up to it, after a further turn.
+    `size` is the number of stores that replicate each part. The first seed tries at once; each
+    later seed waits for one more turn of SEED_TURN_HEARTBEATS heartbeat intervals, and tries if the
+    fleet is still not founded. A majority of the seeds must agree on the founding record, so that
+    the two sides of a partition cannot both found a fleet. If there are too few stores or zones for
+    groups of `size`, the seed waits for a further turn and then uses the largest odd number of
+    reachable stores, at most `size`.
     """
     voter = node.find("elector")
     voter.is_first_start = is_first_start
@@ -35,42 +37,45 @@
         return
     node.spawn(voter.register_first_start())
     gossip, bounds = node.find("gossip"), node.bounds
-    turn_seconds = bounds.heartbeat_interval * TURN_HEARTBEATS
-    steady_seconds = bounds.heartbeat_interval * STEADY_HEARTBEATS
-    own_time = node.now() + turn_seconds * seed_position(node)
+    turn_seconds = bounds.heartbeat_interval * SEED_TURN_HEARTBEATS
+    stable_seconds = bounds.heartbeat_interval * ROSTER_STABLE_HEARTBEATS
+    turn_at = node.now() + turn_seconds * seed_position(node)
     names: tuple[str, ...] = ()
-    steady_since = node.now()
+    stable_since = node.now()
     while gossip.get("founding") is None:
         yield Sleep(bounds.gossip_interval * 2)
         stores, now = reachable_stores(node), node.now()
-        known_names = tuple(store.name for store in stores)
-        if known_names != names:
-            names, steady_since = known_names, now
-        if now < own_time or now - steady_since < steady_seconds or not stores:
+        store_names = tuple(store.name for store in stores)
+        if store_names != names:
+            names, stable_since = store_names, now
+        if now < turn_at or now - stable_since < stable_seconds or not stores:
             continue
-        if is_enough([store.zone for store in stores], size) or now >= own_time + turn_seconds:
-            wanted_size = min(size, _largest_odd(len(stores)))
+        if (
+            can_survive_zone_loss([store.zone for store in stores], size)
+            or now >= turn_at + turn_seconds
+        ):
+            group_size = min(size, _largest_odd(len(stores)))
             try:
-                yield from found_fleet(node, part_count, wanted_size, stores, agree_on_founding)
+                yield from found_fleet(node, part_count, group_size, stores, agree_on_founding)
             except QuillringError as error:
                 node.log("warning", "founding: %s", error)
 
 
 def _largest_odd(count: int) -> int:
-    """Return the largest odd number up to a count of one or more."""
+    """Return the largest odd number that is at most `count`, which must be positive."""
     return (count + 1) // 2 * 2 - 1
 
 
 def seed_position(node: Node) -> int:
     """Return the position of this node among the seeds sorted by address; non-seeds come last.
 
-    They are sorted because each node's settings may list the seeds in another order.
+    The seeds are sorted because the settings of each node may list them in a different order.
     """
     seeds = sorted({tuple(seed) for seed in node.find("nifty").seeds})
     return seeds.index(node.me.address) if node.me.address in seeds else len(seeds)
 
 
 def reachable_stores(node: Node) -> list[GroupMember]:
-    """Return the reachable stores of the roster."""
+    """Return the stores of the roster that this node reaches."""
     nifty = node.find("nifty")
     return [store for store in roster_stores(node) if nifty.reaches(store.name)]
--- a/quillring/quorum/founding/founding.py
+++ b/quillring/quorum/founding/founding.py
@@ -1,4 +1,4 @@
-"""Founding: one idempotent step that chooses the stores of every part, once per fleet."""
+"""Founding: an idempotent operation that chooses the stores of every part, once per fleet."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from quillring.kernel.errors import Conflict, NoMajority, QuillringError, Refused
 from quillring.quorum.messages import FoundRequest
-from quillring.quorum.parts import GROUP_SIZE, choose_group, is_enough, part_names
+from quillring.quorum.parts import GROUP_SIZE, can_survive_zone_loss, choose_group, part_names
 from quillring.quorum.values import GroupMember, group_to_wire
 
 if TYPE_CHECKING:
@@ -23,32 +23,33 @@
     stores: list[GroupMember] | None = None,
     choose: Callable[[Node, WireMap], Coroutine] | None = None,
 ) -> Coroutine:
-    """Found the fleet on the stores of the roster, or finish a founding begun before.
+    """Found the fleet on the stores of the roster, or complete a founding that was interrupted.
 
-    All stores are asked first for a founding record that they have. Then the first store is
-    asked alone to take the record: of two concurrent founders the one whose record it takes has
-    won, and the other carries on with the winner's record. With `stores` given, the groups are
-    chosen from these, spread over as many zones as they are in. With `choose` (coroutine of node
-    and record that returns the record agreed on), that record is founded and no other.
+    First asks all stores for an existing founding record, and proposes a new one if there is none.
+    By default the first store decides between concurrent founders: it stores the first record that
+    it receives, and a founder whose record it rejects continues with the stored one. With `choose`,
+    a coroutine function that takes the node and the proposed record and returns the record agreed
+    on, that record is used instead. The record is then stored at all stores. With `stores`, the
+    groups are chosen from these, spread over the zones that they are in.
 
-    Raises Refused when the stores are too few or in too few zones, NoMajority when a store did not
-    take the record (call again to finish), or an error of `choose`.
+    Raises Refused when there are too few stores or zones, NoMajority when a store did not store the
+    record (call again to complete the founding), or an error of `choose`.
     """
     gossip = node.find("gossip")
     known_founding = gossip.get("founding")
     if known_founding is not None:
         return {"fleet": known_founding["fleet"], "was_founded": True}
     founders = roster_stores(node) if stores is None else stores
-    if stores is None and not is_enough([store.zone for store in founders], size):
+    if stores is None and not can_survive_zone_loss([store.zone for store in founders], size):
         zones = sorted({store.zone for store in founders})
         raise Refused(reason="stores in three domains are needed", domains=zones)
-    held_founding = yield from _held_founding(node, founders)
-    founding = held_founding or make_founding(node, part_count, size, founders)
+    existing_founding = yield from _fetch_existing_founding(node, founders)
+    founding = existing_founding or make_founding(node, part_count, size, founders)
     if choose is not None:
         founding, other_stores = (yield from choose(node, founding)), founders
     else:
-        arbiter, *other_stores = founders
-        founding = yield from _found_at(node, arbiter, founding)
+        deciding_store, *other_stores = founders
+        founding = yield from _store_founding(node, deciding_store, founding)
     calls = [
         (store.name, "quorum.found", FoundRequest(store.identity, founding).to_wire())
         for store in other_stores
@@ -58,11 +59,11 @@
     if errors:
         raise NoMajority(reason="run the command again", stores=errors)
     gossip.publish("founding", [1], founding)
-    return {"fleet": founding["fleet"], "was_founded": held_founding is not None}
+    return {"fleet": founding["fleet"], "was_founded": existing_founding is not None}
 
 
 def roster_stores(node: Node) -> list[GroupMember]:
-    """Return the stores of the roster, in its order."""
+    """Return the stores of the roster, in the order of the roster."""
     members = node.find("nifty").roster.members.values()
     return [GroupMember(m.name, m.identity, m.zone) for m in members if m.role == "store"]
 
@@ -82,16 +83,16 @@
     }
 
 
-def _held_founding(node: Node, stores: list[GroupMember]) -> Coroutine:
-    """Return a founding record that one of the stores has, or None."""
+def _fetch_existing_founding(node: Node, stores: list[GroupMember]) -> Coroutine:
+    """Return a founding record that one of the stores already has, or None."""
     calls = [(store.name, "quorum.founding", None) for store in stores]
     replies = yield from node.gather(calls, len(calls), node.bounds.call_timeout)
-    held = [reply for reply in replies.values() if isinstance(reply, dict)]
-    return held[0] if held else None
+    records = [reply for reply in replies.values() if isinstance(reply, dict)]
+    return records[0] if records else None
 
 
-def _found_at(node: Node, store: GroupMember, founding: WireMap) -> Coroutine:
-    """Ask one store to take the record; return the record that it then has."""
+def _store_founding(node: Node, store: GroupMember, founding: WireMap) -> Coroutine:
+    """Ask one store to store the record; return the record that it has afterwards."""
     try:
         body = FoundRequest(store.identity, founding).to_wire()
         yield from node.call(store.name, "quorum.found", body, node.bounds.propagation)
--- a/quillring/quorum/founding/founding_vote.py
+++ b/quillring/quorum/founding/founding_vote.py
@@ -1,13 +1,14 @@
-"""The one founding record that the seeds agree on: single-decree Paxos with the seeds as acceptors.
+"""Agreement of the seeds on one founding record: single-decree Paxos, the seeds as acceptors.
 
-At the first start the settings of all nodes name the same three seeds (or fewer), and nothing else
-is known in common, so a majority of the seeds is what two sides of a partition cannot both have. A
-founder proposes a record under a ballot, and adopts the record that a seed of its majority accepted
-under the highest ballot. Source: Lamport, "Paxos made simple", section 2.2.
+At the first start, the only information that all nodes share is the list of seeds (at most three)
+in their settings. A decision therefore takes a majority of the seeds, which at most one side of a
+partition has. A founder proposes a record under a ballot; if a seed of its majority has accepted a
+record before, the founder adopts the one with the highest ballot.
+Source: Lamport, "Paxos made simple", section 2.2.
 
-A seed's vote outlives its process in a witness, the store on the same machine, if the settings name
-one. A seed without one has its vote in memory only; then it votes only in the incarnation of its
-first start, since a later one may have forgotten what it promised.
+If the settings name a witness, which is the store on the seed's machine, the seed's vote is stored
+there and survives a restart of the seed. Without a witness the vote is in memory only, and the seed
+votes only in the incarnation of its first start: a later one does not know what it promised.
 """
 
 from __future__ import annotations
@@ -35,15 +36,16 @@
     from quillring.kernel.types import Coroutine, WireMap
     from quillring.store.disk import Disk
 
-FILES = ("founding.0", "founding.1")
+VOTE_FILES = ("founding.0", "founding.1")
 CHECKSUM_BYTES = 4
 
 
 class FoundingVoter:
-    """A seed's acceptor: promises and accepts, each stored before the reply.
+    """The acceptor of a seed: stores each promise and each accepted record before it replies.
 
-    `witness` is the name of the store that keeps the vote, None where it is in memory only.
-    `ballot_number` is the highest number that this node used, or was refused by, as a proposer.
+    `witness` is the name of the store that stores the vote, or None if it is in memory only.
+    `ballot_number` is the highest ballot number that this node used as a proposer, or that a seed
+    had promised when it rejected this node's ballot.
     """
 
     __slots__ = ("node", "witness", "is_first_start", "vote", "ballot_number")
@@ -58,10 +60,10 @@
         node.handle("founding.accept", self.on_accept)
 
     def on_prepare(self, body: WireMap, origin: str) -> Coroutine:
-        """Promise a ballot; return the ballot and the record accepted before, if any.
+        """Promise a ballot; return the ballot and the record accepted earlier, if any.
 
-        Raises Fenced when a higher ballot was promised, Refused when a vote may be lost, Conflict
-        when the vote changed concurrently.
+        Raises Fenced when a higher ballot was promised, Refused when an earlier vote may be lost,
+        Conflict when the vote was changed concurrently.
         """
         request = VotePrepareRequest.from_wire(body)
         vote = yield from self._recall()
@@ -70,7 +72,7 @@
         return VotePromise(vote.accepted, vote.founding).to_wire()
 
     def on_accept(self, body: WireMap, origin: str) -> Coroutine:
-        """Accept a record; raises Fenced when a higher ballot was promised."""
+        """Accept a record; raises the same errors as `on_prepare`."""
         request = VoteAcceptRequest.from_wire(body)
         vote = yield from self._recall()
         ballot = request.ballot
@@ -81,9 +83,10 @@
         return True
 
     def register_first_start(self) -> Coroutine:
-        """At the first start, store an empty vote at the witness, so that later starts may vote.
+        """At the first start, store an empty vote at the witness, so that this seed may vote later.
 
-        Retries every quarter of a heartbeat interval until it succeeds.
+        After a restart, a seed votes only if its witness has a vote. Retries every quarter of a
+        heartbeat interval until the vote is stored.
         """
         if not self.is_first_start or self.witness is None:
             return
@@ -101,41 +104,42 @@
         """Return this seed's vote; raises Refused when an earlier incarnation's may be lost."""
         vote = self.vote
         if self.witness is not None:
-            kept = yield from self.node.call(self.witness, "founding.recall", None)
-            vote = Vote() if kept is None else Vote.from_wire(kept)
+            stored = yield from self.node.call(self.witness, "founding.recall", None)
+            vote = Vote() if stored is None else Vote.from_wire(stored)
         if not vote.number and not self.is_first_start:
             raise Refused(reason="a former vote may be lost")
         return vote
 
-    def _keep(self, former: Vote, vote: Vote) -> Coroutine:
-        """Replace the previous vote (compare and set); raises Conflict if it changed meanwhile."""
-        vote = vote._replace(number=former.number + 1)
+    def _keep(self, previous: Vote, vote: Vote) -> Coroutine:
+        """Replace the vote (compare-and-set); raises Conflict if it is no longer `previous`."""
+        vote = vote._replace(number=previous.number + 1)
         if self.witness is not None:
             yield from self.node.call(self.witness, "founding.keep", vote.to_wire())
-        elif self.vote.number != former.number:
+        elif self.vote.number != previous.number:
             raise Conflict(reason="the vote has changed")
         self.vote = vote
 
     def next_ballot(self) -> Ballot:
-        """Return a ballot of this node above all that it used or was refused by."""
+        """Return a ballot of this node above all that it used or that rejected its ballots."""
         self.ballot_number += 1
         return Ballot(self.ballot_number, f"{self.node.me.name}#{self.node.me.incarnation}")
 
-    def note_ballots(self, ballots: list[Ballot]) -> None:
-        """Raise the ballot number to those that refused this node's ballot."""
+    def observe_ballots(self, ballots: list[Ballot]) -> None:
+        """Raise the ballot number to that of the ballots that fenced this node's ballot."""
         self.ballot_number = max(self.ballot_number, *(int(ballot.number) for ballot in ballots))
 
 
 def _check_ballot(vote: Vote, ballot: Ballot) -> None:
-    """Raise Fenced when a higher ballot was promised."""
+    """Raise Fenced when the vote promises a higher ballot."""
     if ballot < vote.promised:
         raise Fenced(part="founding", ballot=vote.promised.to_wire())
 
 
 class Witness:
-    """A store that keeps the vote of the seed on its machine durably, in two alternating files.
+    """Durable storage, at a store, of the vote of the seed on the same machine.
 
-    A file is the CRC-32 of the encoded vote in four bytes, big-endian, then the vote in CBOR.
+    Writes alternate between two files, each of which has the CRC-32 of the encoded vote in four
+    bytes, big-endian, followed by the vote in CBOR.
     """
 
     __slots__ = ("node", "disk")
@@ -152,24 +156,24 @@
         return None if vote is None else vote.to_wire()
 
     def on_keep(self, body: Sequence[Any], origin: str) -> bool:
-        """Write a vote durably if its number is the next one; raises Conflict if it is not.
+        """Write a vote durably; raises Conflict unless its number follows that of the stored vote.
 
-        A torn write leaves the previous vote, which is in the other file.
+        After a torn write the previous vote is still in the other file.
         """
-        vote, kept = Vote.from_wire(body), self._newest()
-        if vote.number != (0 if kept is None else kept.number) + 1:
+        vote, stored = Vote.from_wire(body), self._newest()
+        if vote.number != (0 if stored is None else stored.number) + 1:
             raise Conflict(reason="the vote has changed")
         data = cbor2.dumps(vote.to_wire())
         checksum = zlib.crc32(data).to_bytes(CHECKSUM_BYTES, "big")
-        self.disk.write(FILES[vote.number % 2], checksum + data)
+        self.disk.write(VOTE_FILES[vote.number % 2], checksum + data)
         return True
 
     def _newest(self) -> Vote | None:
-        votes = [vote for vote in map(self._read, FILES) if vote is not None]
+        votes = [vote for vote in map(self._read, VOTE_FILES) if vote is not None]
         return max(votes, key=lambda vote: vote.number, default=None)
 
     def _read(self, name: str) -> Vote | None:
-        """Return the vote in a file, or None when it is missing or torn."""
+        """Return the vote in a file, or None when the file is missing or incomplete."""
         data = self.disk.read(name)
         if not data or len(data) < CHECKSUM_BYTES:
             return None
@@ -180,10 +184,10 @@
 
 
 def agree_on_founding(node: Node, founding: WireMap) -> Coroutine:
-    """Have a majority of the seeds choose a founding record; return the one chosen.
+    """Propose a founding record to the seeds; return the record that a majority accepted.
 
-    Raises NoMajority when too few seeds accept in `bounds.propagation` seconds; this record,
-    another one or none may then be chosen.
+    Raises NoMajority when too few seeds accept within `bounds.propagation` seconds. In that case
+    this record, another one or none may have been chosen.
     """
     ballot = node.find("elector").next_ballot()
     request = VotePrepareRequest(ballot)
@@ -197,17 +201,17 @@
 
 
 def _ask_seeds(node: Node, service: str, body: WireMap) -> Coroutine:
-    """Ask all seeds; return the replies of a majority of them at least, or raise NoMajority."""
+    """Call all seeds; return the replies of at least a majority, or raise NoMajority."""
     addresses, roster = set(node.find("nifty").seeds), node.find("nifty").roster
     names = {name for at in addresses for name in roster.addresses.get(tuple(at), ())[-1:]}
-    need = len(addresses) // 2 + 1
+    needed = len(addresses) // 2 + 1
     calls = [(name, service, body) for name in sorted(names)]
-    replies = yield from node.gather(calls, need, node.bounds.propagation)
+    replies = yield from node.gather(calls, needed, node.bounds.propagation)
     answers = [r for r in replies.values() if not isinstance(r, QuillringError)]
-    fences = [r for r in replies.values() if isinstance(r, Fenced)]
-    if fences:
-        ballots = [Ballot.from_wire(fence.detail["ballot"]) for fence in fences]
-        node.find("elector").note_ballots(ballots)
-    if len(answers) < need:
-        raise NoMajority(part="founding", heard=len(answers), needed=need)
+    rejections = [r for r in replies.values() if isinstance(r, Fenced)]
+    if rejections:
+        ballots = [Ballot.from_wire(rejection.detail["ballot"]) for rejection in rejections]
+        node.find("elector").observe_ballots(ballots)
+    if len(answers) < needed:
+        raise NoMajority(part="founding", heard=len(answers), needed=needed)
     return answers
--- a/quillring/quorum/founding/messages.py
+++ b/quillring/quorum/founding/messages.py
@@ -1,4 +1,4 @@
-"""The Paxos messages of the seeds' vote on the founding record, and the stored vote."""
+"""The stored vote of a seed on the founding record, and the Paxos messages of that vote."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Vote(NamedTuple):
-    """What one seed promised and accepted; `number` counts its changes."""
+    """The ballot a seed promised and the record it accepted; `number` counts the changes."""
 
     number: int = 0
     promised: Ballot = NO_BALLOT
@@ -23,7 +23,7 @@
 
     @classmethod
     def from_wire(cls, fields: Sequence[Any]) -> Vote:
-        """Read a vote from a message or a file."""
+        """Read a vote from its form in messages and files."""
         number, promised, accepted, founding = fields
         return cls(number, Ballot.from_wire(promised), Ballot.from_wire(accepted), founding)
 
@@ -48,7 +48,7 @@
 
 
 class VotePromise(NamedTuple):
-    """Phase 1b, the answer to `founding.prepare`: the record accepted before, if any."""
+    """Phase 1b, the answer to `founding.prepare`: the record accepted earlier, if any."""
 
     accepted: Ballot
     founding: WireMap | None
--- a/quillring/quorum/identity.py
+++ b/quillring/quorum/identity.py
@@ -1,10 +1,10 @@
-"""A store's identity: new with each empty disk, so that a wiped store can't vote as before."""
+"""Store identities: an emptied disk gets a new one, so the store cannot vote as its old self."""
 
 from quillring.kernel.errors import QuillringError
 
 
 class WrongIdentity(QuillringError):
-    """The call names another identity than the store has: its disk was emptied and it is new."""
+    """The call is addressed to another identity; the store's disk was emptied in the meantime."""
 
     kind = "wrong_identity"
     status = 409
--- a/quillring/quorum/leader/catch_up.py
+++ b/quillring/quorum/leader/catch_up.py
@@ -90,12 +90,12 @@
         That is so when entries are gone, are larger than the state, or are not applied there.
         """
         caller, machine = self.caller, self.machine
-        if machine.log_cache.since(applied) is None:
+        if machine.log_cache.entries_after(applied) is None:
             yield from self._learn_entries(member, applied)
-        if is_state_smaller(machine.known_state(), machine.log_cache.bytes_since(applied)):
+        if is_state_smaller(machine.known_state(), machine.log_cache.bytes_after(applied)):
             return False
         while applied < machine.last_applied:
-            entries = machine.log_cache.since(applied, CHUNK_BYTES)
+            entries = machine.log_cache.entries_after(applied, CHUNK_BYTES)
             if not entries:
                 return False
             last_index, _ = entries[-1]
@@ -109,18 +109,18 @@
     def _learn_entries(self, member: GroupMember, applied: int) -> Coroutine:
         """Fetch the entries before the leader's own log cache from one other store, if any has."""
         caller, machine = self.caller, self.machine
-        first = machine.log_cache.first or machine.last_applied + 1
+        first_index = machine.log_cache.first_index or machine.last_applied + 1
         reaches = caller.node.find("nifty").reaches
         others = [m.name for m in caller.group if m.name != member.name and reaches(m.name)]
         for store in nearest_first(caller.node, others):
             try:
                 entries = yield from fetch_entries(
-                    caller.node, caller.part, store, applied, first - 1
+                    caller.node, caller.part, store, applied, first_index - 1
                 )
             except QuillringError:
                 continue
             if entries:
-                machine.log_cache.put_before(entries)
+                machine.log_cache.prepend(entries)
                 return
 
     def _send_snapshot(self, member: GroupMember) -> Coroutine:
--- a/quillring/quorum/leader/part_leader.py
+++ b/quillring/quorum/leader/part_leader.py
@@ -28,7 +28,7 @@
     PrepareRequest,
     Promise,
 )
-from quillring.quorum.parts import CONFIG
+from quillring.quorum.parts import CONFIG_PART
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -246,7 +246,7 @@
         finally:
             self.in_flight.end()
         self.confirmed_at = asked_at
-        if self.part == CONFIG:
+        if self.part == CONFIG_PART:
             yield from self._call_majority(CommitRequest, committed=index)
         else:
             self._send_commit()
--- a/quillring/quorum/messages.py
+++ b/quillring/quorum/messages.py
@@ -1,8 +1,8 @@
 """The messages between a part's leader, its acceptors and its readers.
 
-Each is decoded by `from_wire` and encoded by `to_wire`, here and nowhere else. A leader's request
-to an acceptor names the part, the ballot and the identity of the store that is meant; acceptors
-refuse a ballot below the one they promised (Fenced) and another identity (WrongIdentity).
+Only this module knows their wire form, in `from_wire` and `to_wire`. A leader's request to an
+acceptor carries the part, the ballot and the identity of the addressed store. Acceptors reject a
+ballot below the one they promised (Fenced) and an identity that is not theirs (WrongIdentity).
 """
 
 from __future__ import annotations
@@ -19,17 +19,17 @@
     from quillring.kernel.types import WireMap
 
 Batch = list[dict[str, Any]]
-"""The commands of one entry of the log."""
+"""The commands of one log entry."""
 
 WireEntry = list[Any]
-"""An entry of the log on the wire: [index, batch]."""
+"""A log entry on the wire: [index, batch]."""
 
 BRIEF_WITHOUT_BATCHES = "index"
-"""Asks for a brief promise whose accepted entries are named without their batches."""
+"""The value of `brief` that requests a promise with neither the state nor the batches."""
 
 
 class LeaderRequest(Protocol):
-    """The fields that all requests of a leader to an acceptor have."""
+    """The fields common to all requests of a leader to an acceptor."""
 
     @property
     def part(self) -> str:
@@ -41,7 +41,7 @@
 
     @property
     def identity(self) -> str:
-        """The identity of the store that is meant."""
+        """The identity of the addressed store."""
 
 
 def _header_to_wire(request: LeaderRequest) -> WireMap:
@@ -55,8 +55,8 @@
 class PrepareRequest(NamedTuple):
     """Phase 1a of Paxos, `quorum.prepare`: promise this ballot.
 
-    `brief` asks for a promise without the state: True with the batches of accepted entries,
-    BRIEF_WITHOUT_BATCHES without them; None asks for all.
+    `brief` selects the contents of the promise: None requests everything; True omits the state, and
+    BRIEF_WITHOUT_BATCHES omits the batches of the accepted entries as well.
     """
 
     part: str
@@ -66,7 +66,7 @@
 
     @classmethod
     def from_wire(cls, body: WireMap) -> PrepareRequest:
-        """Read the request; leaders of earlier versions omit `brief`."""
+        """Read the request; leaders of earlier versions do not send `brief`."""
         return cls(
             body["part"], Ballot.from_wire(body["ballot"]), body["identity"], body.get("brief")
         )
@@ -80,7 +80,7 @@
 
 
 class AcceptRequest(NamedTuple):
-    """Phase 2a of Paxos, `quorum.accept`: accept an entry; those up to `committed` are chosen."""
+    """Phase 2a of Paxos, `quorum.accept`: accept an entry; entries up to `committed` are chosen."""
 
     part: str
     ballot: Ballot
@@ -161,7 +161,7 @@
 
 
 class InstallRequest(NamedTuple):
-    """`quorum.install`, of earlier versions: the complete state after the entry `log_index`."""
+    """`quorum.install`, from earlier versions: the complete state after the entry `log_index`."""
 
     part: str
     ballot: Ballot
@@ -191,7 +191,7 @@
 class InstallChunkRequest(NamedTuple):
     """`quorum.install_piece`: a chunk of the state after the entry `log_index`.
 
-    `offset` is where the chunk begins, `next_offset` where the next one does; None at the end.
+    The chunk begins at `offset`, the next one at `next_offset`, which is None for the last chunk.
     """
 
     part: str
@@ -227,7 +227,7 @@
 
 
 class ConfirmRequest(NamedTuple):
-    """`quorum.confirm`: confirm that the ballot is still the highest one promised."""
+    """`quorum.confirm`: confirm that no higher ballot has been promised."""
 
     part: str
     ballot: Ballot
@@ -244,7 +244,7 @@
 
 
 class AcceptedProposal(NamedTuple):
-    """An entry that a store accepted and has not applied; a brief answer may omit the batch."""
+    """An entry that a store accepted but has not applied; brief promises may omit the batch."""
 
     log_index: int
     ballot: Ballot
@@ -262,10 +262,10 @@
 
 
 class Promise(NamedTuple):
-    """Phase 1b of Paxos, the answer to `quorum.prepare`: the acceptor's state of the part.
+    """Phase 1b of Paxos, the answer to `quorum.prepare`: what the acceptor has of the part.
 
-    `state` is None if the store has no state of the part, True in a brief answer if it has one,
-    else the complete state after the entry `applied`. `accepted` are the entries beyond it.
+    `state` is the complete state after the entry `applied`, or None if the store has none; in a
+    brief answer, True stands for an existing state. `accepted` are the entries after `applied`.
     """
 
     promised: Ballot
@@ -287,7 +287,7 @@
         return [self.promised.to_wire(), self.applied, self.state, proposals, self.committed]
 
     def brief(self, has_batches: bool) -> Promise:
-        """Return the answer without the state, and without the batches unless they are wanted."""
+        """Return the promise without the state, and without the batches unless `has_batches`."""
         state = None if self.state is None else True
         if has_batches:
             return self._replace(state=state)
@@ -296,7 +296,7 @@
 
 
 class StateChunkRequest(NamedTuple):
-    """`quorum.piece`: return the chunk at an offset of the state after an index."""
+    """`quorum.piece`: return the chunk at `offset` of the state after the entry `log_index`."""
 
     part: str
     log_index: int
@@ -313,7 +313,7 @@
 
 
 class EntriesRequest(NamedTuple):
-    """`quorum.entries`: return applied entries after an index."""
+    """`quorum.entries`: return the applied entries after the index `after`."""
 
     part: str
     after: int
@@ -329,7 +329,7 @@
 
 
 class AcceptedEntryRequest(NamedTuple):
-    """`quorum.accepted`: return the entry accepted at an index."""
+    """`quorum.accepted`: return the entry accepted at index `log_index`."""
 
     part: str
     log_index: int
@@ -394,14 +394,17 @@
 
 
 class QueryAnswer(NamedTuple):
-    """The result of a query: its answer or, if `error_kind` is set, the detail of that error."""
+    """The result of a query: the answer or, if `error_kind` is set, the detail of that error."""
 
     error_kind: str | None
     answer: Any
 
 
 class UncommittedAnswer(NamedTuple):
-    """The result of a query if the entries up to `log_index`, accepted under `ballot`, applied."""
+    """The result that a query has if the entries up to `log_index` are committed.
+
+    `ballot` is the ballot under which the last of these entries was accepted.
+    """
 
     log_index: int
     ballot: Ballot
@@ -421,7 +424,7 @@
 class FollowerReadRequest(NamedTuple):
     """`quorum.peek`: answer a query from the applied state of one store.
 
-    `wants_uncommitted` asks for the answers after each accepted entry as well.
+    `wants_uncommitted` requests in addition the result after each accepted entry.
     """
 
     part: str
@@ -431,7 +434,7 @@
 
     @classmethod
     def from_wire(cls, body: WireMap) -> FollowerReadRequest:
-        """Read the request; readers of earlier versions omit `beyond`."""
+        """Read the request; readers of earlier versions do not send `beyond`."""
         return cls(body["part"], body["query"], bool(body.get("beyond")), body["identity"])
 
     def to_wire(self) -> WireMap:
@@ -446,8 +449,8 @@
 class FollowerReadReply(NamedTuple):
     """The answer to `quorum.peek`.
 
-    `uncommitted_lots` names (index, lot or None) of each command accepted and not applied;
-    `uncommitted` is None where the answers after these were not asked for.
+    `uncommitted_lots` has (index, lot or None) for each command of an accepted entry that is not
+    applied; `uncommitted` has the results after these entries, or None if not requested.
     """
 
     applied: int
@@ -458,7 +461,7 @@
 
     @classmethod
     def from_wire(cls, fields: Sequence[Any]) -> FollowerReadReply:
-        """Read the answer; stores of earlier versions omit the last field."""
+        """Read the answer; stores of earlier versions do not send the last field."""
         applied, group, uncommitted_lots, error_kind, answer, *rest = fields
         uncommitted = None
         for answers in rest[:1]:
@@ -490,7 +493,7 @@
 
 
 class HintedEntry(NamedTuple):
-    """The part, identity and index of an accept request that is kept as a hint."""
+    """The part, identity and index of an accept request that is stored as a hint."""
 
     part: str
     identity: str
@@ -503,7 +506,7 @@
 
 
 class HintRequest(NamedTuple):
-    """`quorum.hint`: keep an accept request, in its wire form, for an unreachable acceptor."""
+    """`quorum.hint`: store an accept request, in its wire form, for an unreachable acceptor."""
 
     target: str
     request: WireMap
--- a/quillring/quorum/retirement_orders.py
+++ b/quillring/quorum/retirement_orders.py
@@ -1,4 +1,4 @@
-"""Stores that operators have ordered to retire, by the newest configuration known."""
+"""Retirement of stores: which ones an operator has ordered to retire."""
 
 from __future__ import annotations
 
@@ -9,6 +9,6 @@
 
 
 def is_retirement_ordered(node: Node, store: str) -> bool:
-    """Return whether the newest configuration that a node knows marks the store as retired."""
+    """Return whether the newest configuration known to a node marks the store as retired."""
     stores = (node.find("layout").configuration or {}).get("stores") or {}
     return bool(stores.get(store, {}).get("retired"))
--- a/quillring/quorum/snapshot_chunks.py
+++ b/quillring/quorum/snapshot_chunks.py
@@ -1,11 +1,11 @@
-"""A part's state in bounded chunks: split by the sender, reassembled by the receiver.
+"""Transfer of a part's state in chunks: the sender splits it and the receiver reassembles it.
 
-A state is a map of sections; a section that is a map is split by its keys. So no message, and no
-step of the event loop, grows with the state: a chunk is at most CHUNK_BYTES long, and the longest
-single encoding is that of one value of a section, such as one lot.
+A state is a map of sections; a section that is itself a map is split by key. Thus the size of a
+message, and the work per step of the event loop, do not grow with the state: a chunk has at most
+CHUNK_BYTES, and the largest value encoded at once is one value of a section, such as one lot.
 
-The chunks form a stream of rows: each the CBOR encoding of a row of `state_rows`, after its length
-in four bytes, big-endian.
+The chunks form a stream of rows. A row is encoded as its length in four bytes, big-endian, followed
+by the CBOR encoding of an item of `state_rows`.
 """
 
 from __future__ import annotations
@@ -23,21 +23,21 @@
     from collections.abc import Iterator, Sequence
 
 CHUNK_BYTES = 256 << 10
-LENGTH = struct.Struct(">I")
+ROW_LENGTH = struct.Struct(">I")
 
 PartState = dict[str, Any]
-"""The replicated state of a part, by sections; it is never changed in place."""
+"""The replicated state of a part, by section name; it is never modified in place."""
 
 
 class BadChunk(QuillringError):
-    """The chunks of a state do not add up to a complete one."""
+    """The chunks received do not form a complete state."""
 
     kind = "bad_piece"
     status = 409
 
 
 class ChunkOffset(NamedTuple):
-    """An offset in the stream of a state: the row, and the offset in that row in bytes."""
+    """An offset in the stream of a state: the row number, and the byte offset in that row."""
 
     row: int = 0
     row_bytes: int = 0
@@ -57,7 +57,7 @@
 
 
 class Chunk(NamedTuple):
-    """Some bytes of a state, and the offset after them; None at the end of the state."""
+    """Bytes of a state's stream, and the offset after them, or None at the end of the stream."""
 
     data: bytes
     next_offset: ChunkOffset | None
@@ -74,29 +74,34 @@
 
 
 class PartialState(NamedTuple):
-    """The part of a state received so far.
+    """A state of which only some chunks were received.
 
-    `rest` is the beginning of an incomplete row, `offset` where the next chunk begins.
+    `incomplete_row` has the bytes of the last row received so far, if that row is incomplete;
+    `offset` is where the next chunk must begin.
     """
 
     sections: PartState
-    rest: bytes
+    incomplete_row: bytes
     offset: ChunkOffset
 
 
 def state_rows(state: PartState) -> Iterator[tuple[Any, ...]]:
-    """Yield (section, value) of a plain section; (section, {}), (section, key, value) of a map."""
+    """Yield the rows of a state.
+
+    A section that is a map yields (section, {}), then (section, key, value) for each key; any other
+    section yields (section, value).
+    """
     for section, value in state.items():
         if not isinstance(value, dict):
             yield section, value
             continue
         yield section, {}
-        for key, kept in value.items():
-            yield section, key, kept
+        for key, item in value.items():
+            yield section, key, item
 
 
-def put_row(sections: PartState, fields: Sequence[Any]) -> None:
-    """Add a row of `state_rows` to the sections of a state, in place."""
+def add_row(sections: PartState, fields: Sequence[Any]) -> None:
+    """Add a row of `state_rows` to `sections`, in place."""
     if len(fields) == 2:
         section, value = fields
         sections[section] = value
@@ -106,14 +111,14 @@
 
 
 def cut_chunk(state: PartState, offset: ChunkOffset, limit: int = CHUNK_BYTES) -> Chunk:
-    """Return the chunk of an immutable state from an offset on, of `limit` bytes at most."""
+    """Return the chunk of a state that begins at an offset, with at most `limit` bytes."""
     data, (row, row_bytes) = b"", offset
     for fields in islice(state_rows(state), row, None):
         body = cbor2.dumps(fields)
-        packed = LENGTH.pack(len(body)) + body
-        taken = packed[row_bytes : row_bytes + limit - len(data)]
-        data, row_bytes = data + taken, row_bytes + len(taken)
-        if row_bytes < len(packed):
+        encoded_row = ROW_LENGTH.pack(len(body)) + body
+        fragment = encoded_row[row_bytes : row_bytes + limit - len(data)]
+        data, row_bytes = data + fragment, row_bytes + len(fragment)
+        if row_bytes < len(encoded_row):
             return Chunk(data, ChunkOffset(row, row_bytes))
         row, row_bytes = row + 1, 0
         if len(data) >= limit:
@@ -122,54 +127,57 @@
 
 
 class StateBuilder:
-    """Reassembles a state from its chunks; `offset` is where the next chunk must begin."""
+    """Reassembles a state from consecutive chunks; the next chunk must begin at `offset`."""
 
-    __slots__ = ("sections", "rest", "offset")
+    __slots__ = ("sections", "incomplete_row", "offset")
 
     def __init__(
         self,
         sections: PartState | None = None,
-        rest: bytes = b"",
+        incomplete_row: bytes = b"",
         offset: ChunkOffset = SNAPSHOT_START,
     ) -> None:
         self.sections: PartState = sections or {}
-        self.rest = bytearray(rest)
+        self.incomplete_row = bytearray(incomplete_row)
         self.offset = offset
 
     def add(self, data: bytes, next_offset: Sequence[int] | None) -> None:
-        """Add the chunk at the present offset, which must end at `next_offset`.
+        """Add the chunk that begins at the current offset.
 
-        None as `next_offset` is not checked. Raises BadChunk when it ends elsewhere.
+        Raises BadChunk when the chunk does not end at `next_offset`; None disables this check.
         """
-        self.rest += data
+        self.incomplete_row += data
         start, row = 0, self.offset.row
-        while len(self.rest) - start >= LENGTH.size:
-            (length,) = LENGTH.unpack_from(self.rest, start)
-            end = start + LENGTH.size + length
-            if end > len(self.rest):
+        while len(self.incomplete_row) - start >= ROW_LENGTH.size:
+            (length,) = ROW_LENGTH.unpack_from(self.incomplete_row, start)
+            end = start + ROW_LENGTH.size + length
+            if end > len(self.incomplete_row):
                 break
-            put_row(self.sections, cbor2.loads(bytes(self.rest[start + LENGTH.size : end])))
+            add_row(
+                self.sections,
+                cbor2.loads(bytes(self.incomplete_row[start + ROW_LENGTH.size : end])),
+            )
             start, row = end, row + 1
-        del self.rest[:start]
-        self.offset = ChunkOffset(row, len(self.rest))
+        del self.incomplete_row[:start]
+        self.offset = ChunkOffset(row, len(self.incomplete_row))
         if next_offset is not None and tuple(next_offset) != self.offset:
             raise BadChunk(place=self.offset.to_wire(), following=list(next_offset))
 
     def whole(self) -> PartState:
-        """Return the complete state; raises BadChunk when its last row is incomplete."""
-        if self.rest:
+        """Return the reassembled state; raises BadChunk when its last row is incomplete."""
+        if self.incomplete_row:
             raise BadChunk(place=self.offset.to_wire())
         return self.sections
 
     def to_partial(self) -> PartialState:
-        """Return a copy of the part received so far."""
+        """Return a copy of what was received so far."""
         sections = {
             name: dict(value) if isinstance(value, dict) else value
             for name, value in self.sections.items()
         }
-        return PartialState(sections, bytes(self.rest), self.offset)
+        return PartialState(sections, bytes(self.incomplete_row), self.offset)
 
     @classmethod
     def from_partial(cls, partial: PartialState) -> StateBuilder:
-        """Return a builder that continues from a part received before."""
-        return cls(partial.sections, partial.rest, partial.offset)
+        """Return a builder that continues from the chunks received earlier."""
+        return cls(partial.sections, partial.incomplete_row, partial.offset)
--- a/quillring/quorum/values.py
+++ b/quillring/quorum/values.py
@@ -1,4 +1,4 @@
-"""Ballots, groups and their members, with their form on the wire and on disk."""
+"""Ballots, groups and group members, and their encoding on the wire and on disk."""
 
 from __future__ import annotations
 
@@ -15,9 +15,10 @@
 
 
 class GroupMember(NamedTuple):
-    """A store machine with a replica of a part.
+    """A store that replicates a part.
 
-    `identity` is drawn anew for each empty disk; `zone` is the failure domain of the machine.
+    `identity` is generated anew whenever the store starts with an empty disk; `zone` is the failure
+    domain of its machine.
     """
 
     name: str
@@ -35,14 +36,14 @@
 
 
 Group = Sequence[GroupMember]
-"""The stores that hold a part's replicas, in the order of the part's state."""
+"""The stores that replicate a part, in the order that the part's state records."""
 
 
 class Ballot(NamedTuple):
     """A Paxos ballot (proposal number): ordered by `number`, then by `leader`.
 
-    `leader` is the proposer, as `<core name>#<incarnation>`; it makes ballots unique. Source:
-    Lamport, "Paxos made simple", section 2.2.
+    `leader` is the proposer, as `<core name>#<incarnation>`, and makes ballots unique.
+    Source: Lamport, "Paxos made simple", section 2.2.
     """
 
     number: int
@@ -59,7 +60,7 @@
 
 
 NO_BALLOT = Ballot(0, "")
-"""The ballot below every ballot: what an acceptor promised before its first promise."""
+"""A ballot below all others; an acceptor starts with it as its promised ballot."""
 
 
 def group_from_wire(fields: WireGroup) -> tuple[GroupMember, ...]:
--- a/quillring/rollout/freshness.py
+++ b/quillring/rollout/freshness.py
@@ -14,7 +14,7 @@
 from quillring.kernel.effects import Sleep
 from quillring.kernel.errors import NotFounded, QuillringError, Refused
 from quillring.kernel.records import NamedTuple
-from quillring.quorum.parts import CONFIG, majority
+from quillring.quorum.parts import CONFIG_PART, majority
 from quillring.rollout.messages import STAMP, STATE_IMAGE, StateImage, StoreStamp
 
 if TYPE_CHECKING:
@@ -69,7 +69,7 @@
 
         Raises NotFounded if the founding configuration of the parts is not known here.
         """
-        heard_group = self.node.find("ownership").group(CONFIG)
+        heard_group = self.node.find("ownership").group(CONFIG_PART)
         own_group = self.node.find("layout").group or ()
         return [*own_group, *(store for store in heard_group if store not in own_group)]
 
@@ -173,7 +173,7 @@
             if snapshot.index >= wanted_index and snapshot.configuration is not None:
                 return
             try:
-                reply = yield from self.node.call(name, STATE_IMAGE, {"part": CONFIG}, seconds)
+                reply = yield from self.node.call(name, STATE_IMAGE, {"part": CONFIG_PART}, seconds)
                 image = StateImage.from_wire(reply)
                 snapshot.update(image.log_index, image.state)
             except QuillringError:
--- a/quillring/rollout/operator_orders.py
+++ b/quillring/rollout/operator_orders.py
@@ -7,7 +7,7 @@
 from quillring.kernel.errors import Conflict, NotFound
 from quillring.quorum.commands import COMMANDS
 from quillring.quorum.leader.retirement_check import is_free
-from quillring.quorum.parts import CONFIG, is_enough
+from quillring.quorum.parts import CONFIG_PART, can_survive_zone_loss
 from quillring.rollout.messages import (
     ORDER_STORE,
     ORDER_ZONE,
@@ -59,7 +59,7 @@
     """
     retired_names = {store, *leaving_stores(state)}
     remaining = [zone for name, zone in counted.items() if name not in retired_names]
-    if not is_enough(remaining, size):
+    if not can_survive_zone_loss(remaining, size):
         raise Conflict(field="store", reason="too few stores would remain", store=store)
 
 
@@ -82,7 +82,7 @@
     a newer order was taken meanwhile.
     """
     end_time, ownership = node.now() + seconds, node.find("ownership")
-    answer = yield from ownership.read(CONFIG, READ_CURRENT_VERSION, seconds)
+    answer = yield from ownership.read(CONFIG_PART, READ_CURRENT_VERSION, seconds)
     order_in_force = CurrentVersion.from_wire(answer).store_order(store)
     if order_in_force is not None and order_in_force.get("retired"):
         return
@@ -128,7 +128,7 @@
     Raises NotFound for an unknown store, and the error of a leader that does not answer in time.
     """
     end_time, ownership = node.now() + seconds, node.find("ownership")
-    answer = yield from ownership.read(CONFIG, READ_CURRENT_VERSION, seconds)
+    answer = yield from ownership.read(CONFIG_PART, READ_CURRENT_VERSION, seconds)
     order = CurrentVersion.from_wire(answer).store_order(store)
     if order is None and store not in known_stores(node):
         raise NotFound(field="store", store=store)
--- a/quillring/rollout/orders.py
+++ b/quillring/rollout/orders.py
@@ -13,7 +13,7 @@
 
 from quillring.kernel.errors import QuillringError
 from quillring.quorum.commands import QUERIES
-from quillring.quorum.parts import CONFIG
+from quillring.quorum.parts import CONFIG_PART
 from quillring.rollout.messages import READ_STATE_VERSION
 from quillring.rollout.schema import EMPTY
 
@@ -94,8 +94,8 @@
     ownership, snapshot = node.find("ownership"), node.find("layout")
     seen_version = snapshot.version
     if snapshot.index == 0:
-        current = yield from ownership.read(CONFIG, READ_STATE_VERSION, seconds)
+        current = yield from ownership.read(CONFIG_PART, READ_STATE_VERSION, seconds)
         seen_version = current["version"]
     fenced_order = order._replace(seen_version=seen_version)
-    answer = yield from ownership.submit(CONFIG, fenced_order.to_wire(), end_time - node.now())
+    answer = yield from ownership.submit(CONFIG_PART, fenced_order.to_wire(), end_time - node.now())
     return answer
--- a/quillring/rollout/snapshot.py
+++ b/quillring/rollout/snapshot.py
@@ -6,7 +6,7 @@
 
 from quillring.kernel.errors import NotFound
 from quillring.kernel.records import NamedTuple
-from quillring.quorum.parts import CONFIG
+from quillring.quorum.parts import CONFIG_PART
 from quillring.rollout.messages import ANNOUNCEMENT, Announcement, ConfigurationRecord
 
 if TYPE_CHECKING:
@@ -16,7 +16,7 @@
     from quillring.quorum.values import Group
 
 GOSSIP_KEY = "layout"
-GROUP_KEY = f"group/{CONFIG}"
+GROUP_KEY = f"group/{CONFIG_PART}"
 
 
 class RouteTarget(NamedTuple):
@@ -48,7 +48,7 @@
             node.find("ownership").leader_listeners.append(self._on_leader_change)
 
     def _on_leader_change(self, leader: PartLeader, batch: list[WireMap]) -> None:
-        if leader.part == CONFIG and leader.is_leader and leader.state is not None:
+        if leader.part == CONFIG_PART and leader.is_leader and leader.state is not None:
             self.update(leader.index, leader.state)
             if batch:
                 self._announce_to_all()
--- a/quillring/verbs/routes.py
+++ b/quillring/verbs/routes.py
@@ -13,7 +13,7 @@
 from quillring.lots.prompts import api as prompt_lots_api
 from quillring.plans import api as plans_api
 from quillring.quorum.founding.founding import found_fleet
-from quillring.quorum.parts import CONFIG
+from quillring.quorum.parts import CONFIG_PART
 from quillring.rollout.messages import (
     READ_CONFIGURATION,
     AdoptConfiguration,
@@ -163,7 +163,7 @@
     own_id = f"{node.runtime.random.getrandbits(96):024x}"
     return (
         yield from node.find("ownership").submit(
-            CONFIG,
+            CONFIG_PART,
             AdoptConfiguration(
                 request.body.get("id", own_id),
                 request.body["base_version"],
@@ -188,10 +188,10 @@
 
 def _order_zone(node: Node, request: Request, is_emptied: bool) -> Coroutine:
     ownership, zone = node.find("ownership"), request.words["domain"]
-    answer = yield from ownership.read(CONFIG, READ_CONFIGURATION)
+    answer = yield from ownership.read(CONFIG_PART, READ_CONFIGURATION)
     current = CurrentConfiguration.from_wire(answer)
     if zone not in (current.configuration or {}).get("domains", {}):
         raise NotFound(field="domain", domain=zone)
     change_id = f"{node.runtime.random.getrandbits(96):024x}"
     command = ChangeZone(change_id, current.version, zone, is_emptied).to_wire()
-    return (yield from ownership.submit(CONFIG, command))
+    return (yield from ownership.submit(CONFIG_PART, command))
--- a/tests/http_lot_stage.py
+++ b/tests/http_lot_stage.py
@@ -10,7 +10,7 @@
 from quillring.lots.http_requests.lot_table import lot_records
 from quillring.lots.http_requests.token_reservations import reserved_tokens
 from quillring.nifty.wire import SPOKEN
-from quillring.quorum.parts import part_of
+from quillring.quorum.parts import part_for_key
 from tests.http_lot_replica import SERVICE, RawBackends, RawReplica, RawRuntime, text_of
 
 HOST, FORWARD = "Lots.example", "bulk"
@@ -161,11 +161,11 @@
 
     def part(self, name="a"):
         """Return the part in which a lot lives."""
-        return part_of(lot_key(HOST, name), len(self.parts))
+        return part_for_key(lot_key(HOST, name), len(self.parts))
 
     def home(self):
         """Return the part that keeps the reservations of the forward."""
-        return part_of(bare_host(HOST), len(self.parts))
+        return part_for_key(bare_host(HOST), len(self.parts))
 
     def owner(self, name="a"):
         """Return the node that owns a lot's part."""
--- a/tests/test_checkpoints.py
+++ b/tests/test_checkpoints.py
@@ -10,7 +10,7 @@
 from quillring.fleet import open_store
 from quillring.kernel.effects import Signal
 from quillring.kernel.errors import Damaged
-from quillring.quorum.commands import first_state
+from quillring.quorum.commands import initial_state
 from quillring.quorum.snapshot_chunks import SNAPSHOT_START, cut_chunk
 from quillring.store import CheckpointedLog
 from quillring.store.checkpoint_file import HEADER, STEP_BYTES
@@ -124,7 +124,7 @@
     acceptors = open_store(WatchedDisk(), "store-1", lambda: "x")
     lots = {f"lot-{n}": {"items": [bytes(3000)] * 100} for n in range(20)}
     acceptors.replay(["found", {"groups": {"part-0": GROUP}}])
-    acceptors.replay(["install", "part-0", [1, "c"], 5, {**first_state(GROUP), "raw": lots}])
+    acceptors.replay(["install", "part-0", [1, "c"], 5, {**initial_state(GROUP), "raw": lots}])
     slots = acceptors.log
     slots.disk.sizes.clear()
     slots._begin_checkpoint()
@@ -141,7 +141,7 @@
 
 def test_a_state_that_arrives_in_pieces_is_gone_on_with_after_a_turn_and_a_crash():
     lots = {f"lot-{n}": {"items": [bytes(3000)] * 100} for n in range(4)}
-    state = {**first_state(GROUP), "raw": lots}
+    state = {**initial_state(GROUP), "raw": lots}
     pieces, place = [], SNAPSHOT_START
     while place is not None:
         data, following = cut_chunk(state, place)
@@ -165,7 +165,7 @@
 
 
 def test_a_slot_of_the_version_before_still_loads():
-    state = {**first_state(GROUP), "raw": {"lot": {"items": {0: ["i"]}}}}
+    state = {**initial_state(GROUP), "raw": {"lot": {"items": {0: ["i"]}}}}
     snapshot = {
         "identity": "store-1.x",
         "founding": {"fleet": "f", "groups": {"part-0": GROUP}},
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -8,7 +8,7 @@
 
 from quillring.edge.resume_token import LIFETIME_SECONDS, BadToken, make_token, read_token
 from quillring.lots.http_requests.lot_placement import lot_key
-from quillring.quorum.parts import CONFIG
+from quillring.quorum.parts import CONFIG_PART
 from tests.fleet_stage import SelfFounded
 from tests.http_lot_stage import HOST, HttpLotStage, accepted, check_whole
 
@@ -121,7 +121,7 @@
 
     def takes_orders():
         order = {"do": "domain.mark", "domain": "north", "emptied": True, "nodes": False}
-        submit = fleet.sim.nodes[name].find("ownership").submit(CONFIG, order, 0.5)
+        submit = fleet.sim.nodes[name].find("ownership").submit(CONFIG_PART, order, 0.5)
         return fleet.ask(name, submit)[1] is None
 
     assert fleet.wait_for(is_back, 4) is not None
--- a/tests/test_configuration_versions.py
+++ b/tests/test_configuration_versions.py
@@ -3,7 +3,7 @@
 import pytest
 
 from quillring.kernel.errors import Conflict, QuillringError
-from quillring.quorum.commands import COMMANDS, QUERIES, apply_batch, first_state
+from quillring.quorum.commands import COMMANDS, QUERIES, apply_batch, initial_state
 from quillring.rollout.configuration_versions import KEPT_VERSIONS, BadConfiguration
 from quillring.rollout.freshness import PolledStamp
 from quillring.rollout.messages import StoreStamp
@@ -75,7 +75,7 @@
     return answers[0]
 
 
-START = first_state([])
+START = initial_state([])
 
 
 def test_of_two_configuration_versions_on_the_same_base_the_first_wins_and_the_other_is_told_so():
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from quillring.quorum.parts import is_enough
+from quillring.quorum.parts import can_survive_zone_loss
 
 DEPLOY = pathlib.Path(__file__).parent.parent / "deploy/system.toml"
 MOST_STORES = 10
@@ -35,7 +35,7 @@
     zones = machines(counts)
     assert len(zones) <= MOST_STORES
     for place in range(len(zones)):
-        assert is_enough(zones[:place] + zones[place + 1 :], losses * 2 + 1)
+        assert can_survive_zone_loss(zones[:place] + zones[place + 1 :], losses * 2 + 1)
 
 
 def test_cores_run_beside_the_stores_so_that_they_cost_no_machine():
--- a/tests/test_first_start.py
+++ b/tests/test_first_start.py
@@ -3,7 +3,7 @@
 import pytest
 
 from tests.fleet_stage import SelfFounded
-from tests.test_founding_bootstrap import all_owned
+from tests.test_founding_bootstrap import all_parts_are_led
 from tests.test_membership_repair import ordered_zones, zone_order
 
 SIZES = {"sizes": {"edge": 2, "core": 4, "store": 4}}
@@ -36,7 +36,7 @@
     stage.sim.heal()
     stage.run(6)
     assert len(stage.fleets()) == 1 and all(a.founding for a in stage.stores().values())
-    assert all_owned(stage)
+    assert all_parts_are_led(stage)
     assert "kept" in ordered_zones(stage)
 
 
@@ -49,7 +49,9 @@
     stage.run(30)
     assert stage.fleets() == set()
     stage.sim.heal()
-    assert stage.wait_for(lambda: len(stage.fleets()) == 1 and all_owned(stage), 8) is not None
+    assert (
+        stage.wait_for(lambda: len(stage.fleets()) == 1 and all_parts_are_led(stage), 8) is not None
+    )
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
@@ -67,7 +69,10 @@
             stage.start(name, is_first=chance.random() < 0.5)
         assert len(stage.fleets()) <= 1
     stage.sim.heal()
-    assert stage.wait_for(lambda: len(stage.fleets()) == 1 and all_owned(stage), 25) is not None
+    assert (
+        stage.wait_for(lambda: len(stage.fleets()) == 1 and all_parts_are_led(stage), 25)
+        is not None
+    )
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
--- a/tests/test_follower_read.py
+++ b/tests/test_follower_read.py
@@ -7,7 +7,7 @@
 from quillring.kernel.errors import NotFound
 from quillring.quorum.acceptor import Acceptors
 from quillring.quorum.acceptor.state import AcceptedEntry, AcceptorState
-from quillring.quorum.commands import first_state
+from quillring.quorum.commands import initial_state
 from quillring.quorum.leader.follower_read import find_answer, value_of
 from quillring.quorum.leader.part_leader import PartLeader
 from quillring.quorum.messages import FollowerReadReply, QueryAnswer
@@ -26,7 +26,7 @@
     """What a store answers that holds these entries: i3=(ballot, batch)."""
     held = {int(name[1:]): entry for name, entry in entries.items()}
     accepted = {index: AcceptedEntry(*entry) for index, entry in held.items()}
-    record = AcceptorState(Ballot(9, "z"), applied, first_state(group), accepted)
+    record = AcceptorState(Ballot(9, "z"), applied, initial_state(group), accepted)
     later = [[i, c.get("lot")] for i, (_, batch) in held.items() for c in batch]
     return [
         applied,
@@ -114,7 +114,7 @@
 
     acceptors.identity, acceptors.log = "a", SlowLog()
     acceptors.parts["part-1"] = AcceptorState(
-        ONE, 4, first_state(GROUP), {5: AcceptedEntry(ONE, accept("l"))}
+        ONE, 4, initial_state(GROUP), {5: AcceptedEntry(ONE, accept("l"))}
     )
     body = {"part": "part-1", "identity": "a", "query": ASKED, "beyond": True}
     coroutine = acceptors.on_peek(body, "edge-1")
--- a/tests/test_founding_vote.py
+++ b/tests/test_founding_vote.py
@@ -1,4 +1,4 @@
-"""A seed's vote: it outlives its process, and only the next one takes its place."""
+"""A seed's vote on the founding record: its durability, and the agreement of the seeds."""
 
 import random
 from types import SimpleNamespace
@@ -8,7 +8,7 @@
 from proving.sim.disk import SimDisk
 from quillring.kernel.errors import Conflict, Fenced, NoMajority, QuillringError, Refused, TimedOut
 from quillring.quorum.founding.founding_vote import (
-    FILES,
+    VOTE_FILES,
     FoundingVoter,
     Witness,
     agree_on_founding,
@@ -17,8 +17,8 @@
 from quillring.quorum.values import NO_BALLOT
 
 
-class LoneNode:
-    """A node whose calls go to its own handlers."""
+class LoopbackNode:
+    """A node that handles its own calls."""
 
     def __init__(self):
         self.handlers = {}
@@ -31,7 +31,7 @@
         yield
 
 
-def finish(coroutine):
+def run_to_completion(coroutine):
     try:
         while True:
             next(coroutine)
@@ -39,8 +39,8 @@
         return stop.value
 
 
-def make(disk=None, is_first_start=True):
-    node = LoneNode()
+def make_voter(disk=None, is_first_start=True):
+    node = LoopbackNode()
     elector = FoundingVoter(node)
     elector.is_first_start = is_first_start
     if disk is not None:
@@ -50,51 +50,51 @@
 
 
 def prepare(elector, number):
-    return finish(elector.on_prepare({"ballot": [number, "core-1#1"]}, "core-1"))
+    return run_to_completion(elector.on_prepare({"ballot": [number, "core-1#1"]}, "core-1"))
 
 
 def accept(elector, number, founding):
-    return finish(
+    return run_to_completion(
         elector.on_accept({"ballot": [number, "core-1#1"], "founding": founding}, "core-1")
     )
 
 
 @pytest.mark.parametrize("is_first_start", [True, False])
-def test_a_vote_with_a_witness_outlives_its_process(is_first_start):
+def test_a_vote_stored_at_a_witness_survives_a_restart_of_the_seed(is_first_start):
     disk = SimDisk(random.Random(1))
-    assert prepare(make(disk), 2) == [list(NO_BALLOT), None]
-    assert accept(make(disk, is_first_start), 2, {"fleet": "f"})
+    assert prepare(make_voter(disk), 2) == [list(NO_BALLOT), None]
+    assert accept(make_voter(disk, is_first_start), 2, {"fleet": "f"})
     with pytest.raises(Fenced):
-        prepare(make(disk, is_first_start), 1)
-    assert prepare(make(disk, is_first_start), 3) == [[2, "core-1#1"], {"fleet": "f"}]
+        prepare(make_voter(disk, is_first_start), 1)
+    assert prepare(make_voter(disk, is_first_start), 3) == [[2, "core-1#1"], {"fleet": "f"}]
     with pytest.raises(Fenced):
-        accept(make(disk, is_first_start), 2, {"fleet": "g"})
+        accept(make_voter(disk, is_first_start), 2, {"fleet": "g"})
 
 
 @pytest.mark.parametrize("disk", [None, SimDisk(random.Random(1))])
-def test_a_later_life_without_a_kept_vote_does_not_vote(disk):
+def test_a_restarted_seed_without_a_stored_vote_does_not_vote(disk):
     with pytest.raises(Refused):
-        prepare(make(disk, is_first_start=False), 1)
+        prepare(make_voter(disk, is_first_start=False), 1)
 
 
-def test_a_torn_vote_leaves_the_one_before_it():
+def test_after_a_torn_write_the_previous_vote_is_read():
     disk = SimDisk(random.Random(1))
-    prepare(make(disk), 1)
-    prepare(make(disk), 2)
-    disk.durable[FILES[0]] = disk.durable[FILES[0]][:-1]
-    assert Vote.from_wire(Witness(LoneNode(), disk).on_recall(None, "")).promised.number == 1
+    prepare(make_voter(disk), 1)
+    prepare(make_voter(disk), 2)
+    disk.durable[VOTE_FILES[0]] = disk.durable[VOTE_FILES[0]][:-1]
+    assert Vote.from_wire(Witness(LoopbackNode(), disk).on_recall(None, "")).promised.number == 1
 
 
-def test_a_vote_that_is_not_the_next_one_is_not_kept():
-    witness = Witness(LoneNode(), SimDisk(random.Random(1)))
+def test_a_witness_rejects_a_vote_whose_number_does_not_follow_the_stored_one():
+    witness = Witness(LoopbackNode(), SimDisk(random.Random(1)))
     witness.on_keep([1, [1, "a"], [0, ""], None], "")
     for number in (1, 3):
         with pytest.raises(Conflict):
             witness.on_keep([number, [9, "b"], [0, ""], None], "")
 
 
-class Founder(LoneNode):
-    """A founder that reaches some of the seeds, for each service other ones."""
+class Founder(LoopbackNode):
+    """A founder that reaches a different subset of the seeds for each service."""
 
     bounds = SimpleNamespace(propagation=2.0)
 
@@ -119,22 +119,24 @@
 
     def answer(self, target, service, body):
         try:
-            return finish(self.electors[target].node.handlers[service](body, self.me.name))
+            return run_to_completion(
+                self.electors[target].node.handlers[service](body, self.me.name)
+            )
         except QuillringError as error:
             return error
 
-    def agree(self, fleet, prepared, accepted):
-        """Propose a record to the seeds reached; return the one chosen, None where none is."""
-        self.reached = {"founding.prepare": prepared, "founding.accept": accepted}
+    def agree(self, fleet, prepare_seeds, accepted):
+        """Propose a record to the seeds within reach; return the chosen fleet, or None."""
+        self.reached = {"founding.prepare": prepare_seeds, "founding.accept": accepted}
         try:
-            return finish(agree_on_founding(self, {"fleet": fleet}))["fleet"]
+            return run_to_completion(agree_on_founding(self, {"fleet": fleet}))["fleet"]
         except (Fenced, NoMajority):
             return None
 
 
 @pytest.mark.parametrize("accepted", ["b", "ab", "abc"])
-def test_a_record_that_any_seed_of_a_majority_accepted_is_taken_over(accepted):
-    electors = {name: make() for name in "abc"}
+def test_a_founder_adopts_a_record_that_a_seed_of_its_majority_accepted(accepted):
+    electors = {name: make_voter() for name in "abc"}
     first, second, third = (Founder(f"core-{n}", electors) for n in (1, 2, 3))
     chosen = first.agree("f", "abc", accepted)
     assert chosen == ("f" if len(accepted) > 1 else None)
@@ -142,8 +144,8 @@
     assert third.agree("h", "ac", "ac") == "f"
 
 
-def test_a_record_that_no_majority_was_asked_about_is_not_chosen():
-    electors = {name: make() for name in "abc"}
+def test_a_record_is_chosen_only_if_a_majority_promised_and_accepted():
+    electors = {name: make_voter() for name in "abc"}
     first, second = (Founder(f"core-{n}", electors) for n in (1, 2))
     assert first.agree("f", "a", "abc") is None
     assert first.agree("f", "abc", "a") is None
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -10,7 +10,7 @@
 from quillring.kernel.errors import BadWire, QuillringError
 from quillring.kernel.settings import find_faults
 from quillring.nifty.wire import pack, unpack
-from quillring.quorum.commands import apply_batch, first_state
+from quillring.quorum.commands import apply_batch, initial_state
 from quillring.rollout import schema
 
 CONFIGURATION = configuration_of(DEPLOYMENTS["ferrowa"])
@@ -26,7 +26,7 @@
         if chance.random() < 0.2:
             change = fuzz.mutate(chance, CONFIGURATION)
         state, answers = apply_batch(
-            {**first_state([]), "layout": CONFIGURATION, "version": 1},
+            {**initial_state([]), "layout": CONFIGURATION, "version": 1},
             [
                 {
                     "do": "layout.adopt",
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -5,7 +5,7 @@
 from proving.sim.many_changes import ManyChanges
 from quillring.kernel.errors import Refused
 from quillring.quorum.acceptor import hint_store
-from quillring.quorum.parts import CONFIG
+from quillring.quorum.parts import CONFIG_PART
 from quillring.quorum.snapshot_chunks import CHUNK_BYTES
 
 
@@ -54,7 +54,7 @@
     spare = next(n for n in fleet.sim.up_nodes("store") if n.find("acceptors").hints)
     kept = sum(len(records) for records in spare.find("acceptors").hints.values())
     assert 10 < kept < 40
-    body = {"for": store, "record": {"part": CONFIG}}
+    body = {"for": store, "record": {"part": CONFIG_PART}}
     with pytest.raises(Refused):
         next(spare.find("hints").on_hint(body, "core-1"))
     fleet.start(store)
--- a/tests/test_histories_found.py
+++ b/tests/test_histories_found.py
@@ -4,7 +4,7 @@
 from quillring.lots.http_requests import api
 from quillring.lots.http_requests.lot_placement import place_of_lot
 from quillring.quorum.leader.follower_read import read_from_majority, value_of
-from quillring.quorum.parts import CONFIG
+from quillring.quorum.parts import CONFIG_PART
 from tests.http_lot_stage import FORWARD, HOST, HttpLotStage
 
 MOST_TOKENS = 400
@@ -88,15 +88,15 @@
     """An entry that the stores have accepted is chosen, though its owner has no answer yet."""
     with HttpLotStage(9) as stage:
         owner = stage.sim.nodes[stage.up("edge").find("gossip").get("owner/config")["owner"]]
-        former = peek_at_edge(stage, CONFIG, {"ask": "edition"})["edition"]
+        former = peek_at_edge(stage, CONFIG_PART, {"ask": "edition"})["edition"]
         cut_answers_to(stage, owner)
         command = {**EMPTY_CHANGE, "edition": former + 1, "base_edition": former}
-        stage.begin(owner, lambda node: node.find("ownership").submit(CONFIG, command, 2))
+        stage.begin(owner, lambda node: node.find("ownership").submit(CONFIG_PART, command, 2))
         stage.run(0.05)
-        assert peek_at_edge(stage, CONFIG, {"ask": "edition"})["edition"] == former + 1
+        assert peek_at_edge(stage, CONFIG_PART, {"ask": "edition"})["edition"] == former + 1
         stage.sim.net.heal()
         known, error = stage.do(
-            owner, lambda node: node.find("ownership").read(CONFIG, {"ask": "edition"}, 2)
+            owner, lambda node: node.find("ownership").read(CONFIG_PART, {"ask": "edition"}, 2)
         )
         assert error is None and known["edition"] == former + 1
 
--- a/tests/test_http_lot_placement.py
+++ b/tests/test_http_lot_placement.py
@@ -8,7 +8,7 @@
 from quillring.lots.http_requests import api, lot_placement
 from quillring.lots.http_requests.lot_placement import SPREAD_LEVEL, LotPlacement, lot_key
 from quillring.lots.http_requests.lot_table import HeldTooMuch, QuotaExceeded, lot_records
-from quillring.quorum.parts import part_of
+from quillring.quorum.parts import part_for_key
 from tests.http_lot_stage import FORWARD, HOST, HttpLotStage, accepted, check_whole
 
 
@@ -29,7 +29,7 @@
 
 def test_the_lots_of_one_host_spread_evenly_over_any_number_of_parts():
     for parts in (4, 8, 64):
-        counts = Counter(part_of(lot_key(HOST, f"lot{n}"), parts) for n in range(100 * parts))
+        counts = Counter(part_for_key(lot_key(HOST, f"lot{n}"), parts) for n in range(100 * parts))
         assert len(counts) == parts
         assert max(counts.values()) < 150 and min(counts.values()) > 60
 
--- a/tests/test_http_lot_state_machine.py
+++ b/tests/test_http_lot_state_machine.py
@@ -3,7 +3,7 @@
 from quillring.kernel.errors import Conflict, NotFound
 from quillring.lots.http_requests import state_machine
 from quillring.lots.http_requests.lot_table import HELD, QUOTA, waiting_tokens
-from quillring.quorum.commands import apply_batch, first_state
+from quillring.quorum.commands import apply_batch, initial_state
 
 
 def accept(name, count=3, tokens=10, most=0, attempt="t", forward="f", digest=b"d", body=b"body"):
@@ -37,7 +37,7 @@
 
 
 def apply(*batch, state=None):
-    return apply_batch(first_state([]) if state is None else state, batch)
+    return apply_batch(initial_state([]) if state is None else state, batch)
 
 
 def test_results_take_the_next_position_once_and_keep_it():
--- a/tests/test_leader_classes.py
+++ b/tests/test_leader_classes.py
@@ -6,7 +6,7 @@
 
 from quillring.kernel.bounds import Bounds
 from quillring.kernel.errors import Fenced, NoMajority, NotLeader, TimedOut
-from quillring.quorum.commands import first_state
+from quillring.quorum.commands import initial_state
 from quillring.quorum.leader.command_queue import CommandQueue
 from quillring.quorum.leader.quorum_call import QuorumCaller
 from quillring.quorum.leader.state_machine import StateMachine
@@ -105,11 +105,11 @@
 
 
 def test_a_copied_state_machine_goes_its_own_way():
-    machine = StateMachine(0, first_state(GROUP))
+    machine = StateMachine(0, initial_state(GROUP))
     machine.apply(1, [])
     other = machine.copy()
     other.apply(2, [JOIN])
     assert (machine.last_applied, other.last_applied) == (1, 2)
     assert machine.group() == GROUP and other.group() == JOIN["group"]
-    assert machine.log_cache.since(1) == []
-    assert [index for index, _ in other.log_cache.since(0)] == [1, 2]
+    assert machine.log_cache.entries_after(1) == []
+    assert [index for index, _ in other.log_cache.entries_after(0)] == [1, 2]
--- a/tests/test_many_changes.py
+++ b/tests/test_many_changes.py
@@ -9,8 +9,8 @@
 from proving.sim import many_changes
 from proving.sim.many_changes import ManyChanges
 from quillring.kernel.errors import Conflict
-from quillring.quorum.commands import apply_batch, first_state
-from quillring.quorum.parts import CONFIG
+from quillring.quorum.commands import apply_batch, initial_state
+from quillring.quorum.parts import CONFIG_PART
 from quillring.rollout import configuration_versions
 from quillring.rollout.commands import KEPT_CHANGES, BadConfiguration
 from quillring.rollout.configuration_versions import KEPT_VERSIONS
@@ -46,7 +46,7 @@
 
 
 def test_the_tables_of_the_state_are_bounded_whatever_the_number_of_changes():
-    state, sizes = first_state([]), {}
+    state, sizes = initial_state([]), {}
     for number in range(1, 641):
         state, answers = apply_batch(state, a_few_of_all(number, state))
         assert not any(isinstance(answer, Exception) for answer in answers[:2]), answers
@@ -63,7 +63,7 @@
 
 
 def test_a_resend_long_after_is_refused_and_never_taken_twice():
-    state, commands = first_state([]), []
+    state, commands = initial_state([]), []
     for number in range(1, KEPT_VERSIONS + 10):
         commands.append(adoption(number, number - 1, {"f": {**FORWARD, "hold_ms": number}}))
         state, _ = apply_batch(state, [commands[-1]])
@@ -84,7 +84,7 @@
         return real(section, validator, items)
 
     forwards = {f"f-{n}": {**FORWARD, "prefix": f"/{n}/"} for n in range(60)}
-    state, _ = apply_batch(first_state([]), [adoption(1, 0, forwards)])
+    state, _ = apply_batch(initial_state([]), [adoption(1, 0, forwards)])
     monkeypatch.setattr(configuration_versions, "item_faults", note)
     changed = {**forwards, "f-7": {**FORWARD, "prefix": "/7/", "rounds": 2}}
     state, answers = apply_batch(state, [adoption(2, 1, json.loads(json.dumps(changed)))])
@@ -94,7 +94,7 @@
 @pytest.mark.parametrize("value", [True, 1.0])
 def test_what_only_equals_an_item_in_force_is_checked(value):
     forwards = {"f": {**FORWARD, "rounds": 1}}
-    state, _ = apply_batch(first_state([]), [adoption(1, 0, forwards)])
+    state, _ = apply_batch(initial_state([]), [adoption(1, 0, forwards)])
     _, answers = apply_batch(state, [adoption(2, 1, {"f": {**FORWARD, "rounds": value}})])
     assert isinstance(answers[0], BadConfiguration)
 
@@ -109,7 +109,7 @@
     assert fleet.change(1) == 1
     fleet.run(2)
     states = {
-        cbor2.dumps(fleet.sim.nodes[name].find("acceptors").parts[CONFIG].state)
+        cbor2.dumps(fleet.sim.nodes[name].find("acceptors").parts[CONFIG_PART].state)
         for name in fleet.group()
     }
     assert len(states) == 1
@@ -125,11 +125,11 @@
     fleet.sim.cut([former, store], others)
     ownership = fleet.sim.nodes[former].find("ownership")
     lost = {**fleet.configuration(), "edition": 77}
-    coroutine = ownership.submit(CONFIG, lost, 0.8)
+    coroutine = ownership.submit(CONFIG_PART, lost, 0.8)
     task = fleet.env.process(fleet.sim.run_script(fleet.sim.nodes[former], coroutine))
     fleet.env.run(until=task)
     assert task.value[1] is not None
-    record = fleet.sim.nodes[store].find("acceptors").parts[CONFIG]
+    record = fleet.sim.nodes[store].find("acceptors").parts[CONFIG_PART]
     assert [batch[0]["edition"] for _, batch in record.entries.values()] == [77]
     survivor = next(name for name in fleet.sim.names("core") if name != former)
     assert fleet.change(5, survivor) == 5
--- a/tests/test_operator_orders.py
+++ b/tests/test_operator_orders.py
@@ -2,7 +2,7 @@
 
 from quillring.edge.admission import check_open
 from quillring.kernel.errors import Conflict, NotFound, Refused
-from quillring.quorum.commands import apply_batch, first_state
+from quillring.quorum.commands import apply_batch, initial_state
 from quillring.rollout.operator_orders import is_retired, known_stores, retire_store
 from tests.fleet_stage import SelfFounded
 
@@ -20,7 +20,7 @@
 
 
 def test_orders_come_before_any_configuration_and_the_last_one_counts():
-    state = first_state([])
+    state = initial_state([])
     state, _ = apply_batch(
         state,
         [
@@ -39,7 +39,7 @@
 
 
 def test_an_order_that_stands_already_changes_nothing():
-    state, _ = apply_batch(first_state([]), [zone_order("north", True)])
+    state, _ = apply_batch(initial_state([]), [zone_order("north", True)])
     again, answers = apply_batch(state, [zone_order("north", True)])
     assert again is state and answers[0]["emptied"]
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from quillring.kernel.errors import Conflict
-from quillring.quorum.commands import apply_batch, first_state
+from quillring.quorum.commands import apply_batch, initial_state
 from quillring.rollout.orders import KEPT_ORDERS, StaleOrder
 from tests.fleet_stage import SelfFounded
 from tests.system_calls import WHOLE, call, handle_ctl, replace
@@ -35,7 +35,7 @@
 
 
 def play(*commands):
-    return apply_batch(first_state([]), list(commands))
+    return apply_batch(initial_state([]), list(commands))
 
 
 def is_emptied(state, zone):
@@ -124,7 +124,7 @@
 @given(st.lists(st.tuples(st.booleans(), st.integers(0, 4), st.booleans()), max_size=30))
 def test_whatever_comes_late_the_newest_order_taken_in_its_turn_stays_in_force(steps):
     """Each step: an order, how many versions its node is behind, and whether it is a late copy."""
-    state, sent, newest = first_state([]), [], None
+    state, sent, newest = initial_state([]), [], None
     for wants_emptied, behind, is_late in steps:
         if is_late and sent:
             command = sent[behind % len(sent)]
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -5,8 +5,8 @@
 from quillring.kernel.errors import Conflict, NotFound
 from quillring.plans.commands import Contradiction, Impossible, StalePlan
 from quillring.plans.planner import FleetView, NodePlace, ReplicaLoad, make_plan
-from quillring.quorum.commands import apply_batch, first_state
-from quillring.quorum.parts import CONFIG
+from quillring.quorum.commands import apply_batch, initial_state
+from quillring.quorum.parts import CONFIG_PART
 
 CONFIGURATION = configuration_of(DEPLOYMENTS["ferrowa"])
 STORES = {f"store-{i + 1}": d for i, d in enumerate(("north", "east", "south", "west"))}
@@ -34,7 +34,7 @@
 
 
 def started():
-    state = first_state([])
+    state = initial_state([])
     return apply_batch(
         state,
         [
@@ -189,14 +189,14 @@
     stage = Stage(3)
     node = stage.node("edge-1")
     plan = make_plan(
-        view(groups={"config": [s[0] for s in node.find("ownership").group(CONFIG)]}),
-        {"kind": "retire_store", "target": node.find("ownership").group(CONFIG)[0][0]},
+        view(groups={"config": [s[0] for s in node.find("ownership").group(CONFIG_PART)]}),
+        {"kind": "retire_store", "target": node.find("ownership").group(CONFIG_PART)[0][0]},
     ).to_state()
     ownership = node.find("ownership")
 
     def operate():
-        yield from ownership.submit(CONFIG, {"do": "plan.propose", "id": "p", "plan": plan})
-        yield from ownership.submit(CONFIG, confirm("p"))
+        yield from ownership.submit(CONFIG_PART, {"do": "plan.propose", "id": "p", "plan": plan})
+        yield from ownership.submit(CONFIG_PART, confirm("p"))
 
     stage.finish(stage.start(stage.sim.run_script(node, operate())))
     stage.run(0.3)
@@ -204,7 +204,7 @@
     stage.run(20)
     answer, _ = stage.finish(
         stage.start(
-            stage.sim.run_script(node, ownership.read(CONFIG, {"ask": "plan", "plan": "p"}))
+            stage.sim.run_script(node, ownership.read(CONFIG_PART, {"ask": "plan", "plan": "p"}))
         )
     )
     assert answer["phase"] == "done"
--- a/tests/test_prompt_lot_acceptance_fence.py
+++ b/tests/test_prompt_lot_acceptance_fence.py
@@ -6,7 +6,7 @@
 from quillring.lots.prompts.acceptance_fence import KEPT_DROPS, StaleLot, lot_fence
 from quillring.lots.prompts.api import submit_lot
 from quillring.lots.prompts.state_machine import accept_lot
-from quillring.quorum.commands import apply_batch, first_state
+from quillring.quorum.commands import apply_batch, initial_state
 from tests.fleet_stage import SelfFounded
 
 
@@ -28,8 +28,8 @@
 
 @pytest.mark.parametrize("verb", ["drop", "release"])
 def test_a_late_copy_of_a_forgotten_lot_is_refused(verb):
-    first = accept("x", lot_fence(first_state([]), {})["drops"])
-    state, _ = apply_batch(first_state([]), [first, *forgets(verb, "x")])
+    first = accept("x", lot_fence(initial_state([]), {})["drops"])
+    state, _ = apply_batch(initial_state([]), [first, *forgets(verb, "x")])
     after, (answer,) = apply_batch(state, [first])
     assert isinstance(answer, StaleLot) and answer.may_retry_later
     assert after == state
@@ -37,7 +37,7 @@
 
 @pytest.mark.parametrize("verb", ["drop", "release"])
 def test_a_lot_that_is_handed_in_after_the_former_was_forgotten_is_a_new_one(verb):
-    state, _ = apply_batch(first_state([]), [accept("x"), *forgets(verb, "x")])
+    state, _ = apply_batch(initial_state([]), [accept("x"), *forgets(verb, "x")])
     again = accept("x", lot_fence(state, {})["drops"])
     state, (answer, repeated) = apply_batch(state, [again, again])
     assert answer == {"lot": "x", "items": 1} and repeated["repeated"]
@@ -48,14 +48,14 @@
 
 def test_a_repeat_of_a_lot_that_is_there_is_told_as_taken_however_late():
     state, _ = apply_batch(
-        first_state([]), [accept("x"), accept("y"), *forgets("drop", "y"), *ends("x")]
+        initial_state([]), [accept("x"), accept("y"), *forgets("drop", "y"), *ends("x")]
     )
     _, (repeat, other) = apply_batch(state, [accept("x"), accept("x", items=("b",))])
     assert repeat["repeated"] and isinstance(other, Conflict)
 
 
 def test_the_memory_is_bounded_and_what_went_out_of_it_is_still_fenced():
-    state = first_state([])
+    state = initial_state([])
     first = accept("lot-0")
     for number in range(KEPT_DROPS * 3):
         name = f"lot-{number}"
@@ -69,13 +69,13 @@
 
 
 def test_a_drop_that_forgets_nothing_counts_nothing():
-    state, _ = apply_batch(first_state([]), [accept("x")])
+    state, _ = apply_batch(initial_state([]), [accept("x")])
     after, _ = apply_batch(state, [{"do": "lot.drop", "lot": name} for name in ("x", "y")])
     assert after == state
 
 
 def test_an_acceptance_of_the_version_before_carries_no_fence():
-    state, _ = apply_batch(first_state([]), [accept("x"), *forgets("drop", "x")])
+    state, _ = apply_batch(initial_state([]), [accept("x"), *forgets("drop", "x")])
     command = {key: value for key, value in accept("x").items() if key != "seen_drops"}
     assert accept_lot(state, command)[1] == {"lot": "x", "items": 1}
 
--- a/tests/test_prompt_lot_state_machine.py
+++ b/tests/test_prompt_lot_state_machine.py
@@ -3,7 +3,7 @@
 from quillring.kernel.errors import Conflict, NotFound
 from quillring.lots.prompts import state_machine
 from quillring.lots.prompts.state_machine import TooManyLots
-from quillring.quorum.commands import apply_batch, first_state
+from quillring.quorum.commands import apply_batch, initial_state
 
 
 def accept(name, items, client_name="ann"):
@@ -21,7 +21,7 @@
 
 def test_results_keep_position_and_value_and_the_lot_ends_with_the_last():
     state, answers = apply_batch(
-        first_state([]),
+        initial_state([]),
         [
             accept("x", ["a", "b"]),
             result("x", 1, "B"),
@@ -39,7 +39,7 @@
 
 
 def test_the_same_name_with_other_items_is_a_conflict_and_other_clients_see_nothing():
-    state, answers = apply_batch(first_state([]), [accept("x", ["a"]), accept("x", ["b"])])
+    state, answers = apply_batch(initial_state([]), [accept("x", ["a"]), accept("x", ["b"])])
     assert isinstance(answers[1], Conflict)
     with pytest.raises(NotFound):
         read(state, "x", "bob")
@@ -50,7 +50,7 @@
 def test_a_cancelled_lot_takes_no_more_results_and_starts_nothing():
     start = {"do": "lot.start", "lot": "x", "n": 1, "by": [1, "c"], "was_unsent": False}
     state, answers = apply_batch(
-        first_state([]),
+        initial_state([]),
         [
             accept("x", ["a", "b"]),
             result("x", 0, "A"),
@@ -66,7 +66,7 @@
 def test_an_item_that_may_not_repeat_starts_once_unless_it_was_never_sent():
     start = {"do": "lot.start", "lot": "x", "n": 0, "by": [1, "c"], "was_unsent": False}
     _, answers = apply_batch(
-        first_state([]),
+        initial_state([]),
         [
             accept("x", ["a"]),
             start,
@@ -80,6 +80,6 @@
 
 def test_open_lots_have_a_bounded_weight():
     heavy = ["x" * (1 << 20)] * 10
-    state, answers = apply_batch(first_state([]), [accept("x", heavy), accept("y", heavy)])
+    state, answers = apply_batch(initial_state([]), [accept("x", heavy), accept("y", heavy)])
     assert isinstance(answers[1], TooManyLots)
     assert list(state["lots"]) == ["x"]
--- a/tests/test_removed_members.py
+++ b/tests/test_removed_members.py
@@ -6,7 +6,7 @@
 
 from quillring.gossip import Gossip
 from quillring.quorum.leader.follower_read import read_from_majority
-from quillring.quorum.parts import CONFIG, majority
+from quillring.quorum.parts import CONFIG_PART, majority
 from tests.fleet_stage import SelfFounded
 from tests.test_membership_repair import members, zone_order
 
@@ -16,7 +16,7 @@
 
 def replace_two(stage):
     """Retire two members of the config part one after the other; return (former group, left)."""
-    former = stage.sim.nodes["core-1"].find("ownership").group(CONFIG)
+    former = stage.sim.nodes["core-1"].find("ownership").group(CONFIG_PART)
     left = [member.name for member in former[1:]]
     for store in left:
         command = {"do": "store.mark", "store": store, "retired": True}
@@ -81,7 +81,7 @@
     ownership = stage.sim.nodes[former_owner].find("ownership")
     for _ in range(40):
         stage.run(0.1)
-        owner = ownership.leaders[CONFIG]
+        owner = ownership.leaders[CONFIG_PART]
         assert stage.ask(former_owner, owner.submit(zone_order("lost")), 0.5)[0] is None
         assert stage.ask(former_owner, owner.linearizable_state(), 0.5)[0] is None
     assert not stage.sim.nodes["edge-1"].find("freshness").is_fresh()
@@ -96,6 +96,6 @@
     owner = stage.owner()
     assert stage.submit(owner, zone_order("new"), seconds=3)[1] is None
     edge = stage.sim.nodes["edge-1"]
-    known, error = stage.ask("edge-1", read_from_majority(edge, CONFIG, former, ASKED))
+    known, error = stage.ask("edge-1", read_from_majority(edge, CONFIG_PART, former, ASKED))
     assert known is None and error is None
     assert len(left) == majority(former)
--- a/tests/test_slow_cores.py
+++ b/tests/test_slow_cores.py
@@ -8,7 +8,7 @@
     MAX_BACKOFF_HEARTBEATS,
     MIN_BACKOFF_HEARTBEATS,
 )
-from quillring.quorum.parts import CONFIG
+from quillring.quorum.parts import CONFIG_PART
 from tests.fleet_stage import SelfFounded
 
 SLOW_STEPS = (0.002, 0.008, 0.03)
@@ -40,7 +40,7 @@
 class Terms:
     """The terms of a part that its cores owned it under, as they are seen to begin."""
 
-    def __init__(self, fleet, part=CONFIG):
+    def __init__(self, fleet, part=CONFIG_PART):
         self.fleet = fleet
         self.part = part
         self.seen = []
@@ -85,7 +85,7 @@
     terms = Terms(fleet)
     other = next(core for core in fleet.sim.names("core") if core != name)
     for number in range(20):
-        coroutine = fleet.sim.nodes[other].find("ownership").submit(CONFIG, order(number), 0.8)
+        coroutine = fleet.sim.nodes[other].find("ownership").submit(CONFIG_PART, order(number), 0.8)
         fleet.env.process(fleet.sim.run_script(fleet.sim.nodes[other], coroutine))
         terms.watch(SLOW_SECONDS / 20)
     assert len(terms.seen) <= MOST_TERMS, terms.cores()
@@ -134,7 +134,7 @@
 def test_slow_disks_of_stores_are_no_fault_of_the_owner(seed, count):
     fleet = SelfFounded(seed)
     name = fleet.owner()
-    group = [store[0] for store in fleet.sim.nodes[name].find("ownership").group(CONFIG)]
+    group = [store[0] for store in fleet.sim.nodes[name].find("ownership").group(CONFIG_PART)]
     former = {store: fleet.sim.disks[store].sync_seconds for store in group}
     for store in group[:count]:
         fleet.sim.disks[store].sync_seconds = (0.6, 1.2)
--- a/tests/test_slow_disks.py
+++ b/tests/test_slow_disks.py
@@ -7,7 +7,7 @@
 from proving.sim.disk import SimDisk
 from quillring.fleet import open_store
 from quillring.kernel.errors import DiskError, Fenced, QuillringError
-from quillring.quorum.parts import CONFIG
+from quillring.quorum.parts import CONFIG_PART
 from quillring.verbs.status_routes import show_status
 from tests.fleet_stage import SelfFounded
 from tests.http_lot_stage import HttpLotStage
@@ -54,7 +54,7 @@
 
 
 def config_stores(fleet):
-    return [store[0] for store in fleet.sim.nodes["core-1"].find("ownership").group(CONFIG)]
+    return [store[0] for store in fleet.sim.nodes["core-1"].find("ownership").group(CONFIG_PART)]
 
 
 @pytest.mark.parametrize("bring_about", FAULTS)
@@ -94,7 +94,7 @@
     fleet = SelfFounded(121)
     name = config_stores(fleet)[0]
     acceptors = fleet.stores()[name]
-    before = acceptors.parts[CONFIG].applied
+    before = acceptors.parts[CONFIG_PART].applied
     fill_disk(fleet.sim, name, fleet.sim.bounds.resync * 0.4)
     for number in range(4):
         assert fleet.submit("core-2", order(number))[1] is None
@@ -102,11 +102,13 @@
     assert isinstance(acceptors.log.error, DiskError)
     assert "no space left" in show_status(fleet.sim.nodes[name], None)["disk_error"]
     assert acceptors.stamp() is None
-    index, state = acceptors.on_image({"part": CONFIG}, "anyone")
+    index, state = acceptors.on_image({"part": CONFIG_PART}, "anyone")
     assert index >= before and state["group"]
     fleet.run(fleet.sim.bounds.resync * 0.4)
-    newest = max(a.parts[CONFIG].applied for a in fleet.stores().values() if CONFIG in a.parts)
-    is_whole = fleet.wait_for(lambda: acceptors.parts[CONFIG].applied == newest, 3)
+    newest = max(
+        a.parts[CONFIG_PART].applied for a in fleet.stores().values() if CONFIG_PART in a.parts
+    )
+    is_whole = fleet.wait_for(lambda: acceptors.parts[CONFIG_PART].applied == newest, 3)
     assert is_whole is not None and acceptors.log.error is None
     assert name in config_stores(fleet)
     assert show_status(fleet.sim.nodes[name], None)["disk_error"] is None
@@ -133,7 +135,12 @@
 
     def ask(self, service, ballot, **body):
         """Return the answer or error, or the coroutine that waits for the disk."""
-        fields = {"part": CONFIG, "identity": self.acceptors.identity, "ballot": ballot, **body}
+        fields = {
+            "part": CONFIG_PART,
+            "identity": self.acceptors.identity,
+            "ballot": ballot,
+            **body,
+        }
         try:
             answer = getattr(self.acceptors, f"on_{service}")(fields, "core")
             if hasattr(answer, "send"):
@@ -195,7 +202,7 @@
     ]
     assert all(hasattr(answer, "send") for answer in asked)
     store = store.after_power_loss()
-    record = store.acceptors.parts[CONFIG]
+    record = store.acceptors.parts[CONFIG_PART]
     assert (record.promised, record.applied, record.entries) == ((1, "a"), 0, {})
 
 
@@ -213,7 +220,7 @@
             coroutine.send(True)
     assert isinstance(store.ask("confirm", newer), DiskError)
     assert isinstance(store.ask("commit", newer, committed=0), DiskError)
-    record = store.after_power_loss().acceptors.parts[CONFIG]
+    record = store.after_power_loss().acceptors.parts[CONFIG_PART]
     assert (record.promised, record.entries) == ((1, "a"), {})
 
 
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -6,7 +6,7 @@
 
 from quillring.quorum.leader.part_leader import PartLeader
 from quillring.quorum.messages import ConfirmRequest
-from quillring.quorum.parts import CONFIG
+from quillring.quorum.parts import CONFIG_PART
 from quillring.verbs.routes import show_configuration
 from tests.fleet_stage import SelfFounded
 
@@ -23,7 +23,7 @@
 def frozen_during(fleet, request_type, seconds):
     """Freeze the owner of the configuration right after it began to ask for something."""
     name = fleet.owner()
-    owner = fleet.sim.nodes[name].find("ownership").leaders[CONFIG]
+    owner = fleet.sim.nodes[name].find("ownership").leaders[CONFIG_PART]
     frozen_at = []
 
     def freezing_call(self, asked_type, **fields):
@@ -63,7 +63,7 @@
     assert fleet.submit("core-1", zone_order("north", False))[1] is None
     name = fleet.owner()
     node = fleet.sim.nodes[name]
-    owner = node.find("ownership").leaders[CONFIG]
+    owner = node.find("ownership").leaders[CONFIG_PART]
     reads = []
 
     def ask_during(self, request_type, **fields):
@@ -78,7 +78,7 @@
 
     def read():
         reads.append("begun")
-        coroutine = node.find("ownership").read(CONFIG, {"ask": "edition"}, 0.8)
+        coroutine = node.find("ownership").read(CONFIG_PART, {"ask": "edition"}, 0.8)
         return (yield from fleet.sim.run_script(node, coroutine))
 
     with mock.patch.object(PartLeader, "_call_majority", ask_during):
@@ -100,7 +100,9 @@
     zones = ["north", "east", "south"]
     tasks = [
         fleet.env.process(
-            fleet.sim.run_script(node, node.find("ownership").submit(CONFIG, zone_order(zone), 0.8))
+            fleet.sim.run_script(
+                node, node.find("ownership").submit(CONFIG_PART, zone_order(zone), 0.8)
+            )
         )
         for zone in zones
     ]
@@ -135,7 +137,7 @@
 def other_owners(fleet, owner):
     """Return the ballots above an owner's that other cores own the configuration under."""
     owners = [
-        node.find("ownership").leaders.get(CONFIG)
+        node.find("ownership").leaders.get(CONFIG_PART)
         for node in fleet.sim.up_nodes("core")
         if node is not owner.node
     ]
@@ -155,12 +157,12 @@
         if step % 40 == 0:
             order = zone_order(f"zone-{step}")
             asked = node if step % 80 else fleet.sim.nodes[other]
-            coroutine = asked.find("ownership").submit(CONFIG, order, 0.8)
+            coroutine = asked.find("ownership").submit(CONFIG_PART, order, 0.8)
             tasks.append(
                 (order["domain"], fleet.env.process(fleet.sim.run_script(asked, coroutine)))
             )
         fleet.run(0.02)
-        owner = node.find("ownership").leaders.get(CONFIG)
+        owner = node.find("ownership").leaders.get(CONFIG_PART)
         for ballot in other_owners(fleet, owner):
             since = newer_since.setdefault(ballot, fleet.env.now)
             if owner.has_lease():
--- a/tests/test_token_reservation_order.py
+++ b/tests/test_token_reservation_order.py
@@ -9,7 +9,7 @@
     reserved_tokens,
     tokens_left,
 )
-from quillring.quorum.commands import apply_batch, first_state
+from quillring.quorum.commands import apply_batch, initial_state
 from tests.test_http_lot_state_machine import result
 from tests.test_token_reservations import HOME, MOST, accept_under, fence, release, reserve
 
@@ -27,7 +27,7 @@
 
     def __init__(self):
         super().__init__()
-        self.states = {part: first_state([]) for part in LOTS.values()}
+        self.states = {part: initial_state([]) for part in LOTS.values()}
 
     def do(self, part, command):
         self.states[part], [answer] = apply_batch(self.states[part], [command])
--- a/tests/test_token_reservations.py
+++ b/tests/test_token_reservations.py
@@ -9,7 +9,7 @@
     reserved_tokens,
     tokens_left,
 )
-from quillring.quorum.commands import apply_batch, first_state
+from quillring.quorum.commands import apply_batch, initial_state
 from tests.test_http_lot_state_machine import accept, result
 
 HOME, MOST = "part-0", 60
@@ -43,7 +43,7 @@
 
 
 def apply(*batch, state=None):
-    return apply_batch(first_state([]) if state is None else state, batch)
+    return apply_batch(initial_state([]) if state is None else state, batch)
 
 
 def test_tokens_are_reserved_up_to_the_limit_and_a_lot_once():
