--- a/tests/test_quorum_messages.py
+++ b/tests/test_quorum_messages.py
@@ -1,4 +1,4 @@
-"""Each message of the quorum and each record of a store's log keeps its form, byte for byte."""
+"""The encoding of the quorum's messages and of the records of a store's log, byte for byte."""
 
 import cbor2
 import pytest
@@ -58,28 +58,31 @@
 BATCH = [{"do": "lot.accept", "lot": "l"}]
 FOUNDING = {"fleet": "f", "groups": {"part-0": GROUP}, "secret": b"s", "size": 3}
 HEADER = {"part": "part-0", "ballot": [3, "core-1#7"], "identity": "store-1.x"}
-TO_STORE = ("part-0", BALLOT, "store-1.x")
+HEADER_FIELDS = ("part-0", BALLOT, "store-1.x")
 
 MESSAGES = [
-    (PrepareRequest(*TO_STORE), HEADER),
-    (PrepareRequest(*TO_STORE, brief=True), {**HEADER, "brief": True}),
-    (PrepareRequest(*TO_STORE, messages.BRIEF_WITHOUT_BATCHES), {**HEADER, "brief": "index"}),
-    (AcceptRequest(*TO_STORE, 5, BATCH, 4), {**HEADER, "index": 5, "batch": BATCH, "committed": 4}),
-    (CommitRequest(*TO_STORE, 4), {**HEADER, "committed": 4}),
+    (PrepareRequest(*HEADER_FIELDS), HEADER),
+    (PrepareRequest(*HEADER_FIELDS, brief=True), {**HEADER, "brief": True}),
+    (PrepareRequest(*HEADER_FIELDS, messages.BRIEF_WITHOUT_BATCHES), {**HEADER, "brief": "index"}),
     (
-        CatchUpRequest(*TO_STORE, [[4, BATCH], [5, []]], 5),
+        AcceptRequest(*HEADER_FIELDS, 5, BATCH, 4),
+        {**HEADER, "index": 5, "batch": BATCH, "committed": 4},
+    ),
+    (CommitRequest(*HEADER_FIELDS, 4), {**HEADER, "committed": 4}),
+    (
+        CatchUpRequest(*HEADER_FIELDS, [[4, BATCH], [5, []]], 5),
         {**HEADER, "entries": [[4, BATCH], [5, []]], "committed": 5},
     ),
-    (InstallRequest(*TO_STORE, 5, STATE), {**HEADER, "index": 5, "state": STATE}),
+    (InstallRequest(*HEADER_FIELDS, 5, STATE), {**HEADER, "index": 5, "state": STATE}),
     (
-        InstallChunkRequest(*TO_STORE, 5, ChunkOffset(0, 0), b"data", ChunkOffset(2, 9)),
+        InstallChunkRequest(*HEADER_FIELDS, 5, ChunkOffset(0, 0), b"data", ChunkOffset(2, 9)),
         {**HEADER, "index": 5, "place": [0, 0], "data": b"data", "following": [2, 9]},
     ),
     (
-        InstallChunkRequest(*TO_STORE, 5, ChunkOffset(2, 9), b"end", None),
+        InstallChunkRequest(*HEADER_FIELDS, 5, ChunkOffset(2, 9), b"end", None),
         {**HEADER, "index": 5, "place": [2, 9], "data": b"end", "following": None},
     ),
-    (ConfirmRequest(*TO_STORE), HEADER),
+    (ConfirmRequest(*HEADER_FIELDS), HEADER),
     (
         Promise(BALLOT, 4, STATE, (AcceptedProposal(5, Ballot(2, "core-2#1"), BATCH),), 3),
         [[3, "core-1#7"], 4, STATE, [[5, [2, "core-2#1"], BATCH]], 3],
@@ -183,14 +186,14 @@
 
 
 @pytest.mark.parametrize("message, wire", MESSAGES, ids=lambda value: type(value).__name__)
-def test_a_message_is_written_and_read_in_the_same_bytes(message, wire):
+def test_messages_keep_their_wire_encoding(message, wire):
     data = cbor2.dumps(wire)
     assert cbor2.dumps(message.to_wire()) == data
     assert type(message).from_wire(cbor2.loads(data)) == message
 
 
 @pytest.mark.parametrize("record, disk", LOG_RECORDS, ids=lambda value: type(value).__name__)
-def test_a_log_record_is_written_and_read_in_the_same_bytes(record, disk):
+def test_log_records_keep_their_encoding(record, disk):
     data = cbor2.dumps(disk)
     assert cbor2.dumps(record.to_disk()) == data
     found = read_log_record(cbor2.loads(data))
@@ -198,11 +201,11 @@
 
 
 @pytest.mark.parametrize("row, disk", SNAPSHOT_ROWS, ids=lambda value: type(value).__name__)
-def test_a_row_of_a_snapshot_is_written_in_the_same_bytes(row, disk):
+def test_snapshot_rows_keep_their_encoding(row, disk):
     assert cbor2.dumps(row.to_disk()) == cbor2.dumps(disk)
 
 
-def test_a_record_of_an_unknown_kind_is_the_promise_of_its_ballot():
+def test_a_log_record_of_unknown_kind_is_read_as_a_promise_of_its_ballot():
     fields = ["later", "part-0", [3, "core-1#7"], "more"]
     assert read_log_record(fields) == PromiseRecord("part-0", BALLOT)
 
@@ -220,18 +223,18 @@
         ),
     ],
 )
-def test_the_head_of_a_log_is_written_and_read_in_the_same_bytes(head, disk):
+def test_log_heads_keep_their_encoding(head, disk):
     assert cbor2.dumps(head.to_disk()) == cbor2.dumps(disk)
     assert LogHead.from_disk(disk) == head
 
 
-def test_heads_of_earlier_logs_are_read_as_without_marks():
+def test_log_heads_of_earlier_versions_are_read_as_unmarked():
     earlier = {"generation": 5, "follows": 4, "former_size": 900}
     assert LogHead.from_disk(earlier) == LogHead(5, 4, 900, is_marked=False)
     assert LogHead.from_disk(5) == LogHead(5, is_marked=False)
     assert LogHead.from_disk(["accept"]) is None
 
 
-def test_a_hint_names_its_entry():
+def test_hinted_entry_reads_part_identity_and_index_of_an_accept_request():
     request = {**HEADER, "index": 5, "batch": BATCH, "committed": 4}
     assert HintedEntry.from_wire(request) == HintedEntry("part-0", "store-1.x", 5)
--- a/tests/test_registered_commands.py
+++ b/tests/test_registered_commands.py
@@ -1,16 +1,16 @@
-"""A process that loads the fleet knows every command and query that may stand in a log."""
+"""Importing the fleet registers every command and query that a stored log may contain."""
 
 import json
 import subprocess
 import sys
 
-LIST = """
+LIST_NAMES_SCRIPT = """
 import json
 import quillring.fleet
 from quillring.quorum.commands import COMMANDS, QUERIES
 print(json.dumps([COMMANDS.names(), QUERIES.names()]))
 """
-COMMANDS = [
+COMMAND_NAMES = [
     "domain.mark",
     "edition.adopt",
     "group.change",
@@ -36,7 +36,7 @@
     "raw.result",
     "store.mark",
 ]
-QUERIES = [
+QUERY_NAMES = [
     "edition",
     "layout",
     "lot.fence",
@@ -52,7 +52,7 @@
 
 
 def test_loading_the_fleet_registers_all_commands_and_queries():
-    listed = subprocess.run(
-        [sys.executable, "-c", LIST], capture_output=True, text=True, check=True
+    completed = subprocess.run(
+        [sys.executable, "-c", LIST_NAMES_SCRIPT], capture_output=True, text=True, check=True
     )
-    assert json.loads(listed.stdout) == [COMMANDS, QUERIES]
+    assert json.loads(completed.stdout) == [COMMAND_NAMES, QUERY_NAMES]
