--- a/quillring/quorum/acceptor/snapshot_transfer.py
+++ b/quillring/quorum/acceptor/snapshot_transfer.py
@@ -107,7 +107,7 @@
         """
         request = EntriesRequest.from_wire(body)
         acceptor, _ = self._acceptor_with_state(request.part)
-        return acceptor.log_cache.since(request.after, CHUNK_BYTES)
+        return acceptor.log_cache.entries_after(request.after, CHUNK_BYTES)
 
     def on_accepted(self, body: WireMap, origin: str) -> list[Any]:
         """Return the entry accepted at an index, with its ballot; raises NotFounded if none is."""
--- a/quillring/quorum/leader/part_leader.py
+++ b/quillring/quorum/leader/part_leader.py
@@ -33,7 +33,7 @@
     PrepareRequest,
     Promise,
 )
-from quillring.quorum.parts import CONFIG
+from quillring.quorum.parts import CONFIG_PART
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -256,7 +256,7 @@
         finally:
             self.in_flight.end()
         self.confirmed_at = started_at
-        if self.part == CONFIG:
+        if self.part == CONFIG_PART:
             yield from self._call_majority(CommitRequest, committed=index)
         else:
             self._send_commit()
--- a/tests/test_follower_read.py
+++ b/tests/test_follower_read.py
@@ -7,7 +7,7 @@
 from quillring.kernel.errors import NotFound
 from quillring.quorum.acceptor import Acceptors
 from quillring.quorum.acceptor.state import AcceptedEntry, AcceptorState
-from quillring.quorum.commands import first_state
+from quillring.quorum.commands import initial_state
 from quillring.quorum.leader.follower_read import find_answer, unwrap_answer
 from quillring.quorum.leader.part_leader import PartLeader
 from quillring.quorum.messages import FollowerReadReply, QueryAnswer
@@ -29,7 +29,7 @@
     """
     by_index = {int(name[1:]): entry for name, entry in entries.items()}
     accepted = {index: AcceptedEntry(*entry) for index, entry in by_index.items()}
-    acceptor = AcceptorState(Ballot(9, "z"), applied, first_state(group), accepted)
+    acceptor = AcceptorState(Ballot(9, "z"), applied, initial_state(group), accepted)
     uncommitted_lots = [[i, c.get("lot")] for i, (_, batch) in by_index.items() for c in batch]
     return [
         applied,
@@ -120,7 +120,7 @@
 
     acceptors.identity, acceptors.log = "a", SlowLog()
     acceptors.parts["part-1"] = AcceptorState(
-        BALLOT_1, 4, first_state(GROUP), {5: AcceptedEntry(BALLOT_1, accept("l"))}
+        BALLOT_1, 4, initial_state(GROUP), {5: AcceptedEntry(BALLOT_1, accept("l"))}
     )
     body = {"part": "part-1", "identity": "a", "query": QUERY, "beyond": True}
     coroutine = acceptors.on_peek(body, "edge-1")
--- a/tests/test_leader_classes.py
+++ b/tests/test_leader_classes.py
@@ -6,7 +6,7 @@
 
 from quillring.kernel.bounds import Bounds
 from quillring.kernel.errors import Fenced, NoMajority, NotLeader, TimedOut
-from quillring.quorum.commands import first_state
+from quillring.quorum.commands import initial_state
 from quillring.quorum.leader.command_queue import CommandQueue
 from quillring.quorum.leader.quorum_call import QuorumCaller
 from quillring.quorum.leader.state_machine import StateMachine
@@ -108,11 +108,11 @@
 
 
 def test_copied_state_machine_changes_independently_of_the_original():
-    machine = StateMachine(0, first_state(GROUP))
+    machine = StateMachine(0, initial_state(GROUP))
     machine.apply(1, [])
     other = machine.copy()
     other.apply(2, [JOIN_COMMAND])
     assert (machine.last_applied, other.last_applied) == (1, 2)
     assert machine.group() == GROUP and other.group() == JOIN_COMMAND["group"]
-    assert machine.log_cache.since(1) == []
-    assert [index for index, _ in other.log_cache.since(0)] == [1, 2]
+    assert machine.log_cache.entries_after(1) == []
+    assert [index for index, _ in other.log_cache.entries_after(0)] == [1, 2]
