--- a/quillring/lots/__init__.py
+++ b/quillring/lots/__init__.py
@@ -1,4 +1,5 @@
-"""Lots (batch jobs): accepted once durable in two zones, every item gets one result.
+"""Lots (batch jobs): a lot is accepted once it is durable in two zones; each item gets one result.
 
-`prompts` has lots submitted over `/v1/lots`, `http_requests` lots of HTTP requests to forward.
+`prompts` implements lots submitted over `/v1/lots`; `http_requests` implements lots of HTTP
+requests that are forwarded to replicas.
 """
--- a/quillring/lots/http_requests/__init__.py
+++ b/quillring/lots/http_requests/__init__.py
@@ -23,9 +23,10 @@
 
 
 def start_http_request_lots(node: Node) -> Coroutine:
-    """Register what a core needs to run these lots; return the scheduler's coroutine.
+    """Register and start the services that run these lots on a core.
 
-    The node must already offer forward routes, load balancer and header names.
+    Returns the scheduler's coroutine, which the caller spawns. The node must already offer the
+    forward routes, the load balancer and the header names.
     """
     node.offer("raw_worker", ItemExecutor(node))
     reader: ResultReader = node.offer("raw_reads", ResultReader(node))
--- a/quillring/lots/http_requests/api.py
+++ b/quillring/lots/http_requests/api.py
@@ -1,6 +1,7 @@
-"""Submit lots, read results and bodies, and end lots, at an edge.
+"""The edge's operations on lots: submit a lot, read results and item bodies, end a lot.
 
-An outcome that is not certain is raised as OutcomeUnknown, never as Refused.
+Refused means that an operation certainly had no effect; an uncertain outcome raises
+OutcomeUnknown.
 """
 
 from __future__ import annotations
@@ -32,8 +33,8 @@
     LotPlacement,
     are_lots_spread,
     held_limit_of_part,
-    in_either_part,
-    place_of_lot,
+    in_own_or_home_part,
+    placement_of_lot,
 )
 from quillring.lots.http_requests.lot_table import (
     FENCED,
@@ -43,7 +44,7 @@
     QuotaExceeded,
     stored_tokens,
 )
-from quillring.lots.http_requests.messages import READ, HeldRead
+from quillring.lots.http_requests.messages import READ, LongPollRead
 from quillring.quorum.leader.follower_read import read_from_majority, value_of
 
 if TYPE_CHECKING:
@@ -51,15 +52,15 @@
     from quillring.kernel.types import Coroutine
 
 RESULT_BYTES = 200_000
-LONGEST_HOLD_SECONDS = 0.8
+MAX_LONG_POLL_SECONDS = 0.8
 RETRY_AFTER_SECONDS = 0.5
 DEFAULT_DUE_MS = 60_000
 DEFAULT_RETAIN_MS = 3_600_000
 
-# Shares of the read timeout.
+# Timeouts of single steps, as shares of the read timeout.
 KNOWN_LOT_SHARE = 0.4
 LEADER_READ_SHARE = 0.4
-LOG_READ_SHARE = 0.6
+FALLBACK_READ_SHARE = 0.6
 END_SHARE = 1.2
 
 
@@ -70,33 +71,35 @@
     items: Sequence[Sequence[Any]],
     seconds: float | None = None,
 ) -> Coroutine:
-    """Submit a lot; return the answer of its acceptance.
+    """Submit a lot; return the answer to the command that accepted it.
 
     Parameters
     ----------
     items
         Stored forms of `lot_table.Item`.
     seconds
-        Timeout; by default the forward's latency goal and the read timeout together. It is at
-        most the forward's own timeout.
+        Timeout, by default the sum of the forward's latency goal and the read timeout. It is
+        capped at the forward's own timeout.
 
-    Raises NotFound for an unknown forward; QuotaExceeded, HeldTooMuch and Refused when no item
-    will run; OutcomeUnknown when items may.
+    Raises NotFound for an unknown forward; QuotaExceeded, HeldTooMuch or Refused if no item will
+    run; OutcomeUnknown if items may run.
     """
     forward = node.find("forwards").find_by_name(forward_name)
     node.find("freshness").check()
     if forward is None or forward.kind != "lot":
         raise NotFound(field="forward")
-    place = place_of_lot(node, forward.host, lot_name)
-    command = acceptance_of(node, forward, place.key, items)
+    placement = placement_of_lot(node, forward.host, lot_name)
+    command = new_accept_command(node, forward, placement.key, items)
     if seconds is None:
         seconds = forward.latency_goal_seconds + node.bounds.read_timeout
     end_time = node.now() + min(seconds, forward.timeout_seconds)
     is_spread = are_lots_spread(node)
     if is_spread and command.most_tokens:
-        answer = yield from accept_reserved(node, place, command, end_time)
+        answer = yield from accept_with_reservation(node, placement, command, end_time)
     else:
-        answer = yield from accept_unreserved(node, place, command, end_time, is_spread)
+        answer = yield from accept_without_reservation(
+            node, placement, command, end_time, is_spread
+        )
     refusal = answer.get("refused")
     if refusal is not None:
         node.count(f"raw_refused_{refusal}")
@@ -105,8 +108,10 @@
     return answer
 
 
-def acceptance_of(node: Node, forward: Any, key: str, items: Sequence[Sequence[Any]]) -> AcceptLot:
-    """Return the command that accepts a lot of this forward, with a new random attempt name."""
+def new_accept_command(
+    node: Node, forward: Any, key: str, items: Sequence[Sequence[Any]]
+) -> AcceptLot:
+    """Build the command that accepts a lot of this forward, with a random attempt name."""
     fields = forward.fields
     return AcceptLot(
         lot=key,
@@ -123,23 +128,25 @@
     )
 
 
-def submit_until_sure(node: Node, part: str, command: dict[str, Any], seconds: float) -> Coroutine:
+def submit_with_retries(
+    node: Node, part: str, command: dict[str, Any], seconds: float
+) -> Coroutine:
     """Submit an idempotent command, retrying for `seconds`.
 
-    Raises Refused only when it certainly was not and will not be applied, OutcomeUnknown when it
-    may be; definite errors such as Conflict pass through.
+    Raises Refused only if the command certainly was not and will not be applied, and
+    OutcomeUnknown if it may be. Definite errors such as Conflict are propagated.
     """
     ownership, bounds = node.find("ownership"), node.bounds
-    end_time, is_unsure = node.now() + seconds, False
+    end_time, may_be_applied = node.now() + seconds, False
     while True:
         window_end = min(end_time, node.now() + bounds.call_timeout)
         try:
             return (yield from ownership.submit(part, command, window_end - node.now()))
         except (OutcomeUnknown, TimedOut):
-            is_unsure = True
+            may_be_applied = True
         except Refused:
             is_final = node.now() < window_end or node.now() >= end_time
-            if is_final and not is_unsure:
+            if is_final and not may_be_applied:
                 raise
             if is_final:
                 break
@@ -148,38 +155,38 @@
     raise OutcomeUnknown(part=part, reason="hand it in again under the same name")
 
 
-def accept_reserved(
-    node: Node, place: LotPlacement, command: AcceptLot, end_time: float
+def accept_with_reservation(
+    node: Node, placement: LotPlacement, command: AcceptLot, end_time: float
 ) -> Coroutine:
-    """Reserve the lot's tokens in its home part, then submit it to its own part.
+    """Reserve the lot's tokens in its home part, then submit the lot to its own part.
 
-    If the ticket was fenced meanwhile, a new one is reserved. Where the quota has no room, the lot
-    may still be one that was accepted before.
+    If the lot's part fenced the ticket in the meantime, a new one is requested. A lot that the
+    quota has no room for may have been accepted earlier; then that answer is returned.
     """
-    command = command._replace(most_held_bytes=held_limit_of_part(node))
-    reserve = reservation_of(place, command)
+    command = command._replace(max_held_bytes=held_limit_of_part(node))
+    reserve = new_reserve_command(placement, command)
     while True:
-        reserved = yield from try_to_reserve(node, place, reserve, command, end_time)
+        reserved = yield from reserve_or_find_accepted(node, placement, reserve, command, end_time)
         ticket = reserved.get("ticket")
         if ticket is None:
             return reserved
-        accept = command._replace(reserving_part=place.home, ticket=ticket)
-        answer = yield from submit_until_sure(
-            node, place.own, accept.to_wire(), end_time - node.now()
+        accept = command._replace(reserving_part=placement.home, ticket=ticket)
+        answer = yield from submit_with_retries(
+            node, placement.own, accept.to_wire(), end_time - node.now()
         )
         if answer.get("refused") != FENCED:
             return answer
         node.count("raw_accepts_fenced")
         reserve = reserve._replace(fenced_ticket=ticket)
         if node.now() >= end_time:
-            raise Refused(reason="the reservation ran out", part=place.own)
+            raise Refused(reason="the reservation ran out", part=placement.own)
 
 
-def reservation_of(place: LotPlacement, command: AcceptLot) -> ReserveTokens:
-    """Return the command that reserves a lot's tokens."""
+def new_reserve_command(placement: LotPlacement, command: AcceptLot) -> ReserveTokens:
+    """Build the command that reserves a lot's tokens."""
     return ReserveTokens(
-        lot_part=place.own,
-        host_part=place.home,
+        lot_part=placement.own,
+        host_part=placement.home,
         tokens=sum(map(stored_tokens, command.items)),
         fenced_ticket=None,
         lot=command.lot,
@@ -190,85 +197,91 @@
     )
 
 
-def try_to_reserve(
+def reserve_or_find_accepted(
     node: Node,
-    place: LotPlacement,
+    placement: LotPlacement,
     reserve: ReserveTokens,
     command: AcceptLot,
     end_time: float,
 ) -> Coroutine:
-    """Return an answer with a ticket, or the final one: refused, or accepted before.
+    """Return an answer with a ticket, or a final answer: refused, or accepted earlier.
 
-    Nothing has been submitted to the lot's part yet, so an unknown outcome of this step is raised
-    as Refused.
+    Nothing has been submitted to the lot's part yet, so if the outcome of this step is unknown,
+    Refused is raised.
     """
     try:
-        reserved = yield from submit_until_sure(
-            node, place.home, reserve.to_wire(), end_time - node.now()
+        reserved = yield from submit_with_retries(
+            node, placement.home, reserve.to_wire(), end_time - node.now()
         )
     except OutcomeUnknown as error:
-        raise Refused(reason="no reservation", part=place.home) from error
+        raise Refused(reason="no reservation", part=placement.home) from error
     except Conflict as error:
-        known = yield from find_accepted(node, place.own, command)
-        if known is None:
+        accepted = yield from find_accepted_lot(node, placement.own, command)
+        if accepted is None:
             reason = "another lot of this name is reserved"
-            raise Refused(reason=reason, part=place.home) from error
-        return known
+            raise Refused(reason=reason, part=placement.home) from error
+        return accepted
     if reserved.get("refused") is not None:
-        known = yield from find_accepted(node, place.own, command)
-        return known or reserved
+        accepted = yield from find_accepted_lot(node, placement.own, command)
+        return accepted or reserved
     return reserved
 
 
-def accept_unreserved(
-    node: Node, place: LotPlacement, command: AcceptLot, end_time: float, is_spread: bool
+def accept_without_reservation(
+    node: Node, placement: LotPlacement, command: AcceptLot, end_time: float, is_spread: bool
 ) -> Coroutine:
-    """Accept a lot of a forward without quota, or while some member is of a former version.
+    """Accept a lot without reserving tokens.
 
-    No tokens are reserved, so the other part that may already have the lot is asked first.
+    Used for a forward without a quota, and while some member runs a former version. The other
+    part that may have accepted this lot is queried first.
     """
-    part, other = (place.own, place.home) if is_spread else (place.home, place.own)
-    known = None if part == other else (yield from find_accepted(node, other, command))
-    if known is not None:
-        return known
-    accept = command._replace(most_held_bytes=held_limit_of_part(node)) if is_spread else command
-    answer = yield from submit_until_sure(node, part, accept.to_wire(), end_time - node.now())
+    part, other = (placement.own, placement.home) if is_spread else (placement.home, placement.own)
+    accepted = None if part == other else (yield from find_accepted_lot(node, other, command))
+    if accepted is not None:
+        return accepted
+    accept = command._replace(max_held_bytes=held_limit_of_part(node)) if is_spread else command
+    answer = yield from submit_with_retries(node, part, accept.to_wire(), end_time - node.now())
     if answer.get("refused") == MOVED:
-        return (yield from accept_reserved(node, place, command, end_time))
+        return (yield from accept_with_reservation(node, placement, command, end_time))
     return answer
 
 
-def find_accepted(node: Node, part: str, command: AcceptLot) -> Coroutine:
-    """Return the answer to a lot that a part accepted before, None where it certainly did not.
+def find_accepted_lot(node: Node, part: str, command: AcceptLot) -> Coroutine:
+    """Return the answer to a lot that a part accepted earlier, None if it certainly did not.
 
-    Raises Refused where the part can't be read.
+    Raises Refused if the part can't be read, and Conflict if it accepted another lot of this name.
     """
     query = QueryKnownLot(command.lot, command.digest)
     seconds = node.bounds.read_timeout * KNOWN_LOT_SHARE
     try:
-        return (yield from read_surely(node, part, query.to_wire(), seconds))
+        return (yield from read_or_refuse(node, part, query.to_wire(), seconds))
     except NotFound:
         return None
 
 
 def read_results(
-    node: Node, host: str, lot_name: str, start: int, hold_seconds: float = 0.0
+    node: Node, host: str, lot_name: str, start: int, max_wait_seconds: float = 0.0
 ) -> Coroutine:
-    """Return {"items", "results", "next", "is_over"} from a position on, by long polling.
+    """Return {"items", "results", "next", "is_over"} with the results from position `start` on.
 
-    The call waits up to `hold_seconds`, at most LONGEST_HOLD_SECONDS, for a first result. Raises
-    NotFound only for a lot that certainly does not exist, Refused when it can't be read.
+    Long-polls up to `max_wait_seconds`, capped at MAX_LONG_POLL_SECONDS, for a first result.
+    Raises NotFound only for a lot that certainly does not exist, Refused if it can't be read.
     """
-    place = place_of_lot(node, host, lot_name)
-    query = QueryResults(place.key, start, RESULT_BYTES).to_wire()
-    read = HeldRead(query, min(hold_seconds, LONGEST_HOLD_SECONDS))
-    return (yield from in_either_part(place, lambda part: read_held(node, part, read)))
+    placement = placement_of_lot(node, host, lot_name)
+    query = QueryResults(placement.key, start, RESULT_BYTES).to_wire()
+    read = LongPollRead(query, min(max_wait_seconds, MAX_LONG_POLL_SECONDS))
+    return (
+        yield from in_own_or_home_part(placement, lambda part: read_by_long_poll(node, part, read))
+    )
+
 
+def read_by_long_poll(node: Node, part: str, read: LongPollRead) -> Coroutine:
+    """Long-poll the part's leader; if that fails, read from a majority of the part's stores.
 
-def read_held(node: Node, part: str, read: HeldRead) -> Coroutine:
-    """Long-poll the part's leader; if that fails, read from a majority of its stores."""
+    If the replies of the majority determine no answer, the part is read once more.
+    """
     ownership, bounds = node.find("ownership"), node.bounds
-    leader_seconds = read.hold_seconds + bounds.read_timeout * LEADER_READ_SHARE
+    leader_seconds = read.max_wait_seconds + bounds.read_timeout * LEADER_READ_SHARE
     try:
         return (yield from ownership.call_leader(part, READ, read.to_wire(), leader_seconds))
     except NotFound:
@@ -276,14 +289,16 @@
     except QuillringError as error:
         node.count("raw_reads_elsewhere")
         node.log("debug", "raw.read %s: %s", part, error)
-    known = yield from read_from_majority(node, part, ownership.group(part), read.query)
-    if known is not None:
-        return value_of(known)
-    return (yield from read_surely(node, part, read.query, bounds.read_timeout * LOG_READ_SHARE))
+    majority_answer = yield from read_from_majority(node, part, ownership.group(part), read.query)
+    if majority_answer is not None:
+        return value_of(majority_answer)
+    return (
+        yield from read_or_refuse(node, part, read.query, bounds.read_timeout * FALLBACK_READ_SHARE)
+    )
 
 
-def read_surely(node: Node, part: str, query: dict[str, Any], seconds: float) -> Coroutine:
-    """Read a part; raise Refused for any failure that is not a definite answer."""
+def read_or_refuse(node: Node, part: str, query: dict[str, Any], seconds: float) -> Coroutine:
+    """Run a query on a part; raise Refused for any failure that is not a definite answer."""
     try:
         return (yield from node.find("ownership").read(part, query, seconds))
     except (Conflict, NotFound, NotFounded, Refused):
@@ -293,21 +308,23 @@
 
 
 def read_item_body(node: Node, host: str, lot_name: str, item_id: str) -> Coroutine:
-    """Return the body of an item without a result, as bytes."""
-    place = place_of_lot(node, host, lot_name)
-    query = QueryItemBody(place.key, item_id).to_wire()
+    """Return the body of a pending item, as bytes."""
+    placement = placement_of_lot(node, host, lot_name)
+    query = QueryItemBody(placement.key, item_id).to_wire()
     seconds = node.bounds.read_timeout
-    answer = yield from in_either_part(place, lambda part: read_surely(node, part, query, seconds))
+    answer = yield from in_own_or_home_part(
+        placement, lambda part: read_or_refuse(node, part, query, seconds)
+    )
     return answer["body"]
 
 
 def end_lot(node: Node, host: str, lot_name: str) -> Coroutine:
-    """End a lot, idempotently."""
-    place = place_of_lot(node, host, lot_name)
-    command = EndLot(place.key).to_wire()
+    """End a lot: listed results are kept, pending items are dropped. Idempotent."""
+    placement = placement_of_lot(node, host, lot_name)
+    command = EndLot(placement.key).to_wire()
     seconds = node.bounds.read_timeout * END_SHARE
     return (
-        yield from in_either_part(
-            place, lambda part: submit_until_sure(node, part, command, seconds)
+        yield from in_own_or_home_part(
+            placement, lambda part: submit_with_retries(node, part, command, seconds)
         )
     )
--- a/quillring/lots/http_requests/commands.py
+++ b/quillring/lots/http_requests/commands.py
@@ -1,7 +1,7 @@
 """Commands and queries of the replicated log; only this module reads and writes their wire form.
 
-The field names on the wire (`do`, `ask`, `n`, `try`, `at` ...) are those of the landed version and
-stay; `to_wire` writes the fields in the order in which that version did.
+Field names on the wire (`do`, `ask`, `n`, `try`, `at` ...) must not change, for compatibility with
+the landed version. `to_wire` writes the fields in the same order as that version.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from quillring.kernel.records import NamedTuple
 
 Wire = Mapping[str, Any]
-"""A command or query as it stands in the log and on the wire."""
+"""The wire form of a command or query, which is also its form in the log."""
 
 ACCEPT, END, DROP, EXPIRE = "raw.accept", "raw.end", "raw.drop", "raw.expire"
 LIST_RESULT, COUNT_FAILURE = "raw.result", "raw.failed"
@@ -20,14 +20,14 @@
 RESULTS, KNOWN, ITEM_BODY = "raw.results", "raw.known", "raw.body"
 
 LOT_CHANGES = frozenset((ACCEPT, LIST_RESULT, COUNT_FAILURE, EXPIRE, END, DROP))
-"""The commands after which the items of their lot have to be looked at."""
+"""The commands that may change the pending items of their lot."""
 
 NO_LOT = ""
-"""The lot name of commands that concern several lots."""
+"""The value of `lot` in commands that concern several lots."""
 
 
 class AcceptLot(NamedTuple):
-    """Accept a lot in its own part, once.
+    """Accept a lot in its own part; idempotent.
 
     Parameters
     ----------
@@ -36,20 +36,22 @@
     items
         Stored forms of `lot_table.Item`.
     digest
-        Identifies the content, to recognise a repeated submission.
+        Hash of the content, which identifies a repeated submission.
     attempt
-        Random name of this submission; a refusal is recorded under it.
+        Random name of this submission, under which a refusal is recorded.
     most_tokens
         Quota of the forward in tokens, 0 for none.
-    submitted_at_ms, due_ms, retain_ms
-        Wall time of the submission, and how long after it the lot is due and its items are kept.
+    submitted_at_ms
+        Wall-clock time of the submission.
+    due_ms, retain_ms
+        Time from the submission until the lot is due, and until its pending items expire.
     rounds
-        How many failed runs make an item errored.
-    most_held_bytes
-        Limit of the part's lots in bytes; None from the former version.
+        Number of failed runs after which an item is errored.
+    max_held_bytes
+        Limit on the stored bytes of the part's lots; None in commands of the former version.
     reserving_part, ticket
-        The part and number of the reservation of the lot's tokens, if there is one. The ticket is a
-        fencing token: the part refuses one that is not above its fence.
+        The part that reserved the lot's tokens and the ticket it issued, if there is a
+        reservation. The ticket is a fencing token: one at or below the fence is refused.
     """
 
     lot: str
@@ -63,7 +65,7 @@
     due_ms: int
     retain_ms: int
     rounds: int
-    most_held_bytes: int | None = None
+    max_held_bytes: int | None = None
     reserving_part: str | None = None
     ticket: int | None = None
 
@@ -103,8 +105,8 @@
             "retain_ms": self.retain_ms,
             "rounds": self.rounds,
         }
-        if self.most_held_bytes is not None:
-            wire["most_weight"] = self.most_held_bytes
+        if self.max_held_bytes is not None:
+            wire["most_weight"] = self.max_held_bytes
         if self.ticket is not None:
             wire["ledger"] = self.reserving_part
             wire["ticket"] = self.ticket
@@ -112,7 +114,7 @@
 
 
 class ListResult(NamedTuple):
-    """List an item's result at the lot's next position."""
+    """Append an item's result to the lot's list of results."""
 
     lot: str
     number: int
@@ -138,7 +140,7 @@
 
 
 class CountFailure(NamedTuple):
-    """Count a run of an item that a replica answered as failed."""
+    """Count a run of an item for which the replica reported a failure."""
 
     lot: str
     number: int
@@ -155,7 +157,7 @@
 
 
 class EndLot(NamedTuple):
-    """End a lot: listed results are kept, pending items are dropped."""
+    """End a lot: keep the listed results, drop the pending items."""
 
     lot: str
 
@@ -170,7 +172,7 @@
 
 
 class ExpireLot(NamedTuple):
-    """List all pending items of a lot as errored."""
+    """Append an errored result for each pending item of a lot."""
 
     lot: str
 
@@ -200,16 +202,18 @@
 
 
 class ReserveTokens(NamedTuple):
-    """Reserve a lot's tokens of its forward's quota, in the part of the forward's host.
+    """Reserve a lot's tokens from its forward's quota, in the part of the forward's host.
 
     Parameters
     ----------
-    lot_part, host_part
-        The part that shall accept the lot, and the one that keeps the reservations.
+    lot_part
+        The part to which the lot will be submitted.
+    host_part
+        The part that stores the reservations.
     tokens
-        The sum over the lot's items.
+        The sum of the tokens of the lot's items.
     fenced_ticket
-        A ticket that the lot's part has fenced: it is replaced by a new one.
+        A ticket of this lot that the lot's part has fenced, to be replaced by a new one.
     """
 
     lot_part: str
@@ -254,7 +258,7 @@
 
 
 class PendingTokens(NamedTuple):
-    """The pending tokens of a lot with a reservation, on the wire [lot, ticket, tokens]."""
+    """The pending tokens of a lot with a reservation; on the wire [lot, ticket, tokens]."""
 
     lot: str
     ticket: int
@@ -272,7 +276,7 @@
 
 
 class ReleaseTokens(NamedTuple):
-    """Lower reservations to the tokens still pending."""
+    """Reduce reservations to the tokens that are still pending."""
 
     pending: Sequence[PendingTokens]
 
@@ -287,7 +291,10 @@
 
 
 class FenceTickets(NamedTuple):
-    """Fence a reserving part's tickets: refuse every unknown lot with one up to `ticket`."""
+    """Fence a reserving part's tickets: refuse unknown lots whose ticket is at most `ticket`.
+
+    `lots` are the lots whose pending tokens are asked for.
+    """
 
     reserving_part: str
     ticket: int
@@ -310,7 +317,7 @@
 
 
 class LotChange(NamedTuple):
-    """The fields of a committed command that changed a lot's items."""
+    """The fields of a committed command that may have changed a lot's items."""
 
     kind: str
     lot: str
@@ -319,7 +326,7 @@
 
     @classmethod
     def from_wire(cls, wire: Wire) -> LotChange | None:
-        """Read a command of the log; None for one that changes no lot's items."""
+        """Read a command of the log; return None if its kind changes no items."""
         if wire["do"] not in LOT_CHANGES:
             return None
         return cls(wire["do"], wire["lot"], wire.get("n"), wire.get("run"))
@@ -331,7 +338,7 @@
 
 
 class QueryResults(NamedTuple):
-    """Ask for results from a position on, up to a limit in bytes but at least one."""
+    """Query the results from position `start` on: at least one, up to `limit_bytes` in total."""
 
     lot: str
     start: int
@@ -348,7 +355,7 @@
 
 
 class QueryKnownLot(NamedTuple):
-    """Ask whether a lot of this digest was accepted."""
+    """Query whether a lot with this key and digest was accepted."""
 
     lot: str
     digest: bytes
@@ -364,7 +371,7 @@
 
 
 class QueryItemBody(NamedTuple):
-    """Ask for the body of a pending item."""
+    """Query the body of a pending item."""
 
     lot: str
     item_id: str
--- a/quillring/lots/http_requests/lot_placement.py
+++ b/quillring/lots/http_requests/lot_placement.py
@@ -1,4 +1,4 @@
-"""Find the part that keeps a lot, also for lots that a former version accepted."""
+"""Find the part that stores a lot, including lots that a former version accepted."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
     from quillring.kernel.node import Node
     from quillring.kernel.types import Coroutine
 
-SPREAD_LEVEL = 3
-"""The wire version from which lots live in the part of their own key."""
+SPREAD_WIRE_VERSION = 3
+"""The first wire version that stores lots in the part of their own key."""
 
 
 class LotPlacement(NamedTuple):
-    """The parts that concern one lot.
+    """A lot's key and the parts that store its data.
 
     Parameters
     ----------
     key
         The lot's key in its part.
     own
-        The part that the key hashes to: bodies, results and runs.
+        The part that the key hashes to. It stores the bodies and results, and runs the items.
     home
-        The part that the lot's host hashes to: it keeps the reservations of the host's forwards,
-        and the lots of the host that were accepted by a version which kept all of them there.
+        The part that the lot's host hashes to. It stores the token reservations of the host's
+        forwards, and the lots that versions before SPREAD_WIRE_VERSION accepted for the host.
     """
 
     key: str
@@ -38,46 +38,48 @@
     home: str
 
 
-def bare_host(host: str) -> str:
-    """Return a host's name without its port, in lower case."""
+def normalized_host(host: str) -> str:
+    """Return a host name in lower case and without the port."""
     return host.lower().partition(":")[0]
 
 
 def lot_key(host: str, lot_name: str) -> str:
-    """Return the key of a host's lot in its part's state."""
-    return f"{lot_name}@{bare_host(host)}"
+    """Return the key under which a host's lot is stored in its part's state."""
+    return f"{lot_name}@{normalized_host(host)}"
 
 
 def count_parts(node: Node) -> int:
-    """Return how many parts keep lots; raise NotFounded while the fleet is not founded."""
+    """Return the number of parts that store lots; raise NotFounded before the fleet is founded."""
     return len(node.find("ownership").parts()) - 1
 
 
-def place_of_lot(node: Node, host: str, lot_name: str) -> LotPlacement:
-    """Return the placement of a host's lot; raise NotFounded while the fleet is not founded."""
+def placement_of_lot(node: Node, host: str, lot_name: str) -> LotPlacement:
+    """Return the placement of a host's lot; raise NotFounded before the fleet is founded."""
     count, key = count_parts(node), lot_key(host, lot_name)
-    return LotPlacement(key, part_of(key, count), part_of(bare_host(host), count))
+    return LotPlacement(key, part_of(key, count), part_of(normalized_host(host), count))
 
 
 def held_limit_of_part(node: Node) -> int:
-    """Return the bytes of lots that a part may keep: its equal share of HELD_LIMIT_BYTES."""
+    """Return the limit on the bytes of a part's lots: an equal share of HELD_LIMIT_BYTES."""
     return HELD_LIMIT_BYTES // count_parts(node)
 
 
 def are_lots_spread(node: Node) -> bool:
-    """Return whether every reachable member supports lots outside their host's part."""
+    """Return whether every reachable member supports lots outside the part of their host."""
     level: int = node.find("nifty").lowest_common_version()
-    return level >= SPREAD_LEVEL
+    return level >= SPREAD_WIRE_VERSION
 
 
-def in_either_part(place: LotPlacement, ask: Callable[[str], Coroutine]) -> Coroutine:
-    """Run ask(part) at the lot's own part, and at its home part if that raises NotFound.
+def in_own_or_home_part(
+    placement: LotPlacement, operation: Callable[[str], Coroutine]
+) -> Coroutine:
+    """Run operation(part) in the lot's own part, and in its home part if that raises NotFound.
 
-    Raises NotFound where neither has the lot.
+    Raises NotFound if neither part has the lot.
     """
     try:
-        return (yield from ask(place.own))
+        return (yield from operation(placement.own))
     except NotFound:
-        if place.own == place.home:
+        if placement.own == placement.home:
             raise
-    return (yield from ask(place.home))
+    return (yield from operation(placement.home))
--- a/quillring/lots/http_requests/lot_table.py
+++ b/quillring/lots/http_requests/lot_table.py
@@ -1,8 +1,8 @@
-"""The lots of HTTP requests in a part's state: their stored form, and errors of submission.
+"""The lots of HTTP requests in a part's state: their stored form, and the errors of submission.
 
-The state is written to disk and sent to new members of the part's group, so its keys are those of
-the landed version: `raw` (lots), `raw_held` (bytes), `raw_refusals` (by attempt), `raw_fences` (by
-part), `raw_ledger` (reservations).
+The state is written to disk and sent to new members of the part's group, so its keys must not
+change: `raw` (lots by key), `raw_held` (stored bytes), `raw_refusals` (by attempt), `raw_fences`
+(tickets by reserving part), `raw_ledger` (reservations).
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from quillring.kernel.records import NamedTuple
 
 State = dict[str, Any]
-"""The whole state of a part; it is copied, never changed."""
+"""The complete state of a part. It is never modified in place; changes return a copy."""
 
 FINISHED: Literal["finished"] = "finished"
 ERRORED: Literal["errored"] = "errored"
@@ -28,11 +28,11 @@
 
 ITEM_OVERHEAD_BYTES = 400
 HELD_LIMIT_BYTES = 40 << 20
-KEPT_REFUSALS = 128
+MAX_RECORDED_REFUSALS = 128
 
 
 class QuotaExceeded(QuillringError):
-    """The forward's pending tokens leave no room for the lot in its quota; no item will run."""
+    """The lot would exceed the forward's quota of pending tokens; none of its items will run."""
 
     kind = "quota_exceeded"
     status = 429
@@ -40,7 +40,7 @@
 
 
 class HeldTooMuch(QuillringError):
-    """The part's bodies and results are at their limit in bytes; no item of the lot will run."""
+    """The part's bodies and results have reached their limit in bytes; no item will run."""
 
     kind = "held_too_much"
     status = 503
@@ -48,7 +48,7 @@
 
 
 class Item(NamedTuple):
-    """An HTTP request of a lot; `headers` are [name, value] pairs, `tokens` its declared cost."""
+    """An HTTP request of a lot; `headers` has [name, value] pairs, `tokens` the declared cost."""
 
     item_id: str
     target: str
@@ -58,24 +58,24 @@
 
     @classmethod
     def from_stored(cls, fields: Sequence[Any]) -> Item:
-        """Read an item as it stands in the state and in `raw.accept`."""
+        """Read an item from its form in the state and in `raw.accept`."""
         item_id, target, headers, body, tokens = fields
         return cls(item_id, target, headers, body, tokens)
 
     def to_stored(self) -> list[Any]:
-        """Return the item as it stands in the state and in `raw.accept`."""
+        """Return the item's form in the state and in `raw.accept`."""
         return [self.item_id, self.target, self.headers, self.body, self.tokens]
 
 
 stored_body = itemgetter(Item._fields.index("body"))
-"""Returns the body of a stored item; for sums over many, where a record each costs too much."""
+"""Returns the body of a stored item. Creating an Item for each is too slow for sums over many."""
 
 stored_tokens = itemgetter(Item._fields.index("tokens"))
 """Returns the tokens of a stored item."""
 
 
 class ItemResult(NamedTuple):
-    """A listed result; `state` is FINISHED or ERRORED, `text` the whole stream of events."""
+    """A listed result; `state` is FINISHED or ERRORED, `text` the data of the event stream."""
 
     item_id: str
     state: str
@@ -83,12 +83,12 @@
 
     @classmethod
     def from_stored(cls, fields: Sequence[Any]) -> ItemResult:
-        """Read a result as it stands in the state and in answers."""
+        """Read a result from its form in the state and in answers."""
         item_id, state, text = fields
         return cls(item_id, state, text)
 
     def to_stored(self) -> list[Any]:
-        """Return the result as it stands in the state and in answers."""
+        """Return the result's form in the state and in answers."""
         return [self.item_id, self.state, self.text]
 
 
@@ -97,11 +97,12 @@
 
 
 class LotRecord(TypedDict):
-    """A lot in the state.
+    """The stored form of a lot.
 
-    `items` has the pending items by number, `results` the listed results in order, `failed` the
-    number of failed runs by item number; `tokens` (of pending items) and `weight` (bytes) are
-    sums maintained incrementally.
+    `items` has the pending items by number, `results` the listed results in order, and `failed` the
+    ids of failed runs by item number. `rounds` is the number of failed runs after which an item is
+    errored. `tokens` (of pending items) and `weight` (stored bytes) are sums that are maintained
+    incrementally. `ledger` is the part that reserved the tokens under `ticket`.
     """
 
     forward: str
@@ -136,18 +137,18 @@
     return lot
 
 
-def waiting_tokens(state: State, forward: str) -> int:
+def pending_tokens(state: State, forward: str) -> int:
     """Return the tokens of a forward's pending items in this part."""
     return sum(lot["tokens"] for lot in lot_records(state).values() if lot["forward"] == forward)
 
 
 def bytes_of_items(items: Collection[Sequence[Any]]) -> int:
-    """Return about how many bytes stored items take."""
+    """Return the approximate size of stored items in bytes."""
     return sum(map(len, map(stored_body, items))) + ITEM_OVERHEAD_BYTES * len(items)
 
 
 def held_bytes(state: State) -> int:
-    """Return about how many bytes the lots of a part take."""
+    """Return the approximate size of a part's lots in bytes."""
     counted: int | None = state.get("raw_held")
     if counted is not None:
         return counted
@@ -155,7 +156,7 @@
 
 
 def with_lots(state: State, lots: Mapping[str, LotRecord], change_bytes: int) -> State:
-    """Return the state with new lots, whose weight changed by `change_bytes`."""
+    """Return the state with its lots replaced; their total weight differs by `change_bytes`."""
     if "raw_held" not in state:
         return {**state, "raw": lots}
     return {**state, "raw": lots, "raw_held": state["raw_held"] + change_bytes}
@@ -169,26 +170,29 @@
     return with_lots(state, {**lots, key: lot}, lot["weight"] - former_bytes)
 
 
-def refusals(state: State) -> dict[str, RefusalReason]:
-    """Return the refusals that are kept, by attempt."""
-    kept: dict[str, RefusalReason] | None = state.get("raw_refusals")
-    return kept or {}
+def refusals_by_attempt(state: State) -> dict[str, RefusalReason]:
+    """Return the reasons of the recorded refusals by attempt, oldest first."""
+    recorded: dict[str, RefusalReason] | None = state.get("raw_refusals")
+    return recorded or {}
 
 
 def with_refusal(state: State, attempt: str, reason: RefusalReason) -> State:
-    """Return the state that refuses this attempt from now on; the oldest refusals are evicted."""
-    kept = [*refusals(state).items(), (attempt, reason)][-KEPT_REFUSALS:]
-    return {**state, "raw_refusals": dict(kept)}
+    """Return the state with the refusal of an attempt recorded.
+
+    Beyond MAX_RECORDED_REFUSALS the oldest refusals are evicted.
+    """
+    recorded = [*refusals_by_attempt(state).items(), (attempt, reason)][-MAX_RECORDED_REFUSALS:]
+    return {**state, "raw_refusals": dict(recorded)}
 
 
 def fence_of(state: State, reserving_part: str) -> int:
-    """Return the highest fenced ticket of a reserving part, 0 if there is none."""
+    """Return the highest fenced ticket of a reserving part, 0 if none is fenced."""
     fences: dict[str, int] = state.get("raw_fences") or {}
     return fences.get(reserving_part, 0)
 
 
 def with_fence(state: State, reserving_part: str, ticket: int) -> State:
-    """Return the state that fences a part's tickets up to this one; a fence is never lowered."""
+    """Return the state with a part's tickets fenced up to `ticket`; a fence is never lowered."""
     fences: dict[str, int] = state.get("raw_fences") or {}
     highest = max(ticket, fences.get(reserving_part, 0))
     return {**state, "raw_fences": {**fences, reserving_part: highest}}
--- a/quillring/lots/http_requests/messages.py
+++ b/quillring/lots/http_requests/messages.py
@@ -1,6 +1,6 @@
 """Messages between nodes about lots; only this module reads and writes their wire form.
 
-Field names on the wire are those of the landed version and stay.
+Field names on the wire must not change, for compatibility with the landed version.
 """
 
 from __future__ import annotations
@@ -13,34 +13,35 @@
 from quillring.quorum.values import Ballot
 
 Wire = Mapping[str, Any]
-"""The body of a call as it stands on the wire."""
+"""The wire form of a call's body."""
 
 READ, TOKENS_LEFT, BACKLOG = "raw.read", "raw.left", "raw.demand"
 RUN_ITEM, RENEW_RUNS, STOP_RUNS, REPORT = "raw.run", "raw.renew", "raw.stop", "raw.report"
 
 
-class HeldRead(NamedTuple):
-    """A long-poll query to the leader of a part: answered at a further result or after a time.
+class LongPollRead(NamedTuple):
+    """A long-poll query to the leader of a part.
 
-    `hold_seconds` is the longest wait. `part` is filled in by `Ownership.call_leader`.
+    It is answered when there is a result, the lot is complete, or `max_wait_seconds` have passed.
+    `part` is filled in by `Ownership.call_leader`.
     """
 
     query: dict[str, Any]
-    hold_seconds: float
+    max_wait_seconds: float
     part: str | None = None
 
     @classmethod
-    def from_wire(cls, wire: Wire) -> HeldRead:
+    def from_wire(cls, wire: Wire) -> LongPollRead:
         """Read the call's body."""
         return cls(wire["query"], wire["seconds"], wire["part"])
 
     def to_wire(self) -> dict[str, Any]:
         """Return the call's body without the part."""
-        return {"query": self.query, "seconds": self.hold_seconds}
+        return {"query": self.query, "seconds": self.max_wait_seconds}
 
 
 class TokensLeft(NamedTuple):
-    """Ask the leader of a part for the tokens of some lots' items without a result.
+    """Ask the leader of a part for the pending tokens of some lots.
 
     `part` is filled in by `Ownership.call_leader`.
     """
@@ -59,7 +60,7 @@
 
 
 class RequestToSend(NamedTuple):
-    """The fields of an item that a worker sends; on the wire [id, target, headers, body]."""
+    """The HTTP request that a worker sends for an item; on the wire [id, target, headers, body]."""
 
     item_id: str
     target: str
@@ -68,18 +69,18 @@
 
     @classmethod
     def from_stored_item(cls, fields: Sequence[Any]) -> RequestToSend:
-        """Read it from an item as it stands in the state."""
+        """Build the request from an item's form in the state."""
         item = Item.from_stored(fields)
         return cls(item.item_id, item.target, item.headers, item.body)
 
     @classmethod
     def from_wire(cls, fields: Sequence[Any]) -> RequestToSend:
-        """Read it from a call."""
+        """Read the request from a call."""
         item_id, target, headers, body = fields
         return cls(item_id, target, headers, body)
 
     def to_wire(self) -> list[Any]:
-        """Return its form in a call."""
+        """Return the request's form in a call."""
         return [self.item_id, self.target, self.headers, self.body]
 
 
@@ -89,14 +90,14 @@
     Parameters
     ----------
     ballot
-        The ballot of the leader that orders; a worker that has seen a higher one refuses.
+        The ballot of the ordering leader; a worker that has seen a higher one refuses.
     number
         The item's position in the lot.
     last_event_id, text
-        Progress of an earlier run; the replica resumes after that event (Last-Event-ID of
+        Progress of an earlier run. The replica resumes after that event (Last-Event-ID of
         server-sent events in the HTML standard).
     urgency
-        Passed on to the replica; lower is more urgent.
+        Passed on to the replica; a lower number is more urgent.
     """
 
     part: str
@@ -152,7 +153,7 @@
 
 
 class RenewRuns(NamedTuple):
-    """Ask a worker for its active runs of a part, under the leader's ballot."""
+    """Ask a worker for its active runs of a part; `ballot` is the asking leader's."""
 
     part: str
     ballot: Ballot
@@ -168,7 +169,7 @@
 
 
 class ActiveRun(NamedTuple):
-    """A run that a worker reports as active: [lot, number, run, service, replica]."""
+    """A run that a worker reports as active; on the wire [lot, number, run, service, replica]."""
 
     lot: str
     number: int
@@ -188,7 +189,7 @@
 
 
 class StopRuns(NamedTuple):
-    """Order workers to stop the runs of a lot; `numbers` is None for all of them."""
+    """Order workers to stop runs of a lot: of the items in `numbers`, or all if that is None."""
 
     lot: str
     numbers: Sequence[int] | None
@@ -211,7 +212,7 @@
     outcome
         `item_executor.NOT_RUN`, `BROKEN` or `UNSENT`.
     last_event_id, text
-        How far the run got.
+        Progress of the run: the last event received, and the text up to it.
     part
         Filled in by `Ownership.call_leader`.
     """
@@ -250,7 +251,7 @@
 
 
 class BacklogRow(NamedTuple):
-    """How many items of a service are due in a number of seconds: [seconds, items]."""
+    """The number of a service's items that are due at one time; on the wire [seconds, items]."""
 
     due_in_seconds: float
     items: float
@@ -267,14 +268,14 @@
 
 
 class BacklogReport(NamedTuple):
-    """The backlog of the parts that a core leads.
+    """The backlogs of the parts that a core leads.
 
     Parameters
     ----------
     items
-        {part: {service: items}}, which is all that the former version reads and sends.
+        Number of items as {part: {service: items}}, the only field of the former version.
     rows
-        {part: {service: rows}}; empty for a report of the former version.
+        Items by due time as {part: {service: rows}}; empty in a report of the former version.
     """
 
     items: Mapping[str, Mapping[str, float]]
@@ -282,7 +283,7 @@
 
     @classmethod
     def from_wire(cls, wire: Wire) -> BacklogReport:
-        """Read the message; one of the former version has no rows."""
+        """Read the message; without rows if the sender runs the former version."""
         rows = {
             part: {
                 service: [BacklogRow.from_wire(fields) for fields in service_rows]
@@ -305,7 +306,7 @@
 
 
 class StartedRun(NamedTuple):
-    """The answer of a worker that runs the item, with the id of that run."""
+    """A worker's answer to an order: the id of the item's active run on that worker."""
 
     run_id: str
 
--- a/quillring/lots/http_requests/result_reads.py
+++ b/quillring/lots/http_requests/result_reads.py
@@ -1,4 +1,4 @@
-"""Long-poll reads of lots at the leader of their part, pending until a result exists."""
+"""Long-poll reads of lots at the leader of their part, which wait until there is a result."""
 
 from __future__ import annotations
 
@@ -16,16 +16,21 @@
     from quillring.kernel.types import Coroutine
 
 FRESH_SHARE = 0.15
-"""A state that a majority confirmed within this share of the reading bound is fresh."""
+"""A state that a majority confirmed within this share of the read timeout is fresh."""
 
 
 class ResultReader:
-    """Answers reads, and wakes those that wait for the next result of a lot.
+    """Answers reads of lots, and wakes the reads that wait for a lot's next result.
 
-    A listed result is committed and immutable, so it is answered from the leader's local state,
-    after the log entry in flight about the lot, which stores may have shown already (`InFlight`).
-    An answer without results needs a confirmation by a majority within FRESH_SHARE of the read
-    timeout, else a linearizable read.
+    A listed result is committed and immutable, so it is answered from the leader's local state. A
+    read first waits for the log entry in flight for its lot, because reads at stores may have
+    returned that entry already (`InFlight`). For an answer without results a majority must have
+    confirmed the leader within FRESH_SHARE of the read timeout; otherwise the read is linearizable.
+
+    Attributes
+    ----------
+    signals
+        Set when a batch concerns a lot, by lot.
     """
 
     __slots__ = ("node", "signals")
@@ -36,7 +41,10 @@
         node.handle(messages.READ, self.on_read)
 
     def on_batch(self, leader: Any, batch: Sequence[Wire]) -> None:
-        """Wake the readers of the lots that a batch concerns; of all when the leader changes."""
+        """Wake the reads of the lots that a batch concerns; an empty batch wakes all reads.
+
+        The batch is empty when the leadership changes.
+        """
         names: set[str | None] = set(self.signals)
         if batch:
             names &= {lot_in(command) for command in batch}
@@ -45,11 +53,14 @@
                 self.signals.pop(name).set()
 
     def on_read(self, body: messages.Wire, origin: str) -> Coroutine:
-        """Answer a query, at the next result or after `hold_seconds`; raise NotLeader, NotFound."""
-        read = messages.HeldRead.from_wire(body)
+        """Answer a query when there is a result, the lot is complete, or the wait is over.
+
+        Raises NotLeader if the part is not led here, NotFound if the lot does not exist.
+        """
+        read = messages.LongPollRead.from_wire(body)
         lot: str = read.query["lot"]
         leader = self.node.find("ownership").leaders.get(read.part)
-        end_time = self.node.now() + read.hold_seconds
+        end_time = self.node.now() + read.max_wait_seconds
         if leader is not None:
             yield from leader.in_flight.wait(lot)
         while True:
--- a/quillring/lots/http_requests/state_machine.py
+++ b/quillring/lots/http_requests/state_machine.py
@@ -1,9 +1,9 @@
 """Apply the commands and queries of HTTP request lots to a part's state.
 
-Items go to replicas unchanged; results get one order. A lot is kept in the part that its key (lot
-and host) hashes to; its tokens are reserved before that in the part of its host
-(`token_reservations`). A change copies only the lot's own small tables; bodies and texts are
-shared, and the bytes kept in the part are summed incrementally.
+Items are sent to replicas unchanged, and the results of a lot have one order for all readers. A lot
+is stored in the part that its key (lot and host) hashes to; before that, its tokens are reserved in
+the part of its host (`token_reservations`). A change copies only the tables of its lot; bodies and
+texts are shared between the copies, and the total of stored bytes is maintained incrementally.
 """
 
 from __future__ import annotations
@@ -44,10 +44,10 @@
     find_lot,
     held_bytes,
     lot_records,
-    refusals,
+    pending_tokens,
+    refusals_by_attempt,
     stored_text,
     stored_tokens,
-    waiting_tokens,
     with_fence,
     with_lot,
     with_lots,
@@ -58,11 +58,11 @@
 RESULT_OVERHEAD_BYTES = 100
 
 Answer = dict[str, Any]
-"""What a command or query answers, as it goes on the wire."""
+"""The wire form of the answer to a command or query."""
 
 
 class NewResult(NamedTuple):
-    """A result that is to be listed."""
+    """A result to append to a lot's results."""
 
     number: int
     state: str
@@ -79,11 +79,11 @@
 def refusal_reason(
     state: State, command: AcceptLot, tokens: int, weight: int
 ) -> RefusalReason | None:
-    """Return why a part refuses a new lot, or None.
+    """Return the reason why a part refuses a new lot, or None if it accepts the lot.
 
-    The tokens of a lot with a ticket were reserved by the part that issued it. A lot without one is
-    of a former version, or its forward has no quota; a part that keeps reservations refuses lots
-    of the former version.
+    The tokens of a lot with a ticket were reserved by the part that issued the ticket. A lot
+    without a ticket was submitted by a node of the former version, or its forward has no quota. A
+    part that stores reservations refuses lots of the former version.
     """
     if command.ticket is not None:
         if command.ticket <= fence_of(state, command.reserving_part or ""):
@@ -91,22 +91,22 @@
     elif command.most_tokens:
         if state.get("raw_ledger") is not None:
             return MOVED
-        if waiting_tokens(state, command.forward) + tokens > command.most_tokens:
+        if pending_tokens(state, command.forward) + tokens > command.most_tokens:
             return QUOTA
-    most_bytes = command.most_held_bytes or HELD_LIMIT_BYTES
+    most_bytes = command.max_held_bytes or HELD_LIMIT_BYTES
     return HELD if held_bytes(state) + weight > most_bytes else None
 
 
 @COMMANDS.entry(commands.ACCEPT)
 def accept_lot(state: State, wire: Wire) -> tuple[State, Answer]:
-    """Accept a lot, idempotently; a refused attempt stays refused while its refusal is kept."""
+    """Accept a lot, idempotently; an attempt stays refused while its refusal is recorded."""
     command = AcceptLot.from_wire(wire)
-    known = lot_records(state).get(command.lot)
-    if known is not None:
-        return state, repeat_answer(known, command.digest)
-    kept_refusals = refusals(state)
-    if command.attempt in kept_refusals:
-        return state, {"refused": kept_refusals[command.attempt]}
+    existing = lot_records(state).get(command.lot)
+    if existing is not None:
+        return state, repeat_answer(existing, command.digest)
+    recorded_refusals = refusals_by_attempt(state)
+    if command.attempt in recorded_refusals:
+        return state, {"refused": recorded_refusals[command.attempt]}
     tokens = sum(map(stored_tokens, command.items))
     weight = bytes_of_items(command.items)
     reason = refusal_reason(state, command, tokens, weight)
@@ -114,7 +114,7 @@
         return state, {"refused": reason}
     if reason is not None:
         return with_refusal(state, command.attempt, reason), {"refused": reason}
-    if command.most_held_bytes is not None and "raw_held" not in state:
+    if command.max_held_bytes is not None and "raw_held" not in state:
         state = {**state, "raw_held": held_bytes(state)}
     lot = new_record(command, tokens, weight)
     return with_lot(state, command.lot, lot), {"items": len(command.items)}
@@ -145,7 +145,7 @@
 
 
 def list_items(lot: LotRecord, new_results: Iterable[NewResult]) -> LotRecord:
-    """Return the record with results at its next positions."""
+    """Return the record with results appended, and their items no longer pending."""
     listed, results = {}, list(lot["results"])
     added_bytes = 0
     for new in new_results:
@@ -173,7 +173,7 @@
 
 @COMMANDS.entry(commands.LIST_RESULT)
 def list_result(state: State, wire: Wire) -> tuple[State, Answer]:
-    """List an item's result at the next position; the first result of an item wins."""
+    """Append an item's result to the lot's results; later results of the item are ignored."""
     command = ListResult.from_wire(wire)
     lot = lot_records(state).get(command.lot)
     if lot is None or command.number not in lot["items"]:
@@ -184,7 +184,7 @@
 
 @COMMANDS.entry(commands.COUNT_FAILURE)
 def count_failure(state: State, wire: Wire) -> tuple[State, Answer]:
-    """Count a failed run; after the lot's number of rounds the item is listed as errored."""
+    """Count a failed run once; after `rounds` failed runs, list the item as errored."""
     command = CountFailure.from_wire(wire)
     lot = lot_records(state).get(command.lot)
     if lot is None or command.number not in lot["items"]:
@@ -201,7 +201,7 @@
 
 @COMMANDS.entry(commands.EXPIRE)
 def expire_lot(state: State, wire: Wire) -> tuple[State, Answer]:
-    """List all pending items as errored, since retention is over or the forward was removed."""
+    """List all pending items as errored: the retention is over or the forward was removed."""
     command = ExpireLot.from_wire(wire)
     lot = lot_records(state).get(command.lot)
     if lot is None or not lot["items"]:
@@ -212,7 +212,7 @@
 
 @COMMANDS.entry(commands.END)
 def end_lot(state: State, wire: Wire) -> tuple[State, Answer]:
-    """End a lot: listed results are kept, pending items are dropped with their bodies."""
+    """End a lot: keep the listed results, drop the pending items with their bodies."""
     command = EndLot.from_wire(wire)
     lot = find_lot(state, command.lot)
     if lot["ended"]:
@@ -230,14 +230,14 @@
 
 @COMMANDS.entry(commands.DROP)
 def drop_lot(state: State, wire: Wire) -> tuple[State, Answer]:
-    """Delete a lot without pending items, and fence its ticket."""
+    """Delete a lot without pending items, and fence its ticket against a late acceptance."""
     command = DropLot.from_wire(wire)
     lots = lot_records(state)
     lot = lots.get(command.lot)
     if lot is None or lot["items"]:
         return state, {"dropped": False}
-    kept_lots = {key: kept for key, kept in lots.items() if key != command.lot}
-    state = with_lots(state, kept_lots, -lot["weight"])
+    other_lots = {key: other for key, other in lots.items() if key != command.lot}
+    state = with_lots(state, other_lots, -lot["weight"])
     if "ticket" in lot:
         state = with_fence(state, lot["ledger"], lot["ticket"])
     return state, {"dropped": True}
@@ -245,20 +245,20 @@
 
 @QUERIES.entry(commands.RESULTS)
 def query_results(state: State, wire: Wire) -> Answer:
-    """Return the results from a position on, as many as fit into the limit but at least one."""
+    """Return the results from a position on that fit into the limit, at least one if any exist."""
     query = QueryResults.from_wire(wire)
     lot = find_lot(state, query.lot)
-    chosen_results = first_within(lot["results"][query.start :], query.limit_bytes)
+    page = results_within_limit(lot["results"][query.start :], query.limit_bytes)
     return {
         "items": lot["count"],
-        "results": chosen_results,
-        "next": query.start + len(chosen_results),
+        "results": page,
+        "next": query.start + len(page),
         "is_over": not lot["items"],
     }
 
 
-def first_within(results: list[list[Any]], limit_bytes: int) -> list[list[Any]]:
-    """Return the first stored results that fit into the limit, at least one if there is any."""
+def results_within_limit(results: list[list[Any]], limit_bytes: int) -> list[list[Any]]:
+    """Return the longest prefix of stored results within the limit, at least one if any exist."""
     text_bytes = sum(map(len, map(stored_text, results)))
     if text_bytes + RESULT_OVERHEAD_BYTES * len(results) <= limit_bytes:
         return results
@@ -279,7 +279,7 @@
 
 @QUERIES.entry(commands.ITEM_BODY)
 def query_item_body(state: State, wire: Wire) -> Answer:
-    """Return the body of a pending item."""
+    """Return the body of a pending item; raise NotFound for an unknown lot or item."""
     query = QueryItemBody.from_wire(wire)
     lot = find_lot(state, query.lot)
     for fields in lot["items"].values():
--- a/quillring/lots/http_requests/token_reservations.py
+++ b/quillring/lots/http_requests/token_reservations.py
@@ -1,10 +1,10 @@
-"""Commands of the quota: tokens of a forward are reserved in one part before a lot is accepted.
+"""Commands of the token quota: a lot's tokens are reserved in one part before it is accepted.
 
-The reservations of a host's forwards are kept in the part that the host hashes to. A reservation
-has the tokens of a lot and a ticket, which is a fencing token: tickets only grow. The lot's own
-part accepts a lot under its ticket. FenceTickets makes it refuse permanently all unknown lots with
-tickets of a reserving part up to a given one; after that the reservation of a lot that did not
-arrive can be released safely. See docs/raw-lots.md.
+The reservations of a host's forwards are stored in the part that the host hashes to. A reservation
+has the tokens of a lot and a ticket. Tickets are fencing tokens, issued in increasing order. The
+lot's own part accepts the lot with its ticket. FenceTickets makes that part permanently refuse
+unknown lots with tickets of a reserving part up to a given one. After that, the reservation of a
+lot that has not arrived can be released safely. See docs/raw-lots.md.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
     QUOTA,
     State,
     lot_records,
-    refusals,
+    refusals_by_attempt,
     with_fence,
     with_refusal,
 )
@@ -34,7 +34,10 @@
 
 
 class Reservation(TypedDict):
-    """The tokens reserved for a lot, in the state; `left` bounds those still pending."""
+    """The stored form of a lot's reservation; `left` is an upper bound of its pending tokens.
+
+    `part` is the lot's own part.
+    """
 
     forward: str
     part: str
@@ -44,14 +47,14 @@
 
 
 class ForwardTokens(TypedDict):
-    """The sum reserved for a forward, in the state, and its quota as of the last reservation."""
+    """The stored sum of a forward's reservations, and its quota as of the last reservation."""
 
     tokens: int
     most: int
 
 
 class ReservationTable(TypedDict):
-    """A part's reservations, under `raw_ledger` in the state; `next` is the next ticket."""
+    """A part's reservations, stored under `raw_ledger`; `next` is the next ticket to issue."""
 
     next: int
     lots: dict[str, Reservation]
@@ -59,27 +62,27 @@
 
 
 def reservation_table(state: State) -> ReservationTable | None:
-    """Return the reservation table of a part, None where it never had one."""
+    """Return the reservation table of a part, None if it never reserved tokens."""
     table: ReservationTable | None = state.get("raw_ledger")
     return table
 
 
 def reserved_lots(state: State) -> dict[str, Reservation]:
-    """Return the reservations of a part by lot."""
+    """Return the reservations that a part stores, by lot."""
     table = reservation_table(state)
     return table["lots"] if table else {}
 
 
 def reserved_tokens(state: State, forward: str) -> int:
-    """Return the tokens that are reserved for a forward."""
+    """Return the sum of the tokens reserved for a forward."""
     table = reservation_table(state)
     if not table or forward not in table["forwards"]:
         return 0
     return table["forwards"][forward]["tokens"]
 
 
-def first_table(state: State, part: str) -> ReservationTable:
-    """Return the first table of a part, with reservations for lots of a former version."""
+def initial_reservation_table(state: State, part: str) -> ReservationTable:
+    """Build a part's first table, with reservations for the lots that a former version accepted."""
     lots: dict[str, Reservation] = {}
     forwards: dict[str, ForwardTokens] = {}
     for key, lot in lot_records(state).items():
@@ -92,40 +95,40 @@
             "left": lot["tokens"],
             "digest": lot["digest"],
         }
-        known = forwards.get(lot["forward"], {"tokens": 0, "most": 0})
-        forwards[lot["forward"]] = {**known, "tokens": known["tokens"] + lot["tokens"]}
+        current = forwards.get(lot["forward"], {"tokens": 0, "most": 0})
+        forwards[lot["forward"]] = {**current, "tokens": current["tokens"] + lot["tokens"]}
     return {"next": 1, "lots": lots, "forwards": forwards}
 
 
 def with_tokens(
     forwards: Mapping[str, ForwardTokens], forward: str, change: int, most: int | None = None
 ) -> dict[str, ForwardTokens]:
-    """Return the sums with one forward's changed by `change`; zero sums are left out."""
-    known = forwards.get(forward, {"tokens": 0, "most": 0})
-    tokens = known["tokens"] + change
+    """Return the sums with one forward's sum changed by `change`, and removed if it becomes 0."""
+    current = forwards.get(forward, {"tokens": 0, "most": 0})
+    tokens = current["tokens"] + change
     if not tokens:
         return {name: total for name, total in forwards.items() if name != forward}
     return {
         **forwards,
-        forward: {"tokens": tokens, "most": known["most"] if most is None else most},
+        forward: {"tokens": tokens, "most": current["most"] if most is None else most},
     }
 
 
 @COMMANDS.entry(commands.RESERVE)
 def reserve_tokens(state: State, wire: Wire) -> tuple[State, Answer]:
-    """Reserve the tokens of a lot, or answer that its forward's quota is exceeded.
+    """Reserve the tokens of a lot, or answer that the quota of its forward is exceeded.
 
-    A repeated reservation keeps its ticket, unless the caller names that ticket as fenced by the
-    lot's own part: then it gets a new one. Raises Conflict for another lot of this name.
+    A repeated reservation returns the same ticket, or a new one if the caller reports that ticket
+    as fenced by the lot's own part. Raises Conflict for another lot of this name.
     """
     command = ReserveTokens.from_wire(wire)
-    known = lot_records(state).get(command.lot)
-    if known is not None:
-        return state, repeat_answer(known, command.digest)
-    table = reservation_table(state) or first_table(state, command.host_part)
+    existing = lot_records(state).get(command.lot)
+    if existing is not None:
+        return state, repeat_answer(existing, command.digest)
+    table = reservation_table(state) or initial_reservation_table(state, command.host_part)
     reservation = table["lots"].get(command.lot)
     if reservation is None:
-        return _reserve_anew(state, table, command)
+        return _reserve_new(state, table, command)
     if reservation["digest"] != command.digest:
         raise Conflict(field="lot")
     if reservation["ticket"] != command.fenced_ticket:
@@ -133,15 +136,15 @@
     return _with_next_ticket(state, table, table["forwards"], command.lot, reservation)
 
 
-def _reserve_anew(
+def _reserve_new(
     state: State, table: ReservationTable, command: ReserveTokens
 ) -> tuple[State, Answer]:
     """Reserve the tokens of a lot that has no reservation."""
-    kept_refusals = refusals(state)
-    if command.attempt in kept_refusals:
-        return state, {"refused": kept_refusals[command.attempt]}
-    known = table["forwards"].get(command.forward)
-    reserved = 0 if known is None else known["tokens"]
+    recorded_refusals = refusals_by_attempt(state)
+    if command.attempt in recorded_refusals:
+        return state, {"refused": recorded_refusals[command.attempt]}
+    current = table["forwards"].get(command.forward)
+    reserved = 0 if current is None else current["tokens"]
     if reserved + command.tokens > command.most_tokens:
         state = with_refusal({**state, "raw_ledger": table}, command.attempt, QUOTA)
         return state, {"refused": QUOTA}
@@ -163,7 +166,7 @@
     lot: str,
     reservation: Reservation,
 ) -> tuple[State, Answer]:
-    """Return the state in which the lot's reservation has the next ticket, and the answer."""
+    """Return the state with the lot's reservation under the next ticket, and the answer."""
     ticket = table["next"]
     new_table: ReservationTable = {
         "next": ticket + 1,
@@ -175,10 +178,10 @@
 
 @COMMANDS.entry(commands.RELEASE)
 def release_tokens(state: State, wire: Wire) -> tuple[State, Answer]:
-    """Lower reservations to the tokens still pending.
+    """Reduce reservations to the tokens that are still pending.
 
-    Under one ticket a reservation only ever falls, and it is deleted at 0. So rows may be repeated,
-    delayed or out of order.
+    Under one ticket a reservation never increases, and it is deleted at 0. Rows may therefore be
+    repeated, delayed or out of order.
     """
     table = reservation_table(state)
     if table is None:
@@ -200,16 +203,16 @@
 
 
 def _lowers(reservation: Reservation, pending: PendingTokens) -> bool:
-    """Return whether a row has this reservation's ticket and lowers it, or clears it."""
+    """Return whether a row has the reservation's ticket, and fewer tokens or none."""
     is_less = not pending.tokens or pending.tokens < reservation["left"]
     return reservation["ticket"] == pending.ticket and is_less
 
 
 @COMMANDS.entry(commands.FENCE)
 def fence_tickets(state: State, wire: Wire) -> tuple[State, Answer]:
-    """Fence a reserving part's tickets: refuse every unknown lot with one up to `ticket`.
+    """Fence a reserving part's tickets: refuse unknown lots whose ticket is at most `ticket`.
 
-    Answers the pending tokens of the known lots: {lot: tokens}.
+    The answer has the pending tokens of the known lots: {"left": {lot: tokens}}.
     """
     command = FenceTickets.from_wire(wire)
     fenced_state = with_fence(state, command.reserving_part, command.ticket)
@@ -217,6 +220,6 @@
 
 
 def tokens_left(state: State, keys: Iterable[str]) -> dict[str, int]:
-    """Return the tokens of the items without a result, by lot, of those lots that are known."""
+    """Return the pending tokens of the lots that are known here, by lot."""
     lots = lot_records(state)
     return {key: lots[key]["tokens"] for key in keys if key in lots}
--- a/tests/http_lot_stage.py
+++ b/tests/http_lot_stage.py
@@ -6,7 +6,7 @@
 from proving.sim import fleet as sim_fleet
 from proving.sim.fleet import SimFleet
 from quillring.lots.http_requests import api
-from quillring.lots.http_requests.lot_placement import bare_host, lot_key
+from quillring.lots.http_requests.lot_placement import lot_key, normalized_host
 from quillring.lots.http_requests.lot_table import lot_records
 from quillring.lots.http_requests.token_reservations import reserved_tokens
 from quillring.nifty.wire import SPOKEN
@@ -165,7 +165,7 @@
 
     def home(self):
         """Return the part that keeps the reservations of the forward."""
-        return part_of(bare_host(HOST), len(self.parts))
+        return part_of(normalized_host(HOST), len(self.parts))
 
     def owner(self, name="a"):
         """Return the node that owns a lot's part."""
--- a/tests/test_histories_found.py
+++ b/tests/test_histories_found.py
@@ -2,7 +2,7 @@
 
 from quillring.kernel.errors import Conflict
 from quillring.lots.http_requests import api
-from quillring.lots.http_requests.lot_placement import place_of_lot
+from quillring.lots.http_requests.lot_placement import placement_of_lot
 from quillring.quorum.leader.follower_read import read_from_majority, value_of
 from quillring.quorum.parts import CONFIG
 from tests.http_lot_stage import FORWARD, HOST, HttpLotStage
@@ -109,7 +109,7 @@
         assert stage.submit("a", 2)[1] is None
         stage.run(0.3)
         edge = stage.up("edge")
-        place = place_of_lot(edge, HOST, "a")
+        place = placement_of_lot(edge, HOST, "a")
         owner = stage.sim.nodes[edge.find("gossip").get(f"owner/{place.own}")["owner"]]
         query = {"ask": "raw.results", "lot": place.key, "from": 0, "limit": 1000}
         cut_answers_to(stage, owner)
--- a/tests/test_http_lot_placement.py
+++ b/tests/test_http_lot_placement.py
@@ -6,7 +6,7 @@
 
 from quillring.kernel.errors import NotFound
 from quillring.lots.http_requests import api, lot_placement
-from quillring.lots.http_requests.lot_placement import SPREAD_LEVEL, LotPlacement, lot_key
+from quillring.lots.http_requests.lot_placement import SPREAD_WIRE_VERSION, LotPlacement, lot_key
 from quillring.lots.http_requests.lot_table import HeldTooMuch, QuotaExceeded, lot_records
 from quillring.quorum.parts import part_of
 from tests.http_lot_stage import FORWARD, HOST, HttpLotStage, accepted, check_whole
@@ -120,10 +120,10 @@
 def test_places_are_the_same_whatever_the_case_and_port_of_the_host():
     with HttpLotStage(107) as stage:
         node = stage.up("edge")
-        assert lot_placement.place_of_lot(node, "LOTS.example:80", "a") == (
-            lot_placement.place_of_lot(node, HOST, "a")
+        assert lot_placement.placement_of_lot(node, "LOTS.example:80", "a") == (
+            lot_placement.placement_of_lot(node, HOST, "a")
         )
-        assert isinstance(lot_placement.place_of_lot(node, HOST, "a"), LotPlacement)
+        assert isinstance(lot_placement.placement_of_lot(node, HOST, "a"), LotPlacement)
         assert node.find("forwards").find_by_name(FORWARD).host == "lots.example"
 
 
@@ -133,7 +133,7 @@
 
 
 def test_lots_stay_in_the_hosts_part_until_the_last_member_is_upgraded():
-    former = (SPREAD_LEVEL - 2, SPREAD_LEVEL - 1)
+    former = (SPREAD_WIRE_VERSION - 2, SPREAD_WIRE_VERSION - 1)
     with HttpLotStage(108, slots=32, most_tokens=1000, versions=former) as stage:
         *others, last = list(stage.sim.nodes)
         names = [f"l{number}" for number in range(8)]
--- a/tests/test_http_lot_restarts.py
+++ b/tests/test_http_lot_restarts.py
@@ -28,13 +28,13 @@
     with HttpLotStage(90, most_tokens=50) as stage:
         accepted(stage, "a", 5)
         sent = []
-        real = api.submit_until_sure
+        real = api.submit_with_retries
 
         def keep(node, part, command, seconds):
             sent.append((part, command))
             return real(node, part, command, seconds)
 
-        with mock.patch.object(api, "submit_until_sure", keep):
+        with mock.patch.object(api, "submit_with_retries", keep):
             _, error = stage.submit("b", 5)
         assert isinstance(error, QuotaExceeded) and command
         stage.read_all("a")
--- a/tests/test_http_lot_state_machine.py
+++ b/tests/test_http_lot_state_machine.py
@@ -2,7 +2,7 @@
 
 from quillring.kernel.errors import Conflict, NotFound
 from quillring.lots.http_requests import state_machine
-from quillring.lots.http_requests.lot_table import HELD, QUOTA, waiting_tokens
+from quillring.lots.http_requests.lot_table import HELD, QUOTA, pending_tokens
 from quillring.quorum.commands import apply_batch, first_state
 
 
@@ -77,7 +77,7 @@
         accept("d", forward="other", most=60, attempt="d"),
     )
     assert answers[2] == {"refused": QUOTA} and answers[3] == {"items": 3}
-    assert waiting_tokens(state, "f") == 60
+    assert pending_tokens(state, "f") == 60
     state, answers = apply(
         result("a", 0),
         result("a", 0),
@@ -88,7 +88,7 @@
     )
     assert answers[3:] == [{"refused": QUOTA}, {"items": 1}]
     state, _ = apply({"do": "raw.end", "lot": "b"}, state=state)
-    assert waiting_tokens(state, "f") == 30
+    assert pending_tokens(state, "f") == 30
 
 
 def test_a_refused_try_stays_refused_and_a_new_try_may_be_taken():
--- a/tests/test_lot_commands.py
+++ b/tests/test_lot_commands.py
@@ -41,9 +41,9 @@
 )
 SAMPLES = [
     (ACCEPT, ACCEPT_FIELDS),
-    (ACCEPT._replace(most_held_bytes=900), {**ACCEPT_FIELDS, "most_weight": 900}),
+    (ACCEPT._replace(max_held_bytes=900), {**ACCEPT_FIELDS, "most_weight": 900}),
     (
-        ACCEPT._replace(most_held_bytes=900, reserving_part="part-1", ticket=3),
+        ACCEPT._replace(max_held_bytes=900, reserving_part="part-1", ticket=3),
         {**ACCEPT_FIELDS, "most_weight": 900, "ledger": "part-1", "ticket": 3},
     ),
     (
@@ -187,7 +187,7 @@
 ]
 CALLS_TO_A_LEADER = [
     (
-        messages.HeldRead({"ask": "raw.results", "lot": "x@h", "from": 3, "limit": 9}, 0.8),
+        messages.LongPollRead({"ask": "raw.results", "lot": "x@h", "from": 3, "limit": 9}, 0.8),
         {"query": {"ask": "raw.results", "lot": "x@h", "from": 3, "limit": 9}, "seconds": 0.8},
     ),
     (messages.TokensLeft(["x@h"]), {"lots": ["x@h"]}),
--- a/tests/test_token_quota.py
+++ b/tests/test_token_quota.py
@@ -36,7 +36,7 @@
 
     An accept that is held does not leave the edge.
     """
-    sent, real = [], api.submit_until_sure
+    sent, real = [], api.submit_with_retries
 
     def submit(node, part, command, seconds):
         sent.append((part, command))
@@ -44,7 +44,7 @@
             return hold(seconds)
         return real(node, part, command, seconds)
 
-    return sent, mock.patch.object(api, "submit_until_sure", submit)
+    return sent, mock.patch.object(api, "submit_with_retries", submit)
 
 
 def test_the_quota_is_exact_over_the_parts_and_all_of_it_is_used():
@@ -144,7 +144,7 @@
 def test_an_accept_that_was_fenced_gets_a_new_ticket_and_is_taken():
     with HttpLotStage(230, most_tokens=300) as stage:
         name, home = name_outside_home(stage), stage.home()
-        real, fenced = api.submit_until_sure, []
+        real, fenced = api.submit_with_retries, []
 
         def submit(node, part, command, seconds):
             if command["do"] == "raw.accept" and not fenced:
@@ -154,7 +154,7 @@
                 )
             return (yield from real(node, part, command, seconds))
 
-        with mock.patch.object(api, "submit_until_sure", submit):
+        with mock.patch.object(api, "submit_with_retries", submit):
             answer, error = stage.submit(name, 20)
         assert (answer, error, fenced) == ({"items": 20}, None, [{"left": {}}])
         assert stage.counted("raw_accepts_fenced") == 1
