--- a/quillring/lots/http_requests/backlog.py
+++ b/quillring/lots/http_requests/backlog.py
@@ -1,9 +1,10 @@
-"""Share the slots for lots between the parts' leaders by earliest deadline first.
+"""Divide the slots for lots among the parts' leaders, earliest deadline first.
 
-Each leader runs its own lots in the order of their due times. Shares in proportion to the number
-of items would let the lots of all parts complete together, at the very end of a burst. So a part's
-share is its number of items among the next ones, by due time, over all parts. (Earliest deadline
-first: Liu and Layland, Scheduling Algorithms for Multiprogramming, 1973.)
+Each leader runs its own lots in the order of their due times. If the slots were divided in
+proportion to the number of items, the lots of all parts would complete together, at the very end of
+a burst. Instead, all items of all parts are ordered by due time, and a part's share is the number
+of its items among the first of them, as many as there are slots. (Earliest deadline first: Liu and
+Layland, Scheduling Algorithms for Multiprogramming, 1973.)
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 from quillring.kernel.effects import Sleep
 from quillring.kernel.records import NamedTuple
 from quillring.lots.http_requests import messages
-from quillring.lots.http_requests.item_table import LEAST_SECONDS_TO_DUE
+from quillring.lots.http_requests.item_table import MIN_SECONDS_TO_DUE
 from quillring.lots.http_requests.messages import BacklogReport, BacklogRow
 
 if TYPE_CHECKING:
@@ -22,17 +23,17 @@
     from quillring.kernel.types import Coroutine
     from quillring.lots.http_requests.item_table import ItemTable
 
-# Shares of the read timeout.
-REPORT_PERIOD, REMOTE_LIFETIME = 0.4, 1.5
+# Period and lifetime of reports, as shares of the read timeout.
+REPORT_PERIOD_SHARE, REPORT_LIFETIME_SHARE = 0.4, 1.5
 
-LEAST_SHARE = 1 / 16
-"""The share of the slots that a part with items has whatever the others have."""
-FALLEN_RATIO = 0.8
-"""A backlog that fell below this ratio of what was told is told anew."""
+MIN_SHARE = 1 / 16
+"""The minimum share of the slots of a part with items, whatever the backlogs of other parts."""
+REPORT_DECREASE_RATIO = 0.8
+"""A backlog that falls below this ratio of its last reported size is reported again."""
 
 
 class DueItems(NamedTuple):
-    """How many items of a part are due at one time, by this node's clock."""
+    """The number of a part's items that are due at `due_at`, by this node's clock."""
 
     due_at: float
     items: float
@@ -42,17 +43,18 @@
 
 
 class RemoteBacklog(NamedTuple):
-    """The last report about a part, by core `origin`; it expires at `until`."""
+    """The last report of a part's backlog, sent by core `origin`."""
 
     origin: str
-    until: float
+    expires_at: float
     by_service: ItemsByService
 
 
 class SlotShare(NamedTuple):
-    """One part's share of what all parts may have running of a service.
+    """One part's share of the slots of a service that all lots together may take.
 
-    It is the interval from `start` to `end` of `total` items, with the parts sorted by name.
+    The parts, sorted by name, divide the range from 0 to `total` items into consecutive
+    intervals; this part's interval is `start` to `end`.
     """
 
     start: float
@@ -61,15 +63,15 @@
 
     @property
     def ratio(self) -> float:
-        """The share as a ratio, above 0 and at most 1."""
+        """The share as a ratio, above 0 and at most 1; 1 for an empty interval."""
         return (self.end - self.start) / self.total if self.end > self.start else 1.0
 
     def room(self, slots: int, offset: float) -> int:
-        """Return how many of a replica's slots are this part's.
+        """Return how many of a replica's slots this part may use.
 
-        The shares of all parts add up to the slots; `offset` (0 to 1, spread evenly over the
-        replicas) gives the remainder of the division to different parts at different replicas, so
-        that a part gets its share over all of them.
+        The counts of all parts add up to `slots`. `offset` (0 to 1, spread evenly over the
+        replicas) assigns the remainder of the division to different parts at different replicas,
+        which gives each part its share over all replicas.
         """
         if self.end <= self.start:
             return slots
@@ -80,22 +82,23 @@
 def first_items_by_part(
     rows_by_part: Mapping[str, Sequence[DueItems]], now: float, count: float
 ) -> dict[str, float]:
-    """Return how many of the `count` items that come first over all parts are each part's.
+    """Return, by part, how many of the first `count` items over all parts are that part's.
 
-    The order is that of each part's leader: earliest due first; items that can no longer be in time
-    come last. At least LEAST_SHARE of `count` is each part's, so that none starves.
+    The order is the one in which each leader runs its items: earliest due first, with items that
+    can no longer meet their due time last. Each part gets at least MIN_SHARE of `count`, as far as
+    it has items, which prevents starvation.
     """
-    least = max(1, count * LEAST_SHARE)
+    least = max(1, count * MIN_SHARE)
     taken: dict[str, float] = {
         part: min(least, sum(row.items for row in rows)) for part, rows in rows_by_part.items()
     }
     left, before = max(0, count - sum(taken.values())), dict(taken)
     ordered_rows = sorted(
-        (row.due_at - now < LEAST_SECONDS_TO_DUE, row.due_at, part, row.items)
+        (row.due_at - now < MIN_SECONDS_TO_DUE, row.due_at, part, row.items)
         for part, part_rows in rows_by_part.items()
         for row in part_rows
     )
-    for _is_past_hope, _due_at, part, items in ordered_rows:
+    for _is_overdue, _due_at, part, items in ordered_rows:
         counted = min(items, before[part])
         before[part] -= counted
         more = min(items - counted, left)
@@ -105,26 +108,26 @@
 
 
 def count_items(by_service: ItemsByService) -> float:
-    """Return how many items there are over all services."""
+    """Return the number of items over all services."""
     return sum(row.items for rows in by_service.values() for row in rows)
 
 
 class Backlog:
     """The backlogs of all parts, exchanged between the cores.
 
-    Each core reports the parts it leads when one gets or loses its backlog, when one falls by a
-    fifth, and every 0.4 of the read timeout. A report expires after 1.5 of the read timeout, and
-    counts only while its core is reachable. Leaders with differing reports start too many or too
-    few items for a while: a full replica refuses, and the item is dispatched again.
+    Each core reports the backlogs of the parts it leads when one appears or disappears, when one
+    shrinks by a fifth, and every 0.4 read timeouts. A report expires after 1.5 read timeouts and
+    counts only while its core is reachable. While leaders have different reports they start too
+    many or too few items: a full replica refuses, and the item is dispatched again.
 
     Attributes
     ----------
     local
         Backlogs of the parts led here, by part.
     remote
-        Reports of the other cores, by part.
+        Last reports of the other cores, by part.
     reported_items
-        Number of items of each part in the last report sent.
+        Number of items in the last report sent, by part.
     """
 
     __slots__ = ("node", "local", "remote", "reported_items")
@@ -137,13 +140,14 @@
         node.handle(messages.BACKLOG, self.on_report)
 
     def on_report(self, body: messages.Wire, origin: str) -> None:
-        """Replace the reports of another core by its new one.
+        """Replace all reports of another core by a new one.
 
-        A report of the former version has no due times: its items count as due soon.
+        A report of the former version has no due times. Its items count as due at the earliest
+        time that does not rank them last while the report is valid.
         """
         report, now = BacklogReport.from_wire(body), self.node.now()
-        until = now + self.node.bounds.read_timeout * REMOTE_LIFETIME
-        soon = until + LEAST_SECONDS_TO_DUE
+        expires_at = now + self.node.bounds.read_timeout * REPORT_LIFETIME_SHARE
+        soon = expires_at + MIN_SECONDS_TO_DUE
         self.remote = {part: row for part, row in self.remote.items() if row.origin != origin}
         for part, items_by_service in report.items.items():
             by_service = {
@@ -152,10 +156,10 @@
             }
             if not by_service:
                 by_service = {s: [DueItems(soon, items)] for s, items in items_by_service.items()}
-            self.remote[part] = RemoteBacklog(origin, until, by_service)
+            self.remote[part] = RemoteBacklog(origin, expires_at, by_service)
 
     def update(self, part: str, item_table: ItemTable | None) -> None:
-        """Update the backlog of a part led here; report at once if it changed enough.
+        """Update the backlog of a part led here; report it immediately if it changed enough.
 
         `item_table` is None for a part that is no longer led here.
         """
@@ -163,12 +167,12 @@
         self.local = {name: rows for name, rows in self.local.items() if name != part}
         if by_service:
             self.local[part] = by_service
-        has_fallen = any(
-            count_items(rows) < self.reported_items[name] * FALLEN_RATIO
+        has_decreased = any(
+            count_items(rows) < self.reported_items[name] * REPORT_DECREASE_RATIO
             for name, rows in self.local.items()
             if name in self.reported_items
         )
-        if has_fallen or set(self.reported_items) != set(self.local):
+        if has_decreased or set(self.reported_items) != set(self.local):
             self.report()
 
     def _due_items(self, item_table: ItemTable) -> ItemsByService:
@@ -208,22 +212,22 @@
         return BacklogReport(items, rows)
 
     def run(self) -> Coroutine:
-        """Report periodically while there is any local backlog."""
+        """Report periodically while a part led here has a backlog."""
         while True:
-            yield Sleep(self.node.bounds.read_timeout * REPORT_PERIOD)
+            yield Sleep(self.node.bounds.read_timeout * REPORT_PERIOD_SHARE)
             if self.local:
                 self.report()
 
     def slot_share(self, part: str, service: str, slots: int) -> SlotShare:
-        """Return a part's share of the slots of a service that lots may take.
+        """Return a part's share of the `slots` of a service that lots may take.
 
-        It is all of them where no other part has items for the service.
+        The part gets all of them if no other part has items for the service.
         """
         now, nifty = self.node.now(), self.node.find("nifty")
         rows = {
-            name: told.by_service.get(service, [])
-            for name, told in self.remote.items()
-            if told.until > now and name not in self.local and nifty.reaches(told.origin)
+            name: report.by_service.get(service, [])
+            for name, report in self.remote.items()
+            if report.expires_at > now and name not in self.local and nifty.reaches(report.origin)
         }
         rows |= {name: by_service.get(service, []) for name, by_service in self.local.items()}
         items = first_items_by_part(rows, now, slots)
--- a/quillring/lots/http_requests/item_executor.py
+++ b/quillring/lots/http_requests/item_executor.py
@@ -1,7 +1,7 @@
-"""Execute items on any core, one attempt per order of the part's leader.
+"""Execute items on any core, one attempt for each order of the part's leader.
 
-The leader chooses the replica and the event to resume after. A worker submits a complete result
-itself to whichever core leads the part by then, so a finished run survives a change of leader.
+The leader chooses the replica and the event to resume after. The worker submits a complete result
+to the part's current leader, so a finished run survives a change of leader.
 """
 
 from __future__ import annotations
@@ -34,16 +34,16 @@
     from quillring.kernel.types import Coroutine
     from quillring.quorum.values import Ballot
 
-WHOLE = "whole"
-"""The stream came to its proper end."""
-DEAD = "dead"
-"""The replica answered 422: the item can't succeed anywhere."""
+COMPLETE = "whole"
+"""The stream ended at an event boundary, with at least one event."""
+REJECTED = "dead"
+"""The replica answered 422: the item can't succeed on any replica."""
 FAILED = "failed"
-"""The replica answered 500."""
+"""The replica answered 500: the run failed."""
 NOT_RUN = "not_run"
-"""The replica says that it did not run the item."""
+"""The replica answered that it did not run the item."""
 BROKEN = "broken"
-"""The stream broke off; the item may have run."""
+"""The stream was interrupted; the item may have run."""
 UNSENT = "unsent"
 """Nothing reached the replica."""
 
@@ -84,20 +84,20 @@
         if self.handle is not None:
             self.handle.close()
 
-    def describe(self) -> ActiveRun:
-        """Return the row that `raw.renew` reports of this run."""
+    def to_active_run(self) -> ActiveRun:
+        """Return the row for this run in the answer to `raw.renew`."""
         return ActiveRun(self.lot, self.number, self.id, self.service, self.replica)
 
 
 class ItemExecutor:
-    """Owns the active runs on this core, and fences orders of former leaders.
+    """Manages the active runs on this core, and fences orders of former leaders.
 
     Attributes
     ----------
     runs
-        By run id.
+        Active runs by run id.
     ballots
-        The highest ballot seen, by part: orders under a lower one raise Fenced.
+        The highest ballot seen, by part; an order with a lower one raises Fenced.
     """
 
     __slots__ = ("node", "runs", "ballots")
@@ -117,7 +117,10 @@
             raise Fenced(part=part, ballot=highest.to_wire())
 
     def on_run(self, body: messages.Wire, origin: str) -> dict[str, Any]:
-        """Start a run; raise Refused, NotSent or Fenced if it is not started here."""
+        """Start a run, unless this core already has an active run of the item; return its id.
+
+        Raises Refused, NotSent or Fenced if no run was started.
+        """
         order = RunItem.from_wire(body)
         self._check_ballot(order.part, order.ballot)
         active = self._find_active(order)
@@ -137,7 +140,11 @@
         return None
 
     def _replica_for(self, order: RunItem) -> Replica:
-        """Return the replica of the order; raise Refused or NotSent where it may get no request."""
+        """Return the replica that the order names.
+
+        Raises Refused if this core can't carry out the order, NotSent if the replica is gone or
+        may receive no requests.
+        """
         node = self.node
         if node.is_draining:
             raise Refused(reason="draining")
@@ -153,14 +160,14 @@
         return replica
 
     def on_renew(self, body: messages.Wire, origin: str) -> list[list[Any]]:
-        """Return the active runs of a part to its leader; raise Fenced for a former one."""
-        question = RenewRuns.from_wire(body)
-        self._check_ballot(question.part, question.ballot)
-        runs = [run for run in self.runs.values() if run.part == question.part]
-        return [run.describe().to_wire() for run in runs]
+        """Return the active runs of a part to its leader; raise Fenced for a former leader."""
+        query = RenewRuns.from_wire(body)
+        self._check_ballot(query.part, query.ballot)
+        runs = [run for run in self.runs.values() if run.part == query.part]
+        return [run.to_active_run().to_wire() for run in runs]
 
     def on_stop(self, body: messages.Wire, origin: str) -> None:
-        """Stop the runs of a lot, or only those of the given item numbers."""
+        """Stop all runs of a lot, or only those of the given item numbers."""
         order = StopRuns.from_wire(body)
         for run in list(self.runs.values()):
             is_named = order.numbers is None or run.number in order.numbers
@@ -178,9 +185,9 @@
             self.runs.pop(run.id, None)
 
     def _send_item(self, run: ItemRun, replica: Replica, order: RunItem) -> Coroutine:
-        """Send the item once and return the outcome; received text is kept in the run."""
+        """Send the item once and return the outcome; append the received text to the run."""
         node, stall_seconds = self.node, self.node.bounds.shutdown
-        request = self._request_of(order)
+        request = self._build_request(order)
         in_flight = node.find("placement").start_request(replica, request, is_batch=True)
         try:
             run.handle = yield from open_response(
@@ -206,13 +213,13 @@
             if run.handle is not None:
                 run.handle.close()
 
-    def _request_of(self, order: RunItem) -> Request:
-        """Return the item's HTTP request, with the item id as request id and the forward's host."""
+    def _build_request(self, order: RunItem) -> Request:
+        """Build the item's HTTP request, with the item id as request id and the forward's host."""
         header_names, item = self.node.find("dialect"), order.request
-        own_names = {"host", header_names.request_id}
+        replaced_names = {"host", header_names.request_id}
         headers = [("Host", order.host), (header_names.request_id, item.item_id)]
         headers.extend(
-            (name, value) for name, value in item.headers if name.lower() not in own_names
+            (name, value) for name, value in item.headers if name.lower() not in replaced_names
         )
         return Request(header_names, "POST", item.target, headers, item.body)
 
@@ -227,20 +234,21 @@
         if is_not_run(header_names, handle):
             return NOT_RUN
         if handle.status in (500, 422):
-            return FAILED if handle.status == 500 else DEAD
+            return FAILED if handle.status == 500 else REJECTED
         if handle.status != 200 or not is_sealed(header_names, handle):
             return BROKEN
         reader = EventReader(run.last_event_id)
         while (data := (yield from self._next_part(handle, in_flight))) is not None:
             in_flight.note_body_bytes(len(data))
             self._append_events(run, reader.feed(data))
-        is_whole = reader.is_at_event_boundary and run.last_event_id is not None
-        return WHOLE if is_whole else BROKEN
+        is_complete = reader.is_at_event_boundary and run.last_event_id is not None
+        return COMPLETE if is_complete else BROKEN
 
     def _next_part(self, handle: Any, in_flight: InFlightRequest) -> Coroutine:
-        """Return the next bytes, None at the end; raise BackendError after the shutdown bound.
+        """Return the next bytes, None at the end of the stream.
 
-        Half of that is enough if the replica was unresponsive to all of its requests.
+        Raises BackendError if nothing arrives within the shutdown bound, or within half of it if
+        the replica is unresponsive to all of its requests.
         """
         seconds = self.node.bounds.shutdown / 2
         try:
@@ -264,7 +272,10 @@
             raise BackendError(reason="too large")
 
     def _deliver(self, run: ItemRun, outcome: str) -> Coroutine:
-        """Submit or report the outcome, retrying for up to three times the recovery bound."""
+        """Submit the outcome or report it to the leader, retrying for three recovery bounds.
+
+        Stops without an error when that time is over or the run is stopped.
+        """
         end_time = self.node.now() + self.node.bounds.recovery * 3
         text = b"\n".join(run.text)
         command = command_of(run, outcome, text)
@@ -277,16 +288,16 @@
                 return (yield from ownership.call_leader(run.part, messages.REPORT, report, None))
             except QuillringError as error:
                 self.node.count("raw_deliveries_repeated")
-                self.node.log("debug", "lot result delivery %s: %s", run.id, error)
+                self.node.log("debug", "delivering outcome of run %s failed: %s", run.id, error)
             yield Sleep(self.node.bounds.heartbeat_interval / 2)
         return None
 
 
 def command_of(run: ItemRun, outcome: str, text: bytes) -> dict[str, Any] | None:
-    """Return the command that commits an outcome; None for one that is only reported."""
-    if outcome == WHOLE:
+    """Return the command that commits an outcome, or None if it is only reported to the leader."""
+    if outcome == COMPLETE:
         return ListResult(run.lot, run.number, FINISHED, text, run.id).to_wire()
-    if outcome == DEAD:
+    if outcome == REJECTED:
         return ListResult(run.lot, run.number, ERRORED, b"", run.id).to_wire()
     if outcome == FAILED:
         return CountFailure(run.lot, run.number, run.id).to_wire()
--- a/quillring/lots/http_requests/worker_selection.py
+++ b/quillring/lots/http_requests/worker_selection.py
@@ -11,8 +11,9 @@
     from quillring.forward.types import Replica
     from quillring.lots.http_requests.item_table import ItemTable
 
-NEAR_LOAD_FACTOR, NEAR_LOAD_MARGIN = 2, 8
-"""A core near the replica is taken while it has fewer runs than this of the least loaded one."""
+SAME_ZONE_LOAD_FACTOR, SAME_ZONE_LOAD_MARGIN = 2, 8
+"""A core in the replica's zone is preferred while it has fewer runs than the least loaded core's
+number of runs times this factor plus this margin."""
 
 
 class Worker(NamedTuple):
@@ -23,14 +24,18 @@
 
 
 def choose_worker(item_table: ItemTable, workers: Sequence[Worker], replica: Replica) -> str | None:
-    """Return the core that sends to a replica: one of its zone unless that is overloaded.
+    """Return the name of the core that sends an item to a replica, None if there are no workers.
 
-    Otherwise it is the least loaded core; None where there is none.
+    It is the first worker in the replica's zone, or the least loaded worker if there is none in
+    the zone or it is overloaded.
     """
     loads = item_table.runs_by_worker
-    fewest = min((loads.get(worker.name, 0) for worker in workers), default=0)
-    near = next((worker.name for worker in workers if worker.zone == replica.zone), None)
-    if near is not None and loads.get(near, 0) < fewest * NEAR_LOAD_FACTOR + NEAR_LOAD_MARGIN:
-        return near
+    min_load = min((loads.get(worker.name, 0) for worker in workers), default=0)
+    same_zone = next((worker.name for worker in workers if worker.zone == replica.zone), None)
+    if (
+        same_zone is not None
+        and loads.get(same_zone, 0) < min_load * SAME_ZONE_LOAD_FACTOR + SAME_ZONE_LOAD_MARGIN
+    ):
+        return same_zone
     names = (worker.name for worker in workers)
     return min(names, key=lambda name: loads.get(name, 0), default=None)
--- a/tests/test_items_yield.py
+++ b/tests/test_items_yield.py
@@ -4,8 +4,8 @@
 
 from quillring.forward.load_messages import LoadReport
 from quillring.lots.http_requests.concurrency_limits import (
-    CALM_SHARE,
-    NEAR_SHARE,
+    DEFAULT_SHARE,
+    DUE_SOON_SHARE,
     OCCUPANCY_MARGIN,
     ConcurrencyLimits,
     slots_for,
@@ -15,7 +15,7 @@
 SLOTS = 8
 
 
-def free_slots(clients, items=0, share=CALM_SHARE):
+def free_slots(clients, items=0, share=DEFAULT_SHARE):
     """Return what lots may take of a replica with requests of other nodes in flight."""
     _, node = make({}, replicas=1)
     in_flight = {"r0": clients + items} if clients + items else {}
@@ -24,7 +24,7 @@
     return ConcurrencyLimits(node)._free_slots(node.find("replicas").table["r0"], share)
 
 
-@pytest.mark.parametrize("share", [CALM_SHARE, NEAR_SHARE])
+@pytest.mark.parametrize("share", [DEFAULT_SHARE, DUE_SOON_SHARE])
 def test_items_have_their_share_beside_few_clients_and_yield_to_many(share):
     _, node = make({}, replicas=1)
     most = slots_for(node.find("replicas").table["r0"], share)
--- a/tests/test_lot_backlog.py
+++ b/tests/test_lot_backlog.py
@@ -8,7 +8,7 @@
 from quillring.kernel.errors import QuillringError
 from quillring.lots.http_requests import api
 from quillring.lots.http_requests.backlog import (
-    REMOTE_LIFETIME,
+    REPORT_LIFETIME_SHARE,
     DueItems,
     SlotShare,
     first_items_by_part,
@@ -124,7 +124,7 @@
         rows = {other: {SERVICE: [[1.5, 90]]}}
         table.on_report({"parts": {other: {SERVICE: 90}}, "due": rows}, victim)
         assert table.slot_share(first, SERVICE, 18).ratio < 0.1
-        stage.run(table.node.bounds.read_timeout * REMOTE_LIFETIME + 0.01)
+        stage.run(table.node.bounds.read_timeout * REPORT_LIFETIME_SHARE + 0.01)
         assert table.slot_share(first, SERVICE, 18).ratio == 1
 
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quillring.lots.http_requests.item_table import OpenLot, age_by_wall
+from quillring.lots.http_requests.item_table import OpenLot, age_by_wall_clock
 from tests.fleet_stage import SelfFounded
 from tests.system_calls import WHOLE, call, replace
 
@@ -38,9 +38,9 @@
 ):
     lot = {"at": 1_800_000_000_000, "due_ms": due_ms, "retain_ms": retain_ms, "items": [0]}
     lot["forward"] = "f"
-    known = OpenLot("lot", lot, 500.0, age_by_wall(lot, 1_800_000_000 + skew))
+    known = OpenLot("lot", lot, 500.0, age_by_wall_clock(lot, 1_800_000_000 + skew))
     assert 500.0 - 1e-6 <= known.due_at <= 500.0 + due_ms / 1000 + 1e-6
-    assert (known.known_at, known.retain_seconds) == (500.0, retain_ms / 1000)
+    assert (known.first_seen_at, known.retain_seconds) == (500.0, retain_ms / 1000)
 
 
 @pytest.mark.parametrize("seed", [1, 2])
