--- a/tests/test_token_reservation_order.py
+++ b/tests/test_token_reservation_order.py
@@ -1,4 +1,9 @@
-"""The ledger of reserved tokens against messages in every order: late, twice, or never."""
+"""Token reservations when messages arrive late, twice, out of order or never.
+
+Guards against a forward's pending tokens exceeding its reservations or its quota, which happens if
+a reservation is released while its lot can still be accepted, and against reservations that are
+never released.
+"""
 
 from hypothesis import settings, strategies
 from hypothesis.stateful import Bundle, RuleBasedStateMachine, invariant, multiple, rule
@@ -16,8 +21,11 @@
 LOTS = {"a": "part-0", "b": "part-1", "c": "part-1", "d": "part-2"}
 
 
-class Ledger(RuleBasedStateMachine):
-    """Parts and a ledger; whatever was sent may arrive late, twice, out of order or never."""
+class TokenReservationMachine(RuleBasedStateMachine):
+    """The parts' states; each ticket or row may be delivered late, repeatedly or never.
+
+    A ticket is (lot, ticket); a row is (lot, ticket, pending tokens).
+    """
 
     tickets = Bundle("tickets")
     rows = Bundle("rows")
@@ -29,81 +37,85 @@
         super().__init__()
         self.states = {part: first_state([]) for part in LOTS.values()}
 
-    def do(self, part, command):
+    def submit(self, part, command):
         self.states[part], [answer] = apply_batch(self.states[part], [command])
         assert isinstance(answer, dict), answer
         return answer
 
-    def entries(self, part):
+    def reserved_tickets(self, part):
         lots = reserved_lots(self.states[HOME])
         return {name: entry["ticket"] for name, entry in lots.items() if entry["part"] == part}
 
     @rule(target=tickets, name=names, attempt=strategies.integers(0, 20))
     def reserve(self, name, attempt):
         command = reserve(name, attempt=f"{name}{attempt}", part=LOTS[name])
-        ticket = self.do(HOME, command).get("ticket")
+        ticket = self.submit(HOME, command).get("ticket")
         return multiple() if ticket is None else (name, ticket)
 
     @rule(reserved=tickets)
     def accept(self, reserved):
         name, ticket = reserved
-        self.do(LOTS[name], accept_under(ticket, name, attempt=f"{name}{ticket}"))
+        self.submit(LOTS[name], accept_under(ticket, name, attempt=f"{name}{ticket}"))
 
     @rule(target=tickets, reserved=tickets)
-    def accept_and_reserve_anew(self, reserved):
+    def accept_and_reserve_again_if_fenced(self, reserved):
         name, ticket = reserved
         command = accept_under(ticket, name, attempt=f"{name}{ticket}")
-        if self.do(LOTS[name], command).get("refused") != FENCED:
+        if self.submit(LOTS[name], command).get("refused") != FENCED:
             return multiple()
         again = reserve(name, attempt=f"{name}{ticket}", part=LOTS[name], fenced=ticket)
-        new_ticket = self.do(HOME, again).get("ticket")
+        new_ticket = self.submit(HOME, again).get("ticket")
         return multiple() if new_ticket is None else (name, new_ticket)
 
     @rule(name=names, number=numbers)
     def list_result(self, name, number):
-        self.do(LOTS[name], result(name, number))
+        self.submit(LOTS[name], result(name, number))
 
     @rule(name=names)
     def end(self, name):
         if name in lot_records(self.states[LOTS[name]]):
-            self.do(LOTS[name], {"do": "raw.end", "lot": name})
+            self.submit(LOTS[name], {"do": "raw.end", "lot": name})
 
     @rule(name=names)
     def drop(self, name):
-        self.do(LOTS[name], {"do": "raw.drop", "lot": name})
+        self.submit(LOTS[name], {"do": "raw.drop", "lot": name})
 
-    def look_at(self, part):
-        entries = self.entries(part)
-        left = tokens_left(self.states[part], entries)
-        return [(name, entries[name], tokens) for name, tokens in left.items()]
+    def read_pending_tokens(self, part):
+        reserved_tickets = self.reserved_tickets(part)
+        left = tokens_left(self.states[part], reserved_tickets)
+        return [(name, reserved_tickets[name], tokens) for name, tokens in left.items()]
 
-    def fence_at(self, part):
-        entries = self.entries(part)
-        if not entries:
+    def fence_and_read_pending_tokens(self, part):
+        reserved_tickets = self.reserved_tickets(part)
+        if not reserved_tickets:
             return []
-        left = self.do(part, fence(max(entries.values()), *entries))["left"]
-        return [(name, ticket, left.get(name, 0)) for name, ticket in entries.items()]
+        left = self.submit(part, fence(max(reserved_tickets.values()), *reserved_tickets))["left"]
+        return [(name, ticket, left.get(name, 0)) for name, ticket in reserved_tickets.items()]
 
     @rule(target=rows, part=parts, is_fenced=strategies.booleans())
-    def look(self, part, is_fenced):
-        found = self.fence_at(part) if is_fenced else self.look_at(part)
-        return found or multiple()
+    def collect_rows(self, part, is_fenced):
+        collected_rows = (
+            self.fence_and_read_pending_tokens(part)
+            if is_fenced
+            else self.read_pending_tokens(part)
+        )
+        return collected_rows or multiple()
 
-    @rule(found=rows)
-    def release(self, found):
-        self.do(HOME, release(*found))
+    @rule(collected_rows=rows)
+    def release(self, collected_rows):
+        self.submit(HOME, release(*collected_rows))
 
     @rule(part=parts)
-    def settle(self, part):
-        self.do(HOME, release(*self.fence_at(part)))
+    def fence_and_release(self, part):
+        self.submit(HOME, release(*self.fence_and_read_pending_tokens(part)))
 
     @invariant()
-    def the_quota_holds(self):
-        waiting = sum(
+    def pending_tokens_stay_within_reservations_and_quota(self):
+        pending = sum(
             lot["tokens"] for state in self.states.values() for lot in lot_records(state).values()
         )
         reserved = reserved_tokens(self.states[HOME], "f")
-        assert waiting <= reserved <= MOST
+        assert pending <= reserved <= MOST
         lots = reserved_lots(self.states[HOME]).values()
         assert reserved == sum(entry["left"] for entry in lots)
 
@@ -112,11 +124,11 @@
             for number in range(3):
                 self.list_result(name, number)
         for part in self.states:
-            self.settle(part)
+            self.fence_and_release(part)
         assert reserved_lots(self.states[HOME]) == {}
 
 
-TestLedger = Ledger.TestCase
-TestLedger.settings = settings(
+TestTokenReservationMachine = TokenReservationMachine.TestCase
+TestTokenReservationMachine.settings = settings(
     max_examples=300, stateful_step_count=30, derandomize=True, deadline=None, database=None
 )
