--- a/tests/test_late_starts.py
+++ b/tests/test_late_starts.py
@@ -1,4 +1,9 @@
-"""An owner of lots that stops between deciding on a run and starting it, and wakes much later."""
+"""A part's leader that freezes between choosing an item's run and sending the order to its worker.
+
+When it resumes, another core may lead the part and the lot may have ended, so the item must not be
+sent to a replica. The test also runs with a worker that has not seen the new leader's ballot, which
+leaves only the leader's own lease check.
+"""
 
 from unittest import mock
 
@@ -12,20 +17,20 @@
 REAL_DISPATCH = LotScheduler._dispatch
 
 
-def other_worker(item_table, workers, replica):
-    """Choose a core that is not the owner itself."""
+def choose_worker_on_other_core(item_table, workers, replica):
+    """Choose a worker other than the leader's own core."""
     return next(w.name for w in workers if w.name != item_table.leader.node.me.name)
 
 
-def any_ballot(self, part, ballot):
-    """Check of a worker that has not heard of the newer owner."""
+def accept_any_ballot(self, part, ballot):
+    """Accept an order under any ballot, as a worker does that has not seen the new leader's."""
 
 
-@pytest.mark.parametrize("check_ballot", [ItemExecutor._check_ballot, any_ballot])
-@pytest.mark.parametrize("choose", [scheduler.choose_worker, other_worker])
+@pytest.mark.parametrize("check_ballot", [ItemExecutor._check_ballot, accept_any_ballot])
+@pytest.mark.parametrize("choose", [scheduler.choose_worker, choose_worker_on_other_core])
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("seconds", [2, 20, 60])
-def test_a_run_decided_on_before_a_freeze_is_not_started_after_it(
+def test_run_dispatched_before_leader_freeze_is_not_started_after_lot_ended(
     seconds, seed, choose, check_ballot
 ):
     choice = mock.patch.object(scheduler, "choose_worker", choose)
@@ -53,7 +58,9 @@
             assert is_ended
             ended_at = stage.env.now
             stage.run(max(0, frozen_at + seconds - stage.env.now) + 6)
-        late = [row for row in stage.arrivals if row[0] > ended_at + stage.sim.bounds.shutdown]
-        assert late == []
-        woken = frozen_at + seconds
-        assert [row for row in stage.arrivals if row[0] >= max(woken, ended_at)] == []
+        late_arrivals = [
+            row for row in stage.arrivals if row[0] > ended_at + stage.sim.bounds.shutdown
+        ]
+        assert late_arrivals == []
+        resumed_at = frozen_at + seconds
+        assert [row for row in stage.arrivals if row[0] >= max(resumed_at, ended_at)] == []
