--- a/quillring/lots/http_requests/api.py
+++ b/quillring/lots/http_requests/api.py
@@ -288,7 +288,7 @@
         raise
     except QuillringError as error:
         node.count("raw_reads_elsewhere")
-        node.log("debug", "raw.read %s: %s", part, error)
+        node.log("debug", "long poll of the leader of %s failed: %s", part, error)
     majority_answer = yield from read_from_majority(node, part, ownership.group(part), read.query)
     if majority_answer is not None:
         return value_of(majority_answer)
