--- a/proving/points/starts.py
+++ b/proving/points/starts.py
@@ -4,10 +4,10 @@
 from proving.points.partitions import traffic
 from proving.points.scenario_fleet import Stage
 from quillring.nifty import Nifty
-from quillring.nifty.wire import SPOKEN
+from quillring.nifty.wire import SUPPORTED_VERSIONS
 
-FORMER = tuple(version - 1 for version in SPOKEN)
-STRANGE = tuple(version + 5 for version in SPOKEN)
+FORMER = tuple(version - 1 for version in SUPPORTED_VERSIONS)
+STRANGE = tuple(version + 5 for version in SUPPORTED_VERSIONS)
 
 
 def clock_set_back(seed):
@@ -70,14 +70,14 @@
         if node.me.role != "store":
             drain(stage, node)
         sim.kill(name)
-        sim.versions[name] = SPOKEN
+        sim.versions[name] = SUPPORTED_VERSIONS
         sim.start(name)
         stage.run(3.5)
     callers.stop_at = stage.env.now
     stage.run(20)
     outcomes = stage.outcomes()
     after = {stage.node(n).find("nifty").lowest_common_version() for n in order}
-    if after != {SPOKEN[-1]} or set(levels) != {FORMER[-1]}:
+    if after != {SUPPORTED_VERSIONS[-1]} or set(levels) != {FORMER[-1]}:
         sim.history.violate(f"levels {levels}, in the end {after}")
     knocked = stage.node("core-1").counts.get("other_versions", 0)
     if not knocked or "edge-9" in stage.node("core-1").find("nifty").roster.members:
--- a/proving/scale/one_node.py
+++ b/proving/scale/one_node.py
@@ -21,7 +21,7 @@
 from quillring.nifty.heartbeat_timing import HeartbeatTiming
 from quillring.nifty.peer_state import PeerState
 from quillring.nifty.roster import Roster
-from quillring.nifty.wire import SPOKEN, Heartbeat
+from quillring.nifty.wire import SUPPORTED_VERSIONS, Heartbeat
 
 PROGRAM = "from quillring.verbs.program import main; main()"
 PORT, HOST, NODE_HOST, NODE_PORT = 7413, "127.0.46.{}", "127.0.45.1", 7415
@@ -48,7 +48,7 @@
         """Read what the node sent; one heartbeat of a round speaks for all its copies."""
         try:
             while True:
-                heartbeat = Heartbeat.from_wire(self.socket.recv(65535), SPOKEN)
+                heartbeat = Heartbeat.from_wire(self.socket.recv(65535), SUPPORTED_VERSIONS)
                 self.taken += 1
                 self.node_state = self.node_state or PeerState(heartbeat)
                 self.node_state.sequence = max(self.node_state.sequence, heartbeat.sequence)
@@ -56,7 +56,9 @@
                     time.monotonic(),
                     heartbeat.reads_terse,
                 )
-                self.node_state.acked_sequence = heartbeat.echo.sequence if heartbeat.echo else 0
+                self.node_state.acknowledged_sequence = (
+                    heartbeat.echo.sequence if heartbeat.echo else 0
+                )
         except BlockingIOError:
             return
 
@@ -71,7 +73,14 @@
                 time.sleep(max(0, wait))
                 self.read()
                 heartbeat_round = HeartbeatRound(
-                    member, self.sequence, told, self.roster.digest, self.bitmap, None, SPOKEN, 0
+                    member,
+                    self.sequence,
+                    told,
+                    self.roster.digest,
+                    self.bitmap,
+                    None,
+                    SUPPORTED_VERSIONS,
+                    0,
                 )
                 self.socket.sendto(
                     heartbeat_round.encode_for(self.node_state), (NODE_HOST, NODE_PORT)
@@ -110,7 +119,7 @@
             "first_s": round(start_cost, 3),
             "mb": round(process_bytes(process.pid) / 1e6, 1),
             "beats_taken": round((peers.taken - taken) / span, 1),
-            "acked": peers.node_state is not None and peers.node_state.acked_sequence > 0,
+            "acked": peers.node_state is not None and peers.node_state.acknowledged_sequence > 0,
         }
     finally:
         process.terminate()
--- a/proving/sim/fleet.py
+++ b/proving/sim/fleet.py
@@ -14,7 +14,7 @@
 from quillring.kernel.bounds import Bounds
 from quillring.kernel.settings import split_address
 from quillring.nifty import Member
-from quillring.nifty.wire import SPOKEN
+from quillring.nifty.wire import SUPPORTED_VERSIONS
 
 
 class SimFleet:
@@ -89,7 +89,12 @@
         )
         seeds = [split_address(seed) for seed in row["seeds"]]
         node = make_node(
-            me, runtime, seeds, self.bounds, self._logger(name), self.versions.get(name, SPOKEN)
+            me,
+            runtime,
+            seeds,
+            self.bounds,
+            self._logger(name),
+            self.versions.get(name, SUPPORTED_VERSIONS),
         )
         start_node(node, acceptors)
         runtime.on_refused = node.find("nifty").on_refused
--- a/quillring/fleet.py
+++ b/quillring/fleet.py
@@ -12,7 +12,7 @@
 from quillring.lots.http_requests import start_http_request_lots
 from quillring.lots.prompts import PromptLotScheduler
 from quillring.nifty import Member, Nifty
-from quillring.nifty.wire import SPOKEN
+from quillring.nifty.wire import SUPPORTED_VERSIONS
 from quillring.ownership import Ownership
 from quillring.plans import PlanRunner
 from quillring.plans.runner import count_busy
@@ -30,7 +30,7 @@
 PLUGINS = (rollout_commands,)
 
 
-def make_node(me, runtime, seeds, bounds, log=None, versions=SPOKEN):
+def make_node(me, runtime, seeds, bounds, log=None, versions=SUPPORTED_VERSIONS):
     """Return a node with the services that every role has; no coroutine is started."""
     node = Node(me, runtime, bounds, log)
     nifty = node.offer("nifty", Nifty(node, seeds, versions))
--- a/quillring/nifty/__init__.py
+++ b/quillring/nifty/__init__.py
@@ -1,4 +1,4 @@
-"""The peer layer of every node: heartbeats, connectivity graph, routes, relays, bridges."""
+"""The peer layer of a node: heartbeats, connectivity graph, routing, relaying, bridge nodes."""
 
 from quillring.kernel.member import Member
 from quillring.nifty.graph import Graph
--- a/quillring/nifty/bits.py
+++ b/quillring/nifty/bits.py
@@ -1,6 +1,6 @@
-"""Sets of members as integers: one bit for each name, in the sorted order of names.
+"""Sets of members as integer bitsets: one bit for each name, in the sorted order of names.
 
-Rows of the connectivity matrix are stored so: union, difference and count take one operation each.
+Rows of the connectivity matrix are bitsets: union, difference and count take one operation each.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
     from collections.abc import Iterable, Sequence
 
 
-def to_bits(places: Iterable[int]) -> int:
-    """Return the integer with the bits at these places set."""
-    text = bytearray(max(places, default=-1) // 8 + 1)
-    for place in places:
-        text[place >> 3] |= 1 << (place & 7)
-    return int.from_bytes(text, "little")
+def to_bits(positions: Iterable[int]) -> int:
+    """Return the integer with the bits at these positions set."""
+    data = bytearray(max(positions, default=-1) // 8 + 1)
+    for position in positions:
+        data[position >> 3] |= 1 << (position & 7)
+    return int.from_bytes(data, "little")
 
 
 def bit_positions(bits: int) -> list[int]:
-    """Return the places of the set bits, in ascending order."""
-    text = bin(bits)[:1:-1]
-    return [place for place, digit in enumerate(text) if digit == "1"]
+    """Return the positions of the set bits, in ascending order."""
+    digits = bin(bits)[:1:-1]
+    return [position for position, digit in enumerate(digits) if digit == "1"]
 
 
 def union(rows: Iterable[int]) -> int:
@@ -33,45 +33,47 @@
 
 
 def transpose(rows: list[int], width: int) -> list[int]:
-    """Return the columns of a square matrix of `width` rows."""
+    """Return the columns of a square bit matrix of `width` rows, as integers."""
     if not width:
         return []
-    text = "".join([format(row, f"0{width}b") for row in reversed(rows)])
-    return [int(text[width - 1 - place :: width], 2) for place in range(width)]
+    digits = "".join([format(row, f"0{width}b") for row in reversed(rows)])
+    return [int(digits[width - 1 - position :: width], 2) for position in range(width)]
 
 
 class BitPermutation:
-    """Translates bits from one order of names to another; names missing there are left out."""
+    """Reorders bits from one list of names to another; names not in the new list are dropped."""
 
-    __slots__ = ("width", "pick")
+    __slots__ = ("width", "select_digits")
 
-    def __init__(self, names: Sequence[str], new_places: dict[str, int]) -> None:
-        """Prepare to read bits over `names` as bits over {name: place}."""
+    def __init__(self, names: Sequence[str], new_positions: dict[str, int]) -> None:
+        """Prepare to reorder bits over `names` into bits over {name: position}."""
         self.width = len(names)
-        known = {name: place for place, name in enumerate(names)}
-        picked = [known.get(name, self.width) for name in new_places]
-        picked = [self.width - 1 - p if p < self.width else self.width for p in reversed(picked)]
-        self.pick = itemgetter(*picked, self.width, self.width)
-
-    def read(self, bits: int) -> int:
+        old_positions = {name: position for position, name in enumerate(names)}
+        selected = [old_positions.get(name, self.width) for name in new_positions]
+        selected = [
+            self.width - 1 - p if p < self.width else self.width for p in reversed(selected)
+        ]
+        self.select_digits = itemgetter(*selected, self.width, self.width)
+
+    def reorder(self, bits: int) -> int:
         """Return the bits in the new order."""
-        digits = self.pick(format(bits, f"0{self.width}b") + "0")
+        digits = self.select_digits(format(bits, f"0{self.width}b") + "0")
         return int("".join(digits), 2) >> 2
 
 
 class BitPermutations:
-    """A cache of the permutations into one order of names, given as {name: place}."""
+    """Caches the permutations into one order of names, which is given as {name: position}."""
 
-    __slots__ = ("places", "made")
+    __slots__ = ("positions", "cached_permutations")
 
-    def __init__(self, places: dict[str, int]) -> None:
-        self.places = places
-        self.made: dict[int, BitPermutation] = {}
+    def __init__(self, positions: dict[str, int]) -> None:
+        self.positions = positions
+        self.cached_permutations: dict[int, BitPermutation] = {}
 
-    def read(self, bits: int, names: Sequence[str], places: dict[str, int]) -> int:
-        """Return bits over `names`, whose {name: place} is `places`, in this order."""
-        if places is self.places:
+    def reorder(self, bits: int, names: Sequence[str], positions: dict[str, int]) -> int:
+        """Return the bits over `names` reordered; `positions` is {name: position} of `names`."""
+        if positions is self.positions:
             return bits
-        if id(places) not in self.made:
-            self.made[id(places)] = BitPermutation(names, self.places)
-        return self.made[id(places)].read(bits)
+        if id(positions) not in self.cached_permutations:
+            self.cached_permutations[id(positions)] = BitPermutation(names, self.positions)
+        return self.cached_permutations[id(positions)].reorder(bits)
--- a/quillring/nifty/duplicate_filter.py
+++ b/quillring/nifty/duplicate_filter.py
@@ -1,4 +1,4 @@
-"""Deduplication of messages, which may be duplicated or reordered when a route changes."""
+"""Deduplication of received messages: a route change can duplicate or reorder them."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class DuplicateFilter:
-    """The sequence numbers received from one incarnation of an origin.
+    """Tracks the sequence numbers received from one incarnation of an origin.
 
-    Those WINDOW_SEQUENCES or more below the highest count as received: a first copy that arrives
-    so late is dropped, as if it had been lost.
+    A sequence number that is WINDOW_SEQUENCES or more below the highest one counts as received: a
+    first copy that arrives that late is dropped, as if it had been lost.
     """
 
     __slots__ = ("incarnation", "highest", "received")
@@ -20,7 +20,7 @@
         self.received: set[int] = set()
 
     def is_first_copy(self, sequence: int) -> bool:
-        """Return whether the sequence number is new, and remember it."""
+        """Return whether the sequence number is new, and record it as received."""
         if sequence <= self.highest - WINDOW_SEQUENCES or sequence in self.received:
             return False
         self.received.add(sequence)
--- a/quillring/nifty/graph.py
+++ b/quillring/nifty/graph.py
@@ -1,8 +1,8 @@
-"""The connectivity graph and its routes.
+"""The connectivity graph of the members, and the shortest routes in it.
 
 Source: Alfatafta, Alkhatib, Alquraan and Al-Kiswany, "Toward a Generic Fault Tolerance Technique
-for Partial Network Partitioning", OSDI 2020 (NIFTY), section 5.2. Routes are those of Bellman-Ford
-with hop counts as weights; messages over equal routes are spread by rendezvous hashing.
+for Partial Network Partitioning", OSDI 2020 (NIFTY), section 5.2. Routes are computed by
+Bellman-Ford with hop counts as weights; rendezvous hashing spreads messages over equal routes.
 """
 
 from __future__ import annotations
@@ -18,125 +18,134 @@
 
     T = TypeVar("T")
     Route = tuple[int, tuple[str, ...]]
-    """Hop count, and the neighbours that begin an equally short route."""
+    """Hop count, and the neighbours that are the first hop of a shortest route."""
 
-CACHED_RESULTS = 4096
+MAX_CACHED_RESULTS = 4096
 
 
-def score(*words: str) -> bytes:
-    """Return the rendezvous score of the words."""
-    return hashlib.blake2b("\0".join(words).encode(), digest_size=8).digest()
+def score(*key_parts: str) -> bytes:
+    """Return the rendezvous hash score of a key."""
+    return hashlib.blake2b("\0".join(key_parts).encode(), digest_size=8).digest()
 
 
 class Graph:
-    """An immutable graph of direct links between members, with the shortest routes from `home`.
+    """An immutable graph of direct links between members, with shortest routes from `home`.
 
-    A row of links is an integer, one bit for each name; sets of names are made on demand.
+    A row of links is a bitset over `names`; sets of names are computed on demand and cached.
     """
 
-    __slots__ = ("home", "names", "places", "rows", "live_bits", "routes", "cache")
+    __slots__ = ("home", "names", "positions", "rows", "live_bits", "routes", "cache")
 
     def __init__(self, home: str, rows: dict[str, Iterable[str]]) -> None:
-        """Make the graph from {name: names it reaches}."""
+        """Create the graph from {name: names that it reaches directly}."""
         names = tuple(sorted({home, *rows, *(n for reached in rows.values() for n in reached)}))
-        places = {name: place for place, name in enumerate(names)}
+        positions = {name: position for position, name in enumerate(names)}
         self._make(
             home,
             names,
-            places,
-            {name: to_bits([places[other] for other in reached]) for name, reached in rows.items()},
+            positions,
+            {
+                name: to_bits([positions[other] for other in reached])
+                for name, reached in rows.items()
+            },
         )
 
     @classmethod
     def of_bits(
-        cls, home: str, names: Sequence[str], places: dict[str, int], rows: dict[str, int]
+        cls, home: str, names: Sequence[str], positions: dict[str, int], rows: dict[str, int]
     ) -> Graph:
-        """Make the graph from {name: bits of the names it reaches}, in the order of `places`."""
+        """Create the graph from {name: bits of the names it reaches}, ordered by `positions`."""
         graph = cls.__new__(cls)
-        graph._make(home, names, places, rows)
+        graph._make(home, names, positions, rows)
         return graph
 
     def _make(
-        self, home: str, names: Sequence[str], places: dict[str, int], rows: dict[str, int]
+        self, home: str, names: Sequence[str], positions: dict[str, int], rows: dict[str, int]
     ) -> None:
         """Compute the links and routes.
 
-        The home's own links are those it observes; a link between two others must be reported by
-        both ends, or by the other end alone if one of them sent no row.
+        The links of `home` are those that it observes itself. A link between two other members
+        must be reported by both ends, or by one end if the other sent no row.
         """
-        self.home, self.names, self.places = home, names, places
+        self.home, self.names, self.positions = home, names, positions
         self.cache: dict[Hashable, Any] = {}
-        home_bit, own_row = 1 << places[home], rows.get(home, 0)
-        told, silent_bits = [0] * len(names), (1 << len(names)) - 1
+        home_bit, own_row = 1 << positions[home], rows.get(home, 0)
+        reported_rows, rowless_bits = [0] * len(names), (1 << len(names)) - 1
         for name, bits in rows.items():
-            place = places[name]
-            silent_bits &= ~(1 << place)
-            told[place] = bits | home_bit if own_row >> place & 1 else bits & ~home_bit
-        tellers = transpose(told, len(names))
+            position = positions[name]
+            rowless_bits &= ~(1 << position)
+            reported_rows[position] = (
+                bits | home_bit if own_row >> position & 1 else bits & ~home_bit
+            )
+        reporters = transpose(reported_rows, len(names))
         self.rows = [
-            (tellers[place] if silent_bits >> place & 1 else bits & (silent_bits | tellers[place]))
-            & ~(1 << place)
-            for place, bits in enumerate(told)
+            (
+                reporters[position]
+                if rowless_bits >> position & 1
+                else bits & (rowless_bits | reporters[position])
+            )
+            & ~(1 << position)
+            for position, bits in enumerate(reported_rows)
         ]
         self.live_bits = home_bit | to_bits([p for p, bits in enumerate(self.rows) if bits])
         self.routes = self._bellman_ford()
 
-    def same_links(self, other: Graph) -> bool:
-        """Return True if another graph has the same links between the same names."""
+    def has_same_links(self, other: Graph) -> bool:
+        """Return whether another graph has the same names and the same links."""
         return self.names == other.names and self.rows == other.rows
 
     def _bellman_ford(self) -> dict[str, Route]:
         """Return {name: (hop count, first hops of all shortest routes)}.
 
-        With hop counts as weights Bellman-Ford is a breadth-first search from the home: a ring is
-        the set of names at one distance.
+        With hop counts as weights, Bellman-Ford is a breadth-first search from `home`; the
+        frontier is the set of names at the current distance.
         """
         names, rows = self.names, self.rows
-        names_of: dict[int, tuple[str, ...]] = {}
-        ring = rows[self.places[self.home]]
+        names_by_bits: dict[int, tuple[str, ...]] = {}
+        frontier = rows[self.positions[self.home]]
         routes: dict[str, Route] = {
-            names[place]: (1, (names[place],)) for place in bit_positions(ring)
+            names[position]: (1, (names[position],)) for position in bit_positions(frontier)
         }
-        first_hops = {place: 1 << place for place in bit_positions(ring)}
-        visited_bits, distance = ring | 1 << self.places[self.home], 1
-        while ring:
-            next_ring, distance = self._reached_from(ring) & ~visited_bits, distance + 1
-            for place in bit_positions(next_ring):
-                hop_bits = rows[place] & ring
+        first_hops = {position: 1 << position for position in bit_positions(frontier)}
+        visited_bits, distance = frontier | 1 << self.positions[self.home], 1
+        while frontier:
+            next_frontier, distance = self._linked_with(frontier) & ~visited_bits, distance + 1
+            for position in bit_positions(next_frontier):
+                hop_bits = rows[position] & frontier
                 if distance > 2:
-                    hop_bits = union([first_hops[former] for former in bit_positions(hop_bits)])
-                if hop_bits not in names_of:
-                    names_of[hop_bits] = self._names(hop_bits)
-                first_hops[place] = hop_bits
-                routes[names[place]] = distance, names_of[hop_bits]
-            visited_bits |= next_ring
-            ring = next_ring
+                    hop_bits = union([first_hops[previous] for previous in bit_positions(hop_bits)])
+                if hop_bits not in names_by_bits:
+                    names_by_bits[hop_bits] = self._names(hop_bits)
+                first_hops[position] = hop_bits
+                routes[names[position]] = distance, names_by_bits[hop_bits]
+            visited_bits |= next_frontier
+            frontier = next_frontier
         return routes
 
-    def _reached_from(self, ring: int) -> int:
-        """Return the bits of the names linked with a ring; stop early once all are found."""
+    def _linked_with(self, frontier: int) -> int:
+        """Return the bits of the names linked with the frontier; stop once all are found."""
         reached_bits = 0
-        for place in bit_positions(ring):
-            reached_bits |= self.rows[place]
-            if reached_bits | ring == self.live_bits:
+        for position in bit_positions(frontier):
+            reached_bits |= self.rows[position]
+            if reached_bits | frontier == self.live_bits:
                 break
         return reached_bits
 
     def _names(self, bits: int) -> tuple[str, ...]:
-        return tuple([self.names[place] for place in bit_positions(bits)])
+        return tuple([self.names[position] for position in bit_positions(bits)])
 
-    def _cached(self, key: Hashable, make: Callable[[], T]) -> T:
+    def _cached(self, key: Hashable, compute: Callable[[], T]) -> T:
         if key in self.cache:
             cached: T = self.cache[key]
             return cached
-        value = make()
-        if len(self.cache) < CACHED_RESULTS:
+        value = compute()
+        if len(self.cache) < MAX_CACHED_RESULTS:
             self.cache[key] = value
         return value
 
     @property
     def links(self) -> dict[str, frozenset[str]]:
-        """Return {name: names it has a link with}."""
+        """Return {name: names that it has a direct link with}."""
         return self._cached(
             "links",
             lambda: {
@@ -146,19 +155,19 @@
 
     @property
     def live(self) -> frozenset[str]:
-        """Return the names with any link, home included."""
+        """Return the names with at least one link, and `home`."""
         return self._cached("live", lambda: frozenset(self._names(self.live_bits)))
 
     def neighbours(self) -> frozenset[str]:
-        """Return the names that the home has a link with."""
+        """Return the names that `home` has a direct link with."""
         return self._cached(
-            "neighbours", lambda: frozenset(self._names(self.rows[self.places[self.home]]))
+            "neighbours", lambda: frozenset(self._names(self.rows[self.positions[self.home]]))
         )
 
     def next_hop(self, target: str, origin: str) -> str | None:
-        """Return the neighbour to forward a message to, or None without a route.
+        """Return the neighbour to forward a message to, or None if there is no route.
 
-        Of equal routes, rendezvous hashing picks one for each pair of origin and target.
+        Among equally short routes, rendezvous hashing picks one for each pair of origin and target.
         """
         known_route = self.routes.get(target)
         if known_route is None:
@@ -171,66 +180,72 @@
         )
 
     def hops(self, target: str) -> int | None:
-        """Return the hop count to the target, or None."""
+        """Return the hop count to the target, or None if there is no route."""
         if target == self.home:
             return 0
         known_route = self.routes.get(target)
         return known_route[0] if known_route else None
 
     def reachable(self) -> frozenset[str]:
-        """Return the names that a message can reach, home included."""
+        """Return the names that a message can reach, directly or over relays, and `home`."""
         return self._cached("reachable", lambda: frozenset(self.routes) | {self.home})
 
     @property
     def is_cut(self) -> bool:
-        """True while some pair of live nodes has no direct link."""
+        """Whether some pair of live nodes has no direct link: a partial partition."""
         return len(self.bridge_nodes()) < self.live_bits.bit_count()
 
     def bridge_nodes(self) -> tuple[str, ...]:
-        """Return the live nodes that reach every live node directly."""
+        """Return the live nodes with a direct link to every other live node."""
         return self._cached(
             "bridges",
             lambda: tuple(
-                self.names[place]
-                for place in bit_positions(self.live_bits)
-                if self.rows[place].bit_count() == self.live_bits.bit_count() - 1
+                self.names[position]
+                for position in bit_positions(self.live_bits)
+                if self.rows[position].bit_count() == self.live_bits.bit_count() - 1
             ),
         )
 
-    def bridges_without(self, left_out: frozenset[str]) -> frozenset[str]:
-        """Return the live nodes linked with all others but `left_out`; empty if all of them are."""
-        return self._cached(("bridges", left_out), lambda: self._find_bridges(left_out))
+    def bridges_without(self, excluded: frozenset[str]) -> frozenset[str]:
+        """Return the bridges among the live nodes not `excluded`; none if every pair is linked."""
+        return self._cached(("bridges", excluded), lambda: self._find_bridges(excluded))
 
-    def _find_bridges(self, left_out: frozenset[str]) -> frozenset[str]:
-        left_out_bits = to_bits([self.places[name] for name in left_out if name in self.places])
-        asked_bits = self.live_bits & ~left_out_bits
+    def _find_bridges(self, excluded: frozenset[str]) -> frozenset[str]:
+        excluded_bits = to_bits(
+            [self.positions[name] for name in excluded if name in self.positions]
+        )
+        candidate_bits = self.live_bits & ~excluded_bits
         bridge_bits = to_bits(
-            [p for p in bit_positions(asked_bits) if not asked_bits & ~(self.rows[p] | 1 << p)]
+            [
+                p
+                for p in bit_positions(candidate_bits)
+                if not candidate_bits & ~(self.rows[p] | 1 << p)
+            ]
         )
-        return frozenset() if bridge_bits == asked_bits else frozenset(self._names(bridge_bits))
+        return frozenset() if bridge_bits == candidate_bits else frozenset(self._names(bridge_bits))
 
     def sides(self) -> tuple[tuple[str, ...], ...]:
-        """Return the groups of live nodes on each side of the cut, bridges left out."""
+        """Return the groups of live nodes on each side of a partial partition, without bridges."""
         return self._cached("sides", self._find_sides)
 
     def _find_sides(self) -> tuple[tuple[str, ...], ...]:
-        left_bits = self.live_bits
+        remaining_bits = self.live_bits
         if self.is_cut:
-            left_bits &= ~to_bits([self.places[name] for name in self.bridge_nodes()])
-        found_sides = []
-        while left_bits:
-            side, edge_bits = 0, left_bits & -left_bits
+            remaining_bits &= ~to_bits([self.positions[name] for name in self.bridge_nodes()])
+        components = []
+        while remaining_bits:
+            side, edge_bits = 0, remaining_bits & -remaining_bits
             while edge_bits:
                 side |= edge_bits
                 edge_bits = (
-                    union([self.rows[p] for p in bit_positions(edge_bits)]) & left_bits & ~side
+                    union([self.rows[p] for p in bit_positions(edge_bits)]) & remaining_bits & ~side
                 )
-            left_bits &= ~side
-            found_sides.append(self._names(side))
-        return tuple(sorted(found_sides))
+            remaining_bits &= ~side
+            components.append(self._names(side))
+        return tuple(sorted(components))
 
     def to_json(self) -> dict[str, Any]:
-        """Return the graph as the HTTP interface shows it."""
+        """Return the graph as JSON for the HTTP interface."""
         return {
             "is_cut": self.is_cut,
             "bridge_nodes": list(self.bridge_nodes()),
--- a/quillring/nifty/heartbeat_round.py
+++ b/quillring/nifty/heartbeat_round.py
@@ -1,4 +1,4 @@
-"""One round of heartbeats, one to each member: their common content is encoded once."""
+"""One round of heartbeats, one to each member; the content they share is encoded once."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 
 
 class HeartbeatRound:
-    """The heartbeats of one round.
+    """Encodes the heartbeats of one round.
 
-    A member that echoed a heartbeat with the present record, roster and bitmap knows them; as long
-    as it echoes, it gets terse heartbeats, which leave them out.
+    A member that has echoed a heartbeat with the current member record, roster and bitmap knows
+    them. While it keeps echoing, it is sent terse heartbeats, which omit them.
 
     Parameters
     ----------
     sequence : number of this round
-    content_sequence : first round with the present record, roster and bitmap
-    digest, bitmap : the roster's digest and the members of it that are reached
-    stamp : freshness stamp of the node's own store, or None
-    versions : versions of the format that this node speaks, the oldest first
-    heard_edge : a heartbeat received after this time, in seconds, gets an echo
+    content_sequence : number of the first round with the current record, roster and bitmap
+    digest, bitmap : the roster's digest, and the bitmap of its members that are reached
+    stamp : freshness stamp of this node's store, or None
+    versions : wire versions that this node supports, oldest first
+    heard_cutoff : only heartbeats received after this time, in seconds, are echoed
     """
 
-    __slots__ = ("content_sequence", "full_content", "terse_content", "versions", "heard_edge")
+    __slots__ = ("content_sequence", "full_content", "terse_content", "versions", "heard_cutoff")
 
     def __init__(
         self,
@@ -44,19 +44,19 @@
         bitmap: bytes,
         stamp: Stamp | None,
         versions: tuple[int, ...],
-        heard_edge: float,
+        heard_cutoff: float,
     ) -> None:
         self.full_content = encode_full_content(me, sequence, digest, bitmap, stamp)
         self.terse_content = encode_terse_content(me, sequence, stamp)
         self.content_sequence = content_sequence
         self.versions = versions
-        self.heard_edge = heard_edge
+        self.heard_cutoff = heard_cutoff
 
     def encode_for(self, state: PeerState | None) -> bytes:
-        """Return the datagram for a member, by its state; None if nothing was received from it."""
-        if state is None or state.heard_at <= self.heard_edge:
+        """Return the datagram for a member; its state is None if nothing was received from it."""
+        if state is None or state.heard_at <= self.heard_cutoff:
             return encode_first_heartbeat(self.versions[0], self.full_content)
-        knows_content = state.reads_terse and state.acked_sequence >= self.content_sequence
+        knows_content = state.reads_terse and state.acknowledged_sequence >= self.content_sequence
         content = self.terse_content if knows_content else self.full_content
         return encode_heartbeat(
             state.version, content, state.incarnation, state.sequence, self.versions[-1]
--- a/quillring/nifty/incarnations.py
+++ b/quillring/nifty/incarnations.py
@@ -1,4 +1,4 @@
-"""The incarnations of a name: clashes between live processes, and clocks that were set back."""
+"""Incarnations of a name: clashes between two live processes, and clocks that were set back."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def is_name_clash(peers: Peers, member: Member, state: PeerState | None) -> bool:
-    """Return whether a new process has the name of a live member at another address."""
+    """Return whether a new process uses the name of a live member at another address."""
     known = peers.find_member(member.name)
     return (
         known is not None
@@ -23,19 +23,23 @@
 
 
 def renew_incarnation(peers: Peers, incarnation: int) -> None:
-    """Continue under a higher incarnation than the one that a peer knows.
+    """Raise this node's incarnation above the one that a peer knows.
 
-    Incarnations are taken from the clock: one below what a peer knows means it was set back.
+    Incarnations are taken from the clock: if a peer knows a higher one, the clock was set back.
 
     Parameters
     ----------
-    incarnation : the one under which a peer knows this node's name
+    incarnation : the incarnation under which a peer knows this node
     """
     me = peers.node.me
     if incarnation < me.incarnation:
         return
     peers.node.count("renewed_starts")
-    peers.node.log("warning", "peers know incarnation %d of this node: renewed", incarnation)
+    peers.node.log(
+        "warning",
+        "peers know incarnation %d of this node: continuing under a higher one",
+        incarnation,
+    )
     peers.node.me = me.restarted(incarnation + 1)
     peers.replace_roster(peers.roster.with_members([peers.node.me]))
     peers.on_member(peers.node.me)
--- a/quillring/nifty/nifty.py
+++ b/quillring/nifty/nifty.py
@@ -1,4 +1,4 @@
-"""NIFTY: heartbeats with connectivity bitmaps to all members, and the graph made of them.
+"""NIFTY: heartbeats with connectivity bitmaps to all members, and the graph built from them.
 
 Source: Alfatafta, Alkhatib, Alquraan and Al-Kiswany, "Toward a Generic Fault Tolerance Technique
 for Partial Network Partitioning", OSDI 2020 (NIFTY), section 5 and listing 5.1 where noted.
@@ -17,7 +17,7 @@
 from quillring.nifty.incarnations import is_name_clash, renew_incarnation
 from quillring.nifty.peer_state import PeerState
 from quillring.nifty.relay import Relay
-from quillring.nifty.wire import SPOKEN, Heartbeat
+from quillring.nifty.wire import SUPPORTED_VERSIONS, Heartbeat
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -32,28 +32,29 @@
 SLICES_PER_INTERVAL = 4
 STARTUP_INTERVALS = 4
 ANTI_ENTROPY_STARTS_PER_SLICE = 3
-PROPAGATIONS_KEPT = 3
-LINK_TIMEOUTS_KEPT = 2
+SENT_AT_RETENTION_PROPAGATIONS = 3
+SENT_AT_RETENTION_LINK_TIMEOUTS = 2
 
 
 class Nifty(Relay):
     """The peer layer of one node.
 
-    In its first STARTUP_INTERVALS intervals it sends heartbeats to members without a link in every
-    slice; an interval has SLICES_PER_INTERVAL slices.
+    A heartbeat interval is divided into SLICES_PER_INTERVAL slices. During the first
+    STARTUP_INTERVALS intervals, members without a link are sent a heartbeat in every slice.
 
     Attributes
     ----------
-    seeds : addresses that get heartbeats before their members are known
+    seeds : addresses that are sent heartbeats before their members are known
     heartbeat_sequence : number of the last round of heartbeats
     content, content_sequence : content of the last full heartbeats, and the first round with it
-    sent_at_by_sequence : when each recent round was sent, in seconds of this node
-    graph_inputs, refreshed_at : inputs of the last graph, and when it was made
-    anti_entropy_count : calls of `on_unknown_roster` in this slice
-    listeners : called with each graph that differs from the one before
-    stamp_source : returns the freshness stamp that heartbeats carry
+    sent_at_by_sequence : when each recent round was sent, in seconds on this node's clock
+    graph_inputs, refreshed_at : inputs of the last graph, and when it was computed
+    anti_entropy_count : number of calls of `on_unknown_roster` in this slice
+    listeners : called with each graph whose links differ from the previous one
+    stamp_source : returns the freshness stamp to send in heartbeats, or None
     on_unknown_roster : called with the name of a member whose roster differs from this node's
-    linked_names : the names reached at the last slice
+    started_at : when this object was created, in seconds on this node's clock
+    linked_names : the names with a link both ways at the last slice
     """
 
     __slots__ = (
@@ -73,7 +74,7 @@
     )
 
     def __init__(
-        self, node: Node, seeds: Iterable[Address], versions: tuple[int, ...] = SPOKEN
+        self, node: Node, seeds: Iterable[Address], versions: tuple[int, ...] = SUPPORTED_VERSIONS
     ) -> None:
         super().__init__(node, versions)
         self.seeds = tuple(seeds)
@@ -92,23 +93,23 @@
         node.handle("member.former", lambda body, origin: renew_incarnation(self, body))
 
     def run(self) -> Coroutine:
-        """Send a heartbeat to every member in every interval, unreachable ones included."""
+        """Send a heartbeat to every member in every interval, including unreachable ones."""
         while True:
             self.send_heartbeats()
             for slice_number in range(SLICES_PER_INTERVAL):
-                self._send_to_unlinked(slice_number)
+                self._send_to_unlinked_members(slice_number)
                 self.refresh()
                 yield Sleep(self.timing.interval / SLICES_PER_INTERVAL)
 
-    def _send_to_unlinked(self, slice_number: int) -> None:
-        """Send extra heartbeats, shortly after the start, to members not linked for two slices."""
-        former_names, self.linked_names = self.linked_names, self.reached_names()
+    def _send_to_unlinked_members(self, slice_number: int) -> None:
+        """During startup, send extra heartbeats to members not linked throughout two slices."""
+        previous_names, self.linked_names = self.linked_names, self.reached_names()
         is_starting = self.node.now() - self.started_at < self.timing.interval * STARTUP_INTERVALS
         if slice_number and is_starting:
-            self.send_heartbeats(former_names & self.linked_names)
+            self.send_heartbeats(previous_names & self.linked_names)
 
-    def send_heartbeats(self, left_out_names: frozenset[str] = frozenset()) -> None:
-        """Send one heartbeat to every member not left out and to each seed not yet known."""
+    def send_heartbeats(self, excluded_names: frozenset[str] = frozenset()) -> None:
+        """Send a heartbeat to each member not excluded and to each seed not yet known."""
         heartbeat_round, own_address = self._begin_round(), self.node.me.address
         addresses, find_state = self.roster.addresses, self.peer_states.get
         send_datagram = self.node.runtime.datagram
@@ -116,7 +117,7 @@
         members = self.roster.members
         sizes_by_zone: dict[str, list[int]] = {}
         for address, names in addresses.items():
-            if address != own_address and not left_out_names.issuperset(names):
+            if address != own_address and not excluded_names.issuperset(names):
                 state = find_state(names[0]) if len(names) == 1 else self._latest_state(names)
                 data = heartbeat_round.encode_for(state)
                 send_datagram(address, data)
@@ -131,7 +132,7 @@
                 self._send_heartbeat(address, heartbeat_round, None)
 
     def _latest_state(self, names: list[str]) -> PeerState | None:
-        """Return the state with the latest heartbeat, of several names at one address."""
+        """Return the state with the latest heartbeat among the names that share an address."""
         return max(
             [self.peer_states[name] for name in names if name in self.peer_states],
             key=lambda state: state.heard_at,
@@ -142,8 +143,8 @@
         me, roster, now = self.node.me, self.roster, self.node.now()
         self.heartbeat_sequence += 1
         oldest_time = now - max(
-            self.node.bounds.propagation * PROPAGATIONS_KEPT,
-            self.timing.link_timeout * LINK_TIMEOUTS_KEPT,
+            self.node.bounds.propagation * SENT_AT_RETENTION_PROPAGATIONS,
+            self.timing.link_timeout * SENT_AT_RETENTION_LINK_TIMEOUTS,
         )
         self.sent_at_by_sequence = {
             sequence: sent_at
@@ -178,7 +179,7 @@
         self.node.count("beat_bytes", byte_count)
 
     def on_datagram(self, data: bytes) -> None:
-        """Process a received heartbeat; a malformed datagram is counted and dropped."""
+        """Process a received heartbeat; count and drop a malformed datagram."""
         try:
             heartbeat = Heartbeat(data, self.versions, self.known_roster.members)
         except BadWire as error:
@@ -187,22 +188,25 @@
             return
         if heartbeat.name == self.node.me.name:
             return
-        state = former = self.peer_states.get(heartbeat.name)
+        state = previous_state = self.peer_states.get(heartbeat.name)
         is_known = state is not None and state.incarnation == heartbeat.incarnation
         if state is None or not is_known or heartbeat.sequence <= state.sequence:
             if not self._is_newer_incarnation(heartbeat, state):
                 return
             state = self.peer_states[heartbeat.name] = PeerState(heartbeat)
-        self._take_heartbeat(state, heartbeat)
+        self._apply_heartbeat(state, heartbeat)
         if (
             not is_known
             and heartbeat.member is not None
-            and (former is not None or self.timing.interval > self.node.bounds.heartbeat_interval)
+            and (
+                previous_state is not None
+                or self.timing.interval > self.node.bounds.heartbeat_interval
+            )
         ):
             self._send_heartbeat(heartbeat.member.address, self._begin_round(), state)
 
     def _is_newer_incarnation(self, heartbeat: Heartbeat, state: PeerState | None) -> bool:
-        """Return whether an unexpected heartbeat is of a newer incarnation.
+        """Return whether a heartbeat that doesn't follow the last one is of a newer incarnation.
 
         Notifies a process whose name clashes with a member's, and one whose clock was set back.
         """
@@ -220,8 +224,8 @@
             self.send_direct(member, heartbeat.version, "member.former", state.incarnation)
         return False
 
-    def _take_heartbeat(self, state: PeerState, heartbeat: Heartbeat) -> None:
-        """Update a peer's state by its heartbeat; a new link is in the graph within a slice."""
+    def _apply_heartbeat(self, state: PeerState, heartbeat: Heartbeat) -> None:
+        """Update a peer's state from its heartbeat; a new link is in the graph within a slice."""
         now = self.node.now()
         state.heard_at, state.sequence, state.stamp = now, heartbeat.sequence, heartbeat.stamp
         state.is_refused = False
@@ -229,12 +233,12 @@
         state.reads_terse = heartbeat.reads_terse
         echoed_sequence = heartbeat.echoed_sequence
         if echoed_sequence is not None and heartbeat.echoed_incarnation == self.node.me.incarnation:
-            state.acked_sequence = echoed_sequence
+            state.acknowledged_sequence = echoed_sequence
             state.echoed_at = self.sent_at_by_sequence.get(echoed_sequence, state.echoed_at)
         else:
-            state.acked_sequence = 0
+            state.acknowledged_sequence = 0
         if heartbeat.member is not None:
-            self._take_content(state, heartbeat, heartbeat.member)
+            self._apply_full_content(state, heartbeat, heartbeat.member)
         if state.digest != self.known_roster.digest:
             self._start_anti_entropy(heartbeat.name)
         if (
@@ -242,38 +246,39 @@
             and self.graph.hops(heartbeat.name) != 1
             and state.echoed_at > now - self.timing.link_timeout - self.timing.interval
         ):
-            self._take_new_link(now)
+            self._include_new_link(now)
 
-    def _take_content(self, state: PeerState, heartbeat: Heartbeat, member: Member) -> None:
-        """Update the member and its row by the record and bitmap of a full heartbeat."""
+    def _apply_full_content(self, state: PeerState, heartbeat: Heartbeat, member: Member) -> None:
+        """Update the member and its row from the record and bitmap of a full heartbeat."""
         if member is not self.known_roster.members.get(member.name):
             self.learn(member)
         if (
             heartbeat.bitmap is not None
             and heartbeat.digest is not None
-            and self.take_bitmap(state, heartbeat.digest, heartbeat.bitmap)
+            and self.store_bitmap(state, heartbeat.digest, heartbeat.bitmap)
         ):
             self.is_graph_stale = True
 
     def _start_anti_entropy(self, name: str) -> None:
-        """Call `on_unknown_roster`, at most ANTI_ENTROPY_STARTS_PER_SLICE times a slice."""
+        """Call `on_unknown_roster`, at most ANTI_ENTROPY_STARTS_PER_SLICE times per slice."""
         if self.anti_entropy_count < ANTI_ENTROPY_STARTS_PER_SLICE:
             self.anti_entropy_count += 1
             self.on_unknown_roster(name)
 
-    def _take_new_link(self, now: float) -> None:
+    def _include_new_link(self, now: float) -> None:
         self.is_graph_stale = True
         slice_seconds = self.timing.interval / SLICES_PER_INTERVAL
         if self.refreshed_at is None or now - self.refreshed_at >= slice_seconds:
             self.refresh()
 
     def on_refused(self, address: Address) -> None:
-        """Drop the links to the members at an address where no process listens any more.
+        """Drop the links to the members at an address that refused a connection.
 
-        They count as unreachable, as after missed heartbeats, until their next heartbeat. Unless
-        the interval is lengthened for the fleet's size, the other members are notified at once.
+        No process listens there any more. The members count as unreachable, as after missed
+        heartbeats, until their next heartbeat. The other members are notified at once, unless the
+        heartbeat interval is lengthened for the size of the fleet.
         """
-        if not self.refuse(address):
+        if not self.mark_refused(address):
             return
         self.node.count("refused_links")
         self.refresh()
@@ -281,41 +286,41 @@
             self.send_heartbeats()
 
     def refresh(self) -> None:
-        """Recompute the graph if its inputs changed, and notify listeners if its links changed."""
+        """Recompute the graph if its inputs changed; notify the listeners if its links changed."""
         roster, me = self.roster, self.node.me.name
         self.anti_entropy_count = 0
         reached_names = self.reached_names()
-        teller_names = self._names_with_fresh_rows(roster.places)
-        graph_inputs = (reached_names, teller_names)
+        reporter_names = self._names_with_fresh_rows(roster.positions)
+        graph_inputs = (reached_names, reporter_names)
         if not self.is_graph_stale and graph_inputs == self.graph_inputs:
             return
         self.graph_inputs, self.is_graph_stale = graph_inputs, False
         self.refreshed_at = self.node.now()
-        permutations = BitPermutations(roster.places)
-        rows = {name: self.peer_states[name].bits_in_order(permutations) for name in teller_names}
+        permutations = BitPermutations(roster.positions)
+        rows = {name: self.peer_states[name].reordered_row(permutations) for name in reporter_names}
         rows[me] = roster.from_bitmap(roster.to_bitmap(reached_names))
         self.node.count("graph_makings")
-        self._replace_graph(Graph.of_bits(me, roster.names, roster.places, rows))
+        self._replace_graph(Graph.of_bits(me, roster.names, roster.positions, rows))
 
-    def _names_with_fresh_rows(self, places: dict[str, int]) -> frozenset[str]:
-        """Return the roster's names with a row and a heartbeat within the link timeout."""
-        heard_edge = self.node.now() - self.timing.link_timeout
+    def _names_with_fresh_rows(self, positions: dict[str, int]) -> frozenset[str]:
+        """Return the names in the roster with a row and a heartbeat within the link timeout."""
+        heard_cutoff = self.node.now() - self.timing.link_timeout
         return frozenset(
             [
                 name
                 for name, state in self.peer_states.items()
                 if state.roster is not None
-                and state.heard_at > heard_edge
+                and state.heard_at > heard_cutoff
                 and not state.is_refused
-                and name in places
+                and name in positions
             ]
         )
 
     def _replace_graph(self, new_graph: Graph) -> None:
-        former_graph = self.graph
-        if new_graph.same_links(former_graph):
+        previous_graph = self.graph
+        if new_graph.has_same_links(previous_graph):
             return
-        lost_names = former_graph.neighbours() - new_graph.neighbours()
+        lost_names = previous_graph.neighbours() - new_graph.neighbours()
         for member in map(self.known_roster.members.get, sorted(lost_names)):
             if member is not None:
                 self.node.runtime.reset(member.address)
@@ -325,9 +330,9 @@
             listener(new_graph)
 
     def bridge_nodes(self) -> tuple[str, ...]:
-        """Return the live nodes that reach all others directly (listing 5.1)."""
+        """Return the live nodes with a direct link to every other live node (listing 5.1)."""
         return self.graph.bridge_nodes()
 
     def sides(self) -> tuple[tuple[str, ...], ...]:
-        """Return the groups of nodes on each side of the present partial partition."""
+        """Return the groups of live nodes on each side of the current partial partition."""
         return self.graph.sides()
--- a/quillring/nifty/peers.py
+++ b/quillring/nifty/peers.py
@@ -1,4 +1,4 @@
-"""The peers of a node: the roster, and what was last received from each member."""
+"""The peers of a node: the roster, and the state of each member as last received."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
     from quillring.kernel.types import Address
     from quillring.nifty.peer_state import PeerState
 
-KEPT_ROSTERS = 8
+MAX_RECENT_ROSTERS = 8
 
 
 class Peers:
-    """The membership as one node knows it; owner of the roster and of the peer states.
+    """The membership as known to one node; owns the roster and the peer states.
 
     Attributes
     ----------
-    known_roster : the present roster, without the members of `pending_members`
-    pending_members : members learned since the roster was last read
-    recent_rosters : the last rosters by their digest, the present one included
-    timing : heartbeat interval and link timeout for the present number of members
-    peer_states : what was last received from each member, by name
-    is_graph_stale : whether the inputs of the graph have changed
-    on_member : called with each member that is new or renewed
+    known_roster : the current roster, without the members in `pending_members`
+    pending_members : members learned since the roster was last read, by name
+    recent_rosters : the last rosters by their digest, including the current one
+    timing : heartbeat interval and link timeout for the current number of members
+    peer_states : the state last received from each member, by name
+    is_graph_stale : whether the inputs of the graph have changed since it was computed
+    on_member : called with each member that is new or has a newer incarnation
     """
 
     __slots__ = (
@@ -55,17 +55,17 @@
 
     @property
     def roster(self) -> Roster:
-        """The present roster; members learned since it was last read are added on reading."""
+        """The current roster; reading it merges the members learned since the last read."""
         if self.pending_members:
-            self.replace_roster(self._take_pending_members())
+            self.replace_roster(self._merge_pending_members())
         return self.known_roster
 
-    def _take_pending_members(self) -> Roster:
+    def _merge_pending_members(self) -> Roster:
         new_members, self.pending_members = self.pending_members, {}
         return self.known_roster.with_members(new_members.values())
 
     def find_member(self, name: str) -> Member | None:
-        """Return the member of this name, or None."""
+        """Return the member of this name, or None if it is unknown."""
         return self.pending_members.get(name) or self.known_roster.members.get(name)
 
     def member_count(self) -> int:
@@ -73,7 +73,7 @@
         return len(self.known_roster.names) + len(self.pending_members)
 
     def learn(self, member: Member) -> None:
-        """Add a member, or replace its record by that of a newer incarnation."""
+        """Add a member, or replace its record if the new incarnation is higher."""
         known = self.find_member(member.name)
         if known is not None and known.incarnation >= member.incarnation:
             return
@@ -83,66 +83,67 @@
         self.on_member(member)
 
     def forget(self, name: str) -> None:
-        """Remove a retired member and its state."""
+        """Remove a retired member and its peer state."""
         if name in self.roster.members and name != self.node.me.name:
             self.replace_roster(self.roster.without(name))
             self.peer_states.pop(name, None)
 
     def replace_roster(self, new_roster: Roster) -> None:
-        """Replace the roster, and read the pending bitmaps that were made for the new one."""
-        kept_rosters = [*self.recent_rosters.values(), new_roster][-KEPT_ROSTERS:]
+        """Replace the roster, and store the pending bitmaps that refer to the new one."""
+        recent_rosters = [*self.recent_rosters.values(), new_roster][-MAX_RECENT_ROSTERS:]
         if new_roster.digest != self.known_roster.digest:
             self.is_graph_stale = True
         self.known_roster = new_roster
-        self.recent_rosters = {roster.digest: roster for roster in kept_rosters}
+        self.recent_rosters = {roster.digest: roster for roster in recent_rosters}
         self.timing = HeartbeatTiming(self.node.bounds, len(new_roster.names))
         for state in self.peer_states.values():
-            if state.unread_bitmap is not None and new_roster.digest == state.digest:
-                state.take_bitmap(state.digest, state.unread_bitmap, new_roster)
+            if state.pending_bitmap is not None and new_roster.digest == state.digest:
+                state.store_bitmap(state.digest, state.pending_bitmap, new_roster)
 
-    def take_bitmap(self, state: PeerState, digest: bytes, bitmap: bytes) -> bool:
-        """Store the bitmap that a member sent; return whether its row changed."""
+    def store_bitmap(self, state: PeerState, digest: bytes, bitmap: bytes) -> bool:
+        """Store a bitmap sent by a member; return whether its row changed."""
         if self.pending_members and digest not in self.recent_rosters:
-            self.replace_roster(self._take_pending_members())
-        return state.take_bitmap(digest, bitmap, self.recent_rosters.get(digest))
+            self.replace_roster(self._merge_pending_members())
+        return state.store_bitmap(digest, bitmap, self.recent_rosters.get(digest))
 
     def is_heard(self, state: PeerState) -> bool:
-        """Return whether a heartbeat was received within the link timeout."""
+        """Return whether a heartbeat of the peer was received within the link timeout."""
         return state.heard_at > self.node.now() - self.timing.link_timeout
 
-    def refuse(self, address: Address) -> bool:
-        """Mark the members at an address as refused; return whether any of them was not yet."""
-        is_new = False
+    def mark_refused(self, address: Address) -> bool:
+        """Mark the live members at an address as refused; return whether any is newly marked."""
+        has_marked = False
         for name in self.roster.addresses.get(address, ()):
             state = self.peer_states.get(name)
             if state is not None and not state.is_refused and self.is_heard(state):
-                state.is_refused = is_new = True
-        return is_new
+                state.is_refused = has_marked = True
+        return has_marked
 
-    def is_just_refused(self, name: str) -> bool:
-        """Return whether a member is lost by a refused connection only, not by the timeout."""
+    def is_lost_by_refusal_only(self, name: str) -> bool:
+        """Return whether a member is lost by a refused connection, but not yet by the timeout."""
         state = self.peer_states.get(name)
         return state is not None and state.is_refused and self.is_heard(state)
 
     def is_silent(self, name: str, seconds: float) -> bool:
-        """Return whether no heartbeat of a member was received in the last seconds."""
+        """Return whether no heartbeat of a member was received in the last `seconds`."""
         state = self.peer_states.get(name)
         return state is None or state.heard_at < self.node.now() - seconds
 
     def reached_names(self) -> frozenset[str]:
-        """Return the names linked both ways: a recent heartbeat that echoes a recent one of ours.
+        """Return the names linked both ways: their last heartbeat is recent, and so is its echo.
 
-        A heartbeat is recent within the link timeout, an echoed one within an interval more.
+        A received heartbeat is recent for the link timeout; the heartbeat of this node that was
+        echoed is recent for one heartbeat interval longer.
         """
-        heard_edge = self.node.now() - self.timing.link_timeout
-        echo_edge = heard_edge - self.timing.interval
+        heard_cutoff = self.node.now() - self.timing.link_timeout
+        echo_cutoff = heard_cutoff - self.timing.interval
         return frozenset(
             [
                 name
                 for name, state in self.peer_states.items()
-                if state.heard_at > heard_edge
+                if state.heard_at > heard_cutoff
                 and state.echoed_at is not None
-                and state.echoed_at > echo_edge
+                and state.echoed_at > echo_cutoff
                 and not state.is_refused
             ]
         )
--- a/quillring/nifty/relay.py
+++ b/quillring/nifty/relay.py
@@ -1,4 +1,4 @@
-"""Messages between nodes: sent on a shortest route, relayed, delivered at most once."""
+"""Messages between nodes: sent along a shortest route, relayed, delivered at most once."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 class Relay(Peers):
-    """The message side of the peer layer: at-most-once delivery over one or more hops.
+    """Messaging of the peer layer: at-most-once delivery over one or more hops.
 
     Attributes
     ----------
-    graph : who reaches whom directly, and the routes
-    sequence : number of the last message sent
-    duplicate_filters : the messages received, by their origin
-    versions : versions of the wire format that this node speaks, the oldest first
+    graph : the direct links between members, and the routes from this node
+    sequence : sequence number of the last message sent
+    duplicate_filters : filters of the messages received, by their origin
+    versions : wire versions that this node supports, oldest first
     """
 
     __slots__ = ("graph", "sequence", "duplicate_filters", "versions")
@@ -42,11 +42,11 @@
         self.versions = versions
 
     def reaches(self, name: str) -> bool:
-        """Return whether the node is this one or has a route, direct or over relays."""
+        """Return whether the name is this node's own, or has a direct or relayed route."""
         return name == self.node.me.name or name in self.graph.routes
 
     def lowest_common_version(self) -> int:
-        """Return the newest wire version that every reachable member is known to speak."""
+        """Return the newest wire version that every reachable member is known to support."""
         lowest = self.versions[-1]
         for name in self.roster.names:
             if name in self.graph.routes:
@@ -55,7 +55,7 @@
         return lowest
 
     def send(self, target: str, message: WireMap) -> bool:
-        """Send a message on a shortest route; return False when no route is known."""
+        """Send a message along a shortest route; return False if no route is known."""
         self.sequence += 1
         me = self.node.me
         return self._forward(
@@ -65,7 +65,7 @@
     def send_direct(self, member: Member, version: int, service: str, body: Any) -> None:
         """Send a message to a member's address, bypassing the roster and the routes.
 
-        For processes that the roster doesn't have under their incarnation.
+        For processes whose incarnation is not the one in the roster.
         """
         self.sequence += 1
         me = self.node.me
@@ -88,14 +88,14 @@
         return True
 
     def _traffic_kind(self, envelope: Envelope) -> str:
-        """Return the kind that an envelope counts as: its service, a reply, or a relayed one."""
+        """Return the traffic kind of an envelope: RELAYED, its service, or REPLY."""
         if envelope.origin != self.node.me.name:
             return RELAYED
         service = envelope.message.get("s")
         return service if isinstance(service, str) else REPLY
 
     def on_frame(self, data: bytes) -> None:
-        """Deliver a frame for this node, or relay it; count and drop bad frames and duplicates."""
+        """Deliver or relay a received frame; count and drop malformed frames and duplicates."""
         try:
             envelope = Envelope.from_wire(data, self.versions)
         except BadWire:
@@ -111,10 +111,10 @@
             self.node.count("duplicates")
 
     def _is_first_copy(self, envelope: Envelope) -> bool:
-        """Return whether a message is the first copy, and of no former incarnation of its origin.
+        """Return whether a message is a first copy, and not of an older incarnation of its origin.
 
-        The filter knows the incarnation that messages were received from. A node that has just
-        started has no filter yet: the roster may know a newer incarnation of the origin.
+        The filter records the incarnation that messages were received from. Without a filter, as
+        just after a start, the roster decides: it may have a newer incarnation of the origin.
         """
         origin, incarnation = envelope.origin, envelope.incarnation
         duplicate_filter = self.duplicate_filters.get(origin)
--- a/quillring/nifty/roster.py
+++ b/quillring/nifty/roster.py
@@ -17,14 +17,14 @@
 
 
 class Roster:
-    """The members sorted by name; the digest identifies the order of names in bitmaps."""
+    """The members sorted by name; the digest identifies the list of names behind a bitmap."""
 
-    __slots__ = ("members", "names", "places", "digest", "addresses")
+    __slots__ = ("members", "names", "positions", "digest", "addresses")
 
     def __init__(self, members: Iterable[Member]) -> None:
         self._fill({m.name: m for m in sorted(members, key=lambda m: m.name)})
         self.names = tuple(self.members)
-        self.places = {name: place for place, name in enumerate(self.names)}
+        self.positions = {name: position for position, name in enumerate(self.names)}
         self.digest = hashlib.sha256(cbor2.dumps(self.names)).digest()[:8]
 
     def _fill(self, members: dict[str, Member]) -> None:
@@ -34,28 +34,28 @@
             self.addresses.setdefault(member.address, []).append(member.name)
 
     def with_members(self, members: Iterable[Member]) -> Roster:
-        """Return the roster with these members added or replaced."""
+        """Return a copy of the roster with these members added or replaced."""
         new_members = {**self.members, **{m.name: m for m in members}}
         if len(new_members) > len(self.members):
             return Roster(new_members.values())
         renewed = Roster.__new__(Roster)
         renewed._fill(new_members)
-        renewed.names, renewed.places, renewed.digest = self.names, self.places, self.digest
+        renewed.names, renewed.positions, renewed.digest = self.names, self.positions, self.digest
         return renewed
 
     def without(self, name: str) -> Roster:
-        """Return the roster without the member."""
+        """Return a copy of the roster without the member of this name."""
         return Roster([m for m in self.members.values() if m.name != name])
 
     def to_bitmap(self, reached_names: Iterable[str]) -> bytes:
-        """Return the bitmap of the names, little-endian, one bit for each member."""
-        bits = to_bits([self.places[name] for name in reached_names if name in self.places])
+        """Return the bitmap of some names: little-endian, one bit for each member."""
+        bits = to_bits([self.positions[name] for name in reached_names if name in self.positions])
         return bits.to_bytes((len(self.names) + 7) // 8, "little")
 
     def from_bitmap(self, bitmap: bytes) -> int:
-        """Return the bits of a bitmap that was made for this roster; excess bits are cleared."""
+        """Return the bits of a bitmap encoded for this roster; excess bits are cleared."""
         return int.from_bytes(bitmap, "little") & (1 << len(self.names)) - 1
 
     def names_of(self, bits: int) -> frozenset[str]:
-        """Return the names of bits made for this roster's names."""
-        return frozenset([self.names[place] for place in bit_positions(bits)])
+        """Return the names whose bits are set."""
+        return frozenset([self.names[position] for position in bit_positions(bits)])
--- a/quillring/nifty/wire.py
+++ b/quillring/nifty/wire.py
@@ -1,19 +1,20 @@
 """The node-to-node wire format: magic, version, then one CBOR value (RFC 8949).
 
-A node speaks several versions, so that a fleet can be upgraded one node at a time: to a member it
-uses the newest one that both speak, and the oldest one until it has received a heartbeat. Every
-echo names the newest version its node speaks, which readers of version 1 ignore.
-Echoes also name the form of terse heartbeats that their node reads; former readers ignore that.
+A node supports several versions, which allows a fleet to be upgraded one node at a time. To a
+member it sends the newest version that both support, and the oldest one until it has received a
+heartbeat from it. Every echo contains the newest version that its sender supports (readers of
+version 1 ignore it), and the number of fields of the terse heartbeats that its sender can read
+(older readers ignore it).
 Version 2 added `lot.release`, `member.former` and the entry in answers to `journal.find`.
 Version 3 added lots outside their host's part, `raw.reserve`, `raw.release`, `raw.fence`.
 Version 4 added compressed frames: the value is a CBOR byte string, a zlib stream (RFC 1950) of the
 encoded list. It also added `load.report` and `load.zone`. Everything that is not compressed is sent
-in version 3 at most: a member that was just started anew by an older program reads it at once.
+in version 3 at most, so a member that has just been restarted with an older release can read it.
 
-A frame holds [origin, incarnation, sequence, target, hops left, message].
-A full heartbeat holds [member record, sequence, roster digest, bitmap, stamp, echo], a terse one
-[name, incarnation, sequence, stamp, echo]; an echo is None or [incarnation, sequence, newest
-version, terse form].
+A frame contains [origin, incarnation, sequence, target, hops left, message].
+A full heartbeat contains [member record, sequence, roster digest, bitmap, stamp, echo], a terse one
+[name, incarnation, sequence, stamp, echo]. An echo is None or [incarnation, sequence, newest
+version, number of fields of a terse heartbeat].
 """
 
 from __future__ import annotations
@@ -36,33 +37,33 @@
     """Freshness stamp of a store: [ballot, index, identity of the store]."""
 
 MAGIC = b"QR"
-SPOKEN = (2, 3, 4)
+SUPPORTED_VERSIONS = (2, 3, 4)
 COMPRESSION_VERSION = 4
-PLAIN_VERSION = 3
+MAX_UNCOMPRESSED_VERSION = 3
 """The newest version of heartbeats, and of frames that are not compressed."""
 COMPRESSION_LEVEL = 1
-MIN_COMPRESSED_BYTES = 512
-"""Shorter frames gain too little to be compressed."""
+MIN_COMPRESSIBLE_BYTES = 512
+"""Shorter frames are not compressed: they gain too little."""
 FRAME_LIMIT_BYTES = 64 * 1024 * 1024
-HEADS = [MAGIC + bytes([version]) for version in range(256)]
-FULL_FIELDS, TERSE_FIELDS = 6, 5
-STAMP_FIELDS = 3
-CBOR_ARRAY = 0x80
+VERSION_HEADERS = [MAGIC + bytes([version]) for version in range(256)]
+FULL_FIELD_COUNT, TERSE_FIELD_COUNT = 6, 5
+STAMP_FIELD_COUNT = 3
+CBOR_ARRAY_HEADER = 0x80
 NO_ECHO = cbor2.dumps(None)
 
 
-def pack(value: Any, version: int = SPOKEN[-1]) -> bytes:
-    """Return the bytes of a value under a version."""
-    return HEADS[version] + cbor2.dumps(value)
+def pack(value: Any, version: int = SUPPORTED_VERSIONS[-1]) -> bytes:
+    """Return the encoded bytes of a value in a wire version, with the header."""
+    return VERSION_HEADERS[version] + cbor2.dumps(value)
 
 
-def unpack(data: bytes, versions: tuple[int, ...] = SPOKEN) -> tuple[int, Any]:
-    """Return (version, value).
+def unpack(data: bytes, versions: tuple[int, ...] = SUPPORTED_VERSIONS) -> tuple[int, Any]:
+    """Return (version, value) of encoded bytes.
 
     Raises
     ------
     BadWire
-        The bytes are garbage or of a version not among `versions`.
+        The bytes are malformed, or of a version that is not in `versions`.
     """
     if data[:2] != MAGIC:
         raise BadWire(reason="magic")
@@ -78,17 +79,17 @@
 
 
 def compress(data: bytes) -> bytes:
-    """Return an encoded value as a compressed one."""
+    """Return an encoded value in its compressed form: a CBOR byte string of a zlib stream."""
     return cbor2.dumps(zlib.compress(data, COMPRESSION_LEVEL))
 
 
 def decompress(data: bytes) -> bytes:
-    """Return the encoded value in a zlib stream.
+    """Return the encoded value from a zlib stream.
 
     Raises
     ------
     BadWire
-        The stream is garbage or cut, or its value is longer than a frame may be.
+        The stream is malformed or truncated, or its value exceeds FRAME_LIMIT_BYTES.
     """
     decompressor = zlib.decompressobj()
     try:
@@ -101,7 +102,7 @@
 
 
 class Envelope(NamedTuple):
-    """A message in transit: its origin and sequence number, its target, and its hop limit."""
+    """A message in transit, with its origin, sequence number, target and remaining hops."""
 
     origin: str
     incarnation: int
@@ -112,7 +113,7 @@
 
     @classmethod
     def from_wire(cls, data: bytes, versions: tuple[int, ...]) -> Envelope:
-        """Return the envelope of a frame.
+        """Parse a frame.
 
         Raises
         ------
@@ -136,37 +137,38 @@
         return cls(origin, incarnation, sequence, target, hops_left, message)
 
     def to_wire(self, version: int, may_compress: bool = False) -> bytes:
-        """Return the frame under a version, compressed where that is allowed and worth it."""
+        """Return the frame in a wire version, compressed if allowed and if that shortens it."""
         data = cbor2.dumps([*self])
-        if may_compress and version >= COMPRESSION_VERSION and len(data) >= MIN_COMPRESSED_BYTES:
+        if may_compress and version >= COMPRESSION_VERSION and len(data) >= MIN_COMPRESSIBLE_BYTES:
             compressed = compress(data)
             if len(compressed) < len(data):
-                return HEADS[version] + compressed
-        return HEADS[min(version, PLAIN_VERSION)] + data
+                return VERSION_HEADERS[version] + compressed
+        return VERSION_HEADERS[min(version, MAX_UNCOMPRESSED_VERSION)] + data
 
     def after_hop(self) -> Envelope:
-        """Return the envelope with one hop less left."""
+        """Return the envelope with one remaining hop less."""
         origin, incarnation, sequence, target, hops_left, message = self
         return Envelope(origin, incarnation, sequence, target, hops_left - 1, message)
 
 
 class Echo(NamedTuple):
-    """The last heartbeat that the node sending the echo received from the echo's receiver."""
+    """Identifies the last heartbeat that an echo's sender received from the echo's receiver."""
 
     incarnation: int
     sequence: int
 
 
 class Heartbeat:
-    """A received heartbeat; slotted, as every node reads hundreds of them a second.
+    """A received heartbeat; slotted because every node parses hundreds of them a second.
 
-    A terse one has neither member record nor roster digest nor bitmap: they are unchanged.
+    A terse heartbeat omits the member record, the roster digest and the bitmap: they are unchanged.
 
     Attributes
     ----------
-    echoed_incarnation, echoed_sequence : those of the echo; None without an echo
-    version : newest version of the wire format that both sides speak
-    reads_terse : whether the sender reads terse heartbeats
+    member : the sender; None in a terse heartbeat
+    echoed_incarnation, echoed_sequence : the heartbeat that is echoed; None without an echo
+    version : newest wire version that both sides support
+    reads_terse : whether the sender can read terse heartbeats
     """
 
     __slots__ = (
@@ -194,7 +196,7 @@
         self.reads_terse = False
         try:
             self.version, fields = unpack(data, versions)
-            if len(fields) == TERSE_FIELDS:
+            if len(fields) == TERSE_FIELD_COUNT:
                 self.name, self.incarnation, self.sequence, self.stamp, echo = fields
             else:
                 record, self.sequence, self.digest, self.bitmap, self.stamp, echo = fields
@@ -204,7 +206,7 @@
                 self.echoed_incarnation, self.echoed_sequence = int(echo[0]), int(echo[1])
                 if len(echo) > 2:
                     self.version = max(self.version, min(versions[-1], int(echo[2])))
-                self.reads_terse = len(echo) > 3 and echo[3] == TERSE_FIELDS
+                self.reads_terse = len(echo) > 3 and echo[3] == TERSE_FIELD_COUNT
         except (ValueError, TypeError, IndexError, KeyError, OverflowError) as error:
             raise BadWire(reason="beat") from error
         if not isinstance(self.sequence, int) or not is_stamp_or_none(self.stamp):
@@ -219,7 +221,7 @@
     def from_wire(
         cls, data: bytes, versions: tuple[int, ...], known_members: dict[str, Member] | None = None
     ) -> Heartbeat:
-        """Return the heartbeat of a datagram, with the known member if its record is unchanged.
+        """Parse a datagram; `member` is the known object if its record is unchanged.
 
         Raises
         ------
@@ -237,7 +239,7 @@
 
 
 def read_member(record: list[Any], known_members: dict[str, Member]) -> Member:
-    """Return the member of a record: the known object if the record is unchanged."""
+    """Return the member from its record, or the known object if the record is unchanged."""
     known = known_members.get(record[0]) if len(record) == len(FIELDS) else None
     if known is not None and known.to_list() == record:
         return known
@@ -245,10 +247,10 @@
 
 
 def is_stamp_or_none(stamp: Any) -> bool:
-    """Return whether a value is None or the freshness stamp of a store."""
+    """Return whether a value is None or a well-formed freshness stamp."""
     return stamp is None or (
         isinstance(stamp, list)
-        and len(stamp) == STAMP_FIELDS
+        and len(stamp) == STAMP_FIELD_COUNT
         and isinstance(stamp[1], int)
         and isinstance(stamp[2], str)
     )
@@ -257,25 +259,29 @@
 def encode_full_content(
     me: Member, sequence: int, digest: bytes, bitmap: bytes, stamp: Stamp | None
 ) -> bytes:
-    """Return a full heartbeat without its head and echo."""
+    """Return the encoding of a full heartbeat without its header and echo."""
     fields = (me.to_list(), sequence, digest, bitmap, stamp)
-    return bytes([CBOR_ARRAY | FULL_FIELDS]) + b"".join([cbor2.dumps(field) for field in fields])
+    return bytes([CBOR_ARRAY_HEADER | FULL_FIELD_COUNT]) + b"".join(
+        [cbor2.dumps(field) for field in fields]
+    )
 
 
 def encode_terse_content(me: Member, sequence: int, stamp: Stamp | None) -> bytes:
-    """Return a terse heartbeat without its head and echo."""
+    """Return the encoding of a terse heartbeat without its header and echo."""
     fields = (me.name, me.incarnation, sequence, stamp)
-    return bytes([CBOR_ARRAY | TERSE_FIELDS]) + b"".join([cbor2.dumps(field) for field in fields])
+    return bytes([CBOR_ARRAY_HEADER | TERSE_FIELD_COUNT]) + b"".join(
+        [cbor2.dumps(field) for field in fields]
+    )
 
 
 def encode_heartbeat(
     version: int, content: bytes, incarnation: int, sequence: int, newest_version: int
 ) -> bytes:
-    """Return the datagram of a heartbeat that echoes one of a member."""
-    echo = cbor2.dumps([incarnation, sequence, newest_version, TERSE_FIELDS])
-    return HEADS[min(version, PLAIN_VERSION)] + content + echo
+    """Return the datagram of a heartbeat that echoes one received from the target."""
+    echo = cbor2.dumps([incarnation, sequence, newest_version, TERSE_FIELD_COUNT])
+    return VERSION_HEADERS[min(version, MAX_UNCOMPRESSED_VERSION)] + content + echo
 
 
 def encode_first_heartbeat(version: int, content: bytes) -> bytes:
-    """Return the datagram of a heartbeat without an echo, as nothing was received to echo."""
-    return HEADS[version] + content + NO_ECHO
+    """Return the datagram of a heartbeat without an echo: none was received from the target."""
+    return VERSION_HEADERS[version] + content + NO_ECHO
--- a/quillring/quorum/leader/membership_repair.py
+++ b/quillring/quorum/leader/membership_repair.py
@@ -93,7 +93,7 @@
         self.lost_since = {
             name: self.lost_since.get(name, now)
             for name in store_names
-            if (not nifty.reaches(name) and not nifty.is_just_refused(name))
+            if (not nifty.reaches(name) and not nifty.is_lost_by_refusal_only(name))
             or is_disk_failing(self.node, name)
         }
 
--- a/tests/http_lot_stage.py
+++ b/tests/http_lot_stage.py
@@ -9,7 +9,7 @@
 from quillring.lots.http_requests.lot_placement import bare_host, lot_key
 from quillring.lots.http_requests.lot_table import lot_records
 from quillring.lots.http_requests.token_reservations import reserved_tokens
-from quillring.nifty.wire import SPOKEN
+from quillring.nifty.wire import SUPPORTED_VERSIONS
 from quillring.quorum.parts import part_of
 from tests.http_lot_replica import SERVICE, RawBackends, RawReplica, RawRuntime, text_of
 
@@ -33,7 +33,7 @@
 class HttpLotStage:
     """A small founded fleet with a forward of lots and three replicas, at second 8 of its life."""
 
-    def __init__(self, seed, slots=8, replicas=3, versions=SPOKEN, **fields):
+    def __init__(self, seed, slots=8, replicas=3, versions=SUPPORTED_VERSIONS, **fields):
         with mock.patch.object(sim_fleet, "SimRuntime", RawRuntime):
             self.sim = SimFleet("ferrowa", seed, SIZES)
         self.env, self.replicas, self.counts = self.sim.env, {}, {}
@@ -150,7 +150,7 @@
     def upgrade(self, name):
         """Stop a node and start it under the newest version."""
         self.sim.kill(name)
-        self.sim.versions = {**self.sim.versions, name: SPOKEN}
+        self.sim.versions = {**self.sim.versions, name: SUPPORTED_VERSIONS}
         self.run(0.2)
         self.sim.start(name)
         self.run(2)
--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -10,7 +10,7 @@
 
 from quillring.fleet import open_store
 from quillring.kernel.effects import Signal
-from quillring.nifty.wire import SPOKEN
+from quillring.nifty.wire import SUPPORTED_VERSIONS
 from tests.landed_code import landed
 from tests.mixed_fleet import MixedFleet, is_landed
 
@@ -99,7 +99,7 @@
 
 def test_the_present_version_speaks_all_wire_versions_of_the_landed_one():
     landed_versions = landed("quillring.nifty.wire", "SPOKEN")
-    assert (*landed_versions, landed_versions[-1] + 1) == SPOKEN
+    assert (*landed_versions, landed_versions[-1] + 1) == SUPPORTED_VERSIONS
 
 
 @pytest.mark.parametrize("seed", [3, 4])
--- a/tests/test_wire_samples_nifty.py
+++ b/tests/test_wire_samples_nifty.py
@@ -1,4 +1,4 @@
-"""Frames and heartbeats in their literal bytes: a fleet is upgraded one node at a time."""
+"""Pins the bytes of frames and heartbeats: nodes of different releases exchange them."""
 
 from quillring.nifty import Member
 from quillring.nifty.wire import pack
@@ -9,7 +9,7 @@
     return [data.hex() for address, data in runtime.datagrams if address == member("b").address]
 
 
-def test_a_first_heartbeat_to_a_peer_never_heard():
+def test_first_heartbeat_to_a_peer_from_which_none_was_received():
     _, nifty, runtime = node("a")
     nifty.send_heartbeats()
     assert sent_to_b(runtime) == [
@@ -20,7 +20,7 @@
     ]
 
 
-def test_heartbeats_to_a_peer_that_was_heard_full_then_terse():
+def test_heartbeats_to_a_known_peer_are_full_then_terse():
     _, nifty, runtime = node("a")
     nifty.send_heartbeats()
     nifty.on_datagram(beat(member("b"), 1, ["a"], [1, 1, 3, 5], "ab", 3))
@@ -43,15 +43,15 @@
     ]
 
 
-def test_frames_of_a_call_its_reply_its_error_and_a_oneway_message():
-    made, nifty, runtime = node("a")
+def test_frames_of_a_oneway_message_a_call_a_reply_and_an_error_reply():
+    local_node, nifty, runtime = node("a")
     nifty.on_datagram(beat(member("b"), 1, ["a"], [1, 1, 3, 5], "ab", 3))
     nifty.send_heartbeats()
     nifty.on_datagram(beat(member("b"), 2, ["a"], [1, 1, 3, 5], "ab", 3))
     nifty.refresh()
-    made.send_oneway("b", "gossip.news", {"k": 1})
-    next(made.call("b", "quorum.read", [1, "two"]))
-    made.handle("echo", lambda body, origin: body)
+    local_node.send_oneway("b", "gossip.news", {"k": 1})
+    next(local_node.call("b", "quorum.read", [1, "two"]))
+    local_node.handle("echo", lambda body, origin: body)
     for number, service in enumerate(("echo", "none"), 1):
         message = {"s": service, "b": [7], "c": 99}
         nifty.on_frame(pack(["b", 1, number, "a", 6, message]))
@@ -71,7 +71,7 @@
     ]
 
 
-def test_a_relayed_frame_keeps_its_message_and_has_one_hop_less():
+def test_relayed_frame_has_the_same_message_and_one_hop_less():
     _, nifty, runtime = node("a")
     nifty.send_heartbeats()
     nifty.on_datagram(beat(member("b"), 1, ["a"], [1, 1, 3, 5], "ab", 3))
@@ -81,7 +81,7 @@
     ]
 
 
-def test_frames_to_a_node_whose_name_clashes_and_to_one_whose_clock_was_set_back():
+def test_frames_sent_to_a_node_with_a_clashing_name_and_to_one_whose_clock_was_set_back():
     _, nifty, runtime = node("a")
     moved = Member("b", 2, "edge", "north", "127.0.0.9", 7999, 8000, "")
     nifty.on_datagram(beat(member("b", 50), 1, ["a"], None, "ab", 3))
--- a/tests/wire_record.py
+++ b/tests/wire_record.py
@@ -17,7 +17,12 @@
 from proving.sim import quorum_fuzz, seeded_run
 from proving.sim.fleet import SimFleet
 from proving.sim.network import SimNet
-from quillring.nifty.wire import COMPRESSION_VERSION, HEADS, PLAIN_VERSION, unpack
+from quillring.nifty.wire import (
+    COMPRESSION_VERSION,
+    MAX_UNCOMPRESSED_VERSION,
+    VERSION_HEADERS,
+    unpack,
+)
 from tests.fleet_stage import SelfFounded
 from tests.http_lot_random_days import HttpLotDay
 
@@ -80,7 +85,7 @@
         """
         version, value = unpack(data)
         if version >= COMPRESSION_VERSION:
-            data = HEADS[PLAIN_VERSION] + cbor2.dumps(value)
+            data = VERSION_HEADERS[MAX_UNCOMPRESSED_VERSION] + cbor2.dumps(value)
         name = "heartbeat" if kind == "datagram" else self._name(value[0], value[3], value[5])
         self.kinds.setdefault(name, Kind()).add(data, value)
 
