--- a/quillring/gossip/__init__.py
+++ b/quillring/gossip/__init__.py
@@ -1,4 +1,4 @@
-"""Gossip of versioned updates: rumor mongering, with anti-entropy for what was missed."""
+"""Gossip of versioned updates: rumor mongering, with anti-entropy for missed updates."""
 
 from quillring.gossip.gossip import Gossip
 
--- a/quillring/gossip/gossip.py
+++ b/quillring/gossip/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip of versioned updates: pushed to FANOUT random members, completed by anti-entropy.
+"""Gossip of versioned updates: pushed to FANOUT random members, repaired by anti-entropy.
 
 Source: Demers et al., "Epidemic algorithms for replicated database maintenance", PODC 1987: rumor
 mongering for new updates, anti-entropy for missed ones.
@@ -37,7 +37,7 @@
 FANOUT = 3
 STARTUP_FANOUT = 2
 DIGEST_BYTES = 8
-MALFORMED = (KeyError, TypeError, ValueError, IndexError, AttributeError)
+PARSE_ERRORS = (KeyError, TypeError, ValueError, IndexError, AttributeError)
 
 
 class Entry(NamedTuple):
@@ -48,10 +48,16 @@
 
 
 class Gossip:
-    """The gossip table of a node; the version of a key only ever increases.
-
-    `remaining_sends` is {key: how many more gossip rounds push it}, `compared_at` {member: when its
-    digest was last compared on request, in seconds}, `digest` that of `table`; None: out of date.
+    """The gossip table of a node; the version of a key never decreases.
+
+    Attributes
+    ----------
+    table : the newest known value and version of each key
+    remaining_sends : number of further gossip rounds that push a key, by key
+    subscribers : called with (key, value) of newer values, by the prefix of the key
+    digest : digest of `table`, or None if it is out of date
+    digest_sent_at : when `start_anti_entropy` last sent the digest, by member, in seconds
+    started_at : when this object was created, in seconds on this node's clock
     """
 
     __slots__ = (
@@ -60,7 +66,7 @@
         "remaining_sends",
         "subscribers",
         "digest",
-        "compared_at",
+        "digest_sent_at",
         "started_at",
     )
 
@@ -70,7 +76,7 @@
         self.remaining_sends: dict[str, int] = {}
         self.subscribers: dict[str, list[Subscriber]] = {}
         self.digest: bytes | None = None
-        self.compared_at: dict[str, float] = {}
+        self.digest_sent_at: dict[str, float] = {}
         self.started_at = node.now()
         node.handle(UPDATES, self.on_updates)
         node.handle(DIGEST, self.on_digest)
@@ -81,7 +87,7 @@
         self.subscribers.setdefault(prefix, []).append(subscriber)
 
     def get(self, key: str) -> Any:
-        """Return the value of a key, or None."""
+        """Return the value of a key, or None if the key is unknown."""
         return self.table[key].value if key in self.table else None
 
     def values_with_prefix(self, prefix: str) -> dict[str, Any]:
@@ -91,19 +97,19 @@
     def publish(self, key: str, version: Sequence[Any], value: Any) -> bool:
         """Store an update and schedule it for gossip; return False unless its version is newer.
 
-        Raises BadWire, with the table as before, for a value that a subscriber can't parse.
+        Raises BadWire for a value that a subscriber can't parse; the table is unchanged then.
         """
         version = tuple(version)
-        former = self.table.get(key)
-        if former is not None and former.version >= version:
+        previous = self.table.get(key)
+        if previous is not None and previous.version >= version:
             return False
         self.table[key] = Entry(version, value)
         try:
             self._notify_subscribers(key, value)
-        except MALFORMED as error:
+        except PARSE_ERRORS as error:
             self.table = {k: entry for k, entry in self.table.items() if k != key}
-            if former is not None:
-                self.table[key] = former
+            if previous is not None:
+                self.table[key] = previous
             raise BadWire(reason="news", key=key) from error
         self.digest = None
         member_count = self.node.find("nifty").member_count()
@@ -117,7 +123,7 @@
                     subscriber(key, value)
 
     def run(self) -> Coroutine:
-        """Push updates every gossip interval; compare digests with one member every heartbeat."""
+        """Push updates every gossip interval; compare digests with one member per heartbeat."""
         bounds, rounds = self.node.bounds, 0
         while True:
             yield Sleep(bounds.gossip_interval)
@@ -129,7 +135,7 @@
                     self.node.send_oneway(name, DIGEST, self.table_digest())
 
     def push_updates(self) -> None:
-        """Send the keys with remaining sends to FANOUT random members."""
+        """Send the updates that have remaining sends to FANOUT random members."""
         if not self.remaining_sends or not self.node.find("nifty").graph.routes:
             return
         updates = updates_to_wire(Update(key, *self.table[key]) for key in self.remaining_sends)
@@ -144,7 +150,7 @@
         return self.node.runtime.random.sample(reached_names, min(count, len(reached_names)))
 
     def table_digest(self) -> bytes:
-        """Return the first DIGEST_BYTES of the SHA-256 over all keys and versions."""
+        """Return the first DIGEST_BYTES bytes of the SHA-256 of all keys and versions."""
         if self.digest is None:
             versions = sorted((key, list(entry.version)) for key, entry in self.table.items())
             self.digest = hashlib.sha256(cbor2.dumps(versions)).digest()[:DIGEST_BYTES]
@@ -156,34 +162,34 @@
     def request_missing(self) -> None:
         """Request missing updates from reachable members while no configuration is known.
 
-        Only within `bounds.propagation` seconds of the start.
+        Does nothing later than `bounds.propagation` seconds after the start.
         """
         age_seconds = self.node.now() - self.started_at
         if "layout" in self.table or age_seconds > self.node.bounds.propagation:
             return
         body = VersionsMessage(self._versions(), wants_reply=False).to_wire()
-        nifty, chance = self.node.find("nifty"), self.node.runtime.random
+        nifty, rng = self.node.find("nifty"), self.node.runtime.random
         members = nifty.roster.members
         reached_names = sorted(name for name in nifty.graph.routes if name in members)
         store_names = [name for name in reached_names if members[name].role == "store"]
         for names in (store_names, reached_names):
-            for name in chance.sample(names, min(STARTUP_FANOUT, len(names))):
+            for name in rng.sample(names, min(STARTUP_FANOUT, len(names))):
                 self.node.send_oneway(name, VERSIONS, body)
 
     def start_anti_entropy(self, name: str) -> None:
-        """Compare digests with a reachable member, at most twice a heartbeat interval."""
+        """Send the digest to a reachable member, at most twice per heartbeat interval."""
         if not self.node.find("nifty").reaches(name):
             return
-        now, min_pause = self.node.now(), self.node.bounds.heartbeat_interval / 2
-        if now - self.compared_at.get(name, -math.inf) >= min_pause:
-            self.compared_at[name] = now
+        now, min_pause_seconds = self.node.now(), self.node.bounds.heartbeat_interval / 2
+        if now - self.digest_sent_at.get(name, -math.inf) >= min_pause_seconds:
+            self.digest_sent_at[name] = now
             self.node.send_oneway(name, DIGEST, self.table_digest())
 
     def on_updates(self, body: list[Any], origin: str) -> None:
-        """Publish pushed updates; a copy of one that is known reduces its remaining sends by one.
+        """Publish received updates; a copy of a known one decrements its remaining sends.
 
-        Raises BadWire at the first value that a subscriber can't parse, TypeError or ValueError at
-        a malformed item; updates before it are published.
+        Raises BadWire for the first value that a subscriber can't parse, TypeError or ValueError
+        for a malformed item; the updates before it are published.
         """
         for key, version, value in updates_from_wire(body):
             if not self.publish(key, version, value) and key in self.remaining_sends:
@@ -197,13 +203,13 @@
             }
 
     def on_digest(self, digest: bytes, origin: str) -> None:
-        """Reply to a digest that differs with the versions of this table."""
+        """Reply with the versions in this table if the received digest differs."""
         if digest != self.table_digest():
             body = VersionsMessage(self._versions(), wants_reply=True).to_wire()
             self.node.send_oneway(origin, VERSIONS, body)
 
     def on_versions(self, body: list[Any], origin: str) -> None:
-        """Send the updates that the other side lacks, and request those that this table lacks."""
+        """Send the updates that the origin lacks, and request those that this table lacks."""
         message = VersionsMessage.from_wire(body)
         newer_updates = [
             Update(key, *entry)
@@ -212,11 +218,11 @@
         ]
         if newer_updates:
             self.node.send_oneway(origin, UPDATES, updates_to_wire(newer_updates))
-        if message.wants_reply and self._is_behind(message.versions):
+        if message.wants_reply and self._lacks_any(message.versions):
             reply = VersionsMessage(self._versions(), wants_reply=False).to_wire()
             self.node.send_oneway(origin, VERSIONS, reply)
 
-    def _is_behind(self, versions: dict[str, Version]) -> bool:
+    def _lacks_any(self, versions: dict[str, Version]) -> bool:
         return any(
             key not in self.table or self.table[key].version < version
             for key, version in versions.items()
--- a/quillring/gossip/messages.py
+++ b/quillring/gossip/messages.py
@@ -1,4 +1,4 @@
-"""Messages of gossip and their wire forms."""
+"""Gossip messages and their wire forms."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
     from collections.abc import Iterable, Iterator
 
 Version = tuple[Any, ...]
-"""The version of a key's value: compared as a tuple, the higher one is newer."""
+"""The version of a key's value: versions are compared as tuples, the higher is newer."""
 
 UPDATES = "gossip.news"
 DIGEST = "gossip.digest"
@@ -31,20 +31,20 @@
 
 
 def updates_from_wire(body: list[Any]) -> Iterator[Update]:
-    """Read the body of `gossip.news` item by item; raise TypeError or ValueError at a bad one."""
+    """Parse the items of a `gossip.news` body; raise TypeError or ValueError for a bad one."""
     for key, version, value in body:
         yield Update(key, version, value)
 
 
 class VersionsMessage(NamedTuple):
-    """`gossip.versions`: the versions in a member's table, and whether it wants the receiver's."""
+    """`gossip.versions`: the sender's {key: version}, and whether it wants the receiver's."""
 
     versions: dict[str, Version]
     wants_reply: bool
 
     @classmethod
     def from_wire(cls, body: list[Any]) -> VersionsMessage:
-        """Read the message from its wire form."""
+        """Parse the message from its wire form."""
         versions, wants_reply = body
         return cls({key: tuple(version) for key, version in versions.items()}, wants_reply)
 
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -3,19 +3,19 @@
 SIZES = {"sizes": {"edge": 40, "core": 4, "store": 4}}
 
 
-def test_news_stops_going_round_once_the_others_tell_it_too():
+def test_an_update_stops_being_pushed_once_copies_arrive_from_other_members():
     stage = SelfFounded(5, sizes=SIZES, ready_at=12)
-    nodes, took = stage.sim.nodes, []
-    for name, made in nodes.items():
-        take = made.handlers["gossip.news"]
-        made.handle(
+    nodes, receiver_names = stage.sim.nodes, []
+    for name, node in nodes.items():
+        on_updates = node.handlers["gossip.news"]
+        node.handle(
             "gossip.news",
-            lambda items, origin, name=name, take=take: (
-                took.extend([name for key, *_ in items if key == "some/thing"]),
-                take(items, origin),
+            lambda items, origin, name=name, on_updates=on_updates: (
+                receiver_names.extend([name for key, *_ in items if key == "some/thing"]),
+                on_updates(items, origin),
             )[1],
         )
     nodes["core-1"].find("gossip").publish("some/thing", [1], "new")
     stage.run(3)
-    assert all(made.find("gossip").get("some/thing") == "new" for made in nodes.values())
-    assert len(took) <= len(nodes) * 12
+    assert all(node.find("gossip").get("some/thing") == "new" for node in nodes.values())
+    assert len(receiver_names) <= len(nodes) * 12
