--- a/proving/histories/stage.py
+++ b/proving/histories/stage.py
@@ -4,7 +4,7 @@
 from proving.histories.operations import Done, History, Operation, Snapshot, Unknown
 from proving.sim.fleet import SimFleet
 from proving.sim.raw_replicas import RawBackends, RawReplica, RawRuntime
-from quillring.rollout.schema import EMPTY
+from quillring.rollout.schema import EMPTY_CONFIGURATION
 
 SIZES = {"sizes": {"edge": 2, "core": 3, "store": 4}, "replicas": []}
 READY_AT = 1.5
@@ -35,7 +35,7 @@
 
     def __init__(self, seed):
         self.sim = HistoryFleet("ferrowa", seed, SIZES)
-        self.sim.configuration = EMPTY
+        self.sim.configuration = EMPTY_CONFIGURATION
         self.env, self.chance = self.sim.env, self.sim.chance
         self.replicas, self.counts = {}, {}
         self.arrivals, self.whole_runs = [], []
--- a/proving/points/configuration.py
+++ b/proving/points/configuration.py
@@ -142,7 +142,7 @@
 
 def adopt_anything(state, command):
     """Stand-in for the guard: no base version is asked for, nothing is checked."""
-    configuration = schema.merge(state["layout"] or schema.EMPTY, command["change"])
+    configuration = schema.merge(state["layout"] or schema.EMPTY_CONFIGURATION, command["change"])
     return {**state, "layout": configuration, "version": state["version"] + 1}, {
         "version": state["version"] + 1
     }
--- a/quillring/rollout/__init__.py
+++ b/quillring/rollout/__init__.py
@@ -1,4 +1,4 @@
-"""Roll-out of configurations: validated, committed by the config part, fresh on live nodes."""
+"""Rollout of configurations: validation, commit by the config part, freshness on nodes."""
 
 from quillring.rollout import configuration_versions, operator_orders
 from quillring.rollout.freshness import Freshness
--- a/quillring/rollout/commands.py
+++ b/quillring/rollout/commands.py
@@ -7,7 +7,7 @@
 from quillring.kernel.errors import Conflict, QuillringError
 from quillring.quorum.commands import COMMANDS, QUERIES
 from quillring.rollout.messages import ADOPT_CONFIGURATION, AdoptConfiguration, CurrentConfiguration
-from quillring.rollout.schema import EMPTY, find_faults, merge
+from quillring.rollout.schema import EMPTY_CONFIGURATION, find_faults, merge
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -15,14 +15,14 @@
     from quillring.kernel.types import WireMap
     from quillring.rollout.schema import Fault
 
-KEPT_CHANGES = 64
+MAX_RECORDED_CHANGES = 64
 
 
 class BadConfiguration(QuillringError):
-    """The configuration is invalid; `faults` lists every reason, and no node changes.
+    """The configuration is invalid and is not adopted; `faults` lists every reason.
 
-    Final, so not retried: against its base version it is always refused, against any other version
-    it is a Conflict.
+    Final, therefore not retried: with the same base version it is always rejected, with any other
+    one it is a Conflict.
     """
 
     kind = "bad_layout"
@@ -37,10 +37,10 @@
 
 @COMMANDS.entry(ADOPT_CONFIGURATION)
 def adopt_configuration(state: WireMap, command: WireMap) -> tuple[WireMap, WireMap]:
-    """Adopt a complete or partial configuration that was made against the current version.
+    """Adopt a complete or partial configuration that is based on the current version.
 
-    Idempotent by the id of the change, for the last KEPT_CHANGES of them. Raises Conflict for
-    another base version or an id already used for another change, BadConfiguration for faults.
+    Idempotent by the id of the change, for the last MAX_RECORDED_CHANGES changes. Raises Conflict
+    for another base version or an id already used for another change, BadConfiguration for faults.
     """
     adoption = AdoptConfiguration.from_wire(command)
     change_id, digest = adoption.id, adoption.digest()
@@ -57,19 +57,19 @@
         )
     configuration = adoption.change
     if not adoption.is_whole:
-        configuration = merge(state["layout"] or EMPTY, adoption.change)
+        configuration = merge(state["layout"] or EMPTY_CONFIGURATION, adoption.change)
     faults = find_faults(configuration)
     if faults:
         raise BadConfiguration.because_of(faults)
     version = state["version"] + 1
-    kept_changes = dict([*changes.items(), (change_id, version)][-KEPT_CHANGES:])
-    kept_digests = {name: digests[name] for name in kept_changes if name in digests}
+    recorded_changes = dict([*changes.items(), (change_id, version)][-MAX_RECORDED_CHANGES:])
+    recorded_digests = {name: digests[name] for name in recorded_changes if name in digests}
     new_state = {
         **state,
         "layout": configuration,
         "version": version,
-        "changes": kept_changes,
-        "change_digests": {**kept_digests, change_id: digest},
+        "changes": recorded_changes,
+        "change_digests": {**recorded_digests, change_id: digest},
         "last_change": change_id,
     }
     return new_state, {"version": version}
@@ -77,5 +77,5 @@
 
 @QUERIES.entry("layout")
 def show_configuration(state: WireMap, query: WireMap) -> WireMap:
-    """Return the configuration and the version of the state."""
+    """Return the current configuration and the version of the state."""
     return CurrentConfiguration(state["version"], state["layout"]).to_wire()
--- a/quillring/rollout/configuration_versions.py
+++ b/quillring/rollout/configuration_versions.py
@@ -1,4 +1,4 @@
-"""Versions, numbered by the operators, of forwards, services and limits: complete or amending."""
+"""Versions of forwards, services and limits, numbered by operators: complete or amendments."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
     digest_of_json,
 )
 from quillring.rollout.schema import (
-    EMPTY,
-    EXTRAS,
-    FORWARD,
-    LIMITS,
-    RAW_SERVICE,
+    EMPTY_CONFIGURATION,
+    EXTRAS_VALIDATOR,
+    FORWARD_VALIDATOR,
+    LIMITS_VALIDATOR,
+    RAW_SERVICE_VALIDATOR,
     Fault,
     item_faults,
 )
@@ -30,59 +30,59 @@
 
     from quillring.kernel.types import WireMap
 
-KEPT_VERSIONS = 256
-SECTIONS = (("forwards", FORWARD), ("services", RAW_SERVICE))
+MAX_RECORDED_VERSIONS = 256
+VERSIONED_SECTIONS = (("forwards", FORWARD_VALIDATOR), ("services", RAW_SERVICE_VALIDATOR))
 
 
 @COMMANDS.entry(ADOPT_VERSION)
 def adopt_version(state: WireMap, command: WireMap) -> tuple[WireMap, WireMap]:
-    """Adopt a version made against the current one.
+    """Adopt a version that is based on the current one.
 
-    Idempotent: a repeat of one of the last KEPT_VERSIONS is answered with `repeated`. Raises
-    Conflict for another base version, BadConfiguration for faults.
+    Idempotent: a repeat of one of the last MAX_RECORDED_VERSIONS is answered with `repeated`.
+    Raises Conflict for another base version, BadConfiguration for faults.
     """
     adoption = AdoptVersion.from_wire(command)
-    digest, digests = digest_of(command), state.get("editions", {})
+    digest, digests = command_digest(command), state.get("editions", {})
     number = adoption.number
     if digests.get(str(number)) == digest:
         return state, {"edition": number, "repeated": True}
-    configuration = state["layout"] or EMPTY
+    configuration = state["layout"] or EMPTY_CONFIGURATION
     current_number = configuration.get("edition", 0)
     if adoption.base_number != current_number:
         raise Conflict(winning_edition=current_number, base_edition=adoption.base_number)
     faults = [*number_faults(number, current_number), *command_faults(adoption, configuration)]
     if faults:
         raise BadConfiguration.because_of(faults)
-    new_configuration = lay_over(configuration, adoption)
-    faults = cross_faults(new_configuration)
+    new_configuration = apply_version(configuration, adoption)
+    faults = cross_item_faults(new_configuration)
     if faults:
         raise BadConfiguration.because_of(faults)
-    kept_digests = dict([*digests.items(), (str(number), digest)][-KEPT_VERSIONS:])
+    recorded_digests = dict([*digests.items(), (str(number), digest)][-MAX_RECORDED_VERSIONS:])
     new_state = {
         **state,
         "layout": new_configuration,
         "version": state["version"] + 1,
-        "editions": kept_digests,
+        "editions": recorded_digests,
     }
     return new_state, {"edition": number}
 
 
 @QUERIES.entry("edition")
 def show_configuration_version(state: WireMap, query: WireMap) -> WireMap:
-    """Return the number of the current version (0: none yet) and its configuration."""
-    configuration = state["layout"] or EMPTY
+    """Return the number of the current version (0 if there is none) and the configuration."""
+    configuration = state["layout"] or EMPTY_CONFIGURATION
     return CurrentVersion(configuration.get("edition", 0), configuration).to_wire()
 
 
-def digest_of(command: WireMap) -> str:
-    """Return the digest of a version's command, without its id and its kind (`do`)."""
+def command_digest(command: WireMap) -> str:
+    """Return the digest of a command, without its id and its kind (`do`)."""
     return digest_of_json(
         {name: value for name, value in command.items() if name not in ("id", "do")}
     )
 
 
 def number_faults(number: Any, current_number: int) -> list[Fault]:
-    """Return the faults of a version's number: it must be an integer above the current one."""
+    """Return the faults of a version number: it must be an integer above the current one."""
     if isinstance(number, bool) or not isinstance(number, int):
         return [Fault("edition", "not a whole number")]
     if number <= current_number:
@@ -91,46 +91,46 @@
 
 
 def command_faults(adoption: AdoptVersion, configuration: WireMap) -> list[Fault]:
-    """Return the faults of the items in a command, each item validated on its own.
+    """Return the faults of the items in a command, each item validated separately.
 
-    An item that equals the one in force, byte for byte, was validated before and is skipped.
+    An item whose encoding equals that of the current one was validated before and is skipped.
     """
     faults = []
-    for section, validator in SECTIONS:
-        former = configuration.get(section) or {}
+    for section, validator in VERSIONED_SECTIONS:
+        current_items = configuration.get(section) or {}
         new_items = {
             name: item
             for name, item in adoption.items(section).items()
-            if name not in former or cbor2.dumps(item) != cbor2.dumps(former[name])
+            if name not in current_items or cbor2.dumps(item) != cbor2.dumps(current_items[name])
         }
         faults.extend(item_faults(section, validator, new_items))
     if adoption.limits is not None:
-        faults.extend(item_faults("limits", LIMITS, {"": adoption.limits}))
-    faults.extend(item_faults("extras", EXTRAS, {"": adoption.extras}))
+        faults.extend(item_faults("limits", LIMITS_VALIDATOR, {"": adoption.limits}))
+    faults.extend(item_faults("extras", EXTRAS_VALIDATOR, {"": adoption.extras}))
     return faults
 
 
-def lay_over(configuration: WireMap, adoption: AdoptVersion) -> WireMap:
-    """Return the configuration with a version that replaces the former one or amends it."""
+def apply_version(configuration: WireMap, adoption: AdoptVersion) -> WireMap:
+    """Return the configuration with the previous version replaced or amended by a new one."""
     sections = {}
-    for section, _ in SECTIONS:
-        former = {} if adoption.is_whole else configuration.get(section, {})
-        gone_names = set(adoption.removed.get(section, ()))
-        kept = {name: item for name, item in former.items() if name not in gone_names}
-        sections[section] = {**kept, **adoption.items(section)}
-    former = {} if adoption.is_whole else configuration
-    limits = former.get("limits") if adoption.limits is None else adoption.limits
+    for section, _ in VERSIONED_SECTIONS:
+        base = {} if adoption.is_whole else configuration.get(section, {})
+        removed_names = set(adoption.removed.get(section, ()))
+        retained_items = {name: item for name, item in base.items() if name not in removed_names}
+        sections[section] = {**retained_items, **adoption.items(section)}
+    base = {} if adoption.is_whole else configuration
+    limits = base.get("limits") if adoption.limits is None else adoption.limits
     return {
         **configuration,
         **sections,
         "edition": adoption.number,
         "limits": limits,
-        "extras": {**former.get("extras", {}), **adoption.extras},
+        "extras": {**base.get("extras", {}), **adoption.extras},
     }
 
 
-def cross_faults(configuration: WireMap) -> list[Fault]:
-    """Return the faults between items: unknown services, zero weights, duplicate addresses."""
+def cross_item_faults(configuration: WireMap) -> list[Fault]:
+    """Return the faults across items: unknown services, zero weight sums, duplicate addresses."""
     faults: list[Fault] = []
     forwards_by_address: dict[tuple[str, str], str] = {}
     for name, forward in configuration["forwards"].items():
--- a/quillring/rollout/freshness.py
+++ b/quillring/rollout/freshness.py
@@ -1,10 +1,10 @@
 """Freshness: an edge admits new requests only while a majority of config stores confirms its state.
 
-The majority is taken in the group that is part of the state the node has applied, at its log index
-x: entry x + 1 is chosen by that group and committed at a majority of it before it is acknowledged.
-Majorities intersect, so any majority of it includes a store that knows whatever was acknowledged
-after x. Another group, older or newer, proves nothing: stores removed from it may not know later
-entries, and stores that joined it may not know earlier ones.
+The majority is one of the group recorded in the state that the node has applied, at log index x.
+Entry x + 1 is chosen by that group, and committed at a majority of it before it is acknowledged.
+Majorities intersect, so any majority of the group includes a store that knows of entries that were
+acknowledged after x. A majority of another group, older or newer, proves nothing: stores that were
+removed may not know later entries, and stores that joined may not know earlier ones.
 """
 
 from __future__ import annotations
@@ -24,21 +24,21 @@
     from quillring.kernel.types import Coroutine
     from quillring.quorum.values import GroupMember
 
-SILENT_HEARTBEATS = 1.5
+SILENT_HEARTBEAT_INTERVALS = 1.5
 
 
 class PolledStamp(NamedTuple):
-    """A stamp that a store replied with, and when it was requested, in seconds of this node."""
+    """A stamp from a store's reply, and when it was requested, in seconds on this node's clock."""
 
     stamp: StoreStamp
-    asked_at: float
+    requested_at: float
 
 
 class StoreReport(NamedTuple):
-    """The newest confirmation by a config store, and the highest index it then knew as committed.
+    """The newest confirmation by a config store, with the highest committed index it knew then.
 
-    `confirmed_at` is when the heartbeat it echoed or the request it answered was sent, in seconds
-    of this node; None if nothing was received under the present identity of the store's disk.
+    `confirmed_at` is when the heartbeat that it echoed or the request that it answered was sent, in
+    seconds on this node's clock; None if nothing was received from the disk with this identity.
     """
 
     name: str
@@ -47,9 +47,10 @@
 
 
 class Freshness:
-    """Decides whether this node's configuration is fresh enough, by its own clock.
+    """Decides by this node's clock whether its configuration is fresh enough.
 
-    It owns the stamps polled from config stores; those in heartbeats are owned by the peer layer.
+    `polled_stamps` are the stamps polled from config stores, by name. The stamps received in
+    heartbeats are in the peer states of the peer layer.
     """
 
     __slots__ = ("node", "polled_stamps")
@@ -60,28 +61,28 @@
         node.handle(STAMP, self.on_stamp)
 
     def on_stamp(self, body: Any, origin: str) -> list[Any] | None:
-        """Return this store's stamp to a node that receives no heartbeats from it."""
+        """Reply with this store's stamp to a node that receives no heartbeats from it."""
         stamp: list[Any] | None = self.node.find("nifty").stamp_source()
         return stamp
 
     def _known_stores(self) -> list[GroupMember]:
-        """Return the stores of the newest known group and of the group in the snapshot's state.
+        """Return the config stores of the newest known group and of the snapshot's group.
 
-        Raises NotFounded if the founding configuration of the parts is not known here.
+        Raises NotFounded if the founding configuration of the parts is unknown to this node.
         """
-        heard_group = self.node.find("ownership").group(CONFIG)
+        announced_group = self.node.find("ownership").group(CONFIG)
         own_group = self.node.find("layout").group or ()
-        return [*own_group, *(store for store in heard_group if store not in own_group)]
+        return [*own_group, *(store for store in announced_group if store not in own_group)]
 
     def _reports(self, stores: Iterable[GroupMember]) -> list[StoreReport]:
-        """Return the newest report of each of the config stores."""
+        """Return the newest report of each of these config stores."""
         peer_states = self.node.find("nifty").peer_states
         reports = []
         for name, identity, _ in stores:
             confirmed_at, committed_index = None, 0
             polled = self.polled_stamps.get(name)
             if polled is not None and polled.stamp.identity == identity:
-                confirmed_at, committed_index = polled.asked_at, polled.stamp.committed_index
+                confirmed_at, committed_index = polled.requested_at, polled.stamp.committed_index
             peer_state = peer_states.get(name)
             if (
                 peer_state is not None
@@ -97,29 +98,29 @@
         return reports
 
     def is_fresh(self) -> bool:
-        """Return True if a majority confirmed, within the bound, that nothing newer is committed.
+        """Return whether a majority recently confirmed that no newer entry is committed.
 
-        The bound is `bounds.configuration_freshness`, in seconds.
+        A confirmation is recent within `bounds.configuration_freshness` seconds.
         """
         snapshot = self.node.find("layout")
         if snapshot.configuration is None or not snapshot.group:
             return False
         oldest_time = self.node.now() - self.node.bounds.configuration_freshness
-        good_count = 0
+        confirming_count = 0
         for _, confirmed_at, committed_index in self._reports(snapshot.group):
             is_recent = confirmed_at is not None and confirmed_at > oldest_time
             if is_recent and committed_index <= snapshot.index:
-                good_count += 1
-        return good_count >= majority(snapshot.group)
+                confirming_count += 1
+        return confirming_count >= majority(snapshot.group)
 
     def check(self) -> None:
-        """Raise Refused unless the configuration is fresh."""
+        """Raise Refused unless the configuration is fresh enough."""
         if not self.is_fresh():
             raise Refused(reason="no fresh word of the layout")
 
     def run(self) -> Coroutine:
-        """Poll silent stores over relays, and concurrently fetch a newer configuration."""
-        self.node.spawn(self._keep_fetching())
+        """Poll silent stores over relays; concurrently fetch newer configurations."""
+        self.node.spawn(self._fetch_periodically())
         while True:
             yield Sleep(self.node.bounds.heartbeat_interval / 2)
             try:
@@ -128,7 +129,7 @@
                 continue
             yield from self._poll_silent(reports)
 
-    def _keep_fetching(self) -> Coroutine:
+    def _fetch_periodically(self) -> Coroutine:
         while True:
             yield Sleep(self.node.bounds.gossip_interval * 2)
             try:
@@ -137,9 +138,9 @@
                 continue
 
     def _poll_silent(self, reports: list[StoreReport]) -> Coroutine:
-        """Poll the stores without a confirmation for SILENT_HEARTBEATS heartbeat intervals."""
-        asked_at, interval = self.node.now(), self.node.bounds.heartbeat_interval
-        oldest_time = asked_at - interval * SILENT_HEARTBEATS
+        """Poll the stores not confirmed within SILENT_HEARTBEAT_INTERVALS intervals."""
+        requested_at, interval = self.node.now(), self.node.bounds.heartbeat_interval
+        oldest_time = requested_at - interval * SILENT_HEARTBEAT_INTERVALS
         silent_names = [
             report.name
             for report in reports
@@ -150,16 +151,16 @@
         calls: list[tuple[str, str, Any]] = [(name, STAMP, None) for name in silent_names]
         replies = yield from self.node.gather(calls, len(calls), interval)
         new_stamps = {
-            name: PolledStamp(StoreStamp.from_wire(fields), asked_at)
+            name: PolledStamp(StoreStamp.from_wire(fields), requested_at)
             for name, fields in replies.items()
             if fields is not None and not isinstance(fields, QuillringError)
         }
         self.polled_stamps = {**self.polled_stamps, **new_stamps}
 
     def _fetch_newer(self) -> Coroutine:
-        """Fetch the config state from stores that know a newer one, the highest index first."""
+        """Fetch the config state from a store with a newer one, the highest index first."""
         snapshot = self.node.find("layout")
-        newer_states = sorted(
+        stores_by_newest_index = sorted(
             (
                 (report.committed_index, report.name)
                 for report in self._reports(self._known_stores())
@@ -169,8 +170,8 @@
             reverse=True,
         )
         seconds = self.node.bounds.heartbeat_interval / 2
-        for wanted_index, name in newer_states:
-            if snapshot.index >= wanted_index and snapshot.configuration is not None:
+        for target_index, name in stores_by_newest_index:
+            if snapshot.index >= target_index and snapshot.configuration is not None:
                 return
             try:
                 reply = yield from self.node.call(name, STATE_IMAGE, {"part": CONFIG}, seconds)
--- a/quillring/rollout/messages.py
+++ b/quillring/rollout/messages.py
@@ -1,7 +1,7 @@
-"""Commands of the config part, and the messages by which nodes distribute the configuration.
+"""Commands of the config part, and the messages that distribute the configuration to nodes.
 
 Their forms on the wire and in the log are defined only here. On the wire the complete configuration
-is named `layout`, the operators' own numbered version of it `edition`, and a zone `domain`.
+is named `layout`, a version numbered by the operators `edition`, and a zone `domain`.
 """
 
 from __future__ import annotations
@@ -32,13 +32,14 @@
 STATE_IMAGE = "quorum.image"
 ANNOUNCEMENT = "layout.news"
 
-DIGEST_DIGITS = 24
+DIGEST_HEX_DIGITS = 24
 
 
 class AdoptConfiguration(NamedTuple):
-    """`layout.adopt`: adopt a configuration made against a version of the config part's state.
+    """`layout.adopt`: adopt a configuration that is based on a version of the config part's state.
 
-    The change is the complete configuration, or is merged into the current one.
+    `change` is the complete configuration if `is_whole`, otherwise it is merged into the current
+    one.
     """
 
     id: str
@@ -62,12 +63,12 @@
         }
 
     def digest(self) -> str:
-        """Return the digest of the change, without the version that it is made against."""
+        """Return the digest of the change, which does not include its base version."""
         return digest_of_json([self.is_whole, self.change])
 
 
 class ChangeZone(NamedTuple):
-    """`layout.adopt` that empties or refills one zone, made against a version."""
+    """`layout.adopt` that drains a single zone or cancels that, based on a version."""
 
     id: str
     base_version: int
@@ -86,10 +87,11 @@
 
 
 class AdoptVersion(NamedTuple):
-    """`edition.adopt`: adopt the operators' version of this number, made against another one.
+    """`edition.adopt`: adopt the operators' version `number`, based on version `base_number`.
 
-    It replaces that one or amends it: `forwards` and `services` are {name: item}, `removed` is
-    {section: names to remove}; in an amendment, limits of None stay as they are.
+    It replaces the base if `is_whole`, otherwise it amends it. `forwards` and `services` are
+    {name: item}, `removed` is {section: names to remove}. Limits of None in an amendment leave the
+    limits unchanged.
     """
 
     base_number: int
@@ -138,10 +140,11 @@
 
 
 class OrderZone(NamedTuple):
-    """`domain.mark`: drain a zone, or take that back.
+    """`domain.mark`: drain a zone, or cancel that.
 
-    `includes_nodes` is True to drain its nodes as well as its replicas, False for replicas only.
-    `seen_version` is the version the receiving node knew when the order arrived; None: no fence.
+    `includes_nodes` is True to drain the zone's nodes and replicas, False to drain only replicas.
+    `seen_version` is the fencing token: the version that the receiving node knew when the order
+    arrived, or None for an order without a fence.
     """
 
     zone: str
@@ -167,7 +170,7 @@
             "emptied": self.is_emptied,
             "nodes": self.includes_nodes,
         }
-        return with_fence(command, self.seen_version)
+        return with_seen_version(command, self.seen_version)
 
     def to_state(self) -> WireMap:
         """Return the order in its form in the configuration."""
@@ -175,11 +178,11 @@
 
 
 class OrderStore(NamedTuple):
-    """`store.mark`: retire a store, or take that back.
+    """`store.mark`: retire a store, or cancel that.
 
-    `counted` is {store: zone} of the stores that the submitting node counts as remaining,
-    `group_size` how many stores hold each part; None: they are not checked. `seen_version` is as
-    with OrderZone.
+    `counted` is {store: zone} of the stores that the submitting node counts as remaining, or None
+    to skip the check of their number. `group_size` is the number of stores that hold each part.
+    `seen_version` is the fencing token, as in OrderZone.
     """
 
     store: str
@@ -205,22 +208,22 @@
         if self.counted is not None:
             command["counted"] = self.counted
             command["size"] = self.group_size
-        return with_fence(command, self.seen_version)
+        return with_seen_version(command, self.seen_version)
 
 
-def with_fence(command: WireMap, seen_version: int | None) -> WireMap:
-    """Return an order's wire form with the version that its node had seen, unless that is None."""
+def with_seen_version(command: WireMap, seen_version: int | None) -> WireMap:
+    """Return an order's wire form with its fencing token, if it has one."""
     return command if seen_version is None else {**command, "seen_version": seen_version}
 
 
 def digest_of_json(value: Any) -> str:
-    """Return the first DIGEST_DIGITS of a JSON value's SHA-256, whatever the order of its keys."""
+    """Return the first DIGEST_HEX_DIGITS of a JSON value's SHA-256, regardless of key order."""
     text = json.dumps(value, sort_keys=True)
-    return hashlib.sha256(text.encode()).hexdigest()[:DIGEST_DIGITS]
+    return hashlib.sha256(text.encode()).hexdigest()[:DIGEST_HEX_DIGITS]
 
 
 class CurrentConfiguration(NamedTuple):
-    """The answer to the query `layout`: the configuration, and the version of the state."""
+    """The answer to the query `layout`: the configuration and the version of the state."""
 
     version: int
     configuration: WireMap | None
@@ -236,7 +239,7 @@
 
 
 class CurrentVersion(NamedTuple):
-    """The answer to the query `edition`: its number (0: none yet), the complete configuration."""
+    """The answer to the query `edition`: number (0 if none) and complete configuration."""
 
     number: int
     configuration: WireMap
@@ -251,7 +254,7 @@
         return {"edition": self.number, "layout": self.configuration}
 
     def store_order(self, store: str) -> WireMap | None:
-        """Return the order in force for a store, or None."""
+        """Return the current order for a store, or None."""
         orders: dict[str, WireMap] = self.configuration.get("stores") or {}
         return orders.get(store)
 
@@ -259,7 +262,7 @@
 class ConfigurationRecord(NamedTuple):
     """The gossip record `layout`: the configuration in the config part's state at a log index.
 
-    `group` are the stores of the config part in the same state.
+    `group` is the group of stores of the config part, from the same state.
     """
 
     log_index: int
@@ -279,7 +282,7 @@
 
 
 class Announcement(NamedTuple):
-    """`layout.news`, sent without a reply: a record and its gossip version."""
+    """`layout.news`, a one-way message: a configuration record and its gossip version."""
 
     gossip_version: list[Any]
     record: ConfigurationRecord
@@ -296,7 +299,7 @@
 
 
 class StoreStamp(NamedTuple):
-    """A store's position in the config part: its promised ballot and highest known committed index.
+    """A store's position in the config part: promised ballot and highest known committed index.
 
     `identity` is the incarnation of the store's disk.
     """
@@ -313,7 +316,7 @@
 
 
 class StateImage(NamedTuple):
-    """The reply to `quorum.image`: the state of a part, and the last log index applied to it."""
+    """The reply to `quorum.image`: the state of a part and the last log index applied to it."""
 
     log_index: int
     state: WireMap
--- a/quillring/rollout/operator_orders.py
+++ b/quillring/rollout/operator_orders.py
@@ -1,4 +1,4 @@
-"""Operators' orders: zones to be drained, stores to be retired; the last one is in force."""
+"""Operators' orders to drain zones and to retire stores; the last order for each is in force."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     OrderZone,
 )
 from quillring.rollout.orders import place_order, submit_order
-from quillring.rollout.schema import EMPTY
+from quillring.rollout.schema import EMPTY_CONFIGURATION
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -28,7 +28,7 @@
 
 @COMMANDS.entry(ORDER_ZONE)
 def order_zone(state: WireMap, command: WireMap) -> tuple[WireMap, WireMap]:
-    """Drain a zone or take that back; raise StaleOrder for a late copy of an older order."""
+    """Drain a zone or cancel that; raise StaleOrder for a delayed copy of an older order."""
     order = OrderZone.from_wire(command)
     fields = order.to_state()
     return place_order(state, "domains", order.zone, fields, order.seen_version), fields
@@ -36,16 +36,18 @@
 
 @COMMANDS.entry(ORDER_STORE)
 def order_store(state: WireMap, command: WireMap) -> tuple[WireMap, WireMap]:
-    """Retire a store or take that back; a retirement names the stores counted as remaining.
+    """Retire a store or cancel that; a retirement lists the stores counted as remaining.
 
-    Whether enough of these remain is decided when the command is applied, in log order: of two
-    concurrent retirements the second sees the first. Raises Conflict when too few would remain,
-    StaleOrder for a late copy of an older order.
+    Whether enough of them remain is decided when the command is applied, in log order, so the
+    second of two concurrent retirements takes the first into account. Raises Conflict if too few
+    would remain, StaleOrder for a delayed copy of an older order.
     """
     order = OrderStore.from_wire(command)
-    former = ((state["layout"] or EMPTY).get("stores") or {}).get(order.store, {})
-    fields = {**former, "retired": order.is_retired}
-    if order.is_retired and former != fields and order.counted is not None:
+    current_fields = ((state["layout"] or EMPTY_CONFIGURATION).get("stores") or {}).get(
+        order.store, {}
+    )
+    fields = {**current_fields, "retired": order.is_retired}
+    if order.is_retired and current_fields != fields and order.counted is not None:
         if order.group_size is None:
             raise KeyError("size")
         check_remaining(state, order.store, order.counted, order.group_size)
@@ -53,19 +55,19 @@
 
 
 def check_remaining(state: WireMap, store: str, counted: Mapping[str, str], size: int) -> None:
-    """Raise Conflict unless enough of the counted stores remain without one more.
+    """Raise Conflict unless enough of the counted stores remain once `store` is retired too.
 
-    `counted` is {store: zone}, `size` how many stores hold each part.
+    `counted` is {store: zone}, `size` the number of stores that hold each part.
     """
-    retired_names = {store, *leaving_stores(state)}
+    retired_names = {store, *retiring_stores(state)}
     remaining = [zone for name, zone in counted.items() if name not in retired_names]
     if not is_enough(remaining, size):
         raise Conflict(field="store", reason="too few stores would remain", store=store)
 
 
-def leaving_stores(state: WireMap) -> set[str]:
-    """Return the stores that are retired, or that a running plan is about to retire."""
-    orders = (state["layout"] or EMPTY).get("stores") or {}
+def retiring_stores(state: WireMap) -> set[str]:
+    """Return the stores that are retired or that a running plan is about to retire."""
+    orders = (state["layout"] or EMPTY_CONFIGURATION).get("stores") or {}
     retired_names = {name for name, order in orders.items() if order.get("retired")}
     planned_names = {
         plan["intent"]["target"]
@@ -76,28 +78,28 @@
 
 
 def retire_store(node: Node, store: str, seconds: float) -> Coroutine:
-    """Mark a store as retired, within some seconds, if it is known and enough others remain.
+    """Mark a store as retired within `seconds`, if it is known and enough others remain.
 
-    Raises NotFound for an unknown store, Conflict when too few would remain, and StaleOrder when
-    a newer order was taken meanwhile.
+    Raises NotFound for an unknown store, Conflict if too few would remain, and StaleOrder if a
+    newer order was accepted meanwhile.
     """
-    end_time, ownership = node.now() + seconds, node.find("ownership")
+    deadline, ownership = node.now() + seconds, node.find("ownership")
     answer = yield from ownership.read(CONFIG, READ_CURRENT_VERSION, seconds)
-    order_in_force = CurrentVersion.from_wire(answer).store_order(store)
-    if order_in_force is not None and order_in_force.get("retired"):
+    current_order = CurrentVersion.from_wire(answer).store_order(store)
+    if current_order is not None and current_order.get("retired"):
         return
     stores = known_stores(node)
     if store not in stores:
         raise NotFound(field="store", store=store)
-    counted = {name: zone for name, zone in stores.items() if not is_gone(node, name)}
+    counted = {name: zone for name, zone in stores.items() if not is_long_unreachable(node, name)}
     order = OrderStore(store, True, counted, ownership.size())
-    yield from submit_order(node, order, end_time - node.now())
+    yield from submit_order(node, order, deadline - node.now())
 
 
-def is_gone(node: Node, store: str) -> bool:
-    """Return True if a store has been unreachable for longer than `bounds.recovery`, in seconds.
+def is_long_unreachable(node: Node, store: str) -> bool:
+    """Return whether a store has been unreachable for more than `bounds.recovery` seconds.
 
-    One that may just be restarting still counts as remaining: a retirement waits for it, and no
+    A store that may only be restarting still counts as remaining: a retirement waits for it, and no
     part loses a member before enough others have a complete copy.
     """
     nifty = node.find("nifty")
@@ -111,7 +113,7 @@
 
 
 def known_stores(node: Node) -> dict[str, str]:
-    """Return {store: zone} of the stores of the roster and of the parts' groups."""
+    """Return {store: zone} of the stores in the roster and in the groups of the parts."""
     members = node.find("nifty").roster.members.values()
     ownership = node.find("ownership")
     zones = {
@@ -122,17 +124,18 @@
 
 
 def is_retired(node: Node, store: str, seconds: float) -> Coroutine:
-    """Return True if a store is marked as retired and no part needs it any more.
+    """Return whether a store is marked as retired and no part needs it any more.
 
-    The groups are those that the parts' leaders committed; each must be full and caught up.
-    Raises NotFound for an unknown store, and the error of a leader that does not answer in time.
+    This is checked against the groups that the leaders of the parts committed; each group must be
+    full and caught up. Raises NotFound for an unknown store, and the error of a leader that does
+    not answer within `seconds`.
     """
-    end_time, ownership = node.now() + seconds, node.find("ownership")
+    deadline, ownership = node.now() + seconds, node.find("ownership")
     answer = yield from ownership.read(CONFIG, READ_CURRENT_VERSION, seconds)
     order = CurrentVersion.from_wire(answer).store_order(store)
     if order is None and store not in known_stores(node):
         raise NotFound(field="store", store=store)
     if order is None or not order.get("retired"):
         return False
-    is_unneeded = yield from is_free(node, store, end_time - node.now())
+    is_unneeded = yield from is_free(node, store, deadline - node.now())
     return is_unneeded
--- a/quillring/rollout/schema.py
+++ b/quillring/rollout/schema.py
@@ -16,17 +16,17 @@
 
     JsonSchema = dict[str, Any]
 
-NAME = "^[a-z][a-z0-9_-]{0,40}$"
-MILLISECONDS = {"type": "integer", "minimum": 1, "maximum": 86_400_000}
+NAME_PATTERN = "^[a-z][a-z0-9_-]{0,40}$"
+MILLISECONDS_SCHEMA = {"type": "integer", "minimum": 1, "maximum": 86_400_000}
 
 
-def section(properties: JsonSchema, required: list[str]) -> JsonSchema:
-    """Return the schema of a section: {name: object of these properties, or null to remove it}."""
+def section_schema(properties: JsonSchema, required: list[str]) -> JsonSchema:
+    """Return the schema of a section: {name: object with these properties}."""
     return {
         "type": "object",
         "additionalProperties": False,
         "patternProperties": {
-            NAME: {
+            NAME_PATTERN: {
                 "type": "object",
                 "additionalProperties": False,
                 "properties": properties,
@@ -36,10 +36,10 @@
     }
 
 
-CLASS = section(
+CLASSES_SCHEMA = section_schema(
     {
-        "first_piece_ms": MILLISECONDS,
-        "time_left_ms": MILLISECONDS,
+        "first_piece_ms": MILLISECONDS_SCHEMA,
+        "time_left_ms": MILLISECONDS_SCHEMA,
         "urgency": {"type": "integer", "minimum": 1, "maximum": 9},
         "share": {"type": "number", "minimum": 0, "maximum": 1},
         "resumable": {"type": "boolean"},
@@ -48,15 +48,15 @@
     },
     ["first_piece_ms", "time_left_ms", "urgency", "share"],
 )
-SERVICE = section(
+SERVICE_SECTION_SCHEMA = section_schema(
     {
         "kind": {"enum": ["model", "map", "checkout"]},
-        "warm_up_ms": MILLISECONDS,
-        "stall_ms": MILLISECONDS,
+        "warm_up_ms": MILLISECONDS_SCHEMA,
+        "stall_ms": MILLISECONDS_SCHEMA,
     },
     ["kind"],
 )
-ROUTE = section(
+ROUTES_SCHEMA = section_schema(
     {
         "service": {"type": "string"},
         "class": {"type": "string"},
@@ -65,17 +65,17 @@
     },
     ["service", "class"],
 )
-COUNT = {"type": "integer", "minimum": 0, "maximum": 1 << 53}
-AMOUNT = {"type": "number", "minimum": 0, "maximum": 1 << 53}
-TEXT = {"type": "string", "minLength": 1, "maxLength": 2000}
-OBJECT = {"type": "object"}
-FORWARD_ITEM = {
+COUNT_SCHEMA = {"type": "integer", "minimum": 0, "maximum": 1 << 53}
+AMOUNT_SCHEMA = {"type": "number", "minimum": 0, "maximum": 1 << 53}
+TEXT_SCHEMA = {"type": "string", "minLength": 1, "maxLength": 2000}
+OBJECT_SCHEMA = {"type": "object"}
+FORWARD_SCHEMA = {
     "type": "object",
     "additionalProperties": False,
     "required": ["host", "prefix", "kind", "split"],
     "properties": {
-        "host": TEXT,
-        "prefix": {**TEXT, "pattern": "^/(.*/)?$"},
+        "host": TEXT_SCHEMA,
+        "prefix": {**TEXT_SCHEMA, "pattern": "^/(.*/)?$"},
         "kind": {"enum": ["repeatable", "once", "stream", "lot"]},
         "split": {
             "type": "array",
@@ -83,64 +83,68 @@
             "maxItems": 1000,
             "items": {
                 "type": "array",
-                "prefixItems": [TEXT, AMOUNT],
+                "prefixItems": [TEXT_SCHEMA, AMOUNT_SCHEMA],
                 "minItems": 2,
                 "maxItems": 2,
             },
         },
-        "rounds": {**COUNT, "minimum": 1},
+        "rounds": {**COUNT_SCHEMA, "minimum": 1},
         "hold_ms": {"type": "number", "exclusiveMinimum": 0, "maximum": 1 << 53},
-        "goal_ms": AMOUNT,
-        "pause_ms": AMOUNT,
-        "due_ms": AMOUNT,
-        "retain_ms": AMOUNT,
-        "urgency": COUNT,
-        "most_tokens": AMOUNT,
+        "goal_ms": AMOUNT_SCHEMA,
+        "pause_ms": AMOUNT_SCHEMA,
+        "due_ms": AMOUNT_SCHEMA,
+        "retain_ms": AMOUNT_SCHEMA,
+        "urgency": COUNT_SCHEMA,
+        "most_tokens": AMOUNT_SCHEMA,
         "resumable": {"type": "boolean"},
         "engine": {"type": "boolean"},
-        "origin": OBJECT,
+        "origin": OBJECT_SCHEMA,
     },
 }
-RAW_SERVICE_ITEM = {
+RAW_SERVICE_SCHEMA = {
     "type": "object",
     "additionalProperties": False,
     "required": ["kind"],
     "properties": {
         "kind": {"const": "raw"},
-        "probe_path": TEXT,
-        "connections": COUNT,
-        "warm_up_ms": AMOUNT,
-        "warm_rate": AMOUNT,
-        "origin": OBJECT,
+        "probe_path": TEXT_SCHEMA,
+        "connections": COUNT_SCHEMA,
+        "warm_up_ms": AMOUNT_SCHEMA,
+        "warm_rate": AMOUNT_SCHEMA,
+        "origin": OBJECT_SCHEMA,
         "engine": {
             "type": ["object", "null"],
             "additionalProperties": False,
-            "properties": {"slots": COUNT, "kv_tokens": AMOUNT, "stride": AMOUNT},
+            "properties": {
+                "slots": COUNT_SCHEMA,
+                "kv_tokens": AMOUNT_SCHEMA,
+                "stride": AMOUNT_SCHEMA,
+            },
         },
     },
 }
-LIMITS_ITEM = {
+LIMITS_SCHEMA = {
     "type": "object",
     "additionalProperties": False,
     "properties": {
-        "head_bytes": COUNT,
-        "body_bytes": COUNT,
-        "head_ms": AMOUNT,
-        "idle_ms": AMOUNT,
-        "origin": OBJECT,
+        "head_bytes": COUNT_SCHEMA,
+        "body_bytes": COUNT_SCHEMA,
+        "head_ms": AMOUNT_SCHEMA,
+        "idle_ms": AMOUNT_SCHEMA,
+        "origin": OBJECT_SCHEMA,
     },
 }
-FORWARD, RAW_SERVICE, LIMITS, EXTRAS = map(
-    StrictValidator, (FORWARD_ITEM, RAW_SERVICE_ITEM, LIMITS_ITEM, OBJECT)
+FORWARD_VALIDATOR, RAW_SERVICE_VALIDATOR, LIMITS_VALIDATOR, EXTRAS_VALIDATOR = map(
+    StrictValidator, (FORWARD_SCHEMA, RAW_SERVICE_SCHEMA, LIMITS_SCHEMA, OBJECT_SCHEMA)
 )
-STORE = section({"retired": {"type": "boolean"}, "forced": {"type": "boolean"}}, [])
-ZONE = section({"emptied": {"type": "boolean"}, "nodes": {"type": "boolean"}}, [])
-SERVICES = {
+STORES_SCHEMA = section_schema({"retired": {"type": "boolean"}, "forced": {"type": "boolean"}}, [])
+ZONES_SCHEMA = section_schema({"emptied": {"type": "boolean"}, "nodes": {"type": "boolean"}}, [])
+SERVICES_SCHEMA = {
     "type": "object",
     "additionalProperties": {
         "if": {"properties": {"kind": {"const": "raw"}}, "required": ["kind"]},
-        "then": RAW_SERVICE_ITEM,
-        "else": SERVICE["patternProperties"][NAME],
+        "then": RAW_SERVICE_SCHEMA,
+        "else": SERVICE_SECTION_SCHEMA["patternProperties"][NAME_PATTERN],
     },
 }
 SCHEMA = {
@@ -148,19 +152,19 @@
     "additionalProperties": False,
     "required": ["classes", "services", "entries", "domains"],
     "properties": {
-        "classes": CLASS,
-        "services": SERVICES,
-        "entries": ROUTE,
-        "domains": ZONE,
-        "stores": STORE,
-        "edition": COUNT,
-        "extras": OBJECT,
-        "forwards": {"type": "object", "additionalProperties": FORWARD_ITEM},
-        "limits": {"anyOf": [LIMITS_ITEM, {"type": "null"}]},
+        "classes": CLASSES_SCHEMA,
+        "services": SERVICES_SCHEMA,
+        "entries": ROUTES_SCHEMA,
+        "domains": ZONES_SCHEMA,
+        "stores": STORES_SCHEMA,
+        "edition": COUNT_SCHEMA,
+        "extras": OBJECT_SCHEMA,
+        "forwards": {"type": "object", "additionalProperties": FORWARD_SCHEMA},
+        "limits": {"anyOf": [LIMITS_SCHEMA, {"type": "null"}]},
     },
 }
 VALIDATOR = StrictValidator(SCHEMA)
-EMPTY: WireMap = {"classes": {}, "services": {}, "entries": {}, "domains": {}}
+EMPTY_CONFIGURATION: WireMap = {"classes": {}, "services": {}, "entries": {}, "domains": {}}
 
 
 MAX_FAULT_CHARACTERS = 200
@@ -168,7 +172,7 @@
 
 
 class Fault(NamedTuple):
-    """One reason against a configuration: the field, as a dotted path, and what is wrong."""
+    """One fault of a configuration: the field as a dotted path, and the reason."""
 
     field: str
     reason: str
@@ -179,7 +183,7 @@
 
 
 def find_faults(configuration: Any) -> list[Fault]:
-    """Return every fault of a complete configuration."""
+    """Return every fault of a complete configuration, or an empty list if it is valid."""
     faults = [
         Fault(
             ".".join(str(step) for step in error.absolute_path) or "layout",
@@ -198,16 +202,16 @@
 
 
 def service_name_faults(services: WireMap) -> list[Fault]:
-    """Return the faults of the names of services, those of kind `raw` excepted."""
+    """Return the faults of service names; services of kind `raw` are exempt."""
     return [
-        Fault(f"services.{name}", f"{name!r} does not match {NAME!r}")
+        Fault(f"services.{name}", f"{name!r} does not match {NAME_PATTERN!r}")
         for name, service in sorted(services.items())
-        if service["kind"] != "raw" and not re.search(NAME, name)
+        if service["kind"] != "raw" and not re.search(NAME_PATTERN, name)
     ]
 
 
 def route_faults(configuration: WireMap) -> list[Fault]:
-    """Return a fault for each unknown service or class that a route names."""
+    """Return a fault for each unknown service or class that a route refers to."""
     faults = []
     for name, route in sorted(configuration["entries"].items()):
         for field, section_name in (("service", "services"), ("class", "classes")):
@@ -217,13 +221,13 @@
 
 
 def class_faults(classes: WireMap) -> list[Fault]:
-    """Return the faults of the classes of service, each on its own and their sum of shares."""
+    """Return the faults of each class of service, and of the sum of their shares."""
     faults = []
-    shares = sum(terms["share"] for terms in classes.values())
-    if shares > MAX_SHARE_SUM:
-        faults.append(Fault("classes", f"shares add up to {shares:.3f}, over 1"))
-    for name, terms in sorted(classes.items()):
-        if terms["first_piece_ms"] > terms["time_left_ms"]:
+    share_sum = sum(service_class["share"] for service_class in classes.values())
+    if share_sum > MAX_SHARE_SUM:
+        faults.append(Fault("classes", f"shares add up to {share_sum:.3f}, over 1"))
+    for name, service_class in sorted(classes.items()):
+        if service_class["first_piece_ms"] > service_class["time_left_ms"]:
             faults.append(Fault(f"classes.{name}.first_piece_ms", "longer than time_left_ms"))
     return faults
 
@@ -236,7 +240,7 @@
 
 
 def item_faults(section: str, validator: StrictValidator, items: Mapping[str, Any]) -> list[Fault]:
-    """Return the faults of named items, each validated on its own."""
+    """Return the faults of named items, each validated separately."""
     return [
         Fault(
             ".".join([section, name, *map(str, error.absolute_path)]),
@@ -250,7 +254,8 @@
 def merge(configuration: Any, change: Any) -> Any:
     """Return the configuration with a partial one merged in; null removes a name.
 
-    Like JSON Merge Patch (RFC 7396), but nulls stay in an object that replaces a non-object.
+    As in JSON Merge Patch (RFC 7396), except that nulls remain in an object that replaces a
+    non-object.
     """
     if not isinstance(change, dict) or not isinstance(configuration, dict):
         return change
@@ -266,7 +271,7 @@
 
 
 def without_nulls(value: Any) -> Any:
-    """Return the value without the null members of its objects, at any depth of objects."""
+    """Return the value without null members in its objects, at any depth."""
     if not isinstance(value, dict):
         return value
     return {name: without_nulls(item) for name, item in value.items() if item is not None}
--- a/quillring/rollout/snapshot.py
+++ b/quillring/rollout/snapshot.py
@@ -1,4 +1,4 @@
-"""The configuration on a node: a snapshot replaced as one, its log index only ever increasing."""
+"""The configuration on a node: a snapshot, replaced as a unit by ones of higher log index."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class RouteTarget(NamedTuple):
-    """A route, with the service and the class of service that it names."""
+    """A route, with the service and the class of service that it refers to."""
 
     route: WireMap
     service: WireMap
@@ -30,8 +30,12 @@
 class ConfigurationSnapshot:
     """The newest configuration known to this node, from the config part's state at a log index.
 
-    `index` is the last log entry applied to that state (0: none known), `version` counts its
-    changes, `group` are the stores of the config part in it.
+    Attributes
+    ----------
+    index : index of the last log entry applied to that state, 0 if no state is known
+    version : version of the state, which every change increments
+    configuration : the configuration, or None if none is known
+    group : the stores of the config part in that state, or None if no state is known
     """
 
     __slots__ = ("node", "index", "version", "configuration", "group")
@@ -54,7 +58,7 @@
                 self._announce_to_all()
 
     def _announce_to_all(self) -> None:
-        """Send the record to every reachable member, before the change is acknowledged."""
+        """Send the current record to every reachable member before the change is acknowledged."""
         entry = self.node.find("gossip").table[GOSSIP_KEY]
         record = ConfigurationRecord.from_wire(entry.value)
         body = Announcement(list(entry.version), record).to_wire()
@@ -62,7 +66,7 @@
             self.node.send_oneway(name, ANNOUNCEMENT, body)
 
     def on_announcement(self, body: list[Any], origin: str) -> None:
-        """Publish the record that the leader sent to all members, without gossiping it further."""
+        """Publish a record that the leader sent to all members; don't gossip it further."""
         announcement = Announcement.from_wire(body)
         version, fields = announcement.gossip_version, announcement.record.to_wire()
         gossip = self.node.find("gossip")
@@ -71,7 +75,7 @@
             gossip.remaining_sends.pop(GOSSIP_KEY, None)
 
     def update(self, index: int, state: WireMap) -> None:
-        """Publish a config state read from the leader or a store, and gossip it in one round."""
+        """Publish a config state read from the leader or a store; push it in one gossip round."""
         gossip = self.node.find("gossip")
         gossip.publish(GROUP_KEY, [index], state["group"])
         if index > self.index:
@@ -96,11 +100,11 @@
         return RouteTarget(route, service, configuration["classes"][route["class"]])
 
     def is_emptied(self, zone: str) -> bool:
-        """Return True if operators ordered the zone's replicas to be drained."""
+        """Return whether operators ordered the zone's replicas to be drained."""
         return bool(self._order(zone).get("emptied"))
 
     def is_zone_draining(self, zone: str) -> bool:
-        """Return True if operators ordered the zone's nodes to be drained as well."""
+        """Return whether operators ordered the zone's nodes to be drained too."""
         order = self._order(zone)
         return bool(order.get("emptied") and order.get("nodes", True))
 
--- a/quillring/verbs/checks.py
+++ b/quillring/verbs/checks.py
@@ -11,8 +11,8 @@
 from quillring.kernel.errors import BadSetting
 from quillring.kernel.records import NamedTuple
 from quillring.kernel.settings import read_settings
-from quillring.rollout.configuration_versions import cross_faults
-from quillring.rollout.schema import EMPTY, find_faults
+from quillring.rollout.configuration_versions import cross_item_faults
+from quillring.rollout.schema import EMPTY_CONFIGURATION, find_faults
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -75,10 +75,10 @@
     except (OSError, ValueError) as error:
         return FileReport(path, "", [f"layout: {error}"])
     if isinstance(configuration, dict) and any(name in configuration for name in OPERATOR_SECTIONS):
-        configuration = {**EMPTY, "forwards": {}, **configuration}
+        configuration = {**EMPTY_CONFIGURATION, "forwards": {}, **configuration}
     faults = find_faults(configuration)
     if not faults and "forwards" in configuration:
-        faults = cross_faults(configuration)
+        faults = cross_item_faults(configuration)
     if faults:
         return FileReport(path, "", [f"{fault.field}: {fault.reason}" for fault in faults])
     counts = [f"{len(configuration.get(name, {}))} {name}" for name in SUMMARY_SECTIONS]
--- a/tests/test_configuration_versions.py
+++ b/tests/test_configuration_versions.py
@@ -4,10 +4,10 @@
 
 from quillring.kernel.errors import Conflict, QuillringError
 from quillring.quorum.commands import COMMANDS, QUERIES, apply_batch, first_state
-from quillring.rollout.configuration_versions import KEPT_VERSIONS, BadConfiguration
+from quillring.rollout.configuration_versions import MAX_RECORDED_VERSIONS, BadConfiguration
 from quillring.rollout.freshness import PolledStamp
 from quillring.rollout.messages import StoreStamp
-from quillring.rollout.schema import EMPTY, find_faults
+from quillring.rollout.schema import EMPTY_CONFIGURATION, find_faults
 from tests.fleet_stage import SelfFounded
 
 
@@ -98,9 +98,9 @@
 
 
 def test_the_history_of_configuration_versions_is_bounded_and_keeps_the_newest():
-    state = apply(START, *(order(n, n - 1) for n in range(1, KEPT_VERSIONS + 20)))
-    last = KEPT_VERSIONS + 19
-    assert len(state["editions"]) == KEPT_VERSIONS
+    state = apply(START, *(order(n, n - 1) for n in range(1, MAX_RECORDED_VERSIONS + 20)))
+    last = MAX_RECORDED_VERSIONS + 19
+    assert len(state["editions"]) == MAX_RECORDED_VERSIONS
     assert apply_batch(state, [order(last, last - 1)])[1][0]["repeated"]
 
 
@@ -182,7 +182,10 @@
         "whole": False,
     }
     assert apply(state, command)["layout"]["forwards"] == state["layout"]["forwards"]
-    assert {**EMPTY, "edition": 5}.items() <= {**state["layout"], **EMPTY}.items()
+    assert {**EMPTY_CONFIGURATION, "edition": 5}.items() <= {
+        **state["layout"],
+        **EMPTY_CONFIGURATION,
+    }.items()
 
 
 def test_every_command_of_a_configuration_version_is_known_by_name():
--- a/tests/test_many_changes.py
+++ b/tests/test_many_changes.py
@@ -12,9 +12,9 @@
 from quillring.quorum.commands import apply_batch, first_state
 from quillring.quorum.parts import CONFIG
 from quillring.rollout import configuration_versions
-from quillring.rollout.commands import KEPT_CHANGES, BadConfiguration
-from quillring.rollout.configuration_versions import KEPT_VERSIONS
-from quillring.rollout.orders import KEPT_ORDERS
+from quillring.rollout.commands import MAX_RECORDED_CHANGES, BadConfiguration
+from quillring.rollout.configuration_versions import MAX_RECORDED_VERSIONS
+from quillring.rollout.orders import MAX_RECORDED_ORDERS
 
 FORWARD = {"host": "a.example", "prefix": "/a/", "kind": "repeatable", "split": [["s", 1]]}
 
@@ -36,7 +36,7 @@
 def a_few_of_all(number, state):
     """Return one change of each kind, made on top of a state."""
     forward = {**FORWARD, "prefix": f"/{number:06d}/", "rounds": 1 + number % 3}
-    zone, store = f"zone-{number % (KEPT_ORDERS * 2):04d}", f"store-{number % 40:02d}"
+    zone, store = f"zone-{number % (MAX_RECORDED_ORDERS * 2):04d}", f"store-{number % 40:02d}"
     seen = {"seen_version": state["version"]}
     return [
         adoption(number, number - 1, {"f": forward}),
@@ -56,15 +56,15 @@
             state, (answer,) = apply_batch(state, [adopt])
             assert answer["version"] == state["version"]
         sizes[number] = len(cbor2.dumps(state))
-    assert len(state["editions"]) == KEPT_VERSIONS
-    assert len(state["changes"]) == len(state["change_digests"]) == KEPT_CHANGES
-    assert len(state["orders"]) == KEPT_ORDERS
+    assert len(state["editions"]) == MAX_RECORDED_VERSIONS
+    assert len(state["changes"]) == len(state["change_digests"]) == MAX_RECORDED_CHANGES
+    assert len(state["orders"]) == MAX_RECORDED_ORDERS
     assert sizes[640] <= sizes[560] * 1.02
 
 
 def test_a_resend_long_after_is_refused_and_never_taken_twice():
     state, commands = first_state([]), []
-    for number in range(1, KEPT_VERSIONS + 10):
+    for number in range(1, MAX_RECORDED_VERSIONS + 10):
         commands.append(adoption(number, number - 1, {"f": {**FORWARD, "hold_ms": number}}))
         state, _ = apply_batch(state, [commands[-1]])
     new_state, answers = apply_batch(state, [commands[0], commands[100], commands[-1]])
@@ -72,7 +72,7 @@
     assert isinstance(answers[0], Conflict)
     assert answers[1:] == [
         {"edition": 101, "repeated": True},
-        {"edition": KEPT_VERSIONS + 9, "repeated": True},
+        {"edition": MAX_RECORDED_VERSIONS + 9, "repeated": True},
     ]
 
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -6,7 +6,7 @@
 
 from quillring.kernel.errors import Conflict
 from quillring.quorum.commands import apply_batch, first_state
-from quillring.rollout.orders import KEPT_ORDERS, StaleOrder
+from quillring.rollout.orders import MAX_RECORDED_ORDERS, StaleOrder
 from tests.fleet_stage import SelfFounded
 from tests.system_calls import WHOLE, call, handle_ctl, replace
 
@@ -82,9 +82,9 @@
 
 
 def test_the_table_of_orders_is_bounded_and_what_left_it_still_fences():
-    commands = [zone_order(f"zone-{n}", True, n) for n in range(KEPT_ORDERS + 5)]
+    commands = [zone_order(f"zone-{n}", True, n) for n in range(MAX_RECORDED_ORDERS + 5)]
     state, answers = play(*commands, zone_order("zone-0", False, 0))
-    assert len(state["orders"]) == KEPT_ORDERS
+    assert len(state["orders"]) == MAX_RECORDED_ORDERS
     assert isinstance(answers[-1], StaleOrder) and is_emptied(state, "zone-0")
 
 
--- a/tests/test_plain_schema.py
+++ b/tests/test_plain_schema.py
@@ -11,7 +11,7 @@
 from quillring.kernel.checks import StrictValidator
 from quillring.kernel.plain_schema import is_surely_sound
 from quillring.kernel.settings import SCHEMA
-from quillring.rollout.schema import FORWARD, LIMITS, RAW_SERVICE
+from quillring.rollout.schema import FORWARD_VALIDATOR, LIMITS_VALIDATOR, RAW_SERVICE_VALIDATOR
 from tests.settings_rows import EDGE_SETTINGS
 
 SETTINGS = {
@@ -37,9 +37,9 @@
 CASES = [
     (SCHEMA, SETTINGS),
     (HEARTBEAT_SCHEMA.schema, BEAT_ROW),
-    (FORWARD.schema, FORWARD_ROW),
-    (RAW_SERVICE.schema, SERVICE_ROW),
-    (LIMITS.schema, LIMITS_ROW),
+    (FORWARD_VALIDATOR.schema, FORWARD_ROW),
+    (RAW_SERVICE_VALIDATOR.schema, SERVICE_ROW),
+    (LIMITS_VALIDATOR.schema, LIMITS_ROW),
 ]
 ODD_VALUES = [None, True, 0, -1, 1.0, 0.5, 10**9, float("nan"), float("inf"), "", "x", "a" * 3000]
 ODD_VALUES += [[], [1], {}, {"x": 1}, "raw", "edge", "127.0.0.1:1", "127.0.0.1:1\n"]
