--- a/quillring/gossip/gossip.py
+++ b/quillring/gossip/gossip.py
@@ -196,6 +196,7 @@
                 self._count_received_copy(key, tuple(version))
 
     def _count_received_copy(self, key: str, version: Version) -> None:
+        """Decrement the remaining sends of a key if the copy has the version in the table."""
         if self.table[key].version == version:
             self.remaining_sends[key] -= 1
             self.remaining_sends = {
@@ -223,6 +224,7 @@
             self.node.send_oneway(origin, VERSIONS, reply)
 
     def _lacks_any(self, versions: dict[str, Version]) -> bool:
+        """Return whether this table is behind any of the versions."""
         return any(
             key not in self.table or self.table[key].version < version
             for key, version in versions.items()
--- a/quillring/nifty/graph.py
+++ b/quillring/nifty/graph.py
@@ -234,14 +234,16 @@
             remaining_bits &= ~to_bits([self.positions[name] for name in self.bridge_nodes()])
         components = []
         while remaining_bits:
-            side, edge_bits = 0, remaining_bits & -remaining_bits
-            while edge_bits:
-                side |= edge_bits
-                edge_bits = (
-                    union([self.rows[p] for p in bit_positions(edge_bits)]) & remaining_bits & ~side
+            component, frontier_bits = 0, remaining_bits & -remaining_bits
+            while frontier_bits:
+                component |= frontier_bits
+                frontier_bits = (
+                    union([self.rows[p] for p in bit_positions(frontier_bits)])
+                    & remaining_bits
+                    & ~component
                 )
-            remaining_bits &= ~side
-            components.append(self._names(side))
+            remaining_bits &= ~component
+            components.append(self._names(component))
         return tuple(sorted(components))
 
     def to_json(self) -> dict[str, Any]:
--- a/quillring/nifty/nifty.py
+++ b/quillring/nifty/nifty.py
@@ -140,6 +140,7 @@
         )
 
     def _begin_round(self) -> HeartbeatRound:
+        """Start a round: assign its number, and drop send times too old to be echoed."""
         me, roster, now = self.node.me, self.roster, self.node.now()
         self.heartbeat_sequence += 1
         oldest_time = now - max(
@@ -266,6 +267,7 @@
             self.on_unknown_roster(name)
 
     def _include_new_link(self, now: float) -> None:
+        """Recompute the graph for a new link, at most once per slice."""
         self.is_graph_stale = True
         slice_seconds = self.timing.interval / SLICES_PER_INTERVAL
         if self.refreshed_at is None or now - self.refreshed_at >= slice_seconds:
@@ -317,6 +319,7 @@
         )
 
     def _replace_graph(self, new_graph: Graph) -> None:
+        """Adopt a graph with other links: reset connections to lost neighbours, call listeners."""
         previous_graph = self.graph
         if new_graph.has_same_links(previous_graph):
             return
--- a/quillring/nifty/relay.py
+++ b/quillring/nifty/relay.py
@@ -74,6 +74,7 @@
         self.node.runtime.frame(member.address, envelope.to_wire(version))
 
     def _forward(self, envelope: Envelope) -> bool:
+        """Send an envelope to its next hop; count it and return False if there is none."""
         hop = self.graph.next_hop(envelope.target, envelope.origin)
         hop_member = None if hop is None else self.roster.members.get(hop)
         if hop is None or hop_member is None or envelope.hops_left <= 0:
--- a/quillring/rollout/snapshot.py
+++ b/quillring/rollout/snapshot.py
@@ -52,6 +52,7 @@
             node.find("ownership").leader_listeners.append(self._on_leader_change)
 
     def _on_leader_change(self, leader: PartLeader, batch: list[WireMap]) -> None:
+        """On the leader of the config part, update the snapshot and announce applied commands."""
         if leader.part == CONFIG and leader.is_leader and leader.state is not None:
             self.update(leader.index, leader.state)
             if batch:
--- a/tests/test_nifty.py
+++ b/tests/test_nifty.py
@@ -18,7 +18,7 @@
 )
 
 
-class TraceRuntime:
+class RecordingRuntime:
     """A stub runtime with a settable clock; records the datagrams and frames that a node sends."""
 
     def __init__(self):
@@ -47,7 +47,7 @@
 
 
 def node(name):
-    runtime = TraceRuntime()
+    runtime = RecordingRuntime()
     local_node = Node(member(name), runtime, Bounds())
     local_node.offer("nifty", Nifty(local_node, [member("b").address]))
     return local_node, local_node.find("nifty"), runtime
