--- a/quillring/plans/commands.py
+++ b/quillring/plans/commands.py
@@ -143,7 +143,7 @@
     step = plan.step(number)
     if isinstance(step, ConfigurationStep):
         change_id = f"{name} step {number}"
-        adoption = AdoptConfiguration(change_id, state["version"], step.change, is_whole=False)
+        adoption = AdoptConfiguration(change_id, state["version"], step.change, is_complete=False)
         try:
             state, _ = COMMANDS.find(ADOPT_CONFIGURATION)(state, adoption.to_wire())
         except QuillringError as error:
--- a/quillring/rollout/commands.py
+++ b/quillring/rollout/commands.py
@@ -56,7 +56,7 @@
             winning_change=state.get("last_change"),
         )
     configuration = adoption.change
-    if not adoption.is_whole:
+    if not adoption.is_complete:
         configuration = merge(state["layout"] or EMPTY_CONFIGURATION, adoption.change)
     faults = find_faults(configuration)
     if faults:
--- a/quillring/rollout/configuration_versions.py
+++ b/quillring/rollout/configuration_versions.py
@@ -114,11 +114,11 @@
     """Return the configuration with the previous version replaced or amended by a new one."""
     sections = {}
     for section, _ in VERSIONED_SECTIONS:
-        base = {} if adoption.is_whole else configuration.get(section, {})
+        base = {} if adoption.is_complete else configuration.get(section, {})
         removed_names = set(adoption.removed.get(section, ()))
         retained_items = {name: item for name, item in base.items() if name not in removed_names}
         sections[section] = {**retained_items, **adoption.items(section)}
-    base = {} if adoption.is_whole else configuration
+    base = {} if adoption.is_complete else configuration
     limits = base.get("limits") if adoption.limits is None else adoption.limits
     return {
         **configuration,
--- a/quillring/rollout/messages.py
+++ b/quillring/rollout/messages.py
@@ -38,14 +38,14 @@
 class AdoptConfiguration(NamedTuple):
     """`layout.adopt`: adopt a configuration that is based on a version of the config part's state.
 
-    `change` is the complete configuration if `is_whole`, otherwise it is merged into the current
+    `change` is the complete configuration if `is_complete`, otherwise it is merged into the current
     one.
     """
 
     id: str
     base_version: int
     change: Any
-    is_whole: bool
+    is_complete: bool
 
     @classmethod
     def from_wire(cls, command: WireMap) -> AdoptConfiguration:
@@ -59,12 +59,12 @@
             "id": self.id,
             "base_version": self.base_version,
             "change": self.change,
-            "whole": self.is_whole,
+            "whole": self.is_complete,
         }
 
     def digest(self) -> str:
         """Return the digest of the change, which does not include its base version."""
-        return digest_of_json([self.is_whole, self.change])
+        return digest_of_json([self.is_complete, self.change])
 
 
 class ChangeZone(NamedTuple):
@@ -73,7 +73,7 @@
     id: str
     base_version: int
     zone: str
-    is_emptied: bool
+    is_drained: bool
 
     def to_wire(self) -> WireMap:
         """Return the command in its form in the log."""
@@ -82,21 +82,21 @@
             "id": self.id,
             "base_version": self.base_version,
             "whole": False,
-            "change": {"domains": {self.zone: {"emptied": self.is_emptied}}},
+            "change": {"domains": {self.zone: {"emptied": self.is_drained}}},
         }
 
 
 class AdoptVersion(NamedTuple):
     """`edition.adopt`: adopt the operators' version `number`, based on version `base_number`.
 
-    It replaces the base if `is_whole`, otherwise it amends it. `forwards` and `services` are
+    It replaces the base if `is_complete`, otherwise it amends it. `forwards` and `services` are
     {name: item}, `removed` is {section: names to remove}. Limits of None in an amendment leave the
     limits unchanged.
     """
 
     base_number: int
     number: int
-    is_whole: bool
+    is_complete: bool
     forwards: Mapping[str, WireMap]
     services: Mapping[str, WireMap]
     limits: WireMap | None
@@ -125,7 +125,7 @@
             "do": ADOPT_VERSION,
             "base_edition": self.base_number,
             "edition": self.number,
-            "whole": self.is_whole,
+            "whole": self.is_complete,
             "forwards": self.forwards,
             "services": self.services,
             "limits": self.limits,
@@ -148,7 +148,7 @@
     """
 
     zone: str
-    is_emptied: bool
+    is_drained: bool
     includes_nodes: bool = True
     seen_version: int | None = None
 
@@ -167,14 +167,14 @@
         command = {
             "do": ORDER_ZONE,
             "domain": self.zone,
-            "emptied": self.is_emptied,
+            "emptied": self.is_drained,
             "nodes": self.includes_nodes,
         }
         return with_seen_version(command, self.seen_version)
 
     def to_state(self) -> WireMap:
         """Return the order in its form in the configuration."""
-        return {"emptied": self.is_emptied, "nodes": self.includes_nodes}
+        return {"emptied": self.is_drained, "nodes": self.includes_nodes}
 
 
 class OrderStore(NamedTuple):
