--- a/quillring/verbs/process.py
+++ b/quillring/verbs/process.py
@@ -1,4 +1,4 @@
-"""Run one process: build the node from settings, open sockets and HTTP, handle signals."""
+"""Runs one process: builds the node from its settings, opens its sockets and handles signals."""
 
 from __future__ import annotations
 
@@ -34,17 +34,18 @@
 
 
 class NameTaken(QuillringError):
-    """Another live member has this name at another address."""
+    """Another live member has this node's name at another address."""
 
     kind = "name_taken"
 
 
 DRAIN_TIMEOUT_FACTOR = 50
-"""Without a grace period, a drain lasts at most so many recovery bounds."""
+"""Longest drain in recovery bounds (`bounds.recovery`), if no grace period is set."""
 GRACE_SHARE = 0.9
 ADMISSION_SHARE = 0.4
 MAX_ADMISSION_SECONDS = 3.0
-"""Share of the grace period, and most seconds, for which clients' requests are still taken."""
+"""How long a draining node still accepts clients' requests: this share of the grace period, but at
+most so many seconds."""
 STEPS_PER_GOSSIP_INTERVAL = 2
 LOG_LEVELS = {
     "debug": logging.DEBUG,
@@ -55,18 +56,18 @@
 
 
 class NameClash(NamedTuple):
-    """A report of another member of this name: which node sent it, and when it arrived."""
+    """A report that another member has this node's name: its sender and time of arrival."""
 
-    told_by: str
-    at: float
+    reporter: str
+    received_at: float
 
 
 def drain(node: Node, servers: Iterable[Any]) -> None:
-    """Drain: refuse new requests, finish those in flight, hand over the journal, stop the servers.
+    """Refuse new requests, finish those in flight, hand over the journal and stop the servers.
 
-    Requests are still accepted at first, while the platform reroutes clients; later ones could be
-    cut off at the end and are refused. With a grace period, requests in flight get up to
-    GRACE_SHARE of it, else DRAIN_TIMEOUT_FACTOR recovery bounds.
+    New requests are accepted for a short time at first, while the platform reroutes clients, and
+    then refused, since they might not finish before the process ends. The drain takes at most
+    GRACE_SHARE of the grace period or, without one, DRAIN_TIMEOUT_FACTOR recovery bounds.
     """
     node.is_draining = True
     node.find("ownership").announce_drain()
@@ -89,25 +90,27 @@
         server.stop()
 
 
-def open_nothing_more(node: Node, report: Callable[..., None]) -> Iterable[Any]:
-    """Open no further listening address: the default of `run_process`."""
+def open_no_extra_servers(node: Node, report: Callable[..., None]) -> Iterable[Any]:
+    """Start no further servers; the default of `run_process`."""
     return ()
 
 
 def run_process(
     settings: Settings,
-    reread: Callable[[], Settings],
+    reload_settings: Callable[[], Settings],
     make_runtime: Callable[..., Any] = GeventRuntime,
-    open_more: Callable[[Node, Callable[..., None]], Iterable[Any]] = open_nothing_more,
+    open_extra_servers: Callable[
+        [Node, Callable[..., None]], Iterable[Any]
+    ] = open_no_extra_servers,
 ) -> None:
     """Run a node until a signal or an operator stops it, then drain it.
 
     Parameters
     ----------
-    reread
-        Reads the settings anew; called at SIGHUP.
-    open_more
-        Opens further listening addresses and returns their servers.
+    reload_settings
+        Reads the settings again; called on SIGHUP.
+    open_extra_servers
+        Starts servers on further listening addresses and returns them.
 
     Raises
     ------
@@ -122,7 +125,7 @@
         acceptors = open_store(
             FolderDisk(settings.folder), settings.name, lambda: os.urandom(6).hex()
         )
-    me = own_member(settings, acceptors.identity if acceptors else "")
+    me = make_own_member(settings, acceptors.identity if acceptors else "")
     runtime = make_runtime(lambda error: node_logger.error("failure", exc_info=error), 1.0)
     step_seconds = settings.bounds.gossip_interval / STEPS_PER_GOSSIP_INTERVAL
     runtime.timers = TimerCoalescer(runtime.now(), step_seconds)
@@ -134,17 +137,17 @@
     runtime.on_refused = nifty.on_refused
     runtime.listen(*settings.address, nifty.on_datagram, nifty.on_frame)
     server = start_wsgi_server(settings.http_address, make_app(node), node_logger)
-    servers = [*open_more(node, runtime.report), server]
+    servers = [*open_extra_servers(node, runtime.report), server]
     prepare_founding(node, settings)
-    clash = wait_for_stop(node, settings.bounds.propagation, reread)
+    clash = wait_for_stop(node, settings.bounds.propagation, reload_settings)
     if clash is not None:
         server.stop(timeout=0)
-        raise NameTaken(name=settings.name, told_by=clash.told_by)
+        raise NameTaken(name=settings.name, told_by=clash.reporter)
     drain(node, servers)
 
 
 def log_writer(node_logger: logging.Logger) -> LogWriter:
-    """Return the function by which a node writes to its log; its levels are names."""
+    """Return a function that writes to the node's log; it takes the level by its name."""
 
     def log(level: str, text: str, *fields: object) -> None:
         node_logger.log(LOG_LEVELS[level], text, *fields)
@@ -152,7 +155,7 @@
     return log
 
 
-def own_member(settings: Settings, identity: str) -> Member:
+def make_own_member(settings: Settings, identity: str) -> Member:
     """Return this process as a member; its incarnation is the start time in microseconds."""
     host, port = settings.address
     return Member(
@@ -169,22 +172,25 @@
 
 def prepare_founding(node: Node, settings: Settings) -> None:
     """Configure the node for the first start of a fleet; a core starts the founding task."""
-    elector = node.find("elector")
-    elector.is_first_start, elector.witness = settings.bootstrap, settings.witness
+    voter = node.find("elector")
+    voter.is_first_start, voter.witness = settings.bootstrap, settings.witness
     if settings.role == "core":
         store_count = settings.losses * 2 + 1
         node.spawn(found_at_first_start(node, settings.bootstrap, settings.parts, store_count))
 
 
 def wait_for_stop(
-    node: Node, clash_seconds: float, reread: Callable[[], Settings]
+    node: Node, clash_seconds: float, reload_settings: Callable[[], Settings]
 ) -> NameClash | None:
-    """Wait for a signal, an operator's drain or a lasting name clash; return the last clash."""
+    """Wait for a signal, an operator's drain or a lasting name clash; return such a clash.
+
+    A clash lasts when its reports span more than `clash_seconds`.
+    """
     stop_event = gevent.event.Event()
     clashes: list[NameClash] = []
 
     def is_lasting_clash() -> bool:
-        return bool(clashes) and clashes[-1].at - clashes[0].at > clash_seconds
+        return bool(clashes) and clashes[-1].received_at - clashes[0].received_at > clash_seconds
 
     def on_clash(body: object, origin: str) -> None:
         clashes.append(NameClash(origin, node.now()))
@@ -195,14 +201,14 @@
     node.handle("member.clash", on_clash)
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         gevent.signal_handler(signal_number, stop_event.set)
-    gevent.signal_handler(signal.SIGHUP, change_settings, node, reread)
+    gevent.signal_handler(signal.SIGHUP, apply_reloaded_settings, node, reload_settings)
     stop_event.wait()
     return clashes[-1] if is_lasting_clash() else None
 
 
-def change_settings(node: Node, reread: Callable[[], Settings]) -> None:
-    """Apply changed seeds; other settings need a restart, and faulty ones are logged."""
+def apply_reloaded_settings(node: Node, reload_settings: Callable[[], Settings]) -> None:
+    """Apply changed seeds; other settings need a restart. Invalid ones are only logged."""
     try:
-        node.find("nifty").seeds = reread().seeds
+        node.find("nifty").seeds = reload_settings().seeds
     except* QuillringError as group:
         node.log("error", "settings not changed: %s", group.exceptions)
