--- a/quillring/verbs/__init__.py
+++ b/quillring/verbs/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's command line over the fleet, and the HTTP routes it uses."""
+"""The command line for roles and operators, and the HTTP routes of a node."""
--- a/quillring/verbs/checks.py
+++ b/quillring/verbs/checks.py
@@ -1,4 +1,4 @@
-"""The subcommand that validates settings and configuration files before they are used."""
+"""The subcommand that validates settings and configuration files before use."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-EXIT_FAULTY = 2
+EXIT_INVALID = 2
 SUMMARY_SECTIONS = ("classes", "services", "entries", "domains", "forwards")
 OPERATOR_SECTIONS = ("edition", "forwards")
 
@@ -29,12 +29,12 @@
     "layout_path",
     metavar="FILE",
     type=click.Path(),
-    help="Check a whole layout or an edition of it, too.",
+    help="Also check a layout file: a complete layout or an edition.",
 )
 def check_settings(path: str | None, layout_path: str | None) -> None:
-    """Check a settings file; every fault is told, and the exit code is 2 if there is one."""
+    """Check a settings file and print every fault; the exit code is 2 if there are any."""
     if path is None and layout_path is None:
-        raise click.UsageError("name a settings file, a layout file with --layout, or both")
+        raise click.UsageError("give a settings file, a layout file with --layout, or both")
     checks = ((path, settings_report), (layout_path, configuration_report))
     reports = [check(path) for path, check in checks if path is not None]
     for report in reports:
@@ -43,11 +43,11 @@
         if not report.faults:
             click.echo(f"{report.path}: {report.summary}: no fault")
     if any(report.faults for report in reports):
-        sys.exit(EXIT_FAULTY)
+        sys.exit(EXIT_INVALID)
 
 
 class FileReport(NamedTuple):
-    """A short summary of a file, and its faults."""
+    """The outcome of a check: a one-line summary of the file, and its faults."""
 
     path: str
     summary: str
@@ -55,7 +55,7 @@
 
 
 def settings_report(path: str) -> FileReport:
-    """Return the report on a settings file."""
+    """Check a settings file and return the report."""
     summary: str = ""
     faults: list[str] = []
     try:
@@ -68,7 +68,10 @@
 
 
 def configuration_report(path: str) -> FileReport:
-    """Return the report on a configuration file; a partial one may lack sections."""
+    """Check a configuration file and return the report.
+
+    A file with a section of OPERATOR_SECTIONS is an edition and may lack other sections.
+    """
     try:
         with open(path, encoding="utf-8") as configuration_file:
             configuration = parse_json(configuration_file.read())
--- a/quillring/verbs/cli.py
+++ b/quillring/verbs/cli.py
@@ -1,4 +1,4 @@
-"""The program: subcommands that run roles, and subcommands for operators."""
+"""The command line: subcommands that run roles, and subcommands for operators."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from quillring.kernel.errors import BadSetting, QuillringError
 from quillring.kernel.settings import Settings, read_settings
 from quillring.verbs.checks import check_settings
-from quillring.verbs.client import ask
+from quillring.verbs.client import send_request
 from quillring.verbs.process import run_process
 from quillring.verbs.show import show_table
 
@@ -36,12 +36,18 @@
 
     @click.option("--settings", "path", type=click.Path(), help="Settings file (JSON).")
     @click.option("--name", help="Name of the node.")
-    @click.option("--domain", help="Domain the machine stands in.")
-    @click.option("--address", help="IP:port of heartbeats and messages.")
+    @click.option("--domain", help="Domain (zone) of the machine.")
+    @click.option("--address", help="IP:port for heartbeats and messages.")
     @click.option("--http-address", "http_address", help="IP:port of the HTTP interface.")
-    @click.option("--seed", "seeds", multiple=True, help="IP:port of another process; up to 3.")
+    @click.option(
+        "--seed", "seeds", multiple=True, help="IP:port of another process; repeatable, up to 3."
+    )
     @click.option("--folder", help="Data folder (store only).")
-    @click.option("--log-file", "log_file", help="Where the ring log is written out.")
+    @click.option(
+        "--log-file",
+        "log_file",
+        help="File that recent log messages are appended to at each error.",
+    )
     def run_role(path: str | None, **flags: Any) -> None:
         flags = {**flags, "role": role, "seeds": list(flags["seeds"])}
         settings: Settings | None = None
@@ -62,9 +68,9 @@
     main.command(role, help=text)(run_role)
 
 
-role_command("edge", "Run an edge: it serves callers.")
-role_command("core", "Run a core: it owns parts of the state and decides what runs where.")
-role_command("store", "Run a store: it keeps lots, results and layouts on disk.")
+role_command("edge", "Run an edge: it serves clients.")
+role_command("core", "Run a core: it leads parts of the state and schedules work.")
+role_command("store", "Run a store: it stores lots, results and layouts on disk.")
 
 
 def node_options(function: Callable[..., None]) -> Callable[..., None]:
@@ -78,10 +84,10 @@
     )(function)
 
 
-def run_verb(node: str, method: str, path: str, body: Any, as_json: bool) -> None:
-    """Send a request to a node and print its answer; exit 3 on an error, 4 if it is unreachable."""
+def send_and_print(node: str, method: str, path: str, body: Any, as_json: bool) -> None:
+    """Send a request to a node and print the reply; exit with 3 on an error, 4 if unreachable."""
     try:
-        answer = ask(node, method, path, body)
+        answer = send_request(node, method, path, body)
     except QuillringError as error:
         click.echo(json.dumps(error.to_json()) if as_json else str(error), err=True)
         sys.exit(EXIT_UNREACHABLE if error.kind == "not_sent" else EXIT_REFUSED)
@@ -89,31 +95,35 @@
 
 
 def show_command(name: str, path: str, text: str) -> None:
-    """Register a subcommand that shows the answer to one GET request."""
+    """Register a subcommand that prints the reply to one GET request."""
 
     @node_options
     def run_show(node: str, as_json: bool) -> None:
-        run_verb(node, "GET", path, None, as_json)
+        send_and_print(node, "GET", path, None, as_json)
 
     main.command(name, help=text)(run_show)
 
 
-show_command("members", "/v1/members", "Show the peers.")
-show_command("graph", "/v1/graph", "Show the graph, routes, sides and bridges.")
-show_command("parts", "/v1/parts", "Show the parts with owners and ballots.")
-show_command("replicas", "/v1/replicas", "Show the replicas.")
-show_command("promises", "/v1/promises", "Show how a node kept each class's promise lately.")
+show_command("members", "/v1/members", "Show the members of the fleet.")
+show_command("graph", "/v1/graph", "Show the connectivity graph: routes, sides and bridges.")
+show_command("parts", "/v1/parts", "Show the parts with their leaders and ballots.")
+show_command("replicas", "/v1/replicas", "Show the replicas that a node knows.")
+show_command("promises", "/v1/promises", "Show a node's recent service levels by class.")
 show_command("counts", "/v1/counts", "Show a node's counters.")
-show_command("decisions", "/v1/decisions", "Show where a node sent requests, and why.")
-show_command("traffic", "/v1/traffic", "Show a node's bytes by kind of message and zone.")
+show_command("decisions", "/v1/decisions", "Show where a node recently sent requests, and why.")
+show_command(
+    "traffic", "/v1/traffic", "Show a node's traffic by kind of message and zone of the peer."
+)
 
 
 @main.command()
 @node_options
-@click.option("--parts", default=4, show_default=True, help="Parts beside the config part.")
+@click.option(
+    "--parts", default=4, show_default=True, help="Number of parts besides the config part."
+)
 def found(node: str, as_json: bool, parts: int) -> None:
-    """Found the fleet on the stores now known; safe to repeat."""
-    run_verb(node, "POST", "/v1/found", {"parts": parts}, as_json)
+    """Found the fleet on the stores that are known now; safe to repeat."""
+    send_and_print(node, "POST", "/v1/found", {"parts": parts}, as_json)
 
 
 @main.group()
@@ -124,14 +134,19 @@
 @layout.command("show")
 @node_options
 def show_configuration(node: str, as_json: bool) -> None:
-    """Show the layout a node acts on."""
-    run_verb(node, "GET", "/v1/layout", None, as_json)
+    """Show the layout that a node uses."""
+    send_and_print(node, "GET", "/v1/layout", None, as_json)
 
 
 @layout.command("apply")
 @node_options
 @click.argument("path", type=click.Path(exists=True))
-@click.option("--base-version", type=int, required=True, help="Version it was made against.")
+@click.option(
+    "--base-version",
+    type=int,
+    required=True,
+    help="Version of the layout that the change is based on.",
+)
 @click.option("--whole", is_flag=True, help="Replace the layout instead of merging into it.")
 def apply_configuration(
     node: str, as_json: bool, path: str, base_version: int, whole: bool
@@ -148,14 +163,14 @@
         "whole": whole,
         "id": os.urandom(8).hex(),
     }
-    run_verb(node, "PUT", "/v1/layout", body, as_json)
+    send_and_print(node, "PUT", "/v1/layout", body, as_json)
 
 
 @main.command()
 @node_options
 @click.argument("domain")
-@click.option("--undo", is_flag=True, help="Let the domain get work again.")
+@click.option("--undo", is_flag=True, help="Let the domain get new requests again.")
 def empty(node: str, as_json: bool, domain: str, undo: bool) -> None:
-    """Empty a domain: its replicas get nothing new."""
+    """Drain a domain: its replicas get no new requests."""
     method = "DELETE" if undo else "POST"
-    run_verb(node, method, f"/v1/domains/{domain}/emptying", {}, as_json)
+    send_and_print(node, method, f"/v1/domains/{domain}/emptying", {}, as_json)
--- a/quillring/verbs/client.py
+++ b/quillring/verbs/client.py
@@ -12,8 +12,8 @@
 TIMEOUT_SECONDS = 15
 
 
-def ask(node: str, method: str, path: str, body: Any = None) -> Any:
-    """Return a node's JSON answer, or raise the error it reports.
+def send_request(node: str, method: str, path: str, body: Any = None) -> Any:
+    """Send a request to a node and return its JSON reply, or raise the error that it reports.
 
     Parameters
     ----------
@@ -23,7 +23,7 @@
     Raises
     ------
     BadRequest
-        The address is malformed.
+        `node` is not an IP:PORT.
     NotSent
         The node can't be reached.
     QuillringError
--- a/quillring/verbs/part_routes.py
+++ b/quillring/verbs/part_routes.py
@@ -16,16 +16,16 @@
 
 @route("GET", "/v1/parts")
 def show_parts(node: Node, request: Request) -> Coroutine:
-    """Return each part with its last known group, leader and ballot, and its newest takeover.
+    """Return each part with its last known group, leader and ballot, and its last takeover.
 
-    Takeovers are collected from the reachable cores, and are None where none knows of one.
+    Takeovers are collected from the reachable cores; a part without a known takeover has None.
     """
     parts = yield from list_parts(node)
     return {"parts": [part.to_json() for part in parts]}
 
 
 @route("GET", "/v1/whole")
-def show_whole(node: Node, request: Request) -> Coroutine:
+def show_completeness(node: Node, request: Request) -> Coroutine:
     """Return whether every part has a leader and a full group of stores with complete logs."""
     ownership = node.find("ownership")
     rows: list[dict[str, Any]] = []
--- a/quillring/verbs/program.py
+++ b/quillring/verbs/program.py
@@ -1,4 +1,4 @@
-"""Entry point of the program: every subcommand is registered by importing its module."""
+"""Entry point of the command line; importing a module registers its subcommands."""
 
 from quillring.verbs import fleet_verbs, restart
 from quillring.verbs.cli import main
--- a/quillring/verbs/routes.py
+++ b/quillring/verbs/routes.py
@@ -59,10 +59,10 @@
 
 
 @route("POST", "/v1/replicas/beats")
-def take_heartbeat(node: Node, request: Request) -> dict[str, Any]:
-    """Process a replica's heartbeat; any node does."""
-    taken: dict[str, Any] = node.find("replicas").on_heartbeat(request.body)
-    return taken
+def receive_heartbeat(node: Node, request: Request) -> dict[str, Any]:
+    """Record a replica's heartbeat; every node accepts them."""
+    reply: dict[str, Any] = node.find("replicas").on_heartbeat(request.body)
+    return reply
 
 
 @route("GET", "/v1/alive")
@@ -73,7 +73,7 @@
 
 @route("GET", "/v1/ready")
 def show_ready(node: Node, request: Request) -> dict[str, Any]:
-    """Answer a readiness probe; raise an error while the node should get no new connections."""
+    """Answer a readiness probe; raise an error while the node must not get new connections."""
     if node.me.role == "edge":
         check_admission(node)
     elif node.is_draining:
@@ -85,14 +85,14 @@
 
 @route("POST", "/v1/found")
 def found(node: Node, request: Request) -> Coroutine:
-    """Found the fleet on the stores now known."""
+    """Found the fleet on the stores that this node knows."""
     check_body(FOUNDING, request.body)
     return (yield from found_fleet(node, request.body["parts"]))
 
 
 @route("GET", "/v1/members")
 def show_members(node: Node, request: Request) -> dict[str, Any]:
-    """Return the members that this node knows, with the hops to each."""
+    """Return the members that this node knows, with the number of hops to each."""
     nifty = node.find("nifty")
     return {
         "members": [
@@ -104,7 +104,7 @@
 
 @route("DELETE", "/v1/members/{name}")
 def forget_member(node: Node, request: Request) -> dict[str, Any]:
-    """Remove a member permanently; raise Conflict while it is reachable."""
+    """Remove a member permanently; raise NotFound, or Conflict while it is reachable."""
     nifty, name = node.find("nifty"), request.words["name"]
     member = nifty.roster.members.get(name)
     if member is None:
@@ -146,7 +146,7 @@
 
 @route("GET", "/v1/layout")
 def show_configuration(node: Node, request: Request) -> dict[str, Any]:
-    """Return the configuration this node knows, and whether a majority lately confirmed it."""
+    """Return the configuration this node uses, and whether a majority recently confirmed it."""
     snapshot = node.find("layout")
     return {
         "version": snapshot.version,
@@ -158,7 +158,7 @@
 
 @route("PUT", "/v1/layout")
 def change_configuration(node: Node, request: Request) -> Coroutine:
-    """Adopt a complete or partial configuration based on a version (compare and set)."""
+    """Adopt a complete or partial configuration if `base_version` is current (compare and set)."""
     check_body(CONFIGURATION_CHANGE, request.body)
     own_id = f"{node.runtime.random.getrandbits(96):024x}"
     return (
@@ -182,7 +182,7 @@
 
 @route("DELETE", "/v1/domains/{domain}/emptying")
 def refill_zone(node: Node, request: Request) -> Coroutine:
-    """Undo the draining of a zone."""
+    """Undo the draining of a zone: its replicas get new requests again."""
     return (yield from _order_zone(node, request, False))
 
 
--- a/quillring/verbs/show.py
+++ b/quillring/verbs/show.py
@@ -1,4 +1,4 @@
-"""Format answers for people: lists of objects as tables, the rest as lines."""
+"""Formats replies as text: lists of objects as tables, other fields as lines."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def show_table(answer: dict[str, Any]) -> str:
-    """Return an answer as text."""
+    """Return a reply as text for operators."""
     lines: list[str] = []
     for name, value in answer.items():
         if isinstance(value, list) and value and all(isinstance(row, dict) for row in value):
@@ -35,7 +35,7 @@
 
 
 def to_cell(value: Any) -> str:
-    """Return a value as a short text."""
+    """Return the text of one value: "-" for None, JSON unless it is a string."""
     if value is None:
         return "-"
     return value if isinstance(value, str) else json.dumps(value)
--- a/quillring/verbs/status_routes.py
+++ b/quillring/verbs/status_routes.py
@@ -38,7 +38,7 @@
 
 @route("GET", "/v1/log")
 def show_log(node: Node, request: Request) -> dict[str, Any]:
-    """Return the lines in this node's ring buffer of log messages."""
+    """Return the recent log messages in this node's ring buffer."""
     ring = node.find("ring")
     return {"name": node.me.name, "log": list(ring.ring) if ring else []}
 
@@ -51,7 +51,7 @@
 
 @route("GET", "/v1/decisions")
 def show_decisions(node: Node, request: Request) -> dict[str, Any]:
-    """Return the last recorded decisions of the load balancer, and sums over them."""
+    """Return the buffered records of load-balancing decisions, and their counts by cause."""
     decisions = node.find("decisions")
     records = [{**record._asdict(), "cause": record.cause()} for record in decisions.records]
     return {
@@ -64,6 +64,6 @@
 
 @route("GET", "/v1/traffic")
 def show_traffic(node: Node, request: Request) -> dict[str, Any]:
-    """Return the node's message and byte counters by kind of message and zone of the peer."""
+    """Return message and byte counters by kind of message and zone of the peer."""
     rows = [row._asdict() for row in node.traffic.rows()]
     return {"name": node.me.name, "zone": node.me.zone, "traffic": rows}
--- a/tests/test_part_client.py
+++ b/tests/test_part_client.py
@@ -17,7 +17,7 @@
 )
 from quillring.ownership.part_client import PartClient
 from quillring.rollout.commands import BadConfiguration
-from quillring.verbs.part_routes import show_whole
+from quillring.verbs.part_routes import show_completeness
 
 
 class ScriptedClient(PartClient):
@@ -95,7 +95,9 @@
         yield
 
     ownership = SimpleNamespace(call_leader=ask, parts=lambda: ["part-1"], size=lambda: 5)
-    coroutine = show_whole(SimpleNamespace(find=lambda name: ownership, bounds=Bounds()), None)
+    coroutine = show_completeness(
+        SimpleNamespace(find=lambda name: ownership, bounds=Bounds()), None
+    )
     with pytest.raises(StopIteration) as ended:
         next(coroutine)
     assert ended.value.value["is_whole"] is is_whole
