--- a/quillring/__init__.py
+++ b/quillring/__init__.py
@@ -1,3 +1,3 @@
-"""quillring: a serving tier with a batch interface that acts together under failure."""
+"""quillring: a distributed serving tier with a batch interface that tolerates failures."""
 
 __version__ = "0.1.0"
--- a/quillring/fleet.py
+++ b/quillring/fleet.py
@@ -1,4 +1,4 @@
-"""Assemble the services of a node by its role; the same in every runtime."""
+"""Assembles the services of a node by its role, in the same way for every runtime."""
 
 from quillring.classes import QuotaClient, QuotaServer, ServiceLevelMeter
 from quillring.edge import Dispatcher, Journal, ReplicaTable
@@ -31,7 +31,7 @@
 
 
 def make_node(me, runtime, seeds, bounds, log=None, versions=SPOKEN):
-    """Return a node with the services that every role has; no coroutine is started."""
+    """Return a node with the services common to all roles; no coroutine is started yet."""
     node = Node(me, runtime, bounds, log)
     nifty = node.offer("nifty", Nifty(node, seeds, versions))
     gossip = node.offer("gossip", Gossip(node))
@@ -46,27 +46,27 @@
     node.offer("placement", LoadBalancer(node))
     node.offer("decisions", DecisionLog(node))
 
-    def put_member(member):
+    def publish_member(member):
         gossip.publish(f"member/{member.name}", [member.incarnation], member.to_list())
 
     nifty.listeners.append(node.on_graph)
-    nifty.on_member = put_member
+    nifty.on_member = publish_member
     nifty.on_unknown_roster = gossip.start_anti_entropy
 
-    def take_member(key, fields):
+    def apply_member_update(key, fields):
         if fields is None:
             nifty.forget(key.partition("/")[2])
         else:
             nifty.learn(Member.from_list(fields))
 
-    gossip.subscribe("member/", take_member)
+    gossip.subscribe("member/", apply_member_update)
     node.handle("node.busy", lambda body, origin: count_busy(node))
-    put_member(me)
+    publish_member(me)
     return node
 
 
 def start_node(node, acceptors=None):
-    """Start the coroutines of a node's role; `acceptors` are the recovered ones of a store."""
+    """Start the coroutines of a node's role; `acceptors` is the recovered state of a store."""
     ROLES.find(node.me.role)(node, acceptors)
     for name in ("nifty", "gossip", "freshness"):
         node.spawn(node.find(name).run())
@@ -74,40 +74,40 @@
 
 @ROLES.entry("edge")
 def start_edge(node, acceptors):
-    """Start an edge: it serves clients' requests."""
+    """Start an edge, which serves clients' requests."""
     _start_serving(node)
 
 
 @ROLES.entry("core")
 def start_core(node, acceptors):
-    """Start a core: it leads parts, runs lots and keeps journals of streams."""
+    """Start a core, which leads parts, runs lots and stores journals of streams."""
     _start_serving(node)
-    runner = node.offer("lots", PromptLotScheduler(node))
-    node.find("ownership").submit_checks.append(runner.retention.check)
-    node.find("ownership").leader_listeners.append(runner.on_batch)
+    lot_scheduler = node.offer("lots", PromptLotScheduler(node))
+    node.find("ownership").submit_checks.append(lot_scheduler.retention.check)
+    node.find("ownership").leader_listeners.append(lot_scheduler.on_batch)
     node.offer("granter", QuotaServer(node))
     repair = node.offer("repair", MembershipRepair(node))
-    plans = node.offer("plans", PlanRunner(node))
+    plan_runner = node.offer("plans", PlanRunner(node))
     node.spawn(repair.run())
-    node.spawn(plans.run())
+    node.spawn(plan_runner.run())
     node.spawn(node.find("ownership").run())
-    node.spawn(runner.run())
+    node.spawn(lot_scheduler.run())
     node.spawn(start_http_request_lots(node))
 
 
 def _start_serving(node):
-    taker = node.offer("taker", QuotaClient(node))
+    quota_client = node.offer("taker", QuotaClient(node))
     dispatch = node.offer("dispatch", Dispatcher(node))
     journal = node.offer("journal", Journal(node))
     node.spawn(dispatch.run())
     node.spawn(node.find("placement").exchange.run())
-    node.spawn(taker.run())
+    node.spawn(quota_client.run())
     node.spawn(journal.run(TOKEN_LIFETIME_SECONDS))
 
 
 @ROLES.entry("store")
 def start_store(node, acceptors):
-    """Start a store: it is an acceptor of the parts whose groups it belongs to."""
+    """Start a store, which is an acceptor of the parts whose groups it belongs to."""
     acceptors = node.offer("acceptors", acceptors)
     acceptors.attach(node)
     node.find("nifty").stamp_source = acceptors.stamp
@@ -125,7 +125,7 @@
 
 
 def open_store(disk, name, make_identity):
-    """Recover the acceptors of a data folder, or initialise it under a new identity.
+    """Recover the acceptors from a data folder; without a checkpoint, initialise a new identity.
 
     Raises
     ------
--- a/quillring/plans/__init__.py
+++ b/quillring/plans/__init__.py
@@ -1,4 +1,4 @@
-"""Plans: an operator states an intent, reviews the plan and confirms it; it can be stopped."""
+"""Plans: an operator proposes a plan for an intent, reviews it and confirms it, or stops it."""
 
 from quillring.plans import commands
 from quillring.plans.planner import make_plan
--- a/quillring/plans/api.py
+++ b/quillring/plans/api.py
@@ -1,4 +1,4 @@
-"""Plans over HTTP: propose, show, confirm, stop."""
+"""HTTP routes that propose, show, confirm and stop plans."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 def view_fleet(node: Node, version: int, configuration: WireMap) -> FleetView:
-    """Return the view of the fleet that a plan is made against."""
+    """Return the input of the planner: the configuration, and the fleet as this node sees it."""
     ownership, replicas = node.find("ownership"), node.find("replicas")
     members = node.find("nifty").roster.members.values()
     heartbeats = node.find("gossip").values_with_prefix("replica/").values()
@@ -87,7 +87,7 @@
 
 @route("GET", "/v1/plans")
 def show_all(node: Node, request: Request) -> Coroutine:
-    """Return all kept plans."""
+    """Return all stored plans."""
     return (yield from node.find("ownership").read(CONFIG, READ_PLANS))
 
 
@@ -100,7 +100,7 @@
 
 @route("POST", "/v1/plans/{plan}/confirm")
 def confirm(node: Node, request: Request) -> Coroutine:
-    """Confirm a plan and accept the named consequences."""
+    """Start a plan, and accept the consequences listed in the body; idempotent by the body's id."""
     body = request.body or {}
     check_body(CONFIRM, body)
     command_id = body.get("id") or f"{node.runtime.random.getrandbits(96):024x}"
@@ -110,6 +110,6 @@
 
 @route("POST", "/v1/plans/{plan}/stop")
 def stop(node: Node, request: Request) -> Coroutine:
-    """Stop a plan between two steps."""
+    """Stop a plan; completed steps are not undone."""
     command = StopPlan(request.words["plan"])
     return (yield from node.find("ownership").submit(CONFIG, command.to_wire()))
--- a/quillring/plans/commands.py
+++ b/quillring/plans/commands.py
@@ -1,4 +1,4 @@
-"""Commands and queries of the config part about plans, which are kept in its state."""
+"""Commands and queries about plans, which the config part stores in its state."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
     CompleteStep,
     ConfigurationStep,
     ConfirmPlan,
-    KeptPlan,
     Progress,
     ProposePlan,
     StopPlan,
+    StoredPlan,
     show_plan_fields,
 )
 from quillring.quorum.commands import COMMANDS, QUERIES
@@ -32,65 +32,65 @@
 
     from quillring.kernel.types import WireMap
 
-KEPT_PLANS = 32
-RUN_ALONE = ("retire_store", "empty_domain")
+MAX_STORED_PLANS = 32
+EXCLUSIVE_KINDS = ("retire_store", "empty_domain")
 
 
 class StalePlan(QuillringError):
-    """The plan was made against an older version of the state; propose it again."""
+    """The plan is based on an older version of the configuration; propose it again."""
 
     kind = "stale_plan"
     status = 409
 
 
-class Impossible(QuillringError):
-    """The plan has unaccepted obstacles; those that name a consequence can be accepted."""
+class UnacceptedObstacles(QuillringError):
+    """The plan has obstacles that were not accepted; those with a consequence can be."""
 
     kind = "impossible"
     status = 422
 
 
-class Contradiction(QuillringError):
-    """A running plan has the same target, or the same kind, one of RUN_ALONE."""
+class ConflictingPlan(QuillringError):
+    """A running plan has the same target, or the same kind, which is one of EXCLUSIVE_KINDS."""
 
     kind = "contradiction"
     status = 409
 
 
-def kept_plans(state: WireMap) -> dict[str, WireMap]:
-    """Return {name: plan} of all kept plans, each in its form in the state."""
+def stored_plans(state: WireMap) -> dict[str, WireMap]:
+    """Return {name: plan} of all stored plans, each in its stored form."""
     plans: dict[str, WireMap] = state.get("plans", {})
     return plans
 
 
-def find_plan(state: WireMap, name: str) -> KeptPlan:
+def find_plan(state: WireMap, name: str) -> StoredPlan:
     """Return a plan, or raise NotFound."""
-    fields = kept_plans(state).get(name)
+    fields = stored_plans(state).get(name)
     if fields is None:
         raise NotFound(field="plan", plan=name)
-    return KeptPlan.from_state(fields)
+    return StoredPlan.from_state(fields)
 
 
 def with_plan(state: WireMap, name: str, **changes: Any) -> WireMap:
-    """Return the state with some fields of a plan changed."""
-    plans = kept_plans(state)
+    """Return a copy of the state with some fields of a plan changed."""
+    plans = stored_plans(state)
     return {**state, "plans": {**plans, name: {**plans[name], **changes}}}
 
 
 @COMMANDS.entry(PROPOSE)
 def propose_plan(state: WireMap, command: WireMap) -> tuple[WireMap, WireMap]:
-    """Keep a plan until it is confirmed; idempotent by its id.
+    """Store a plan until it is confirmed; idempotent by its id.
 
-    Beyond KEPT_PLANS the oldest ones that are not running are dropped.
+    Drops the oldest plans that are not running to store at most MAX_STORED_PLANS.
     """
-    proposal, plans = ProposePlan.from_wire(command), kept_plans(state)
+    proposal, plans = ProposePlan.from_wire(command), stored_plans(state)
     if proposal.id in plans:
         return state, show_plan_fields(proposal.id, plans[proposal.id])
     idle_names = [name for name, fields in plans.items() if fields["phase"] != RUNNING]
-    dropped_names = set(idle_names[: max(0, len(plans) - KEPT_PLANS + 1)])
-    kept = {name: fields for name, fields in plans.items() if name not in dropped_names}
+    dropped_names = set(idle_names[: max(0, len(plans) - MAX_STORED_PLANS + 1)])
+    retained = {name: fields for name, fields in plans.items() if name not in dropped_names}
     fields = {**proposal.plan, "phase": PROPOSED, "done": 0}
-    new_state = {**state, "plans": {**kept, proposal.id: fields}}
+    new_state = {**state, "plans": {**retained, proposal.id: fields}}
     return new_state, show_plan_fields(proposal.id, fields)
 
 
@@ -98,8 +98,8 @@
 def confirm_plan(state: WireMap, command: WireMap) -> tuple[WireMap, WireMap]:
     """Start a plan if it is not stale and all its obstacles are accepted; idempotent by the id.
 
-    Raises NotFound, Conflict if it is not in phase `proposed`, StalePlan, Impossible or
-    Contradiction.
+    Raises NotFound, Conflict if it is not in phase `proposed`, StalePlan, UnacceptedObstacles or
+    ConflictingPlan.
     """
     confirmation = ConfirmPlan.from_wire(command)
     name = confirmation.plan
@@ -112,28 +112,30 @@
         raise StalePlan(plan=name, made_against=plan.base_version, version=state["version"])
     obstacles = plan.unaccepted_obstacles(confirmation.accepted)
     if obstacles:
-        raise Impossible(plan=name, obstacles=obstacles)
-    check_contradictions(state, name, plan)
+        raise UnacceptedObstacles(plan=name, obstacles=obstacles)
+    check_conflicts(state, name, plan)
     new_state = with_plan(state, name, phase=RUNNING, confirmed_by=confirmation.id)
     return new_state, show_plan_fields(name, new_state["plans"][name])
 
 
-def check_contradictions(state: WireMap, name: str, plan: KeptPlan) -> None:
-    """Raise Contradiction if a running plan has the same target, or the same kind of RUN_ALONE."""
-    for other_name, fields in kept_plans(state).items():
-        other = KeptPlan.from_state(fields)
+def check_conflicts(state: WireMap, name: str, plan: StoredPlan) -> None:
+    """Raise ConflictingPlan if a running plan has the same target, or the same exclusive kind."""
+    for other_name, fields in stored_plans(state).items():
+        other = StoredPlan.from_state(fields)
         is_same_target = other.intent.target == plan.intent.target
-        run_alone = other.intent.kind == plan.intent.kind and plan.intent.kind in RUN_ALONE
-        if other.phase == RUNNING and (is_same_target or run_alone):
-            raise Contradiction(plan=name, running=other_name, target=other.title)
+        is_exclusive_kind = (
+            other.intent.kind == plan.intent.kind and plan.intent.kind in EXCLUSIVE_KINDS
+        )
+        if other.phase == RUNNING and (is_same_target or is_exclusive_kind):
+            raise ConflictingPlan(plan=name, running=other_name, target=other.title)
 
 
 @COMMANDS.entry(COMPLETE_STEP)
 def complete_step(state: WireMap, command: WireMap) -> tuple[WireMap, WireMap]:
-    """Mark a step as done; a configuration step adopts its change in the same log entry.
+    """Mark a step as done; a configuration step also adopts its change, in the same log entry.
 
-    Does nothing unless it is the next step of a running plan. A change that is refused puts the
-    plan into phase `failed`.
+    Does nothing unless it is the next step of a running plan. If the change is rejected, the plan
+    enters phase `failed`.
     """
     completion = CompleteStep.from_wire(command)
     name, number = completion.plan, completion.step
@@ -157,10 +159,9 @@
 
 @COMMANDS.entry(STOP)
 def stop_plan(state: WireMap, command: WireMap) -> tuple[WireMap, WireMap]:
-    """Stop a plan between two steps; completed steps are not undone.
+    """Stop a plan; completed steps are not undone, and it never runs again. Idempotent.
 
-    Idempotent: a stopped plan never runs again. Raises NotFound, or Conflict in another phase than
-    `proposed` and `running`.
+    Raises NotFound, or Conflict if the plan is done or failed.
     """
     name = StopPlan.from_wire(command).plan
     plan = find_plan(state, name)
@@ -174,8 +175,8 @@
 
 @QUERIES.entry("plans")
 def show_plans(state: WireMap, query: WireMap) -> WireMap:
-    """Return all kept plans."""
-    return {"plans": [show_plan_fields(name, p) for name, p in kept_plans(state).items()]}
+    """Return all stored plans."""
+    return {"plans": [show_plan_fields(name, p) for name, p in stored_plans(state).items()]}
 
 
 @QUERIES.entry("plan")
--- a/quillring/plans/messages.py
+++ b/quillring/plans/messages.py
@@ -1,4 +1,4 @@
-"""Plans, their steps and their commands, with their forms in the log and in the state."""
+"""Plans, their steps and the commands about them, with their forms in the log and the state."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Intent(NamedTuple):
-    """What an operator wants: a kind of plan and its target; `move_entry` needs a service too."""
+    """An operator's goal: a kind of plan and its target; `move_entry` also needs a service."""
 
     kind: str
     target: str
@@ -35,7 +35,7 @@
 
     @classmethod
     def from_wire(cls, fields: WireMap) -> Intent:
-        """Read the intent in the form that the operator sent."""
+        """Parse the intent as the operator sent it."""
         return cls(fields["kind"], fields["target"], fields.get("service"))
 
 
@@ -51,7 +51,7 @@
 
 
 class WaitStep(NamedTuple):
-    """A step that waits until a condition about a target holds."""
+    """A step that waits until a condition about a target is true."""
 
     text: str
     condition: str
@@ -73,7 +73,7 @@
 
 
 class Obstacle(NamedTuple):
-    """A reason against a plan; it can be accepted by its `consequence`, unless that is None."""
+    """A reason against a plan; an operator can accept its `consequence`, unless that is None."""
 
     consequence: str | None
     text: str
@@ -84,9 +84,10 @@
 
 
 class Plan(NamedTuple):
-    """A plan made against a version of the state; `moves` describes for operators what goes where.
+    """A plan based on a version of the configuration.
 
-    `stated_intent` is the intent exactly as the operator sent it.
+    `stated_intent` is the intent exactly as the operator sent it; `moves` tells operators what
+    stops or moves where.
     """
 
     stated_intent: WireMap
@@ -108,10 +109,10 @@
         }
 
 
-class KeptPlan(NamedTuple):
-    """A plan kept in the state, with the fields that commands use.
+class StoredPlan(NamedTuple):
+    """A plan in the state, with the fields that commands use.
 
-    `fields` is the complete record: fields unknown to this release are kept unchanged.
+    `fields` is the complete record; it preserves fields that this release does not know.
     """
 
     intent: Intent
@@ -123,7 +124,7 @@
     fields: WireMap
 
     @classmethod
-    def from_state(cls, fields: WireMap) -> KeptPlan:
+    def from_state(cls, fields: WireMap) -> StoredPlan:
         """Read a plan from its form in the state."""
         return cls(
             Intent.from_wire(fields["intent"]),
@@ -136,11 +137,11 @@
         )
 
     def step(self, number: int) -> Step:
-        """Return a step by its number."""
+        """Return a step by its number, from 0."""
         return step_from_state(self.fields["steps"][number])
 
     def step_count(self) -> int:
-        """Return how many steps the plan has."""
+        """Return the number of steps."""
         return len(self.fields["steps"])
 
     def unaccepted_obstacles(self, accepted: list[str]) -> list[WireMap]:
@@ -150,7 +151,7 @@
 
 
 class ProposePlan(NamedTuple):
-    """`plan.propose`: keep a plan under an id until it is confirmed."""
+    """`plan.propose`: store a plan under an id until it is confirmed."""
 
     id: str
     plan: WireMap
@@ -166,7 +167,7 @@
 
 
 class ConfirmPlan(NamedTuple):
-    """`plan.confirm`: run a plan and accept the named consequences."""
+    """`plan.confirm`: start a plan and accept the given consequences."""
 
     plan: str
     accepted: list[str]
@@ -183,7 +184,7 @@
 
 
 class CompleteStep(NamedTuple):
-    """`plan.step`: mark the step of this number as done; a configuration step is applied by it."""
+    """`plan.step`: mark a step as done by its number; this also applies a configuration step."""
 
     plan: str
     step: int
@@ -199,7 +200,7 @@
 
 
 class StopPlan(NamedTuple):
-    """`plan.stop`: stop a plan between two steps."""
+    """`plan.stop`: stop a plan; completed steps are not undone."""
 
     plan: str
 
@@ -219,11 +220,11 @@
 
 
 class Progress(NamedTuple):
-    """The answer to `plan.step`: the plan's phase, and how many of its steps are done."""
+    """The reply to `plan.step`: the plan's phase, and the number of completed steps."""
 
     phase: Any
     done_steps: int
 
     def to_wire(self) -> WireMap:
-        """Return the answer in its wire form."""
+        """Return the reply in its wire form."""
         return {"phase": self.phase, "done": self.done_steps}
--- a/quillring/plans/planner.py
+++ b/quillring/plans/planner.py
@@ -17,7 +17,7 @@
 
 INTENTS = Registry("intent")
 
-EMPTIED = {
+DRAIN_EFFECT_BY_ROLE = {
     "edge": "not ready, takes no new inquiries and holds no new journals",
     "core": "its parts, lots and journals go to cores elsewhere",
     "store": "stays a member of its parts; retire it to move them",
@@ -26,7 +26,7 @@
 
 
 class ReplicaLoad(NamedTuple):
-    """A replica with its service, its zone, and how many of its request slots are busy."""
+    """A replica with its service and zone, and its total and busy request slots."""
 
     name: str
     service: str
@@ -47,16 +47,16 @@
 
 
 class NodePlace(NamedTuple):
-    """The role of a node and its zone."""
+    """The role and the zone of a node."""
 
     role: str
     zone: str
 
 
 class FleetView(NamedTuple):
-    """What a plan is made against, as one node sees it.
+    """The input of the planner: the configuration, and the fleet as one node sees it.
 
-    `groups` is {part: names of its stores}, `stores` {store: zone}.
+    `groups` is {part: names of its stores}, `stores` is {store: zone}.
     """
 
     version: int
@@ -71,13 +71,13 @@
         if zone not in self.configuration["domains"]:
             raise NotFound(field="target", domain=zone)
 
-    def is_emptied(self, zone: str) -> bool:
-        """Return True if a zone is ordered to be drained; an unknown one is not."""
+    def is_drained(self, zone: str) -> bool:
+        """Return whether the configuration orders a zone drained; False for an unknown zone."""
         return bool(self.configuration["domains"].get(zone, {}).get("emptied"))
 
 
 class Proposal(NamedTuple):
-    """What a planner proposes for an intent: the steps, the obstacles, and what goes where."""
+    """The proposal for an intent: the steps, the obstacles, and what stops or moves where."""
 
     steps: list[Step]
     obstacles: list[Obstacle]
@@ -93,46 +93,48 @@
 
 @INTENTS.entry("empty_domain")
 def plan_empty_zone(view: FleetView, intent: Intent) -> Proposal:
-    """Drain a zone: admit no new requests, then wait until those in flight there have ended."""
+    """Drain a zone: send it no new requests, then wait until those in flight there have ended."""
     zone = intent.target
     view.require_zone(zone)
-    leaving = [replica for replica in view.replicas if replica.zone == zone]
-    inside = {name: place.role for name, place in sorted(view.nodes.items()) if place.zone == zone}
+    drained_replicas = [replica for replica in view.replicas if replica.zone == zone]
+    role_by_node = {
+        name: place.role for name, place in sorted(view.nodes.items()) if place.zone == zone
+    }
     obstacles = [
-        *room_obstacles(view, zone, sorted({replica.service for replica in leaving})),
-        *role_obstacles(view, zone, set(inside.values())),
+        *capacity_obstacles(view, zone, sorted({replica.service for replica in drained_replicas})),
+        *missing_role_obstacles(view, zone, set(role_by_node.values())),
     ]
     steps: list[Step] = [
         ConfigurationStep(f"give {zone} no new work", {"domains": {zone: {"emptied": True}}}),
         WaitStep(f"wait until {zone} is idle", "domain_idle", zone),
     ]
-    moves = [f"{r.name}: {r.busy} under way end, new ones go elsewhere" for r in leaving]
-    moves.extend(f"{name}: {EMPTIED[role]}" for name, role in inside.items())
+    moves = [f"{r.name}: {r.busy} under way end, new ones go elsewhere" for r in drained_replicas]
+    moves.extend(f"{name}: {DRAIN_EFFECT_BY_ROLE[role]}" for name, role in role_by_node.items())
     return Proposal(steps, obstacles, moves)
 
 
-def room_obstacles(view: FleetView, zone: str, services: list[str]) -> list[Obstacle]:
-    """Return an obstacle for each service without a spare slot elsewhere beyond its busy slots."""
+def capacity_obstacles(view: FleetView, zone: str, services: list[str]) -> list[Obstacle]:
+    """Return an obstacle for each service whose busy slots would fill all its remaining slots."""
     obstacles = []
     for service in services:
         replicas = [replica for replica in view.replicas if replica.service == service]
         busy = sum(replica.busy for replica in replicas)
-        room = sum(
+        remaining_slots = sum(
             replica.slots
             for replica in replicas
-            if replica.zone != zone and not view.is_emptied(replica.zone)
+            if replica.zone != zone and not view.is_drained(replica.zone)
         )
-        if room <= busy:
-            text = f"{service}: {busy} busy, {room} slots remain"
+        if remaining_slots <= busy:
+            text = f"{service}: {busy} busy, {remaining_slots} slots remain"
             obstacles.append(Obstacle("less_room", text))
     return obstacles
 
 
-def role_obstacles(view: FleetView, zone: str, leaving_roles: set[str]) -> list[Obstacle]:
-    """Return an obstacle if no zone would remain, and for each needed role without a node."""
+def missing_role_obstacles(view: FleetView, zone: str, leaving_roles: set[str]) -> list[Obstacle]:
+    """Return an obstacle if no zone would remain, and for each needed role that would be lost."""
     obstacles = []
     zones = view.configuration["domains"]
-    staying_zones = [name for name in zones if name != zone and not view.is_emptied(name)]
+    staying_zones = [name for name in zones if name != zone and not view.is_drained(name)]
     if not staying_zones:
         obstacles.append(Obstacle(None, "no domain would remain"))
     staying_roles = {place.role for place in view.nodes.values() if place.zone in staying_zones}
@@ -144,7 +146,7 @@
 
 @INTENTS.entry("refill_domain")
 def plan_refill_zone(view: FleetView, intent: Intent) -> Proposal:
-    """Admit new requests to a zone again."""
+    """Send new requests to a zone again."""
     zone = intent.target
     view.require_zone(zone)
     change = {"domains": {zone: {"emptied": False}}}
@@ -153,7 +155,7 @@
 
 @INTENTS.entry("move_entry")
 def plan_move_route(view: FleetView, intent: Intent) -> Proposal:
-    """Point a route at another service; one of another kind is an obstacle."""
+    """Point a route at another service; a service of another kind is an obstacle."""
     route_name, service = intent.target, intent.service
     routes, services = view.configuration["entries"], view.configuration["services"]
     if route_name not in routes:
@@ -173,7 +175,7 @@
 
 @INTENTS.entry("retire_store")
 def plan_retire_store(view: FleetView, intent: Intent) -> Proposal:
-    """Remove a store from every part that has it as a member."""
+    """Remove a store from every part of which it is a member."""
     name = intent.target
     if name not in view.stores:
         raise NotFound(field="target", store=name)
@@ -181,23 +183,25 @@
     orders = view.configuration.get("stores", {})
     retired_names = {store for store, order in orders.items() if order.get("retired")} | {name}
     zones = {zone for store, zone in view.stores.items() if store not in retired_names}
-    is_short = len(zones) < GROUP_SIZE
+    is_under_replicated = len(zones) < GROUP_SIZE
     obstacles = []
-    if is_short and parts:
+    if is_under_replicated and parts:
         text = f"stores in {len(zones)} domains remain for {', '.join(parts)}"
         obstacles.append(Obstacle("part_under_three", text))
-    order = {"retired": True, **({"forced": True} if is_short else {})}
+    order = {"retired": True, **({"forced": True} if is_under_replicated else {})}
     steps: list[Step] = [
         ConfigurationStep(f"retire {name}", {"stores": {name: order}}),
         WaitStep(f"wait until no part has {name}", "store_unused", name),
     ]
-    goal = "goes on with two members" if is_short else "a spare store takes its place"
-    return Proposal(steps, obstacles, [f"{part}: {name} leaves, {goal}" for part in parts])
+    replacement = (
+        "goes on with two members" if is_under_replicated else "a spare store takes its place"
+    )
+    return Proposal(steps, obstacles, [f"{part}: {name} leaves, {replacement}" for part in parts])
 
 
 @INTENTS.entry("restore_store")
 def plan_restore_store(view: FleetView, intent: Intent) -> Proposal:
-    """Make a retired store eligible again as a member of parts that lack one."""
+    """Make a retired store eligible again for parts that need a member."""
     name = intent.target
     if name not in view.configuration.get("stores", {}):
         raise NotFound(field="target", store=name)
--- a/quillring/plans/runner.py
+++ b/quillring/plans/runner.py
@@ -1,4 +1,4 @@
-"""The runner of confirmed plans: the leader of the config part executes their steps in order."""
+"""Runs confirmed plans: the leader of the config part executes their steps in order."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from quillring.kernel.effects import Sleep
 from quillring.kernel.errors import QuillringError
 from quillring.kernel.registry import Registry
-from quillring.plans.messages import RUNNING, CompleteStep, KeptPlan, WaitStep
+from quillring.plans.messages import RUNNING, CompleteStep, StoredPlan, WaitStep
 from quillring.quorum.parts import CONFIG
 
 if TYPE_CHECKING:
@@ -20,9 +20,9 @@
 
 @CONDITIONS.entry("domain_idle")
 def is_zone_idle(node: Node, zone: str) -> Coroutine:
-    """Return True if no replica and no node of the zone has anything in flight.
+    """Return whether no replica and no node of the zone has anything in flight.
 
-    An unreachable node counts as busy until it was silent for `bounds.recovery` seconds.
+    An unreachable node counts as busy until it has been silent for `bounds.recovery` seconds.
     """
     heartbeats = node.find("gossip").values_with_prefix("replica/").values()
     if any(
@@ -46,7 +46,7 @@
 
 
 def count_busy(node: Node) -> int:
-    """Return how many requests run or wait at a node, plus how many parts it leads."""
+    """Return the number of requests running or queued at a node, plus the parts that it leads."""
     dispatch, leaders = node.find("dispatch"), node.find("ownership").leaders.values()
     requests = len(dispatch.leases) + len(dispatch.queue) if dispatch is not None else 0
     led_parts = sum(1 for leader in leaders if leader.is_leader)
@@ -55,15 +55,15 @@
 
 @CONDITIONS.entry("store_unused")
 def is_store_unused(node: Node, store: str) -> Coroutine:
-    """Return True if no part has the store as a member."""
+    """Return whether the store is a member of no part."""
     ownership = node.find("ownership")
     members = [member for part in ownership.parts() for member in ownership.group(part)]
     return not any(member.name == store for member in members)
-    yield  # Unreachable: it makes this a generator, as every condition is.
+    yield  # Unreachable; makes this function a generator, like every condition.
 
 
 class PlanRunner:
-    """Executes confirmed plans while this core leads the config part and has a valid lease."""
+    """Executes confirmed plans while this core leads the config part with a valid lease."""
 
     __slots__ = ("node",)
 
@@ -71,7 +71,7 @@
         self.node = node
 
     def run(self) -> Coroutine:
-        """Execute the next step of every running plan, once every heartbeat interval."""
+        """Attempt the next step of every running plan once per heartbeat interval, without end."""
         while True:
             yield Sleep(self.node.bounds.heartbeat_interval)
             leader = self.node.find("ownership").leaders.get(CONFIG)
@@ -82,12 +82,12 @@
                     yield from self._run_step(leader, name, plan)
 
     def _run_step(self, leader: PartLeader, name: str, fields: WireMap) -> Coroutine:
-        """Complete a plan's next step, unless the condition it waits for is false; log errors."""
-        plan = KeptPlan.from_state(fields)
+        """Complete a plan's next step unless it waits for a condition that is false; log errors."""
+        plan = StoredPlan.from_state(fields)
         step = plan.step(plan.done_steps)
         if isinstance(step, WaitStep):
-            holds = yield from CONDITIONS.find(step.condition)(self.node, step.target)
-            if not holds:
+            is_met = yield from CONDITIONS.find(step.condition)(self.node, step.target)
+            if not is_met:
                 return
         try:
             yield from leader.submit(CompleteStep(name, plan.done_steps).to_wire())
--- a/tests/test_plan_messages.py
+++ b/tests/test_plan_messages.py
@@ -8,12 +8,12 @@
     ConfigurationStep,
     ConfirmPlan,
     Intent,
-    KeptPlan,
     Obstacle,
     Plan,
     Progress,
     ProposePlan,
     StopPlan,
+    StoredPlan,
     WaitStep,
     read_plan_query,
     show_plan_fields,
@@ -70,7 +70,7 @@
 
 def test_a_kept_plan_is_read_by_name_and_keeps_fields_of_another_version():
     kept = {**FIELDS, "phase": "running", "done": 1, "confirmed_by": "op", "new": 1}
-    plan = KeptPlan.from_state(kept)
+    plan = StoredPlan.from_state(kept)
     assert plan.intent == Intent("empty_domain", "north", None)
     assert (plan.title, plan.base_version) == ("empty_domain north", 4)
     assert (plan.phase, plan.done_steps, plan.confirmed_by) == ("running", 1, "op")
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -3,7 +3,7 @@
 from proving.points.scenario_fleet import Stage
 from proving.tools.deployments import DEPLOYMENTS, configuration_of
 from quillring.kernel.errors import Conflict, NotFound
-from quillring.plans.commands import Contradiction, Impossible, StalePlan
+from quillring.plans.commands import ConflictingPlan, StalePlan, UnacceptedObstacles
 from quillring.plans.planner import FleetView, NodePlace, ReplicaLoad, make_plan
 from quillring.quorum.commands import apply_batch, first_state
 from quillring.quorum.parts import CONFIG
@@ -101,7 +101,7 @@
     refill = {"kind": "refill_domain", "target": "north"}
     state, _ = played(started(), propose("p", EMPTY_NORTH), propose("r", refill))
     state, answers = played(state, confirm("p"), confirm("r"))
-    assert isinstance(answers[1], Contradiction)
+    assert isinstance(answers[1], ConflictingPlan)
     assert state["plans"]["r"]["phase"] == "proposed"
 
 
@@ -160,7 +160,7 @@
     )
     state, _ = played(started(), command)
     state, answers = played(state, confirm("p"), confirm("p", accept=["part_under_three"]))
-    assert isinstance(answers[0], Impossible)
+    assert isinstance(answers[0], UnacceptedObstacles)
     assert answers[0].detail["obstacles"][0]["consequence"] == "part_under_three"
     assert answers[1]["phase"] == "running"
 
