--- a/proving/histories/bugs.py
+++ b/proving/histories/bugs.py
@@ -97,7 +97,7 @@
 def commit_without_sync(self, records):
     """Stand-in: a store answers before its disk has the records."""
     self.pending.append(PendingCommit(records, Signal()))
-    self.dirty_signal.set()
+    self.work_signal.set()
     return
     yield
 
--- a/quillring/store/checkpoint_file.py
+++ b/quillring/store/checkpoint_file.py
@@ -1,9 +1,9 @@
-"""Checkpoint files: complete images of a store's state, written in steps, the header last.
+"""Checkpoint files: complete snapshots of a store's state, written in steps, header last.
 
-A checkpoint file is a header (magic, generation, body size in bytes, SHA-256 of the body) and a
-body. A body of the first format (`QSL1`) is one CBOR value. A body of the second (`QSL2`) is
-records: the number of records at the start of the checkpoint's log that it already covers, then
-the state by rows.
+A checkpoint file consists of a header (magic, generation, size of the body in bytes, SHA-256 of the
+body) and a body. In the first format (`QSL1`) the body is one CBOR value. In the second (`QSL2`) it
+is a sequence of records: the number of records at the start of the generation's log that the
+checkpoint already covers, then the rows of the state.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 HEADER = struct.Struct(">4sQI32s")
 SINGLE_VALUE_MAGIC, ROWS_MAGIC = b"QSL1", b"QSL2"
 STEP_BYTES = 256 << 10
-NO_HEADER = bytes(HEADER.size)
+BLANK_HEADER = bytes(HEADER.size)
 
 
 class CheckpointHeader(NamedTuple):
-    """The header of a checkpoint file: format, generation, and size and SHA-256 of the body."""
+    """The header of a checkpoint file; `body_size` is in bytes, `digest` is the body's SHA-256."""
 
     magic: bytes
     generation: int
@@ -38,7 +38,7 @@
 
     @classmethod
     def from_disk(cls, data: bytes) -> CheckpointHeader:
-        """Read the header; raises struct.error when it is incomplete."""
+        """Parse the header; raises struct.error when it is incomplete."""
         magic, generation, body_size, digest = HEADER.unpack_from(data)
         return cls(magic, generation, body_size, digest)
 
@@ -48,10 +48,10 @@
 
 
 class Checkpoint(NamedTuple):
-    """A valid checkpoint; `single_value` is set in the first format, `rows` in the second.
+    """A valid checkpoint: `single_value` is set in the first format, `rows` in the second.
 
-    `covered_count` is how many records at the start of its log it already covers, `size` the size
-    of its body in bytes.
+    `size` is the size of the body in bytes, `covered_count` the number of records at the start of
+    the generation's log that the checkpoint already covers.
     """
 
     generation: int
@@ -67,7 +67,7 @@
 
 
 def read_checkpoint(data: bytes) -> Checkpoint | None:
-    """Return the checkpoint in a file's bytes, or None if it is torn or of an unknown format."""
+    """Parse a checkpoint file; return None if it is incomplete, corrupt or of an unknown format."""
     try:
         header = CheckpointHeader.from_disk(data)
         body = data[HEADER.size : HEADER.size + header.body_size]
@@ -88,9 +88,9 @@
 
 
 class CheckpointWriter:
-    """Writes the checkpoint of a generation in steps of at most STEP_BYTES.
+    """Writes the checkpoint of one generation in steps of at most STEP_BYTES.
 
-    The header is written last, so a crash before leaves a file that `read_checkpoint` rejects.
+    The header is written last, so that `read_checkpoint` rejects the file after a crash before it.
     """
 
     __slots__ = ("disk", "file_name", "generation", "rows", "buffer", "digest", "size")
@@ -105,10 +105,10 @@
         self.buffer = bytearray(encode_record(covered_count))
         self.digest = hashlib.sha256()
         self.size = 0
-        disk.begin_file(self.file_name, NO_HEADER)
+        disk.begin_file(self.file_name, BLANK_HEADER)
 
     def step(self) -> bool:
-        """Write and sync the next step; return whether the checkpoint is complete.
+        """Write and sync the next step, and return whether the checkpoint is complete.
 
         Raises DiskError.
         """
@@ -125,7 +125,7 @@
         return True
 
     def _fill_buffer(self) -> None:
-        """Encode rows until STEP_BYTES are buffered, or no rows are left."""
+        """Encode rows until STEP_BYTES are buffered or no rows are left."""
         while len(self.buffer) < STEP_BYTES:
             row = next(self.rows, None)
             if row is None:
--- a/quillring/store/checkpointed_log.py
+++ b/quillring/store/checkpointed_log.py
@@ -1,8 +1,8 @@
 """A write-ahead log with two alternating checkpoints.
 
-Each generation has a checkpoint and a log. While the next checkpoint is being written, in small
-steps between batches of commits, new records already go to the next log, whose head says that it
-follows the present one: until the new checkpoint is complete, the state is the old checkpoint and
+Each generation has a checkpoint and a log. The next checkpoint is written in small steps between
+batches of commits. Meanwhile new records go to the next log, whose head names the current log as
+its predecessor. Until the new checkpoint is complete, the state consists of the old checkpoint and
 both logs.
 """
 
@@ -30,38 +30,38 @@
 
 LOG_LIMIT_BYTES = 1 << 20
 STEP_PAUSE_SECONDS = 0.002
-IDLE_SECONDS = 3600
-PARITIES = (0, 1)
+IDLE_WAIT_SECONDS = 3600
+FILE_PARITIES = (0, 1)
 
 
 class StateMachine(Protocol):
-    """The state in memory that the log makes durable; records change it in log order."""
+    """The state in memory that the log makes durable; it is changed by records, in log order."""
 
     def rows(self) -> list[Any]:
-        """Return all state as immutable values."""
+        """Return the complete state as immutable values."""
 
     def load_rows(self, rows: Iterable[Any]) -> None:
-        """Replace the state by that of a checkpoint, as rows() returned it."""
+        """Replace the state by that of a checkpoint, as returned by rows()."""
 
     def load(self, snapshot: Any) -> None:
-        """Replace the state by that of a checkpoint of the first format, which is one value."""
+        """Replace the state by the single value of a checkpoint in the first format."""
 
     def replay(self, fields: Any) -> None:
         """Apply one record of the log."""
 
 
 class PendingCommit(NamedTuple):
-    """Records not yet written; the signal is set to None once durable, or to the DiskError."""
+    """Records to write; the signal is set to None once they are durable, or to the DiskError."""
 
     records: list[Any]
     done_signal: Signal
 
 
 class CheckpointedLog:
-    """The recoverable state of one store machine: owns the log and checkpoint files of its disk.
+    """The durable state of one store machine; owns the log and checkpoint files on its disk.
 
-    Records reach the disk in the order of commit(), in batches with one fsync each (group commit).
-    A checkpoint is due when the log exceeds `log_limit` bytes and the size of the last checkpoint.
+    Records are written in the order of commit(), in batches with one fsync each (group commit). A
+    checkpoint is due when the log exceeds both `log_limit_bytes` and the last checkpoint's size.
     """
 
     __slots__ = (
@@ -71,38 +71,38 @@
         "log_generation",
         "log_size",
         "log_count",
-        "log_limit",
+        "log_limit_bytes",
         "pending",
-        "dirty_signal",
+        "work_signal",
         "error",
-        "syncs",
+        "operation_count",
         "checkpoint_size",
         "is_writing",
         "writer",
     )
 
     def __init__(
-        self, disk: Disk, state_machine: StateMachine, log_limit: int = LOG_LIMIT_BYTES
+        self, disk: Disk, state_machine: StateMachine, log_limit_bytes: int = LOG_LIMIT_BYTES
     ) -> None:
         self.disk = disk
         self.state_machine = state_machine
         self.generation = self.log_generation = 0
         self.log_size = self.log_count = 0
-        self.log_limit = log_limit
+        self.log_limit_bytes = log_limit_bytes
         self.pending: list[PendingCommit] = []
-        self.dirty_signal = Signal()
+        self.work_signal = Signal()
         self.error: DiskError | None = None
-        self.syncs = 0
+        self.operation_count = 0
         self.checkpoint_size = 0
         self.is_writing = False
         self.writer: CheckpointWriter | None = None
 
     def recover(self) -> bool:
-        """Load the newest checkpoint and replay its logs; return False without any checkpoint.
+        """Load the newest checkpoint and replay its logs; return False if there is no checkpoint.
 
-        Raises Damaged when data that was synced is lost, DiskError when the disk fails.
+        Raises Damaged when synced data is lost, DiskError when the disk fails.
         """
-        files = [self.disk.read(checkpoint_file_name(parity)) for parity in PARITIES]
+        files = [self.disk.read(checkpoint_file_name(parity)) for parity in FILE_PARITIES]
         logs = self._read_logs()
         checkpoint = _newest_checkpoint(files)
         if checkpoint is None:
@@ -120,9 +120,9 @@
         return True
 
     def _read_logs(self) -> dict[int, LogContents]:
-        """Return {generation: contents} of the logs that have a head."""
+        """Return {generation: contents} of the logs with a readable head."""
         logs = {}
-        for parity in PARITIES:
+        for parity in FILE_PARITIES:
             name = log_file_name(parity)
             log = read_log(name, self.disk.read(name) or b"")
             if log is not None:
@@ -130,17 +130,21 @@
         return logs
 
     def _check_newer_logs(self, logs: dict[int, LogContents]) -> None:
-        """Raise Damaged if a log is newer than any checkpoint, unless it follows a complete log."""
+        """Raise Damaged if a log is newer than any checkpoint and continues no complete log."""
         for generation, log in logs.items():
-            former = logs.get(self.generation)
-            is_next = log.head.follows == self.generation
-            if is_next and former is not None and former.good_size >= log.head.former_size:
+            previous_log = logs.get(self.generation)
+            is_next = log.head.previous_generation == self.generation
+            if (
+                is_next
+                and previous_log is not None
+                and previous_log.valid_size >= log.head.previous_size
+            ):
                 continue
             if generation > self.generation:
                 raise Damaged(file="slot", reason="a log is newer than any slot", repair=REPAIR)
 
     def _replay_logs(self, logs: dict[int, LogContents], covered_count: int) -> None:
-        """Replay the records that the checkpoint does not cover, and truncate a torn batch."""
+        """Replay the records that the checkpoint does not cover; truncate an incomplete batch."""
         if self.generation not in logs:
             self._start_log(self.generation)
             return
@@ -152,19 +156,19 @@
                 self.state_machine.replay(record)
             covered_count = 0
             name = log_file_name(generation)
-            self.disk.truncate(name, log.good_size)
+            self.disk.truncate(name, log.valid_size)
             self.disk.sync_existing(name)
             self.log_generation = generation
-            self.log_size, self.log_count = log.good_size, len(log.records)
+            self.log_size, self.log_count = log.valid_size, len(log.records)
 
     def _start_log(self, generation: int) -> None:
         self._write_log_head(LogHead(generation))
 
-    def _follow_log(self) -> None:
+    def _start_next_log(self) -> None:
         self._write_log_head(LogHead(self.generation + 1, self.generation, self.log_size))
 
     def _write_log_head(self, head: LogHead) -> None:
-        """Begin a log; the old records are durably truncated before the new head is written."""
+        """Begin a log: durably truncate the old records, then write the new head."""
         name, data = log_file_name(head.generation), encode_record(head.to_disk())
         self.disk.truncate(name, 0)
         self.disk.write(name, data)
@@ -172,7 +176,7 @@
         self.log_size, self.log_count = len(data), 0
 
     def write_checkpoint(self) -> None:
-        """Write a complete checkpoint without pauses; its log is emptied unless already in use.
+        """Write a complete checkpoint without pauses; its log starts empty unless already in use.
 
         Raises DiskError.
         """
@@ -186,9 +190,9 @@
             self._start_log(self.generation)
 
     def _begin_checkpoint(self) -> None:
-        """Begin the next checkpoint, which covers the log's records and the pending ones too."""
+        """Begin the next checkpoint, which covers the records of the log and the pending ones."""
         if self.log_generation == self.generation:
-            self._follow_log()
+            self._start_next_log()
         pending_count = sum(len(commit.records) for commit in self.pending)
         self._open_writer(self.log_count + pending_count)
 
@@ -197,7 +201,7 @@
         self.writer = CheckpointWriter(self.disk, self.generation + 1, rows, covered_count)
 
     def _write_checkpoint_step(self) -> bool:
-        """Write a step of the next checkpoint; return whether none is under way any more."""
+        """Write one step of the checkpoint in progress; return True once none is in progress."""
         writer = self.writer
         if writer is None:
             return True
@@ -213,7 +217,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no records wait to be written or are being written."""
+        """Whether no records are pending or being written."""
         return not self.pending and not self.is_writing
 
     def commit(self, records: list[Any]) -> Coroutine:
@@ -222,23 +226,23 @@
             raise self.error
         done_signal = Signal()
         self.pending.append(PendingCommit(records, done_signal))
-        self.dirty_signal.set()
+        self.work_signal.set()
         while not done_signal.is_set:
-            yield Wait(done_signal, IDLE_SECONDS)
+            yield Wait(done_signal, IDLE_WAIT_SECONDS)
         if done_signal.value is not None:
             raise done_signal.value
 
     def run(self, retry_seconds: float) -> Coroutine:
-        """Write pending records in batches, and checkpoints, without end.
+        """Write batches of pending records, and checkpoints, without end.
 
-        After a DiskError the disk is retried every `retry_seconds`, by a complete checkpoint.
+        After a DiskError, retry every `retry_seconds` by writing a complete checkpoint.
         """
         while True:
             if self.writer is not None:
                 yield Sleep(STEP_PAUSE_SECONDS)
             elif self.error is None and not self.pending and not self._is_checkpoint_due():
-                yield Wait(self.dirty_signal, IDLE_SECONDS)
-            self.dirty_signal = Signal()
+                yield Wait(self.work_signal, IDLE_WAIT_SECONDS)
+            self.work_signal = Signal()
             if self.pending or self.error is not None:
                 yield from self._write_pending()
             if self.error is None:
@@ -256,17 +260,17 @@
             commit.done_signal.set(outcome)
 
     def _continue_checkpoint(self) -> Coroutine:
-        """Begin the next checkpoint if it is due, or write one step of the one under way."""
+        """Begin the next checkpoint if it is due, or write one step of the one in progress."""
         if self.writer is None and not self._is_checkpoint_due():
             return
         yield from self._wait_for_disk()
         if self.writer is None:
-            self._try(self._begin_checkpoint)
+            self._run_disk_operation(self._begin_checkpoint)
         else:
-            self._try(self._write_checkpoint_step)
+            self._run_disk_operation(self._write_checkpoint_step)
 
     def _is_checkpoint_due(self) -> bool:
-        if self.log_size > max(self.log_limit, self.checkpoint_size):
+        if self.log_size > max(self.log_limit_bytes, self.checkpoint_size):
             return True
         return self.writer is None and self.log_generation > self.generation
 
@@ -279,15 +283,15 @@
         """Write a batch and sync it; return None, or the DiskError that prevented it."""
         data = b"".join(encode_record(record) for commit in batch for record in commit.records)
         if self.error is not None:
-            return self._try(self.write_checkpoint)
-        if data and self._try(lambda: self._append(data)) is None:
+            return self._run_disk_operation(self.write_checkpoint)
+        if data and self._run_disk_operation(lambda: self._append(data)) is None:
             self.log_count += sum(len(commit.records) for commit in batch)
         outcome = self.error
         if outcome is None and self._is_checkpoint_due():
             if self.writer is None:
-                self._try(self._begin_checkpoint)
+                self._run_disk_operation(self._begin_checkpoint)
             else:
-                self._try(self._finish_checkpoint)
+                self._run_disk_operation(self._finish_checkpoint)
         return outcome
 
     def _append(self, data: bytes) -> None:
@@ -296,11 +300,14 @@
         self.disk.sync(name)
         self.log_size += len(marked_data)
 
-    def _try(self, action: Callable[[], object]) -> DiskError | None:
-        """Run a disk operation; record and return its DiskError, or None."""
+    def _run_disk_operation(self, action: Callable[[], object]) -> DiskError | None:
+        """Run a disk operation; record and return its DiskError, or None.
+
+        An error aborts the checkpoint in progress.
+        """
         try:
             action()
-            self.syncs += 1
+            self.operation_count += 1
             self.error = None
         except DiskError as error:
             self.error, self.writer = error, None
--- a/quillring/store/disk.py
+++ b/quillring/store/disk.py
@@ -1,4 +1,4 @@
-"""The data folder of a store: files written at once, in steps or by appends, with syncs."""
+"""The files in a store's data folder: written at once, in steps or by appending, and synced."""
 
 from __future__ import annotations
 
@@ -36,28 +36,28 @@
         """Truncate a file to a size in bytes, durably; do nothing if it does not exist."""
 
     def sync(self, name: str) -> None:
-        """Make the bytes appended last durable."""
+        """Make the appended bytes durable."""
 
     def sync_existing(self, name: str) -> None:
-        """Sync a file and the folder, since a killed process may have left either unsynced."""
+        """Sync a file and the folder; a killed process may have left either unsynced."""
 
     def sync_delay_seconds(self) -> float:
-        """Return the delay in seconds that a sync adds to the call itself (simulated disks)."""
+        """Return the simulated duration of a sync in seconds, for which the caller has to wait."""
 
 
 class FolderDisk:
-    """A Disk on the file system: files in one data folder; raises DiskError for any OSError.
+    """A Disk in one folder of the file system; raises DiskError for any OSError.
 
-    Owns at most two open files: the log that was appended to last, and the one written in steps.
+    Has at most two files open: the log that was appended to last, and the file written in steps.
     """
 
-    __slots__ = ("folder", "log_file", "log_name", "staged_file")
+    __slots__ = ("folder", "log_file", "log_name", "stepwise_file")
 
     def __init__(self, folder: str) -> None:
         self.folder = folder
         self.log_file: FileIO | None = None
         self.log_name: str | None = None
-        self.staged_file: FileIO | None = None
+        self.stepwise_file: FileIO | None = None
         try:
             make_folder(os.path.abspath(folder))
         except OSError as error:
@@ -90,10 +90,10 @@
     def begin_file(self, name: str, header: bytes) -> None:
         """Truncate or create a file to be written in steps; finish_file() replaces its header."""
         try:
-            if self.staged_file is not None:
-                self.staged_file.close()
-            self.staged_file = open(self._path(name), "wb", buffering=0)
-            _write_and_sync(self.staged_file, name, header)
+            if self.stepwise_file is not None:
+                self.stepwise_file.close()
+            self.stepwise_file = open(self._path(name), "wb", buffering=0)
+            _write_and_sync(self.stepwise_file, name, header)
             sync_path(self.folder)
         except OSError as error:
             raise DiskError(file=name, reason=error.strerror) from error
@@ -101,18 +101,18 @@
     def extend_file(self, name: str, data: bytes) -> None:
         """Append to the file begun last by begin_file(), and sync it."""
         try:
-            _write_and_sync(_opened(self.staged_file, name), name, data)
+            _write_and_sync(_require_open(self.stepwise_file, name), name, data)
         except OSError as error:
             raise DiskError(file=name, reason=error.strerror) from error
 
     def finish_file(self, name: str, header: bytes) -> None:
         """Write the header of the file begun last by begin_file(), sync and close it."""
         try:
-            staged_file = _opened(self.staged_file, name)
-            staged_file.seek(0)
-            _write_and_sync(staged_file, name, header)
-            staged_file.close()
-            self.staged_file = None
+            stepwise_file = _require_open(self.stepwise_file, name)
+            stepwise_file.seek(0)
+            _write_and_sync(stepwise_file, name, header)
+            stepwise_file.close()
+            self.stepwise_file = None
         except OSError as error:
             raise DiskError(file=name, reason=error.strerror) from error
 
@@ -142,14 +142,14 @@
             raise DiskError(file=name, reason=error.strerror) from error
 
     def sync(self, name: str) -> None:
-        """Make the bytes appended last durable."""
+        """Make the appended bytes durable."""
         try:
-            os.fsync(_opened(self.log_file, name).fileno())
+            os.fsync(_require_open(self.log_file, name).fileno())
         except OSError as error:
             raise DiskError(file=name, reason=error.strerror) from error
 
     def sync_existing(self, name: str) -> None:
-        """Sync a file and the folder, since a killed process may have left either unsynced."""
+        """Sync a file and the folder; a killed process may have left either unsynced."""
         try:
             sync_path(self._path(name))
             sync_path(self.folder)
@@ -157,12 +157,12 @@
             raise DiskError(file=name, reason=error.strerror) from error
 
     def sync_delay_seconds(self) -> float:
-        """Return 0: a real sync blocks for as long as it takes."""
+        """Return 0, since a real sync blocks until it is done."""
         return 0
 
 
-def _opened(file: FileIO | None, name: str) -> FileIO:
-    """Return the open file; raises DiskError when it is None."""
+def _require_open(file: FileIO | None, name: str) -> FileIO:
+    """Return the file, or raise DiskError when it is None."""
     if file is None:
         raise DiskError(file=name, reason="the file is not open")
     return file
@@ -175,7 +175,7 @@
 
 
 def make_folder(path: str) -> None:
-    """Make a folder and its missing parents durably, by a sync of each parent folder."""
+    """Create a folder and its missing parents, and sync each parent folder."""
     if os.path.isdir(path):
         return
     parent = os.path.dirname(path)
@@ -185,7 +185,7 @@
 
 
 def sync_path(path: str) -> None:
-    """Sync a file, or a folder's directory entries; raises OSError when that fails."""
+    """Sync a file, or the entries of a folder; raises OSError."""
     handle = os.open(path, os.O_RDONLY)
     try:
         os.fsync(handle)
--- a/quillring/store/log_file.py
+++ b/quillring/store/log_file.py
@@ -1,4 +1,4 @@
-"""Log files: the format of the write-ahead log between two checkpoints."""
+"""The format of log files: the write-ahead log between two checkpoints."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 class LogHead(NamedTuple):
     """The first record of a log.
 
-    `follows` is the generation whose log it continues, if any, and `former_size` the size of that
-    log in bytes by then. `is_marked` says whether each batch begins with BATCH_MARK.
+    `previous_generation` is the generation whose log it continues, if any, and `previous_size` the
+    size of that log in bytes at the time. `has_batch_marks`: each batch begins with BATCH_MARK.
     """
 
     generation: int
-    follows: int | None = None
-    former_size: int = 0
-    is_marked: bool = True
+    previous_generation: int | None = None
+    previous_size: int = 0
+    has_batch_marks: bool = True
 
     @classmethod
     def from_disk(cls, record: Any) -> LogHead | None:
-        """Read the head, or return None when the record is not one.
+        """Parse the head, or return None when the record is not one.
 
-        Two older formats are read too: the generation alone, and a map without `marked`; batches
-        of such logs have no marks.
+        Earlier versions wrote two other formats, in logs whose batches have no marks: only the
+        generation, or a map without `marked`.
         """
         if isinstance(record, int):
-            return cls(record, is_marked=False)
+            return cls(record, has_batch_marks=False)
         if isinstance(record, dict):
             return cls(
                 record["generation"],
@@ -45,38 +45,38 @@
         return None
 
     def to_disk(self) -> WireMap:
-        """Return the head in its form on disk."""
+        """Return the head in its stored form."""
         return {
             "generation": self.generation,
-            "follows": self.follows,
-            "former_size": self.former_size,
-            "marked": self.is_marked,
+            "follows": self.previous_generation,
+            "former_size": self.previous_size,
+            "marked": self.has_batch_marks,
         }
 
 
 class LogContents(NamedTuple):
-    """The contents of a log file; all bytes after `good_size` are the torn last batch."""
+    """The contents of a log file; the bytes after `valid_size` are an incomplete last batch."""
 
     head: LogHead
     records: list[Any]
-    good_size: int
+    valid_size: int
 
 
 def read_log(file_name: str, data: bytes) -> LogContents | None:
-    """Return the contents of a log file, or None when its head is missing.
+    """Parse a log file; return None when its head is missing.
 
-    Raises Damaged when a batch before the last one is unreadable, since a crash can tear only the
-    last one.
+    Raises Damaged when a batch before the last one is unreadable: a crash can leave only the last
+    batch incomplete.
     """
-    values, good_size = decode_records(data)
+    values, valid_size = decode_records(data)
     records = [value for value in values if value != BATCH_MARK]
     head = LogHead.from_disk(records[0]) if records else None
-    is_marked = BATCH_MARK in values or (head is not None and head.is_marked)
-    if good_size < len(data) and has_record_after(data, good_size, is_marked):
+    has_batch_marks = BATCH_MARK in values or (head is not None and head.has_batch_marks)
+    if valid_size < len(data) and has_record_after(data, valid_size, has_batch_marks):
         raise Damaged(file=file_name, reason="a record amid the log", repair=REPAIR)
     if head is None:
         return None
-    return LogContents(head, records[1:], good_size)
+    return LogContents(head, records[1:], valid_size)
 
 
 def log_file_name(generation: int) -> str:
--- a/quillring/store/records.py
+++ b/quillring/store/records.py
@@ -1,7 +1,7 @@
-"""Checksummed records, of which logs and checkpoints consist.
+"""Checksummed records, the unit of logs and checkpoints.
 
-On disk a record is the length of its body in bytes and the body's CRC-32, each four bytes in
-big-endian order, then the body in CBOR (RFC 8949).
+On disk, a record consists of the length of its body in bytes and the body's CRC-32, each as four
+bytes in big-endian order, and the body in CBOR (RFC 8949).
 """
 
 from __future__ import annotations
@@ -19,27 +19,27 @@
 
 
 class DecodedRecord(NamedTuple):
-    """A record, and the offset of the first byte after it."""
+    """The value of a record, and the offset of the first byte after it."""
 
     value: Any
     end: int
 
 
 class DecodedRecords(NamedTuple):
-    """The complete records at the start of some bytes, and the offset after the last one."""
+    """The values of the valid records at the start of a file, and the offset after the last one."""
 
     values: list[Any]
     end: int
 
 
 def encode_record(value: Any) -> bytes:
-    """Return the bytes of one record."""
+    """Return a value encoded as one record."""
     body: bytes = cbor2.dumps(value)
     return RECORD_HEADER.pack(len(body), zlib.crc32(body)) + body
 
 
 def decode_record(data: bytes, offset: int) -> DecodedRecord | None:
-    """Return the record at an offset, or None when it is incomplete or fails its checksum."""
+    """Decode the record at an offset; return None if it is incomplete or fails its checksum."""
     if offset + RECORD_HEADER.size > len(data):
         return None
     length, checksum = RECORD_HEADER.unpack_from(data, offset)
@@ -51,7 +51,7 @@
 
 
 def decode_records(data: bytes) -> DecodedRecords:
-    """Return the records before the first that is incomplete or fails its checksum."""
+    """Decode the records before the first one that is incomplete or fails its checksum."""
     values: list[Any] = []
     offset = 0
     while (record := decode_record(data, offset)) is not None:
@@ -60,18 +60,18 @@
     return DecodedRecords(values, offset)
 
 
-def has_record_after(data: bytes, offset: int, is_marked: bool) -> bool:
+def has_record_after(data: bytes, offset: int, has_batch_marks: bool) -> bool:
     """Return whether a later batch shows that the unreadable record at `offset` was synced.
 
-    Each batch is written under one sync and begins with BATCH_MARK. A loss of power may lose any
-    bytes of the last batch, but no further batch is written after a torn one. In a log without
-    marks (`is_marked` False, of earlier versions), any readable record that follows counts.
+    Each batch begins with BATCH_MARK and is synced before the next one is written. A loss of power
+    may therefore lose any bytes of the last batch, but no batch follows an incomplete one. Logs of
+    earlier versions have no marks (`has_batch_marks` is False); there, any readable record counts.
     """
     while offset + RECORD_HEADER.size <= len(data):
         length, _ = RECORD_HEADER.unpack_from(data, offset)
         offset += RECORD_HEADER.size + length
         record = decode_record(data, offset)
-        if not is_marked or (record is not None and record.value == BATCH_MARK):
+        if not has_batch_marks or (record is not None and record.value == BATCH_MARK):
             return record is not None
     return False
 
--- a/tests/test_checkpoints.py
+++ b/tests/test_checkpoints.py
@@ -70,7 +70,7 @@
 def turned(count, step_every, size=10):
     """A store that wrote records and, by turns, steps of its slots; returns (store, disk)."""
     holder, disk = Holder(), WatchedDisk()
-    store = CheckpointedLog(disk, holder, log_limit=200)
+    store = CheckpointedLog(disk, holder, log_limit_bytes=200)
     store.write_checkpoint()
     for number in range(count):
         written(store, holder, [["r", number, "x" * size]])
@@ -110,7 +110,7 @@
     store, disk = turned(21, 1000)
     assert store.writer is not None
     holder = Holder()
-    again = CheckpointedLog(disk_of(disk.durable), holder, log_limit=200)
+    again = CheckpointedLog(disk_of(disk.durable), holder, log_limit_bytes=200)
     assert again.recover() and again._is_checkpoint_due()
     while again.generation == store.generation:
         for _ in again._continue_checkpoint():
--- a/tests/test_quorum_messages.py
+++ b/tests/test_quorum_messages.py
@@ -227,8 +227,8 @@
 
 def test_heads_of_earlier_logs_are_read_as_without_marks():
     earlier = {"generation": 5, "follows": 4, "former_size": 900}
-    assert LogHead.from_disk(earlier) == LogHead(5, 4, 900, is_marked=False)
-    assert LogHead.from_disk(5) == LogHead(5, is_marked=False)
+    assert LogHead.from_disk(earlier) == LogHead(5, 4, 900, has_batch_marks=False)
+    assert LogHead.from_disk(5) == LogHead(5, has_batch_marks=False)
     assert LogHead.from_disk(["accept"]) is None
 
 
