--- a/quillring/plans/api.py
+++ b/quillring/plans/api.py
@@ -13,9 +13,9 @@
     ConfirmPlan,
     ProposePlan,
     StopPlan,
-    read_plan_query,
+    make_plan_query,
 )
-from quillring.plans.planner import INTENTS, FleetView, NodePlace, ReplicaLoad, make_plan
+from quillring.plans.planner import INTENTS, FleetView, NodeLocation, ReplicaLoad, make_plan
 from quillring.quorum.parts import CONFIG
 from quillring.rollout.messages import READ_CONFIGURATION, CurrentConfiguration
 
@@ -63,7 +63,7 @@
             for fields in heartbeats
             if replicas.is_alive(fields["name"])
         ],
-        {member.name: NodePlace(member.role, member.zone) for member in members},
+        {member.name: NodeLocation(member.role, member.zone) for member in members},
     )
 
 
@@ -94,7 +94,7 @@
 @route("GET", "/v1/plans/{plan}")
 def show_one(node: Node, request: Request) -> Coroutine:
     """Return one plan with its progress."""
-    query = read_plan_query(request.words["plan"])
+    query = make_plan_query(request.words["plan"])
     return (yield from node.find("ownership").read(CONFIG, query))
 
 
--- a/quillring/plans/commands.py
+++ b/quillring/plans/commands.py
@@ -18,11 +18,11 @@
     CompleteStep,
     ConfigurationStep,
     ConfirmPlan,
-    Progress,
+    PlanProgress,
     ProposePlan,
     StopPlan,
     StoredPlan,
-    show_plan_fields,
+    plan_to_json,
 )
 from quillring.quorum.commands import COMMANDS, QUERIES
 from quillring.rollout.messages import ADOPT_CONFIGURATION, AdoptConfiguration
@@ -81,17 +81,17 @@
 def propose_plan(state: WireMap, command: WireMap) -> tuple[WireMap, WireMap]:
     """Store a plan until it is confirmed; idempotent by its id.
 
-    Drops the oldest plans that are not running to store at most MAX_STORED_PLANS.
+    Beyond MAX_STORED_PLANS, the oldest plans that are not running are dropped.
     """
     proposal, plans = ProposePlan.from_wire(command), stored_plans(state)
     if proposal.id in plans:
-        return state, show_plan_fields(proposal.id, plans[proposal.id])
+        return state, plan_to_json(proposal.id, plans[proposal.id])
     idle_names = [name for name, fields in plans.items() if fields["phase"] != RUNNING]
     dropped_names = set(idle_names[: max(0, len(plans) - MAX_STORED_PLANS + 1)])
     retained = {name: fields for name, fields in plans.items() if name not in dropped_names}
     fields = {**proposal.plan, "phase": PROPOSED, "done": 0}
     new_state = {**state, "plans": {**retained, proposal.id: fields}}
-    return new_state, show_plan_fields(proposal.id, fields)
+    return new_state, plan_to_json(proposal.id, fields)
 
 
 @COMMANDS.entry(CONFIRM)
@@ -106,7 +106,7 @@
     plan = find_plan(state, name)
     if plan.phase != PROPOSED:
         if plan.confirmed_by == confirmation.id:
-            return state, show_plan_fields(name, plan.fields)
+            return state, plan_to_json(name, plan.fields)
         raise Conflict(field="plan", plan=name, phase=plan.phase)
     if plan.base_version != state["version"]:
         raise StalePlan(plan=name, made_against=plan.base_version, version=state["version"])
@@ -115,7 +115,7 @@
         raise UnacceptedObstacles(plan=name, obstacles=obstacles)
     check_conflicts(state, name, plan)
     new_state = with_plan(state, name, phase=RUNNING, confirmed_by=confirmation.id)
-    return new_state, show_plan_fields(name, new_state["plans"][name])
+    return new_state, plan_to_json(name, new_state["plans"][name])
 
 
 def check_conflicts(state: WireMap, name: str, plan: StoredPlan) -> None:
@@ -141,7 +141,7 @@
     name, number = completion.plan, completion.step
     plan = find_plan(state, name)
     if plan.phase != RUNNING or plan.done_steps != number:
-        return state, Progress(plan.phase, plan.done_steps).to_wire()
+        return state, PlanProgress(plan.phase, plan.done_steps).to_wire()
     step = plan.step(number)
     if isinstance(step, ConfigurationStep):
         change_id = f"{name} step {number}"
@@ -150,11 +150,11 @@
             state, _ = COMMANDS.find(ADOPT_CONFIGURATION)(state, adoption.to_wire())
         except QuillringError as error:
             failed_state = with_plan(state, name, phase=FAILED, trouble=error.to_json())
-            return failed_state, Progress(FAILED, plan.done_steps).to_wire()
+            return failed_state, PlanProgress(FAILED, plan.done_steps).to_wire()
     done_steps = number + 1
     phase = DONE if done_steps == plan.step_count() else RUNNING
     new_state = with_plan(state, name, done=done_steps, phase=phase)
-    return new_state, Progress(phase, done_steps).to_wire()
+    return new_state, PlanProgress(phase, done_steps).to_wire()
 
 
 @COMMANDS.entry(STOP)
@@ -166,20 +166,20 @@
     name = StopPlan.from_wire(command).plan
     plan = find_plan(state, name)
     if plan.phase == STOPPED:
-        return state, show_plan_fields(name, plan.fields)
+        return state, plan_to_json(name, plan.fields)
     if plan.phase not in (PROPOSED, RUNNING):
         raise Conflict(field="plan", plan=name, phase=plan.phase)
     new_state = with_plan(state, name, phase=STOPPED)
-    return new_state, show_plan_fields(name, new_state["plans"][name])
+    return new_state, plan_to_json(name, new_state["plans"][name])
 
 
 @QUERIES.entry("plans")
 def show_plans(state: WireMap, query: WireMap) -> WireMap:
     """Return all stored plans."""
-    return {"plans": [show_plan_fields(name, p) for name, p in stored_plans(state).items()]}
+    return {"plans": [plan_to_json(name, p) for name, p in stored_plans(state).items()]}
 
 
 @QUERIES.entry("plan")
 def show_plan(state: WireMap, query: WireMap) -> WireMap:
     """Return one plan, or raise NotFound."""
-    return show_plan_fields(query["plan"], find_plan(state, query["plan"]).fields)
+    return plan_to_json(query["plan"], find_plan(state, query["plan"]).fields)
--- a/quillring/plans/messages.py
+++ b/quillring/plans/messages.py
@@ -21,7 +21,7 @@
 CONFIGURATION_STEP, WAIT_STEP = "layout", "wait"
 
 
-def read_plan_query(plan: str) -> WireMap:
+def make_plan_query(plan: str) -> WireMap:
     """Return the query for one plan."""
     return {"ask": "plan", "plan": plan}
 
@@ -214,12 +214,12 @@
         return {"do": STOP, "plan": self.plan}
 
 
-def show_plan_fields(name: str, fields: WireMap) -> WireMap:
+def plan_to_json(name: str, fields: WireMap) -> WireMap:
     """Return a plan as the HTTP interface shows it."""
     return {"plan": name, **fields}
 
 
-class Progress(NamedTuple):
+class PlanProgress(NamedTuple):
     """The reply to `plan.step`: the plan's phase, and the number of completed steps."""
 
     phase: Any
--- a/quillring/plans/planner.py
+++ b/quillring/plans/planner.py
@@ -46,7 +46,7 @@
         )
 
 
-class NodePlace(NamedTuple):
+class NodeLocation(NamedTuple):
     """The role and the zone of a node."""
 
     role: str
@@ -64,7 +64,7 @@
     groups: Mapping[str, list[str]]
     stores: Mapping[str, str]
     replicas: list[ReplicaLoad]
-    nodes: Mapping[str, NodePlace]
+    nodes: Mapping[str, NodeLocation]
 
     def require_zone(self, zone: str) -> None:
         """Raise NotFound unless the zone is in the configuration."""
@@ -98,7 +98,9 @@
     view.require_zone(zone)
     drained_replicas = [replica for replica in view.replicas if replica.zone == zone]
     role_by_node = {
-        name: place.role for name, place in sorted(view.nodes.items()) if place.zone == zone
+        name: location.role
+        for name, location in sorted(view.nodes.items())
+        if location.zone == zone
     }
     obstacles = [
         *capacity_obstacles(view, zone, sorted({replica.service for replica in drained_replicas})),
@@ -130,16 +132,18 @@
     return obstacles
 
 
-def missing_role_obstacles(view: FleetView, zone: str, leaving_roles: set[str]) -> list[Obstacle]:
+def missing_role_obstacles(view: FleetView, zone: str, drained_roles: set[str]) -> list[Obstacle]:
     """Return an obstacle if no zone would remain, and for each needed role that would be lost."""
     obstacles = []
     zones = view.configuration["domains"]
-    staying_zones = [name for name in zones if name != zone and not view.is_drained(name)]
-    if not staying_zones:
+    remaining_zones = [name for name in zones if name != zone and not view.is_drained(name)]
+    if not remaining_zones:
         obstacles.append(Obstacle(None, "no domain would remain"))
-    staying_roles = {place.role for place in view.nodes.values() if place.zone in staying_zones}
+    remaining_roles = {
+        location.role for location in view.nodes.values() if location.zone in remaining_zones
+    }
     for role in NEEDED_ROLES:
-        if role in leaving_roles and role not in staying_roles:
+        if role in drained_roles and role not in remaining_roles:
             obstacles.append(Obstacle(f"no_{role}", f"no {role} would remain"))
     return obstacles
 
--- a/quillring/store/checkpointed_log.py
+++ b/quillring/store/checkpointed_log.py
@@ -19,8 +19,14 @@
     checkpoint_file_name,
     read_checkpoint,
 )
-from quillring.store.log_file import REPAIR, LogContents, LogHead, log_file_name, read_log
-from quillring.store.records import BATCH_HEAD, encode_record
+from quillring.store.log_file import (
+    REPAIR_INSTRUCTIONS,
+    LogContents,
+    LogHead,
+    log_file_name,
+    read_log,
+)
+from quillring.store.records import ENCODED_BATCH_MARK, encode_record
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -107,7 +113,7 @@
         checkpoint = _newest_checkpoint(files)
         if checkpoint is None:
             if logs and any(data is not None for data in files):
-                raise Damaged(file="slot", reason="no slot is readable", repair=REPAIR)
+                raise Damaged(file="slot", reason="no slot is readable", repair=REPAIR_INSTRUCTIONS)
             return False
         self.generation, self.checkpoint_size = checkpoint.generation, checkpoint.size
         self._check_newer_logs(logs)
@@ -141,7 +147,9 @@
             ):
                 continue
             if generation > self.generation:
-                raise Damaged(file="slot", reason="a log is newer than any slot", repair=REPAIR)
+                raise Damaged(
+                    file="slot", reason="a log is newer than any slot", repair=REPAIR_INSTRUCTIONS
+                )
 
     def _replay_logs(self, logs: dict[int, LogContents], covered_count: int) -> None:
         """Replay the records that the checkpoint does not cover; truncate an incomplete batch."""
@@ -295,7 +303,7 @@
         return outcome
 
     def _append(self, data: bytes) -> None:
-        name, marked_data = log_file_name(self.log_generation), BATCH_HEAD + data
+        name, marked_data = log_file_name(self.log_generation), ENCODED_BATCH_MARK + data
         self.disk.append(name, marked_data)
         self.disk.sync(name)
         self.log_size += len(marked_data)
--- a/quillring/store/log_file.py
+++ b/quillring/store/log_file.py
@@ -11,7 +11,9 @@
 if TYPE_CHECKING:
     from quillring.kernel.types import WireMap
 
-REPAIR = "keep a copy, empty the folder, start the store as a new member; hints refill it"
+REPAIR_INSTRUCTIONS = (
+    "keep a copy, empty the folder, start the store as a new member; hints refill it"
+)
 
 
 class LogHead(NamedTuple):
@@ -73,7 +75,7 @@
     head = LogHead.from_disk(records[0]) if records else None
     has_batch_marks = BATCH_MARK in values or (head is not None and head.has_batch_marks)
     if valid_size < len(data) and has_record_after(data, valid_size, has_batch_marks):
-        raise Damaged(file=file_name, reason="a record amid the log", repair=REPAIR)
+        raise Damaged(file=file_name, reason="a record amid the log", repair=REPAIR_INSTRUCTIONS)
     if head is None:
         return None
     return LogContents(head, records[1:], valid_size)
--- a/quillring/store/records.py
+++ b/quillring/store/records.py
@@ -76,4 +76,4 @@
     return False
 
 
-BATCH_HEAD = encode_record(BATCH_MARK)
+ENCODED_BATCH_MARK = encode_record(BATCH_MARK)
--- a/quillring/verbs/cli.py
+++ b/quillring/verbs/cli.py
@@ -14,7 +14,7 @@
 from quillring.verbs.checks import check_settings
 from quillring.verbs.client import send_request
 from quillring.verbs.process import run_process
-from quillring.verbs.show import show_table
+from quillring.verbs.show import format_reply
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
@@ -31,7 +31,7 @@
 main.add_command(check_settings)
 
 
-def role_command(role: str, text: str) -> None:
+def register_role_command(role: str, text: str) -> None:
     """Register the subcommand that runs a role."""
 
     @click.option("--settings", "path", type=click.Path(), help="Settings file (JSON).")
@@ -68,9 +68,9 @@
     main.command(role, help=text)(run_role)
 
 
-role_command("edge", "Run an edge: it serves clients.")
-role_command("core", "Run a core: it leads parts of the state and schedules work.")
-role_command("store", "Run a store: it stores lots, results and layouts on disk.")
+register_role_command("edge", "Run an edge: it serves clients.")
+register_role_command("core", "Run a core: it leads parts of the state and schedules work.")
+register_role_command("store", "Run a store: it stores lots, results and layouts on disk.")
 
 
 def node_options(function: Callable[..., None]) -> Callable[..., None]:
@@ -91,10 +91,10 @@
     except QuillringError as error:
         click.echo(json.dumps(error.to_json()) if as_json else str(error), err=True)
         sys.exit(EXIT_UNREACHABLE if error.kind == "not_sent" else EXIT_REFUSED)
-    click.echo(json.dumps(answer) if as_json else show_table(answer))
+    click.echo(json.dumps(answer) if as_json else format_reply(answer))
 
 
-def show_command(name: str, path: str, text: str) -> None:
+def register_show_command(name: str, path: str, text: str) -> None:
     """Register a subcommand that prints the reply to one GET request."""
 
     @node_options
@@ -104,14 +104,18 @@
     main.command(name, help=text)(run_show)
 
 
-show_command("members", "/v1/members", "Show the members of the fleet.")
-show_command("graph", "/v1/graph", "Show the connectivity graph: routes, sides and bridges.")
-show_command("parts", "/v1/parts", "Show the parts with their leaders and ballots.")
-show_command("replicas", "/v1/replicas", "Show the replicas that a node knows.")
-show_command("promises", "/v1/promises", "Show a node's recent service levels by class.")
-show_command("counts", "/v1/counts", "Show a node's counters.")
-show_command("decisions", "/v1/decisions", "Show where a node recently sent requests, and why.")
-show_command(
+register_show_command("members", "/v1/members", "Show the members of the fleet.")
+register_show_command(
+    "graph", "/v1/graph", "Show the connectivity graph: routes, sides and bridges."
+)
+register_show_command("parts", "/v1/parts", "Show the parts with their leaders and ballots.")
+register_show_command("replicas", "/v1/replicas", "Show the replicas that a node knows.")
+register_show_command("promises", "/v1/promises", "Show a node's recent service levels by class.")
+register_show_command("counts", "/v1/counts", "Show a node's counters.")
+register_show_command(
+    "decisions", "/v1/decisions", "Show where a node recently sent requests, and why."
+)
+register_show_command(
     "traffic", "/v1/traffic", "Show a node's traffic by kind of message and zone of the peer."
 )
 
--- a/quillring/verbs/fleet_verbs.py
+++ b/quillring/verbs/fleet_verbs.py
@@ -13,7 +13,7 @@
 from quillring.plans.maintenance_windows import read_windows
 from quillring.verbs.cli import EXIT_REFUSED, main, node_options, send_and_print
 from quillring.verbs.client import send_request
-from quillring.verbs.show import show_table
+from quillring.verbs.show import format_reply
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -32,7 +32,7 @@
         click.echo(str(error), err=True)
         sys.exit(EXIT_REFUSED)
     rows = [status_row(member) for member in members]
-    click.echo(json.dumps({"nodes": rows}) if as_json else show_table({"nodes": rows}))
+    click.echo(json.dumps({"nodes": rows}) if as_json else format_reply({"nodes": rows}))
     sys.exit(0 if all(row["answer"] == "ok" for row in rows) else EXIT_REFUSED)
 
 
@@ -77,7 +77,7 @@
     """Propose, show, confirm and stop plans."""
 
 
-def intent_command(name: str, kind: str, text: str, has_service: bool = False) -> None:
+def register_intent_command(name: str, kind: str, text: str, has_service: bool = False) -> None:
     """Register the subcommand that proposes a plan of one kind."""
 
     @node_options
@@ -91,15 +91,17 @@
     plan.command(name, help=text)(propose)
 
 
-intent_command("empty-domain", "empty_domain", "Propose to drain a domain.")
-intent_command(
+register_intent_command("empty-domain", "empty_domain", "Propose to drain a domain.")
+register_intent_command(
     "refill-domain", "refill_domain", "Propose to give a drained domain new requests again."
 )
-intent_command("retire-store", "retire_store", "Propose to remove a store from all parts.")
-intent_command(
+register_intent_command("retire-store", "retire_store", "Propose to remove a store from all parts.")
+register_intent_command(
     "restore-store", "restore_store", "Propose to make a retired store eligible for parts again."
 )
-intent_command("move-entry", "move_entry", "Propose to point an entry at another SERVICE.", True)
+register_intent_command(
+    "move-entry", "move_entry", "Propose to point an entry at another SERVICE.", True
+)
 
 
 @plan.command("show")
@@ -159,4 +161,4 @@
         click.echo(str(error), err=True)
         sys.exit(EXIT_REFUSED)
     answer = {"windows": [window.to_json() for window in calendar_windows], "plans": plans}
-    click.echo(json.dumps(answer) if as_json else show_table(answer))
+    click.echo(json.dumps(answer) if as_json else format_reply(answer))
--- a/quillring/verbs/process.py
+++ b/quillring/verbs/process.py
@@ -41,11 +41,11 @@
 
 DRAIN_TIMEOUT_FACTOR = 50
 """Longest drain in recovery bounds (`bounds.recovery`), if no grace period is set."""
-GRACE_SHARE = 0.9
-ADMISSION_SHARE = 0.4
+DRAIN_GRACE_SHARE = 0.9
+ADMISSION_GRACE_SHARE = 0.4
 MAX_ADMISSION_SECONDS = 3.0
-"""How long a draining node still accepts clients' requests: this share of the grace period, but at
-most so many seconds."""
+"""A draining node still accepts new requests for ADMISSION_GRACE_SHARE of the grace period, but no
+longer than MAX_ADMISSION_SECONDS."""
 STEPS_PER_GOSSIP_INTERVAL = 2
 LOG_LEVELS = {
     "debug": logging.DEBUG,
@@ -66,19 +66,20 @@
     """Refuse new requests, finish those in flight, hand over the journal and stop the servers.
 
     New requests are accepted for a short time at first, while the platform reroutes clients, and
-    then refused, since they might not finish before the process ends. The drain takes at most
-    GRACE_SHARE of the grace period or, without one, DRAIN_TIMEOUT_FACTOR recovery bounds.
+    then refused, since they might not finish before the process ends. Requests in flight may finish
+    within DRAIN_GRACE_SHARE of the grace period or, if none is set, within DRAIN_TIMEOUT_FACTOR
+    recovery bounds.
     """
     node.is_draining = True
     node.find("ownership").announce_drain()
     grace = node.bounds.grace_period
     if grace is None:
-        timeout = node.bounds.recovery * DRAIN_TIMEOUT_FACTOR
+        timeout_seconds = node.bounds.recovery * DRAIN_TIMEOUT_FACTOR
         admission_seconds = node.bounds.heartbeat_interval
     else:
-        timeout = grace * GRACE_SHARE
-        admission_seconds = min(grace * ADMISSION_SHARE, MAX_ADMISSION_SECONDS)
-    deadline = node.now() + timeout
+        timeout_seconds = grace * DRAIN_GRACE_SHARE
+        admission_seconds = min(grace * ADMISSION_GRACE_SHARE, MAX_ADMISSION_SECONDS)
+    deadline = node.now() + timeout_seconds
     gevent.sleep(admission_seconds)
     node.is_closing = True
     while node.under_way and node.now() < deadline:
@@ -129,7 +130,7 @@
     runtime = make_runtime(lambda error: node_logger.error("failure", exc_info=error), 1.0)
     step_seconds = settings.bounds.gossip_interval / STEPS_PER_GOSSIP_INTERVAL
     runtime.timers = TimerCoalescer(runtime.now(), step_seconds)
-    node = make_node(me, runtime, settings.seeds, settings.bounds, log_writer(node_logger))
+    node = make_node(me, runtime, settings.seeds, settings.bounds, make_log_writer(node_logger))
     node.offer("ring", ring_handler)
     node.find("decisions").ratio = settings.decision_log_ratio
     start_node(node, acceptors)
@@ -146,7 +147,7 @@
     drain(node, servers)
 
 
-def log_writer(node_logger: logging.Logger) -> LogWriter:
+def make_log_writer(node_logger: logging.Logger) -> LogWriter:
     """Return a function that writes to the node's log; it takes the level by its name."""
 
     def log(level: str, text: str, *fields: object) -> None:
--- a/quillring/verbs/show.py
+++ b/quillring/verbs/show.py
@@ -9,24 +9,24 @@
     from collections.abc import Sequence
 
 
-def show_table(answer: dict[str, Any]) -> str:
+def format_reply(answer: dict[str, Any]) -> str:
     """Return a reply as text for operators."""
     lines: list[str] = []
     for name, value in answer.items():
         if isinstance(value, list) and value and all(isinstance(row, dict) for row in value):
-            lines.extend(table_lines(value))
+            lines.extend(format_table(value))
         elif isinstance(value, dict):
             lines.append(f"{name}:")
-            lines.extend(f"  {n}: {to_cell(v)}" for n, v in value.items())
+            lines.extend(f"  {n}: {format_value(v)}" for n, v in value.items())
         else:
-            lines.append(f"{name}: {to_cell(value)}")
+            lines.append(f"{name}: {format_value(value)}")
     return "\n".join(lines)
 
 
-def table_lines(rows: Sequence[dict[str, Any]]) -> list[str]:
+def format_table(rows: Sequence[dict[str, Any]]) -> list[str]:
     """Return the lines of an aligned table."""
     columns = list(rows[0])
-    cells = [columns, *([to_cell(row.get(column)) for column in columns] for row in rows)]
+    cells = [columns, *([format_value(row.get(column)) for column in columns] for row in rows)]
     widths = [max(len(row[i]) for row in cells) for i in range(len(columns))]
     return [
         "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip()
@@ -34,7 +34,7 @@
     ]
 
 
-def to_cell(value: Any) -> str:
+def format_value(value: Any) -> str:
     """Return the text of one value: "-" for None, JSON unless it is a string."""
     if value is None:
         return "-"
--- a/tests/test_decision_log.py
+++ b/tests/test_decision_log.py
@@ -34,7 +34,7 @@
     REPLY,
     TrafficCounters,
 )
-from quillring.verbs.process import LOG_LEVELS, log_writer
+from quillring.verbs.process import LOG_LEVELS, make_log_writer
 from quillring.verbs.status_routes import show_decisions, show_traffic
 from tests.forward_stage import HEAD, beat, event, make_stage, request, run
 from tests.test_nifty import beat as heartbeat
@@ -77,7 +77,7 @@
     path = tmp_path / "ring.log"
     node_logger, ring = ring_log("edge-1", str(path))
     _, node = make_stage({})
-    node.log = log_writer(node_logger)
+    node.log = make_log_writer(node_logger)
     DecisionLog(node, 1.0).add(RECORD)
     ring.dump()
     (line,) = path.read_text().splitlines()
--- a/tests/test_plan_messages.py
+++ b/tests/test_plan_messages.py
@@ -10,13 +10,13 @@
     Intent,
     Obstacle,
     Plan,
-    Progress,
+    PlanProgress,
     ProposePlan,
     StopPlan,
     StoredPlan,
     WaitStep,
-    read_plan_query,
-    show_plan_fields,
+    make_plan_query,
+    plan_to_json,
 )
 
 STATED = {"target": "north", "kind": "empty_domain"}
@@ -77,9 +77,9 @@
     assert [plan.step(number) for number in range(plan.step_count())] == PLAN.steps
     assert plan.unaccepted_obstacles(["less_room"]) == [{"consequence": None, "text": "x"}]
     assert plan.fields is kept
-    assert show_plan_fields("p", kept) == {"plan": "p", **kept}
+    assert plan_to_json("p", kept) == {"plan": "p", **kept}
 
 
 def test_answers_and_queries_have_the_form_that_all_versions_know():
-    assert Progress("done", 2).to_wire() == {"phase": "done", "done": 2}
-    assert read_plan_query("p") == {"ask": "plan", "plan": "p"}
+    assert PlanProgress("done", 2).to_wire() == {"phase": "done", "done": 2}
+    assert make_plan_query("p") == {"ask": "plan", "plan": "p"}
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -4,7 +4,7 @@
 from proving.tools.deployments import DEPLOYMENTS, configuration_of
 from quillring.kernel.errors import Conflict, NotFound
 from quillring.plans.commands import ConflictingPlan, StalePlan, UnacceptedObstacles
-from quillring.plans.planner import FleetView, NodePlace, ReplicaLoad, make_plan
+from quillring.plans.planner import FleetView, NodeLocation, ReplicaLoad, make_plan
 from quillring.quorum.commands import apply_batch, first_state
 from quillring.quorum.parts import CONFIG
 
@@ -17,7 +17,7 @@
 ]
 
 
-NODES = {f"{role}-{d}": NodePlace(role, d) for role in ("edge", "core") for d in STORES.values()}
+NODES = {f"{role}-{d}": NodeLocation(role, d) for role in ("edge", "core") for d in STORES.values()}
 
 
 def view(**changes):
