--- a/quillring/store/checkpointed_log.py
+++ b/quillring/store/checkpointed_log.py
@@ -188,11 +188,11 @@
 
         Raises DiskError.
         """
-        has_log = self.log_generation > self.generation
-        covered_count = self.log_count if has_log else 0
+        has_next_log = self.log_generation > self.generation
+        covered_count = self.log_count if has_next_log else 0
         self._open_writer(covered_count)
         self._finish_checkpoint()
-        if has_log:
+        if has_next_log:
             self.disk.truncate(log_file_name(self.generation), self.log_size)
         else:
             self._start_log(self.generation)
--- a/quillring/verbs/restart.py
+++ b/quillring/verbs/restart.py
@@ -43,9 +43,9 @@
 
 def is_fleet_complete(members: Sequence[dict[str, Any]], names: Collection[str]) -> bool:
     """Return whether every named node is ready and every part is complete."""
-    others = [member for member in members if member["name"] in names]
-    return send_request(http_address(others[0]), "GET", "/v1/whole")["is_whole"] and all(
-        send_request(http_address(member), "GET", "/v1/ready")["ready"] for member in others
+    named_members = [member for member in members if member["name"] in names]
+    return send_request(http_address(named_members[0]), "GET", "/v1/whole")["is_whole"] and all(
+        send_request(http_address(member), "GET", "/v1/ready")["ready"] for member in named_members
     )
 
 
