--- a/tests/test_quorum_messages.py
+++ b/tests/test_quorum_messages.py
@@ -230,8 +230,8 @@
 
 def test_log_heads_of_earlier_versions_are_read_as_unmarked():
     earlier = {"generation": 5, "follows": 4, "former_size": 900}
-    assert LogHead.from_disk(earlier) == LogHead(5, 4, 900, is_marked=False)
-    assert LogHead.from_disk(5) == LogHead(5, is_marked=False)
+    assert LogHead.from_disk(earlier) == LogHead(5, 4, 900, has_batch_marks=False)
+    assert LogHead.from_disk(5) == LogHead(5, has_batch_marks=False)
     assert LogHead.from_disk(["accept"]) is None
 
 
