--- a/quillring/kernel/client_connection.py
+++ b/quillring/kernel/client_connection.py
@@ -1,8 +1,9 @@
-"""One HTTP/1.1 client connection whose requests are forwarded unchanged; parsed by httptools.
+"""Server side of one HTTP/1.1 connection whose requests are forwarded to replicas unchanged.
 
-gevent's WSGI server serves the product's own interface. It can't be used here: a response must be
-aborted so that it does not look complete, a disconnect of the client must cancel the request at the
-replica, and the request target must be forwarded byte for byte.
+It parses requests with httptools. gevent's WSGI server, which serves the JSON interface, cannot be
+used here: a failed response must be aborted so that the client sees it as incomplete, a disconnect
+of the client must cancel the request at the replica, and the request target must be forwarded byte
+for byte.
 """
 
 from __future__ import annotations
@@ -34,15 +35,19 @@
     from quillring.kernel.types import HeaderLines
 
 READ_SIZE = 65536
-PIPELINED = 8
-SHORTEST_WAIT = 0.001
-INTERIM = b"HTTP/1.1 100 Continue\r\n\r\n"
+MAX_PIPELINED_REQUESTS = 8
+MIN_TIMEOUT_SECONDS = 0.001
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
 CLIENT_GONE, NO_UPGRADE = "client gone", "no upgrade"
 
 
 class ClientConnection:
-    """One client connection; owns its socket and answers pipelined requests in order."""
+    """One client connection; owns its socket and answers pipelined requests in order.
+
+    One greenlet reads and parses requests into a queue, another runs their handlers one by one.
+    Reading pauses while MAX_PIPELINED_REQUESTS requests are queued.
+    """
 
     __slots__ = (
         "server",
@@ -50,39 +55,43 @@
         "reader",
         "requests",
         "handler",
-        "is_gone",
+        "is_client_gone",
         "can_read",
-        "rests_since",
+        "idle_since",
     )
 
     def __init__(self, server: HttpServer, sock: Any) -> None:
         self.server = server
         self.sock = sock
-        self.reader = RequestReader(server, self._take, self._offer_to_go_on)
+        self.reader = RequestReader(server, self._enqueue, self._send_due_continue)
         self.requests = gevent.queue.Queue()
         self.handler: Any = None
-        self.is_gone = False
+        self.is_client_gone = False
         self.can_read = gevent.event.Event()
         self.can_read.set()
-        self.rests_since = server.now()
+        self.idle_since = server.now()
 
-    def _take(self, request: HttpRequest) -> None:
+    def _enqueue(self, request: HttpRequest) -> None:
         self.requests.put(request)
-        if self.requests.qsize() >= PIPELINED:
+        if self.requests.qsize() >= MAX_PIPELINED_REQUESTS:
             self.can_read.clear()
 
     def read_all(self) -> None:
-        """Read until the client closes; then cancel its request in progress."""
+        """Read requests until the client closes the connection; then cancel the running handler.
+
+        If reading ends for another reason, this reason is queued after the requests, and the rest
+        of the input is discarded.
+        """
         end = self._read_to_end()
         self.requests.put(end)
         if end is not CLIENT_GONE:
             self._wait_for_close()
-        self.is_gone = True
+        self.is_client_gone = True
         if self.handler is not None:
             self.handler.kill(block=False)
 
     def _wait_for_close(self) -> None:
-        """Discard input until the client closes."""
+        """Discard input until the client closes the connection."""
         try:
             while self.sock.recv(READ_SIZE):
                 pass
@@ -99,7 +108,7 @@
                     return CLIENT_GONE
                 if data is not None:
                     self.reader.feed(data)
-                elif (end := self._end_of_time()) is not None:
+                elif (end := self._end_after_timeout()) is not None:
                     return end
         except OSError:
             return CLIENT_GONE
@@ -112,71 +121,76 @@
             return cause if isinstance(cause, RequestRejected) else RequestRejected(status=400)
 
     def _receive(self) -> bytes | None:
-        """Return the next bytes, b"" when the client closed, or None after a timeout.
+        """Return the next bytes, b"" if the client closed the connection, or None after a timeout.
 
-        A client may be idle for `idle_seconds` after the end of the last response. Input that
-        arrived while the process was suspended counts as in time.
+        The timeout is `head_seconds` within a request, else what remains of the `idle_seconds` that
+        began with the last input or the end of the last response.
         """
         limits = self.server.limits()
         seconds = limits.idle_seconds
         if self.reader.is_reading:
             seconds = limits.head_seconds
         elif not self._is_busy():
-            seconds = max(SHORTEST_WAIT, self._rest_left())
+            seconds = max(MIN_TIMEOUT_SECONDS, self._idle_seconds_left())
         with gevent.Timeout(seconds, False):
             data: bytes = self.sock.recv(READ_SIZE)
-            self.rests_since = self.server.now()
+            self.idle_since = self.server.now()
             return data
         return None
 
-    def _end_of_time(self) -> RequestRejected | str | None:
-        """Return why reading ends after a timeout, or None while the client has time left."""
+    def _end_after_timeout(self) -> RequestRejected | str | None:
+        """Return why reading ends after a timeout, or None if it goes on.
+
+        It goes on while a request is being answered, while idle time remains, and if input is
+        available: input that arrived while the process was suspended counts as in time.
+        """
         if self._is_busy() or is_readable(self.sock):
             return None
         if self.reader.is_reading:
             return RequestRejected(status=408)
-        return CLIENT_GONE if self._rest_left() <= 0 else None
+        return CLIENT_GONE if self._idle_seconds_left() <= 0 else None
 
     def _is_busy(self) -> bool:
         return self.handler is not None or not self.requests.empty()
 
-    def _rest_left(self) -> float:
-        return self.rests_since + self.server.limits().idle_seconds - self.server.now()
+    def _idle_seconds_left(self) -> float:
+        return self.idle_since + self.server.limits().idle_seconds - self.server.now()
 
-    def _offer_to_go_on(self) -> None:
-        """Send 100 Continue (RFC 9110, section 10.1.1) once no earlier response is pending."""
-        if self.reader.owes_interim and not self._is_busy():
-            self.reader.owes_interim = False
-            self.sock.sendall(INTERIM)
+    def _send_due_continue(self) -> None:
+        """Send 100 Continue (RFC 9110, section 10.1.1) if due and no response is pending."""
+        if self.reader.is_continue_due and not self._is_busy():
+            self.reader.is_continue_due = False
+            self.sock.sendall(CONTINUE_RESPONSE)
 
     def run(self) -> None:
-        """Answer the requests of the connection in order until its client disconnects.
+        """Answer the requests of the connection in order until it ends, then close it.
 
-        After the process was suspended, queued requests may have been abandoned by their client.
+        Requests that are still queued when the client has disconnected are dropped; after the
+        process was suspended, several may be queued together with the disconnect.
         """
         reading = gevent.spawn(self.read_all)
         try:
             while True:
                 request = self.requests.get()
                 self.can_read.set()
-                if self.is_gone:
+                if self.is_client_gone:
                     return
                 if not isinstance(request, HttpRequest):
-                    self._send_refusal(request)
+                    self._send_rejection(request)
                     return
                 self.handler = gevent.spawn(self._answer, request)
                 self.handler.join()
-                is_sound = self.handler.value is True
+                is_reusable = self.handler.value is True
                 self.handler = None
-                self.rests_since = self.server.now()
-                if not is_sound or self.is_gone:
+                self.idle_since = self.server.now()
+                if not is_reusable or self.is_client_gone:
                     return
-                self._offer_to_go_on()
+                self._send_due_continue()
         finally:
             reading.kill(block=False)
             self.sock.close()
 
-    def _send_refusal(self, end: RequestRejected | str) -> None:
+    def _send_rejection(self, end: RequestRejected | str) -> None:
         if isinstance(end, RequestRejected):
             headers = [("Content-Length", "0"), ("Connection", "close")]
             self._send(encode_head(end.detail["status"], headers))
@@ -188,7 +202,7 @@
             raise ClientGone() from error
 
     def _answer(self, request: HttpRequest) -> bool:
-        """Answer one request; return True if the connection may serve another."""
+        """Answer one request; return whether the connection may serve another one."""
         node = self.server.node
         node.under_way += 1
         lines = None
@@ -206,18 +220,22 @@
                 lines.close()
 
     def _send_lines(self, request: HttpRequest, lines: Generator[Any, None, Any]) -> bool:
-        """Send what the handler emits as a chunked stream, or its return value as one response."""
+        """Send the items that a handler emits as a chunked body, or its result as one response.
+
+        Returns whether the connection may serve another request. It may not if the handler returned
+        a result after a head was sent: the stream is then left without its last chunk.
+        """
         has_head = False
         while True:
             try:
                 line = next(lines)
             except StopIteration as stop:
                 if not has_head:
-                    return self._send_whole(request, *stop.value)
+                    return self._send_complete(request, *stop.value)
                 if stop.value is not None:
                     return False
                 self._send(LAST_CHUNK)
-                return self._is_kept(request)
+                return self._stays_open(request)
             if has_head:
                 self._send(encode_chunk(line) if line else b"")
             else:
@@ -227,21 +245,23 @@
     def _send_head(
         self, request: HttpRequest, status: int, headers: HeaderLines, body: bytes
     ) -> None:
-        keeping = self._keeping(self._is_kept(request))
-        head = encode_head(status, [*headers, ("Transfer-Encoding", "chunked"), *keeping])
+        connection_headers = self._connection_headers(self._stays_open(request))
+        head = encode_head(
+            status, [*headers, ("Transfer-Encoding", "chunked"), *connection_headers]
+        )
         self._send(head + (encode_chunk(body) if body else b""))
 
-    def _send_whole(
+    def _send_complete(
         self, request: HttpRequest, status: int, headers: HeaderLines, body: bytes
     ) -> bool:
-        is_kept = self._is_kept(request)
+        is_persistent = self._stays_open(request)
         length = ("Content-Length", str(len(body)))
-        head = encode_head(status, [*headers, length, *self._keeping(is_kept)])
+        head = encode_head(status, [*headers, length, *self._connection_headers(is_persistent)])
         self._send(head + (b"" if request.method == "HEAD" else body))
-        return is_kept
+        return is_persistent
 
-    def _is_kept(self, request: HttpRequest) -> bool:
-        return request.is_kept and not self.server.node.is_draining
+    def _stays_open(self, request: HttpRequest) -> bool:
+        return request.is_persistent and not self.server.node.is_draining
 
-    def _keeping(self, is_kept: bool) -> HeaderLines:
-        return [] if is_kept else [("Connection", "close")]
+    def _connection_headers(self, is_persistent: bool) -> HeaderLines:
+        return [] if is_persistent else [("Connection", "close")]
--- a/quillring/kernel/http_messages.py
+++ b/quillring/kernel/http_messages.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 requests as received, their limits, and the encoding of responses."""
+"""Received HTTP/1.1 requests, their limits, and the encoding of responses."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
 
 
 class HttpLimits:
-    """Limits on the size of requests and on the time a client takes.
+    """Limits on the size of requests and on the idle times of a client connection.
 
     Attributes
     ----------
-    head_bytes, body_bytes : greatest size of the head and the body of a request
-    head_seconds : longest time for the rest of a request that has begun
-    idle_seconds : longest time between two requests on one connection
+    head_bytes, body_bytes : maximum size of the head and of the body of a request
+    head_seconds : maximum time without input within a request
+    idle_seconds : maximum idle time of a connection between two requests
     """
 
     __slots__ = ("head_bytes", "body_bytes", "head_seconds", "idle_seconds")
@@ -57,9 +57,17 @@
 
 
 class HttpRequest:
-    """One request as received: method, target, header lines, body, and when its end was read."""
+    """One complete request as received.
 
-    __slots__ = ("method", "target", "lines", "headers", "body", "is_kept", "arrived_at")
+    Attributes
+    ----------
+    lines : header fields as (name, value), in their order
+    headers : values of the header fields by lower-case name, the last one if a name is repeated
+    is_persistent : whether the client keeps the connection open after the response
+    arrived_at : monotonic time at which the end of the request was read, in seconds
+    """
+
+    __slots__ = ("method", "target", "lines", "headers", "body", "is_persistent", "arrived_at")
 
     def __init__(
         self,
@@ -67,7 +75,7 @@
         target: str,
         lines: HeaderLines,
         body: bytes,
-        is_kept: bool,
+        is_persistent: bool,
         arrived_at: float,
     ) -> None:
         self.method = method
@@ -75,19 +83,22 @@
         self.lines = lines
         self.headers = {name.lower(): value for name, value in lines}
         self.body = body
-        self.is_kept = is_kept
+        self.is_persistent = is_persistent
         self.arrived_at = arrived_at
 
 
 class RequestRejected(QuillringError):
-    """The request is malformed or over a limit; the client gets `status`, then a close."""
+    """The request is malformed or over a limit.
+
+    The client gets a response with `status`, after which the connection is closed.
+    """
 
     kind = "bad_client"
     status = 400
 
 
 def encode_head(status: int, headers: Iterable[tuple[str, str]]) -> bytes:
-    """Return the status line and headers of a response, ended by the empty line."""
+    """Return the status line and header section of a response, including the empty line."""
     lines = [f"HTTP/1.1 {status} {REASON_PHRASES.get(status, 'Status')}"]
     lines.extend(f"{name}: {value}" for name, value in headers)
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
--- a/quillring/kernel/http_request_reader.py
+++ b/quillring/kernel/http_request_reader.py
@@ -1,4 +1,4 @@
-"""Assembles requests from the bytes of a client connection, parsed by httptools."""
+"""Parses the requests on a client connection with httptools."""
 
 from __future__ import annotations
 
@@ -16,40 +16,41 @@
 
 
 class RequestReader:
-    """Reads requests within the limits; calls `take(request)` with each complete one.
+    """Incremental parser of requests; enforces the size limits.
 
-    `offer_to_go_on()` is called when the client sent `Expect: 100-continue` and waits for the
-    interim response (`owes_interim`). An incomplete request is never passed to `take`.
+    Calls `on_request(request)` with each complete request, never with an incomplete one. Calls
+    `offer_continue()` after each header section; `is_continue_due` is true if the client sent
+    `Expect: 100-continue` and waits for the interim response.
     """
 
     __slots__ = (
         "server",
         "parser",
-        "take",
-        "offer_to_go_on",
+        "on_request",
+        "offer_continue",
         "lines",
         "target",
         "body",
         "body_size",
         "head_size",
         "is_reading",
-        "owes_interim",
+        "is_continue_due",
     )
 
     def __init__(
         self,
         server: HttpServer,
-        take: Callable[[HttpRequest], object],
-        offer_to_go_on: Callable[[], object],
+        on_request: Callable[[HttpRequest], object],
+        offer_continue: Callable[[], object],
     ) -> None:
         self.server = server
-        self.take = take
-        self.offer_to_go_on = offer_to_go_on
+        self.on_request = on_request
+        self.offer_continue = offer_continue
         self.parser = httptools.HttpRequestParser(self)
         self._reset()
 
     def _reset(self) -> None:
-        self.owes_interim = False
+        self.is_continue_due = False
         self.lines: HeaderLines = []
         self.target = b""
         self.body: list[bytes] = []
@@ -57,7 +58,7 @@
         self.is_reading = False
 
     def feed(self, data: bytes) -> None:
-        """Parse bytes; RequestRejected is raised as the context of an httptools error."""
+        """Parse bytes; a RequestRejected is raised as the context of an httptools error."""
         self.parser.feed_data(data)
 
     def on_message_begin(self) -> None:
@@ -81,26 +82,33 @@
             raise RequestRejected(status=431)
 
     def on_headers_complete(self) -> None:
-        """End the header section; send 100 Continue if the client waits for it."""
+        """End the header section; offer 100 Continue (httptools callback)."""
         for name, value in self.lines:
             if name.lower() == "expect" and value.lower() == "100-continue":
-                self.owes_interim = True
-        self.offer_to_go_on()
+                self.is_continue_due = True
+        self.offer_continue()
 
     def on_body(self, data: bytes) -> None:
-        """Add bytes of the body; the client no longer waits for 100 Continue."""
-        self.owes_interim = False
+        """Add bytes of the body (httptools callback).
+
+        A client that sends its body no longer waits for 100 Continue.
+        """
+        self.is_continue_due = False
         self.body_size += len(data)
         if self.body_size > self.server.limits().body_bytes:
             raise RequestRejected(status=413)
         self.body.append(data)
 
     def on_message_complete(self) -> None:
-        """End a request: ignore an Upgrade header, reject CONNECT with status 400."""
+        """End a request (httptools callback).
+
+        An Upgrade header is ignored, but the connection ends after the response. CONNECT is
+        rejected with status 400.
+        """
         method = self.parser.get_method().decode("latin-1")
         if method == "CONNECT":
             raise RequestRejected(status=400)
-        self.take(
+        self.on_request(
             HttpRequest(
                 method,
                 self.target.decode("latin-1"),
--- a/tests/test_pipelining_machine.py
+++ b/tests/test_pipelining_machine.py
@@ -200,7 +200,7 @@
 
 def hand_on_early(reader):
     """Stand-in for the guard: a request is handed on once its head is there."""
-    reader.offer_to_go_on()
+    reader.offer_continue()
     reader.on_message_complete()
 
 
