--- a/quillring/kernel/backend.py
+++ b/quillring/kernel/backend.py
@@ -1,6 +1,7 @@
-"""The client side of HTTP/1.1 + JSON towards replicas, by geventhttpclient.
+"""Client for HTTP/1.1 + JSON requests to replicas, based on geventhttpclient.
 
-Addresses are IP addresses, so a blocking resolver never waits and needs no thread pool.
+All addresses are IP addresses, so gevent's blocking resolver never blocks and no resolver thread
+pool is needed.
 """
 
 from __future__ import annotations
@@ -21,14 +22,14 @@
     from quillring.kernel.types import Address
 
 gevent.config.resolver = "block"
-HEADERS = {"Content-Type": "application/json"}
-SHORTEST_WAIT = 0.01
-SENDINGS_BEYOND_THE_FIRST = 0
+JSON_HEADERS = {"Content-Type": "application/json"}
+MIN_TIMEOUT_SECONDS = 0.01
+MAX_LIBRARY_RETRIES = 0
 READ_ERRORS = (OSError, HTTPParseError, ValueError)
 
 
 class Handle:
-    """An open streamed response; owns its HTTP connection."""
+    """Handle of an open streamed response; owns its HTTP connection."""
 
     __slots__ = ("client", "response", "status", "kept")
 
@@ -39,7 +40,7 @@
         self.kept = b""
 
     def close(self) -> None:
-        """Close the connection; the replica cancels the request when it sees that."""
+        """Close the connection; the replica cancels the request when it detects the close."""
         self.client.close()
 
 
@@ -47,8 +48,8 @@
     client = HTTPClient(
         address[0],
         address[1],
-        connection_timeout=max(min(seconds, 1.0), SHORTEST_WAIT),
-        network_timeout=max(seconds, SHORTEST_WAIT),
+        connection_timeout=max(min(seconds, 1.0), MIN_TIMEOUT_SECONDS),
+        network_timeout=max(seconds, MIN_TIMEOUT_SECONDS),
         concurrency=1,
     )
     try:
@@ -56,67 +57,71 @@
     except OSError as error:
         raise NotSent(address=list(address), reason=type(error).__name__) from error
     client._connection_pool.return_socket(sock)
-    send_once(client)
+    disable_library_retries(client)
     return client
 
 
-def send_once(client: Any) -> None:
-    """Disable the library's own retries of GET and DELETE after a close or a reset.
+def disable_library_retries(client: Any) -> None:
+    """Disable the automatic retries of geventhttpclient for GET and DELETE after a lost connection.
 
-    It retries as many times as its pool has places, plus one; it has no setting that turns this
-    off, so the size of the pool is set to -1.
+    The library retries (pool size + 1) times and has no setting to disable this, so the pool size
+    is set to -1.
     """
-    client._connection_pool.size = SENDINGS_BEYOND_THE_FIRST - 1
+    client._connection_pool.size = MAX_LIBRARY_RETRIES - 1
 
 
 def _request(client: Any, method: str, path: str, body: Any) -> Any:
     data = b"" if body is None else json.dumps(body).encode()
-    return client.request(method, path, body=data, headers=HEADERS)
+    return client.request(method, path, body=data, headers=JSON_HEADERS)
 
 
-class Idle:
-    """At most `room` idle connections for requests that may be sent twice; reused LIFO."""
+class IdleClients:
+    """Pool of at most `capacity` idle connections, reused last in, first out.
 
-    __slots__ = ("clients", "room")
+    Only for requests that may be sent twice, as an idle connection can break during a request.
+    """
+
+    __slots__ = ("clients", "capacity")
 
-    def __init__(self, room: int = 256) -> None:
+    def __init__(self, capacity: int = 256) -> None:
         self.clients: list[tuple[Address, Any]] = []
-        self.room = room
+        self.capacity = capacity
 
     def take(self, address: Address) -> Any:
-        """Take out and return a client connected to the address, or None."""
-        for number in range(len(self.clients) - 1, -1, -1):
-            if self.clients[number][0] == address:
-                return self.clients.pop(number)[1]
+        """Remove and return a client connected to the address, or None."""
+        for index in range(len(self.clients) - 1, -1, -1):
+            if self.clients[index][0] == address:
+                return self.clients.pop(index)[1]
         return None
 
     def put(self, address: Address, client: Any) -> None:
-        """Keep a client whose response was read completely; close the oldest beyond `room`."""
+        """Add a client whose response was read completely; close the oldest if over capacity."""
         self.clients.append((address, client))
-        if len(self.clients) > self.room:
+        if len(self.clients) > self.capacity:
             self.clients.pop(0)[1].close()
 
 
-IDLE = Idle()
+IDLE_CLIENTS = IdleClients()
 
 
 def fetch(effect: FetchJson) -> tuple[int, Any]:
     """Send a request and return (status, JSON body).
 
-    A request with `may_repeat` is retried once, on a new connection, when an idle one broke.
+    A request with `may_repeat` is retried once on a new connection if a reused idle one broke.
 
     Raises
     ------
     NotSent
-        No connection could be made, so the request did not run.
+        No connection could be established, so the request did not run.
     BackendError
-        The request may have run; also raised when the retry could not connect.
+        The request may have run. Also raised if the retry could not connect, since the first
+        attempt may have run. `reason` is "time" after a timeout.
     """
     end_time = time.monotonic() + effect.seconds
-    kept_client = IDLE.take(effect.address) if effect.may_repeat else None
-    if kept_client is not None:
+    idle_client = IDLE_CLIENTS.take(effect.address) if effect.may_repeat else None
+    if idle_client is not None:
         try:
-            return _exchange(kept_client, effect, effect.seconds)
+            return _exchange(idle_client, effect, effect.seconds)
         except BackendError as error:
             if error.detail["reason"] == "time":
                 raise
@@ -130,24 +135,32 @@
 
 
 def _exchange(client: Any, effect: FetchJson, seconds: float) -> tuple[int, Any]:
-    is_whole = False
+    is_complete = False
     try:
-        with gevent.Timeout(max(seconds, SHORTEST_WAIT), BackendError(reason="time")):
+        with gevent.Timeout(max(seconds, MIN_TIMEOUT_SECONDS), BackendError(reason="time")):
             response = _request(client, effect.method, effect.path, effect.body)
             answer = response.status_code, json.loads(response.read() or b"null")
-        is_whole = True
+        is_complete = True
         return answer
     except READ_ERRORS as error:
         raise BackendError(reason=type(error).__name__) from error
     finally:
-        if is_whole and effect.may_repeat:
-            IDLE.put(effect.address, client)
+        if is_complete and effect.may_repeat:
+            IDLE_CLIENTS.put(effect.address, client)
         else:
             client.close()
 
 
 def open_stream(effect: OpenStream) -> Handle:
-    """Send a request and return the handle of its streamed response; NotSent or BackendError."""
+    """Send a POST request and return the handle of its streamed response.
+
+    Raises
+    ------
+    NotSent
+        No connection could be established, so the request did not run.
+    BackendError
+        The request may have run.
+    """
     client = _connect(effect.address, effect.seconds)
     try:
         with gevent.Timeout(effect.seconds, BackendError(reason="time")):
@@ -160,7 +173,11 @@
 
 
 def next_line(effect: ReadLine) -> Any:
-    """Return the next JSON line, or None at the end; BackendError after `seconds` of silence."""
+    """Return the next JSON line, or None at the end of the stream.
+
+    Raises BackendError if the connection broke, the line is not JSON, or nothing arrived within
+    `effect.seconds` (reason "stall").
+    """
     try:
         with gevent.Timeout(effect.seconds, BackendError(reason="stall")):
             line = effect.handle.response.readline(b"\n")
--- a/quillring/kernel/connection_pool.py
+++ b/quillring/kernel/connection_pool.py
@@ -1,4 +1,4 @@
-"""Pool of persistent connections to replicas, kept only while the replica keeps them open."""
+"""Pool of persistent connections to replicas; limited by the keep-alive time of the replica."""
 
 from __future__ import annotations
 
@@ -18,54 +18,62 @@
     from quillring.kernel.types import Address
 
     AnswerId = tuple[str, str | None]
-    """Lower-case name of a header and its value, by which an answer is known as due."""
+    """Header that identifies the response to a request: its lower-case name and expected value."""
 
-CONNECT_SECONDS = 0.4
-IDLE_LIMIT = 512
-CARRIED_LIMIT = 1000
+CONNECT_TIMEOUT_SECONDS = 0.4
+MAX_IDLE_CONNECTIONS = 512
+MAX_REQUESTS_PER_CONNECTION = 1000
 
 
 class ReplicaConnection:
-    """A connection to a replica and the parser of the responses on it."""
+    """A connection to a replica and the parser of the responses on it.
 
-    __slots__ = ("address", "sock", "parser", "answer", "idle_until", "was_used", "carried_ids")
+    Attributes
+    ----------
+    exchange : the current request and response; the parser's callbacks go to it
+    idle_until : monotonic time until which the idle connection may be reused
+    was_reused : whether the connection has been in the pool
+    carried_ids : ids of all requests that were sent on the connection
+    """
+
+    __slots__ = ("address", "sock", "parser", "exchange", "idle_until", "was_reused", "carried_ids")
 
     def __init__(self, address: Address, sock: Any) -> None:
         self.address = address
         self.sock = sock
         self.parser = httptools.HttpResponseParser(self)
-        self.answer: ClientExchange
+        self.exchange: ClientExchange
         self.idle_until: float = 0
-        self.was_used = False
+        self.was_reused = False
         self.carried_ids: set[AnswerId] = set()
 
     def on_message_begin(self) -> None:
         """Begin a response (httptools callback)."""
-        self.answer.begin()
+        self.exchange.begin()
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Add a header field (httptools callback)."""
-        self.answer.lines.append((name.decode("latin-1"), value.decode("latin-1")))
+        self.exchange.lines.append((name.decode("latin-1"), value.decode("latin-1")))
 
     def on_headers_complete(self) -> None:
         """End the header section (httptools callback)."""
-        self.answer.end_head(self.parser.get_status_code(), self.parser.should_keep_alive())
+        self.exchange.end_head(self.parser.get_status_code(), self.parser.should_keep_alive())
 
     def on_body(self, data: bytes) -> None:
         """Add bytes of the body (httptools callback)."""
-        self.answer.add(data)
+        self.exchange.add(data)
 
     def on_message_complete(self) -> None:
         """End a response (httptools callback)."""
-        self.answer.end()
+        self.exchange.end()
 
     def close(self) -> None:
-        """Close the connection; a replica still working cancels the request."""
+        """Close the connection; the replica cancels a request that it is still processing."""
         self.sock.close()
 
 
 class ConnectionPool:
-    """Idle connections by address; owns them until they are taken, last in, first out."""
+    """Idle connections by address, reused last in, first out; owns them while they are idle."""
 
     __slots__ = ("idle",)
 
@@ -73,14 +81,14 @@
         self.idle: dict[Address, list[ReplicaConnection]] = {}
 
     def take(self, address: Address, answer_id: AnswerId | None = None) -> ReplicaConnection | None:
-        """Take out and return an idle connection with no sign of being closed, or None.
+        """Remove and return an idle connection that has neither expired nor unread input, or None.
 
-        A connection that already carried the same request id is closed: a late duplicate of the
-        earlier response would be mistaken for the new one.
+        A connection that already carried a request with this id is closed: a late duplicate of the
+        earlier response would be mistaken for the response to the new request.
         """
-        kept_connections = self.idle.get(address, [])
-        while kept_connections:
-            connection = kept_connections.pop()
+        idle_connections = self.idle.get(address, [])
+        while idle_connections:
+            connection = idle_connections.pop()
             is_fresh = time.monotonic() < connection.idle_until
             if (
                 is_fresh
@@ -91,26 +99,30 @@
             connection.close()
         return None
 
-    def put(self, connection: ReplicaConnection, keep_seconds: float) -> None:
-        """Keep a connection whose last response was complete, up to CARRIED_LIMIT requests."""
-        if len(connection.carried_ids) >= CARRIED_LIMIT:
+    def put(self, connection: ReplicaConnection, keep_alive_seconds: float) -> None:
+        """Add a connection whose last response was complete, for `keep_alive_seconds`.
+
+        It is closed instead if it has carried MAX_REQUESTS_PER_CONNECTION request ids, which bounds
+        the size of `carried_ids`.
+        """
+        if len(connection.carried_ids) >= MAX_REQUESTS_PER_CONNECTION:
             connection.close()
             return
-        connection.idle_until = time.monotonic() + keep_seconds
-        connection.was_used = True
+        connection.idle_until = time.monotonic() + keep_alive_seconds
+        connection.was_reused = True
         self.idle.setdefault(connection.address, []).append(connection)
-        if sum(map(len, self.idle.values())) > IDLE_LIMIT:
-            self.drop_old()
+        if sum(map(len, self.idle.values())) > MAX_IDLE_CONNECTIONS:
+            self.close_expired()
 
-    def drop_old(self) -> None:
-        """Close the idle connections whose time has expired."""
+    def close_expired(self) -> None:
+        """Close and remove the idle connections that have expired."""
         now = time.monotonic()
-        for address, kept_connections in list(self.idle.items()):
-            for connection in kept_connections:
+        for address, idle_connections in list(self.idle.items()):
+            for connection in idle_connections:
                 if connection.idle_until <= now:
                     connection.close()
-            sound = [c for c in kept_connections if c.idle_until > now]
-            self.idle = {**self.idle, address: sound}
+            unexpired = [c for c in idle_connections if c.idle_until > now]
+            self.idle = {**self.idle, address: unexpired}
         self.idle = {address: kept for address, kept in self.idle.items() if kept}
 
 
@@ -118,21 +130,24 @@
 
 
 def is_readable(sock: Any) -> bool:
-    """Return whether a connection has unread input: surplus bytes or end of file."""
+    """Return whether a socket has unread input or was closed by the peer."""
     return bool(select.select([sock], [], [], 0)[0])
 
 
 def wait_for_either(sock: Any) -> tuple[bool, bool]:
-    """Wait until a connection is readable or writable; return (is readable, is writable)."""
+    """Wait until a socket is readable or writable; return (is readable, is writable)."""
     may_read, may_write, _ = select.select([sock], [sock], [])
     return bool(may_read), bool(may_write)
 
 
 def connect(address: Address, seconds: float) -> ReplicaConnection:
-    """Return a new connection to an address, or raise NotSent."""
+    """Return a new connection to an address.
+
+    Raises NotSent if it is not established within `seconds`, at most CONNECT_TIMEOUT_SECONDS.
+    """
     try:
         sock = gevent.socket.create_connection(
-            tuple(address), timeout=max(0.001, min(seconds, CONNECT_SECONDS))
+            tuple(address), timeout=max(0.001, min(seconds, CONNECT_TIMEOUT_SECONDS))
         )
     except OSError as error:
         raise NotSent(address=list(address), reason=type(error).__name__) from error
--- a/quillring/kernel/http_client.py
+++ b/quillring/kernel/http_client.py
@@ -1,8 +1,8 @@
-"""The HTTP/1.1 client towards replicas: no pipelining, responses matched by request id.
+"""HTTP/1.1 client for replicas, without pipelining; responses are matched by request id.
 
-Parsed by httptools. A persistent connection is reused only within its keep-alive time, and only for
-a request id that it has not carried. A request that was written completely is never retried here:
-only `forward.attempt` knows whether that is allowed.
+Responses are parsed with httptools. A persistent connection is reused only within its keep-alive
+time, and only for a request id that it has not carried yet. A request that was written completely
+is never retried here: whether a retry is allowed is decided in `forward.attempt`.
 """
 
 from __future__ import annotations
@@ -22,13 +22,28 @@
     from quillring.kernel.effects import SendRequest
 
 READ_SIZE = 65536
-KEEP_SECONDS = 4.0
-KEEP_SHARE = 0.6
+DEFAULT_KEEP_ALIVE_SECONDS = 4.0
+KEEP_ALIVE_RATIO = 0.6
 HEAD_METHOD = b"HEAD "
 
 
 class ClientExchange:
-    """One request and its response, read incrementally; owns the connection until `close`."""
+    """One request and its response, read incrementally; owns the connection until `close`.
+
+    Attributes
+    ----------
+    answer_id : (lower-case header name, value) that identifies the response to the request
+    lines : header fields of the current response as (name, value)
+    is_persistent : whether the replica keeps the connection open after the response
+    body_parts : bytes of the body that were received and not yet read
+    is_matching : whether the current response is the one to the request
+    has_head : whether the header section of the matching response was read
+    is_complete : whether the matching response was received completely
+    has_bytes : whether any bytes were received for this request
+    has_body_framing : whether the response has a Content-Length or Transfer-Encoding header
+    has_surplus : whether bytes followed the complete response
+    is_written : whether the request was written completely
+    """
 
     __slots__ = (
         "connection",
@@ -37,13 +52,13 @@
         "lines",
         "status",
         "headers",
-        "is_kept",
-        "parts",
-        "is_whole",
-        "is_ours",
+        "is_persistent",
+        "body_parts",
+        "is_complete",
+        "is_matching",
         "has_head",
         "has_bytes",
-        "is_framed",
+        "has_body_framing",
         "is_closed",
         "has_surplus",
         "is_written",
@@ -53,86 +68,96 @@
         self.connection = connection
         self.effect = effect
         self.answer_id = effect.answer_id
-        self.parts: deque[bytes] = deque()
+        self.body_parts: deque[bytes] = deque()
         self.has_bytes = False
-        self.is_whole = self.has_surplus = False
+        self.is_complete = self.has_surplus = False
         self.is_closed = False
         self.is_written = False
         self.begin()
 
     def begin(self) -> None:
-        """Begin a response; one that follows our own is surplus and is ignored."""
-        if self.is_whole:
+        """Begin a response; one that follows the complete matching response is ignored."""
+        if self.is_complete:
             self.has_surplus = True
             return
         self.lines: list[tuple[str, str]] = []
         self.status: int = 0
         self.headers: dict[str, str] = {}
-        self.is_kept = False
-        self.is_ours = self.has_head = self.is_framed = False
+        self.is_persistent = False
+        self.is_matching = self.has_head = self.has_body_framing = False
 
-    def end_head(self, status: int, is_kept: bool) -> None:
-        """End the header section; an interim response or one to another request is skipped."""
+    def end_head(self, status: int, is_persistent: bool) -> None:
+        """End the header section; interim responses and responses to other requests are skipped."""
         if self.has_surplus:
             return
-        self.status, self.is_kept = status, is_kept
+        self.status, self.is_persistent = status, is_persistent
         self.headers = {name.lower(): value for name, value in self.lines}
-        self.is_ours = status >= 200 and self._bears_our_id()
-        self.has_head = self.is_ours
-        self.is_framed = "content-length" in self.headers or "transfer-encoding" in self.headers
-        if self.is_ours and self.effect.data.startswith(HEAD_METHOD):
-            self.is_whole, self.is_kept = True, False
+        self.is_matching = status >= 200 and self._bears_our_id()
+        self.has_head = self.is_matching
+        self.has_body_framing = (
+            "content-length" in self.headers or "transfer-encoding" in self.headers
+        )
+        if self.is_matching and self.effect.data.startswith(HEAD_METHOD):
+            self.is_complete, self.is_persistent = True, False
 
     def _bears_our_id(self) -> bool:
-        """Return whether the response has the id of the request and no other id."""
+        """Return whether the response has the id of the request and no other id.
+
+        If the request has no id, the response must not have one either.
+        """
         id_header, request_id = self.answer_id
         named_ids = {value for name, value in self.lines if name.lower() == id_header}
         return named_ids == ({request_id} if request_id is not None else set())
 
     def add(self, data: bytes) -> None:
-        """Add bytes of the body."""
-        if self.is_ours and not self.is_whole:
-            self.parts.append(data)
+        """Add bytes of the body, unless the response is skipped."""
+        if self.is_matching and not self.is_complete:
+            self.body_parts.append(data)
 
     def end(self) -> None:
-        """End a response; it is complete if it is our own."""
-        if self.is_ours:
-            self.is_whole = True
+        """End a response; if it is the matching one, it is complete."""
+        if self.is_matching:
+            self.is_complete = True
 
     def read(self) -> None:
-        """Read once from the connection and parse the input; BackendError if it ended too early.
+        """Read once from the connection and parse the input.
 
-        A body without a length is complete once the replica closed the connection, but not after a
-        reset (RFC 9112, section 6.3). Invalid bytes after a complete response are ignored.
+        Raises BackendError if the connection ended before the response, or on invalid HTTP. A body
+        without a length is complete when the replica closes the connection, but not after a reset
+        (RFC 9112, section 6.3). Invalid bytes after a complete response are ignored.
         """
         try:
             data = self.connection.sock.recv(READ_SIZE)
         except OSError as error:
             raise BackendError(reason=type(error).__name__) from error
         if not data:
-            self.take_close()
+            self.on_close()
             return
         self.has_bytes = True
         try:
             self.connection.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            if not self.is_whole:
+            if not self.is_complete:
                 raise BackendError(reason="no answer") from error
             self.has_surplus = True
 
-    def take_close(self) -> None:
-        """Handle the orderly close of the connection, which ends a body without a length."""
-        if self.is_framed or not self.is_ours:
+    def on_close(self) -> None:
+        """Handle an orderly close of the connection, which completes a body without a length."""
+        if self.has_body_framing or not self.is_matching:
             raise BackendError(reason="broken off")
-        self.is_whole, self.is_kept = True, False
+        self.is_complete, self.is_persistent = True, False
 
     def write_until(self, end_time: float) -> None:
-        """Write the request until `end_time`; NotSent if that has passed, else BackendError."""
+        """Write the request before the deadline `end_time`, a monotonic time.
+
+        Raises NotSent if the deadline has already passed, BackendError if the write failed or was
+        not finished in time.
+        """
         seconds = end_time - time.monotonic()
         if seconds <= 0:
             self.connection.close()
             raise NotSent(reason="no time left")
-        self.connection.answer = self
+        self.connection.exchange = self
         self.connection.carried_ids.add(self.answer_id)
         try:
             with gevent.Timeout(seconds, BackendError(reason="stall")):
@@ -141,24 +166,32 @@
             raise BackendError(reason=type(error).__name__) from error
 
     def _write(self) -> None:
-        """Write the request; stop early if the replica responds before it has read everything."""
+        """Write the request; stop early if the replica responds before it has read all of it."""
         sock = self.connection.sock
-        rest = memoryview(self.effect.data)
-        rest = rest[sock.send(rest) :]
-        while rest and not self.has_head:
+        unsent = memoryview(self.effect.data)
+        unsent = unsent[sock.send(unsent) :]
+        while unsent and not self.has_head:
             may_read, may_write = wait_for_either(sock)
             if may_read:
                 self.read()
             elif may_write:
-                rest = rest[sock.send(rest) :]
-        self.is_written = not rest
+                unsent = unsent[sock.send(unsent) :]
+        self.is_written = not unsent
 
     def read_head(self, seconds: float) -> None:
-        """Return once the head is read; StaleConnection if a reused connection was dead."""
+        """Read up to the end of the header section.
+
+        Raises BackendError if the connection broke or after `seconds`, StaleConnection if a reused
+        connection broke before any byte of the response.
+        """
         try:
             self._read_head(seconds)
         except BackendError as error:
-            if error.detail["reason"] == "stall" or self.has_bytes or not self.connection.was_used:
+            if (
+                error.detail["reason"] == "stall"
+                or self.has_bytes
+                or not self.connection.was_reused
+            ):
                 raise
             raise StaleConnection(**error.detail) from error
 
@@ -169,34 +202,45 @@
                     self.read()
 
     def read_body_part(self, seconds: float) -> bytes | None:
-        """Return the next bytes of the body, or None at its complete end; BackendError if cut."""
-        if not self.parts and not self.is_whole:
+        """Return the next bytes of the body, or None once the body was read completely.
+
+        Raises BackendError if the body was cut off or nothing arrived within `seconds`.
+        """
+        if not self.body_parts and not self.is_complete:
             with gevent.Timeout(max(seconds, 0.001), BackendError(reason="stall")):
-                while not self.parts and not self.is_whole:
+                while not self.body_parts and not self.is_complete:
                     self.read()
-        if not self.parts:
+        if not self.body_parts:
             return None
-        data = b"".join(self.parts)
-        self.parts.clear()
+        data = b"".join(self.body_parts)
+        self.body_parts.clear()
         return data
 
-    def keep_seconds(self) -> float:
-        """Return the seconds for which to reuse the connection, by its Keep-Alive header if any."""
-        for word in self.headers.get("keep-alive", "").split(","):
-            name, _, value = word.strip().partition("=")
+    def keep_alive_seconds(self) -> float:
+        """Return for how many seconds the connection may be reused.
+
+        It is a share of the timeout in the Keep-Alive header or of the default, so that the
+        connection is not reused when the replica is about to close it.
+        """
+        for parameter in self.headers.get("keep-alive", "").split(","):
+            name, _, value = parameter.strip().partition("=")
             if name.lower() == "timeout" and value.isdigit():
-                return int(value) * KEEP_SHARE
-        return KEEP_SECONDS * KEEP_SHARE
+                return int(value) * KEEP_ALIVE_RATIO
+        return DEFAULT_KEEP_ALIVE_SECONDS * KEEP_ALIVE_RATIO
 
     def close(self) -> None:
-        """End the exchange; pool the connection only if request and response were complete."""
+        """End the exchange; return the connection to the pool if it can be reused, else close it.
+
+        It can be reused if request and response were complete, the body was read, nothing follows
+        the response, and the replica keeps the connection open.
+        """
         if self.is_closed:
             return
         self.is_closed = True
-        is_sound = self.is_whole and self.is_kept and self.is_written
-        keep_seconds = self.keep_seconds() if is_sound else 0
-        if keep_seconds > 0 and not self.parts and not self.has_surplus:
-            POOL.put(self.connection, keep_seconds)
+        is_reusable = self.is_complete and self.is_persistent and self.is_written
+        keep_alive_seconds = self.keep_alive_seconds() if is_reusable else 0
+        if keep_alive_seconds > 0 and not self.body_parts and not self.has_surplus:
+            POOL.put(self.connection, keep_alive_seconds)
         else:
             self.connection.close()
 
@@ -204,38 +248,39 @@
 def send_request(effect: SendRequest) -> ClientExchange:
     """Send a request on an idle or a new connection and return the handle of its response.
 
-    A request without an id gets a new connection, as its response could not be distinguished from a
-    surplus one. If the request could not be written completely on an idle connection, it is sent on
-    a new one: a replica never runs an incomplete request.
+    A request without an id always gets a new connection, because its response could not be
+    distinguished from a surplus response to an earlier request. If the request could not be written
+    completely on an idle connection, it is sent on a new one; this is safe because a replica never
+    runs an incomplete request.
 
     Raises
     ------
     NotSent
-        No connection could be made, or no time is left.
+        No connection could be established, or the timeout has passed.
     BackendError
         The request could not be written on a new connection; it may have run.
     """
     end_time = time.monotonic() + effect.seconds
     may_reuse = effect.may_reuse and effect.answer_id[1] is not None
-    kept = (
+    idle_connection = (
         POOL.take((effect.address[0], effect.address[1]), effect.answer_id) if may_reuse else None
     )
-    if kept is not None:
-        answer = ClientExchange(kept, effect)
+    if idle_connection is not None:
+        exchange = ClientExchange(idle_connection, effect)
         try:
-            answer.write_until(end_time)
-            return answer
+            exchange.write_until(end_time)
+            return exchange
         except NotSent:
             raise
         except BackendError:
-            kept.close()
+            idle_connection.close()
         except BaseException:
-            kept.close()
+            idle_connection.close()
             raise
-    answer = ClientExchange(connect(effect.address, end_time - time.monotonic()), effect)
+    exchange = ClientExchange(connect(effect.address, end_time - time.monotonic()), effect)
     try:
-        answer.write_until(end_time)
+        exchange.write_until(end_time)
     except BaseException:
-        answer.close()
+        exchange.close()
         raise
-    return answer
+    return exchange
--- a/tests/test_backend.py
+++ b/tests/test_backend.py
@@ -146,10 +146,10 @@
 def test_a_connection_with_surplus_bytes_serves_no_further_request(start):
     server = start(SendsSurplusAnswer)
     effect = FetchJson(server.address, "GET", "/x", None, 5, True)
-    with mock.patch.object(backend, "IDLE", backend.Idle()):
+    with mock.patch.object(backend, "IDLE_CLIENTS", backend.IdleClients()):
         assert backend.fetch(effect) == (200, "first")
         server.repeats.set()
-        pool = backend.IDLE.clients[0][1]._connection_pool
+        pool = backend.IDLE_CLIENTS.clients[0][1]._connection_pool
         sock = pool.get_socket()
         pool.return_socket(sock)
         assert select.select([sock], [], [], 5)[0]
