--- a/quillring/kernel/channel.py
+++ b/quillring/kernel/channel.py
@@ -1,4 +1,4 @@
-"""One-way TCP connections between nodes: length-prefixed frames and detection of a closed peer."""
+"""One-way TCP connections between nodes: length-prefixed frames, detection of closed peers."""
 
 from __future__ import annotations
 
@@ -17,24 +17,25 @@
 
     from quillring.kernel.types import Address
 
-FRAME_HEAD = struct.Struct(">I")
-QUEUE_LIMIT = 1024
-HELD_FACTOR = 10
+FRAME_HEADER = struct.Struct(">I")
+MAX_QUEUED_FRAMES = 1024
+MAX_QUEUED_TIMEOUTS = 10
 READABLE = 1
 DISCARD_UNSENT = struct.pack("ii", 1, 0)
 
 
 class Channel:
-    """The one-way connection to an address; owns its queue of frames, which may be lost.
+    """A one-way connection to an address with a queue of outgoing frames; frames may be lost.
 
-    A frame that was queued for more than HELD_FACTOR times `timeout` seconds is dropped, and
-    closing discards what the kernel has not sent (SO_LINGER 0); this bounds how old a frame can be
-    when it arrives after a network partition. The peer never writes, so the socket becomes
-    readable only when the peer closes it. If the address then refuses connections,
-    `on_refused(address)` is called.
+    The age of a frame that arrives after a network partition is bounded: a frame that was queued
+    for more than MAX_QUEUED_TIMEOUTS times `timeout` seconds is dropped, and closing the connection
+    discards the data that the operating system has not sent yet (SO_LINGER 0).
+
+    The peer never writes, so the socket becomes readable only when the peer closes it. If the
+    address refuses connections afterwards, `on_refused(address)` is called.
     """
 
-    __slots__ = ("address", "timeout", "queue", "conn", "watcher", "on_refused")
+    __slots__ = ("address", "timeout", "queue", "sock", "close_watcher", "on_refused")
 
     def __init__(
         self,
@@ -45,24 +46,24 @@
         self.address = address
         self.timeout = timeout
         self.queue = gevent.queue.Queue()
-        self.conn: Any = None
-        self.watcher: Any = None
+        self.sock: Any = None
+        self.close_watcher: Any = None
         self.on_refused = on_refused
 
     def put(self, data: bytes) -> None:
-        """Queue a frame; drop it if QUEUE_LIMIT frames are queued."""
-        if self.queue.qsize() < QUEUE_LIMIT:
+        """Queue a frame; drop it if MAX_QUEUED_FRAMES frames are already queued."""
+        if self.queue.qsize() < MAX_QUEUED_FRAMES:
             self.queue.put((time.monotonic(), data))
 
     def run(self) -> None:
-        """Write queued frames in a loop; reconnect and retry a frame once after a failure."""
+        """Send queued frames in an endless loop; after an error, reconnect and retry once."""
         while True:
             queued_at, data = self.queue.get()
-            if time.monotonic() - queued_at > self.timeout * HELD_FACTOR:
+            if time.monotonic() - queued_at > self.timeout * MAX_QUEUED_TIMEOUTS:
                 continue
             for _ in range(2):
                 try:
-                    self._connect().sendall(FRAME_HEAD.pack(len(data)) + data)
+                    self._connect().sendall(FRAME_HEADER.pack(len(data)) + data)
                     break
                 except ConnectionRefusedError:
                     self.on_refused(self.address)
@@ -71,17 +72,20 @@
                     self.close()
 
     def _connect(self) -> Any:
-        if self.conn is None:
-            conn = gevent.socket.create_connection(self.address, self.timeout)
-            conn.setsockopt(gevent.socket.IPPROTO_TCP, gevent.socket.TCP_NODELAY, 1)
-            self.conn = conn
-            self.watcher = gevent.get_hub().loop.io(conn.fileno(), READABLE)
-            self.watcher.start(gevent.spawn, self._look_again, conn)
-        return self.conn
-
-    def _look_again(self, conn: Any) -> None:
-        """Close a connection that the peer closed, and probe whether its address still listens."""
-        if self.conn is not conn:
+        if self.sock is None:
+            sock = gevent.socket.create_connection(self.address, self.timeout)
+            sock.setsockopt(gevent.socket.IPPROTO_TCP, gevent.socket.TCP_NODELAY, 1)
+            self.sock = sock
+            self.close_watcher = gevent.get_hub().loop.io(sock.fileno(), READABLE)
+            self.close_watcher.start(gevent.spawn, self._on_peer_close, sock)
+        return self.sock
+
+    def _on_peer_close(self, sock: Any) -> None:
+        """Close a connection that the peer closed, and probe whether its address still listens.
+
+        Does nothing if the connection was replaced in the meantime.
+        """
+        if self.sock is not sock:
             return
         self.close()
         try:
@@ -92,13 +96,13 @@
             return
 
     def close(self) -> None:
-        """Close the connection, if there is one."""
-        conn, self.conn = self.conn, None
-        watcher, self.watcher = self.watcher, None
-        if watcher is not None:
-            watcher.stop()
-            watcher.close()
-        if conn is not None:
+        """Close the connection, if one is open, and discard its unsent data."""
+        sock, self.sock = self.sock, None
+        close_watcher, self.close_watcher = self.close_watcher, None
+        if close_watcher is not None:
+            close_watcher.stop()
+            close_watcher.close()
+        if sock is not None:
             with contextlib.suppress(OSError):
-                conn.setsockopt(gevent.socket.SOL_SOCKET, gevent.socket.SO_LINGER, DISCARD_UNSENT)
-            conn.close()
+                sock.setsockopt(gevent.socket.SOL_SOCKET, gevent.socket.SO_LINGER, DISCARD_UNSENT)
+            sock.close()
--- a/quillring/kernel/datagrams.py
+++ b/quillring/kernel/datagrams.py
@@ -1,4 +1,4 @@
-"""UDP datagrams of a process: one socket, read in batches."""
+"""Sending and receiving of UDP datagrams over one socket that is read in batches."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
     from quillring.kernel.types import Address
 
-LIMIT = 65535
-BATCH = 256
+MAX_DATAGRAM_BYTES = 65535
+MAX_BATCH_DATAGRAMS = 256
 
 
 class Datagrams:
-    """A bound UDP socket; what arrives during one pause is read in one batch, in order.
+    """A bound UDP socket; datagrams that arrive between two batches are read together, in order.
 
-    Waking the process costs as much as reading several datagrams, and a heartbeat read a small
-    fraction of its period later is as good.
+    A wake-up of the process costs as much CPU time as reading several datagrams. The delay does no
+    harm: heartbeats are read late by only a small fraction of their interval.
     """
 
     __slots__ = ("socket",)
@@ -30,19 +30,24 @@
         self.socket.setblocking(False)
         self.socket.bind((host, port))
 
-    def run(self, take: Callable[[bytes], object], rest: Callable[[], object]) -> None:
-        """Call `take` for each datagram and `rest` after each batch, in an endless loop."""
+    def run(
+        self, on_datagram: Callable[[bytes], object], after_batch: Callable[[], object]
+    ) -> None:
+        """Call `on_datagram` for each datagram and `after_batch` after each batch, endlessly."""
         while True:
             gevent.socket.wait_read(self.socket.fileno())
-            for data in self._waiting():
-                take(data)
-            rest()
+            for data in self._received():
+                on_datagram(data)
+            after_batch()
 
-    def _waiting(self) -> Iterator[bytes]:
-        """Yield the received datagrams, at most BATCH."""
-        for _ in range(BATCH):
+    def _received(self) -> Iterator[bytes]:
+        """Yield the datagrams that have arrived, at most MAX_BATCH_DATAGRAMS.
+
+        Socket errors are skipped, and count as a datagram.
+        """
+        for _ in range(MAX_BATCH_DATAGRAMS):
             try:
-                data = self.socket.recv(LIMIT)
+                data = self.socket.recv(MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return
             except OSError:
@@ -50,7 +55,7 @@
             yield data
 
     def send(self, address: Address, data: bytes) -> None:
-        """Send a datagram; errors are ignored, as it may be lost anyway."""
+        """Send a datagram; errors are ignored, as UDP does not guarantee delivery anyway."""
         try:
             self.socket.sendto(data, address)
         except OSError:
--- a/quillring/kernel/effects.py
+++ b/quillring/kernel/effects.py
@@ -1,8 +1,8 @@
 """Effects: the operations that a coroutine may request from the runtime that drives it.
 
-A coroutine is a generator: the state machine of one task. It yields an effect, is sent the result
-of the effect, and reads the time only through its node. gevent drives coroutines in production,
-simpy in the simulator.
+A coroutine is a generator. It yields an effect; the runtime performs it and resumes the coroutine
+with the result, or throws an error into it. A coroutine reads the time only through its node, so it
+runs unchanged on gevent in production and on simpy in the simulator.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Effect:
-    """Base of all effects."""
+    """Base class of all effects."""
 
     __slots__ = ()
 
@@ -34,7 +34,7 @@
 
 
 class Wait(Effect):
-    """Resume with True once the signal is set, or with False after `seconds`."""
+    """Resume with True as soon as the signal is set, or with False after `seconds`."""
 
     __slots__ = ("signal", "seconds")
 
@@ -46,8 +46,9 @@
 class FetchJson(Effect):
     """Send one HTTP request with a JSON body to a replica; resume with (status, JSON body).
 
-    With `may_repeat` it may use an idle connection, and is retried once if that one broke.
-    Raises NotSent when it did not run, BackendError when it may have run or took over `seconds`.
+    With `may_repeat` it may use an idle connection, and is retried once if that connection broke.
+    Raises NotSent if the request did not run; BackendError if it may have run, also after a timeout
+    of `seconds`.
     """
 
     __slots__ = ("address", "method", "path", "body", "seconds", "may_repeat")
@@ -70,7 +71,10 @@
 
 
 class OpenStream(Effect):
-    """Open a streamed HTTP response of a replica; resume with its handle."""
+    """Send a POST request with a JSON body to a replica; resume with a handle of its response.
+
+    Raises NotSent if the request did not run, BackendError if it may have run.
+    """
 
     __slots__ = ("address", "path", "body", "seconds")
 
@@ -82,7 +86,10 @@
 
 
 class ReadLine(Effect):
-    """Resume with the next JSON line of an open stream, or None at its end."""
+    """Resume with the next JSON line of an open stream, or with None at its end.
+
+    Raises BackendError if the stream broke or no line arrived within `seconds`.
+    """
 
     __slots__ = ("handle", "seconds")
 
@@ -92,10 +99,11 @@
 
 
 class SendRequest(Effect):
-    """Send the bytes of one HTTP request; resume with the handle of its response.
+    """Send the bytes of one HTTP request; resume with a handle of its response.
 
-    `answer_id` is (lower-case header name, value); responses with another value are skipped.
-    Raises NotSent when it did not run, BackendError when it may have run.
+    `answer_id` is a (lower-case header name, value) that identifies the response; responses with
+    another value are skipped. With `may_reuse` an idle connection may be used. Raises NotSent if
+    the request did not run, BackendError if it may have run.
     """
 
     __slots__ = ("address", "data", "seconds", "may_reuse", "answer_id")
@@ -116,7 +124,11 @@
 
 
 class ReadHead(Effect):
-    """Resume once the response header is read; after a stall it may be awaited again."""
+    """Resume once the header section of a response was read.
+
+    Raises BackendError if the connection broke, or with reason "stall" after `seconds`; after a
+    stall the effect may be requested again.
+    """
 
     __slots__ = ("handle", "seconds")
 
@@ -126,7 +138,10 @@
 
 
 class ReadBody(Effect):
-    """Resume with the next bytes of a response body, or None at its complete end."""
+    """Resume with the next bytes of a response body, or with None once the body is complete.
+
+    Raises BackendError if the body was cut off or nothing arrived within `seconds`.
+    """
 
     __slots__ = ("handle", "seconds")
 
@@ -136,7 +151,11 @@
 
 
 class SendToClient(Effect):
-    """Send one item of a streamed response to the client: a JSON line, a head or body bytes."""
+    """Send one item of a streamed response to the client.
+
+    The item is a value that is sent as a JSON line, or, for a forwarded request, first (status,
+    headers, first body bytes) and then body bytes.
+    """
 
     __slots__ = ("item",)
 
@@ -145,7 +164,7 @@
 
 
 class Signal:
-    """A one-shot event with a value that any runtime can wait for."""
+    """A one-shot event with a value; coroutines wait for it by the effect Wait on any runtime."""
 
     __slots__ = ("is_set", "value", "watchers")
 
@@ -155,7 +174,7 @@
         self.watchers: list[Callable[[], object]] = []
 
     def set(self, value: Any = None) -> None:
-        """Set the signal and call its watchers; a second call changes nothing."""
+        """Set the signal and its value, and call its watchers; further calls have no effect."""
         if self.is_set:
             return
         self.is_set, self.value = True, value
--- a/quillring/kernel/gevent_runtime.py
+++ b/quillring/kernel/gevent_runtime.py
@@ -1,4 +1,4 @@
-"""The production runtime: gevent drives the coroutines, sockets carry datagrams and frames."""
+"""The production runtime: coroutines driven by gevent, messages over UDP and TCP sockets."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 import gevent.socket
 
 from quillring.kernel import http_client
-from quillring.kernel.channel import FRAME_HEAD, Channel
+from quillring.kernel.channel import FRAME_HEADER, Channel
 from quillring.kernel.datagrams import Datagrams
 from quillring.kernel.effects import (
     FetchJson,
@@ -42,12 +42,17 @@
 gevent.config.resolver = "block"
 backend = lazy_module("quillring.kernel.backend")
 
-FRAME_LIMIT = 64 * 1024 * 1024
-REST_SECONDS = 0.03
+MAX_FRAME_BYTES = 64 * 1024 * 1024
+TIMER_STEP_SECONDS = 0.03
 
 
 class GeventRuntime:
-    """Clock, randomness, network and coroutines of one process; owns its sockets and channels."""
+    """Provides the clock, randomness, network and coroutines of one process.
+
+    Owns the UDP socket and the outgoing channels. `report(error)` is called for each exception that
+    escapes from a handler or a coroutine, `on_refused(address)` when a peer's address refuses
+    connections.
+    """
 
     __slots__ = (
         "random",
@@ -66,14 +71,14 @@
         self.report = report
         self.frame_timeout = frame_timeout
         self.on_refused: Callable[[Address], object] = lambda address: None
-        self.timers = TimerCoalescer(time.monotonic(), REST_SECONDS)
+        self.timers = TimerCoalescer(time.monotonic(), TIMER_STEP_SECONDS)
 
     def now(self) -> float:
-        """Return monotonic seconds."""
+        """Return the monotonic time in seconds."""
         return time.monotonic()
 
     def wall_time(self) -> float:
-        """Return the seconds of the wall clock, for times that outlive the process."""
+        """Return Unix time in seconds, for timestamps that must be valid after a restart."""
         return time.time()
 
     def secret(self, count: int) -> bytes:
@@ -81,12 +86,16 @@
         return os.urandom(count)
 
     def listen(self, host: str, port: int, on_datagram: DataHandler, on_frame: DataHandler) -> Any:
-        """Receive UDP datagrams and TCP frames at the address."""
+        """Start receiving UDP datagrams and TCP frames at the address; return the TCP server.
+
+        `on_datagram` and `on_frame` are called with the bytes of each message. Datagrams are read
+        at most once per timer step.
+        """
         self.datagrams = Datagrams(host, port)
         gevent.spawn(
             self.datagrams.run,
-            lambda data: self._guard(on_datagram, data),
-            lambda: self.sleep(self.timers.seconds),
+            lambda data: self._call_handler(on_datagram, data),
+            lambda: self.sleep(self.timers.step_seconds),
         )
         server = gevent.server.StreamServer(
             (host, port), lambda conn, _: self._read_frames(conn, on_frame)
@@ -95,34 +104,39 @@
         return server
 
     def _read_frames(self, conn: Any, on_frame: DataHandler) -> None:
+        """Pass each frame of a connection to the handler until the peer closes it.
+
+        A frame longer than MAX_FRAME_BYTES is reported as an empty one, which the handler counts as
+        invalid, and ends the connection.
+        """
         with conn, conn.makefile("rb") as reader:
             while True:
                 try:
-                    head = reader.read(FRAME_HEAD.size)
-                    if len(head) < FRAME_HEAD.size:
+                    header = reader.read(FRAME_HEADER.size)
+                    if len(header) < FRAME_HEADER.size:
                         return
-                    (length,) = FRAME_HEAD.unpack(head)
-                    data = reader.read(length) if length <= FRAME_LIMIT else b""
+                    (length,) = FRAME_HEADER.unpack(header)
+                    data = reader.read(length) if length <= MAX_FRAME_BYTES else b""
                 except OSError:
                     return
-                if len(data) < length <= FRAME_LIMIT:
+                if len(data) < length <= MAX_FRAME_BYTES:
                     return
-                self._guard(on_frame, data)
-                if length > FRAME_LIMIT:
+                self._call_handler(on_frame, data)
+                if length > MAX_FRAME_BYTES:
                     return
 
-    def _guard(self, handler: Callable[[Any], object], data: Any) -> None:
+    def _call_handler(self, handler: Callable[[Any], object], data: Any) -> None:
         try:
             handler(data)
         except Exception as error:
             self.report(error)
 
     def datagram(self, address: Address, data: bytes) -> None:
-        """Send a datagram; it may be lost."""
+        """Send a datagram, without a delivery guarantee."""
         self.datagrams.send((address[0], address[1]), data)
 
     def frame(self, address: Address, data: bytes) -> None:
-        """Queue a frame on the channel to the address; it may be lost."""
+        """Queue a frame on the channel to the address, without a delivery guarantee."""
         channel = self.channels.get(address)
         if channel is None:
             channel = self.channels[address] = Channel(address, self.frame_timeout, self._refused)
@@ -130,16 +144,16 @@
         channel.put(data)
 
     def _refused(self, address: Address) -> None:
-        self._guard(self.on_refused, address)
+        self._call_handler(self.on_refused, address)
 
     def reset(self, address: Address) -> None:
-        """Close the connection to a failed member, so that the next frame reconnects at once."""
+        """Close the connection to the address of a failed member; the next frame reconnects."""
         channel = self.channels.get(address)
         if channel is not None:
             channel.close()
 
     def spawn(self, coroutine: Coroutine) -> Any:
-        """Run a coroutine in its own greenlet."""
+        """Start a coroutine in a new greenlet; return the greenlet."""
         return gevent.spawn(self._run, coroutine)
 
     def _run(self, coroutine: Coroutine) -> Any:
@@ -151,7 +165,10 @@
             self.report(error)
 
     def drive(self, coroutine: Coroutine) -> Any:
-        """Run a coroutine to its end in this greenlet and return its value."""
+        """Run a coroutine to completion in the current greenlet and return its result.
+
+        Items that it sends with SendToClient are discarded.
+        """
         lines = self.lines(coroutine)
         try:
             while True:
@@ -160,7 +177,11 @@
             return stop.value
 
     def lines(self, coroutine: Coroutine) -> Generator[Any, None, Any]:
-        """Run a coroutine in this greenlet; yield each item it emits; return its value."""
+        """Run a coroutine in the current greenlet; yield its SendToClient items; return its result.
+
+        A QuillringError raised by an effect is thrown into the coroutine. Closing this generator
+        closes the coroutine.
+        """
         value, error = None, None
         try:
             while True:
@@ -201,7 +222,7 @@
                 return effect.handle.read_body_part(effect.seconds)
 
     def sleep(self, seconds: float) -> None:
-        """Sleep for about `seconds`, aligned so that several sleeps share one wake-up."""
+        """Sleep for about `seconds`, aligned to the timer grid to share wake-ups."""
         gevent.sleep(self.timers.aligned_seconds(time.monotonic(), seconds))
 
     def _wait(self, signal: Signal, seconds: float) -> bool:
--- a/quillring/kernel/runtime.py
+++ b/quillring/kernel/runtime.py
@@ -1,4 +1,4 @@
-"""The protocol of a runtime as a node uses it; imported for type checking only."""
+"""The interface that a node requires of its runtime; imported for type checking only."""
 
 from __future__ import annotations
 
@@ -12,33 +12,36 @@
 
 
 class Runtime(Protocol):
-    """Clock, randomness, network and coroutines of one process: by gevent or a simulator."""
+    """Clock, randomness, network and coroutines of one process.
+
+    Implemented with gevent in production and by the simulator in tests.
+    """
 
     random: random.Random
 
     def now(self) -> float:
-        """Return monotonic seconds."""
+        """Return the monotonic time in seconds."""
 
     def wall_time(self) -> float:
-        """Return the seconds of the wall clock, for times that outlive the process."""
+        """Return Unix time in seconds, for timestamps that must be valid after a restart."""
 
     def secret(self, count: int) -> bytes:
         """Return `count` cryptographically random bytes."""
 
     def datagram(self, address: Address, data: bytes) -> None:
-        """Send a datagram; it may be lost."""
+        """Send a datagram, without a delivery guarantee."""
 
     def frame(self, address: Address, data: bytes) -> None:
-        """Queue a frame on the channel to the address; it may be lost."""
+        """Queue a frame on the channel to the address, without a delivery guarantee."""
 
     def reset(self, address: Address) -> None:
-        """Close the connection to a failed member."""
+        """Close the connection to the address of a failed member."""
 
     def spawn(self, coroutine: Coroutine) -> Any:
-        """Run a coroutine concurrently."""
+        """Start a coroutine that runs concurrently; return its task."""
 
     def drive(self, coroutine: Coroutine) -> Any:
-        """Run a coroutine to its end in the caller and return its value."""
+        """Run a coroutine to completion in the caller's task and return its result."""
 
     def lines(self, coroutine: Coroutine) -> Generator[Any, None, Any]:
-        """Run a coroutine in the caller; yield each item it emits; return its value."""
+        """Run a coroutine in the caller's task; yield its SendToClient items; return its result."""
--- a/tests/test_channels.py
+++ b/tests/test_channels.py
@@ -11,7 +11,7 @@
 from gevent.server import StreamServer
 
 from quillring.kernel import channel as channel_module
-from quillring.kernel.channel import HELD_FACTOR, Channel
+from quillring.kernel.channel import MAX_QUEUED_TIMEOUTS, Channel
 from quillring.kernel.gevent_runtime import GeventRuntime
 
 BIG = b"x" * (1 << 20)
@@ -44,9 +44,9 @@
     with mock.patch.object(channel_module, "time", clock):
         channel = Channel(("127.0.0.1", server.server_port), 1.0)
         channel.put(b"old")
-        clock.seconds += HELD_FACTOR + 0.1
+        clock.seconds += MAX_QUEUED_TIMEOUTS + 0.1
         channel.put(b"young")
-        clock.seconds += HELD_FACTOR - 0.1
+        clock.seconds += MAX_QUEUED_TIMEOUTS - 0.1
         greenlet = gevent.spawn(channel.run)
         data = received.get(timeout=5)
         greenlet.kill()
--- a/tests/test_datagrams.py
+++ b/tests/test_datagrams.py
@@ -72,7 +72,7 @@
 
 
 def test_a_batch_ends_so_that_others_get_their_turn(client_name, wakes, monkeypatch):
-    monkeypatch.setattr(datagrams, "BATCH", 8)
+    monkeypatch.setattr(datagrams, "MAX_BATCH_DATAGRAMS", 8)
     texts = [b"%d" % number for number in range(20)]
     listener = Listener(len(texts))
     send_all(client_name, listener, texts)
--- a/tests/test_steps.py
+++ b/tests/test_steps.py
@@ -5,7 +5,7 @@
 import pytest
 
 from quillring.kernel.bounds import Bounds
-from quillring.kernel.timer_coalescing import EARLY_SHARE, TimerCoalescer
+from quillring.kernel.timer_coalescing import MAX_EARLY_RATIO, TimerCoalescer
 from quillring.verbs.process import STEPS_PER_GOSSIP_INTERVAL
 
 BOUNDS = Bounds(propagation=2.5)
@@ -30,7 +30,7 @@
 
 @pytest.mark.parametrize("period", [*PERIODS, BOUNDS.heartbeat_interval])
 def test_a_period_of_whole_steps_stays_that_period_though_each_wake_is_late(period):
-    moments = wakes(period, 1000, random.Random(3), STEP * EARLY_SHARE * 0.9)
+    moments = wakes(period, 1000, random.Random(3), STEP * MAX_EARLY_RATIO * 0.9)
     mean = (moments[-1] - moments[0]) / (len(moments) - 1)
     assert mean == pytest.approx(period, rel=0.001)
 
@@ -39,7 +39,7 @@
     steps = TimerCoalescer(7.25, STEP)
     for period in PERIODS:
         for moment in wakes(period, 50, random.Random(4), 0):
-            place = (moment - steps.start) / STEP
+            place = (moment - steps.grid_origin) / STEP
             assert place == pytest.approx(round(place), abs=1e-6)
 
 
@@ -48,7 +48,7 @@
     for _ in range(2000):
         now, seconds = chance.uniform(10, 1000), chance.uniform(STEP, 5)
         over = steps.aligned_seconds(now, seconds) - seconds
-        assert -STEP * EARLY_SHARE - 1e-9 <= over <= STEP
+        assert -STEP * MAX_EARLY_RATIO - 1e-9 <= over <= STEP
 
 
 @pytest.mark.parametrize("seconds", [0, 0.001, STEP * 0.99])
