--- a/quillring/kernel/bounds.py
+++ b/quillring/kernel/bounds.py
@@ -1,4 +1,4 @@
-"""All time constants of a process, derived from the bounds in its settings."""
+"""The time bounds from the settings and the timeouts and intervals derived from them."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
     "grace": "grace_period",
     "replica_beat": "replica_heartbeat",
 }
-"""The bounds by their names in the settings file, which stay as released."""
+"""Maps the names of the bounds in the settings file, a released interface, to attributes."""
 
 
 class Bounds:
-    """The time bounds promised to users, in seconds, and the constants that follow from them.
+    """The time bounds guaranteed to users, and the intervals and timeouts derived from them.
 
     Attributes
     ----------
-    propagation : until an update has reached every connected node
-    evacuation : until a drained zone or node gets no new requests
-    shutdown : until a process has ended after SIGTERM or SIGINT
-    read_timeout : longest read of replicated state
-    recovery : until service is restored after the loss of a node
-    resync : until a part is fully replicated again after the loss of a store, None if unset
-    grace_period : longest time in which a stopping process finishes requests, None if unset
-    replica_heartbeat : period in which replicas send heartbeats
+    propagation : seconds until an update has reached every connected node
+    evacuation : seconds until a drained zone or node gets no new requests
+    shutdown : seconds until a process has exited after SIGTERM or SIGINT
+    read_timeout : longest duration of a read of replicated state, in seconds
+    recovery : seconds until service is restored after the loss of a node
+    resync : seconds until a part is fully replicated again after the loss of a store, None if unset
+    grace_period : seconds that a stopping process has to finish its requests, None if unset
+    replica_heartbeat : interval between the heartbeats of a replica, in seconds
     """
 
     __slots__ = (
@@ -70,12 +70,12 @@
 
     @classmethod
     def from_settings(cls, fields: dict[str, float]) -> Bounds:
-        """Read the section `bounds` of a checked settings file."""
+        """Return the bounds of the section `bounds` of a validated settings file."""
         return cls(**{ATTRIBUTE_OF_SETTING[name]: seconds for name, seconds in fields.items()})
 
     @property
     def heartbeat_interval(self) -> float:
-        """Return the period of heartbeats between nodes, in seconds."""
+        """Return the interval between heartbeats of a node to its peers, in seconds."""
         return self.propagation / HEARTBEATS_PER_PROPAGATION
 
     @property
@@ -85,7 +85,7 @@
 
     @property
     def gossip_interval(self) -> float:
-        """Return the period of gossip, in seconds."""
+        """Return the interval between gossip rounds, in seconds."""
         return self.heartbeat_interval / GOSSIP_ROUNDS_PER_HEARTBEAT
 
     @property
@@ -95,7 +95,7 @@
 
     @property
     def configuration_freshness(self) -> float:
-        """Return how old, in seconds, an edge's last contact with a majority of stores may be."""
+        """Return the maximum age in seconds of an edge's last contact with a store majority."""
         return self.propagation * FRESHNESS_RATIO
 
     @property
@@ -108,8 +108,8 @@
 
     @property
     def report_delay(self) -> float:
-        """Return how many seconds heartbeats of replicas are batched before they are sent on.
+        """Return the seconds for which heartbeats of replicas are batched before they are relayed.
 
-        It is half of what is left of `replica_timeout` after two heartbeat periods.
+        It is half of the time that remains of `replica_timeout` after two heartbeat intervals.
         """
         return (self.replica_timeout - self.replica_heartbeat * 2) / 2
--- a/quillring/kernel/errors.py
+++ b/quillring/kernel/errors.py
@@ -1,6 +1,6 @@
-"""Typed errors; an error is named by its `kind` between processes and over HTTP.
+"""Error types; on the wire and in HTTP bodies an error is identified by its `kind`.
 
-Each docstring says what happened, who receives the error, and what to do.
+Each docstring states the cause, who receives the error, and how the receiver should react.
 """
 
 from __future__ import annotations
@@ -8,18 +8,19 @@
 from typing import Any
 
 KINDS: dict[str, type[QuillringError]] = {}
+"""All error types by their kind."""
 
 
 class QuillringError(Exception):
-    """Base of all typed failures.
+    """Base class of all errors of this package; an error without a more specific type.
 
     Attributes
     ----------
-    kind : name of the error on the wire and in HTTP bodies; part of the released interface
-    status : HTTP status code of the response
+    kind : name of the error on the wire and in HTTP bodies, a released interface
+    status : HTTP status code of the error response
     may_retry_later : whether the response has a Retry-After header
-    is_final : whether a retry is useless
-    detail : further fields of the error by name
+    is_final : whether a retry cannot succeed
+    detail : further fields of the error by name; sent with it
     """
 
     kind: str = "trouble"
@@ -45,12 +46,15 @@
 
 
 def error_from_wire(kind: str, detail: dict[Any, Any]) -> QuillringError:
-    """Return the error that a peer reported under a kind, as its own type."""
+    """Return the error that a peer reported, as an instance of the type with this kind."""
     return KINDS.get(kind, QuillringError)(**{str(name): value for name, value in detail.items()})
 
 
 class Unreachable(QuillringError):
-    """The caller has no route to the node and sent nothing; retry once a route is back."""
+    """There is no route to the called node, and nothing was sent.
+
+    The caller may retry once a route exists again.
+    """
 
     kind = "unreachable"
     status = 503
@@ -58,9 +62,9 @@
 
 
 class TimedOut(QuillringError):
-    """No reply reached the caller in time; whether the call ran is unknown.
+    """The caller received no reply before the timeout; the call may have run.
 
-    Retry only idempotent calls, or ask for the outcome first.
+    The caller retries only idempotent calls, or queries the outcome first.
     """
 
     kind = "timed_out"
@@ -68,64 +72,66 @@
 
 
 class UnknownService(QuillringError):
-    """The called node has no handler of this name; its role or version differs from the caller's.
+    """The called node has no handler with this name, as its role or version is a different one.
 
-    Compare the versions of both nodes; a retry at the same node is of no use.
+    A retry at the same node cannot succeed; an operator compares the versions of both nodes.
     """
 
     kind = "unknown_service"
 
 
 class BadWire(QuillringError):
-    """A datagram or frame that can't be decoded; its receiver counts and drops it.
+    """A datagram or frame cannot be decoded; the receiver counts and drops it.
 
-    Counted as bad_datagrams, bad_frames and other_versions; an operator checks the releases.
+    The counters are bad_datagrams, bad_frames and other_versions. An operator checks which releases
+    run on the nodes.
     """
 
     kind = "bad_wire"
 
 
 class BadSetting(QuillringError):
-    """An error in the settings file or flags; whoever starts the process corrects it and restarts.
+    """The settings file or a command-line flag is invalid; the process does not start.
 
-    All errors are raised together in one ExceptionGroup.
+    All errors are raised together in one ExceptionGroup. The operator corrects the settings and
+    starts the process again.
     """
 
     kind = "bad_setting"
 
 
 class BadRequest(QuillringError):
-    """The request is malformed; its client corrects the fields named before it retries."""
+    """The request is malformed; the client corrects the named fields before it retries."""
 
     kind = "bad_inquiry"
     status = 400
 
 
 class TooLarge(QuillringError):
-    """The body of a request is over `limit` bytes; its client sends a smaller one."""
+    """The request body is larger than `limit` bytes; the client sends a smaller one."""
 
     kind = "too_large"
     status = 413
 
 
 class NotFound(QuillringError):
-    """Nothing of this name exists; the client checks the name, or retries after it was created."""
+    """Nothing exists under this name; the client checks it, or retries after its creation."""
 
     kind = "not_found"
     status = 404
 
 
 class WrongMethod(QuillringError):
-    """The path exists, but not with this method; the client uses one of `allowed`."""
+    """The path does not support this method; the client uses one of `allowed`."""
 
     kind = "wrong_method"
     status = 405
 
 
 class Refused(QuillringError):
-    """A final refusal: the client's work never ran and will not run.
+    """The request was rejected; it did not run and will not run.
 
-    It may be sent again as new work after the time in Retry-After.
+    The client may send it again as a new request after the time in Retry-After.
     """
 
     kind = "refused"
@@ -134,9 +140,9 @@
 
 
 class OutcomeUnknown(QuillringError):
-    """The client's work may or may not have run, and was not retried.
+    """The request may or may not have run, and was not retried.
 
-    The client asks for its outcome, or retries it if it is idempotent.
+    The client queries the outcome, or retries if the request is idempotent.
     """
 
     kind = "outcome_unknown"
@@ -144,14 +150,14 @@
 
 
 class Conflict(QuillringError):
-    """A concurrent change won; the client reads the winning version and redoes its change."""
+    """A concurrent change was committed first; the client reads it and reapplies its own."""
 
     kind = "conflict"
     status = 409
 
 
 class NotLeader(QuillringError):
-    """The called node does not lead the part; the caller finds the leader and calls that."""
+    """The called node is not the leader of the part; the caller looks up and calls the leader."""
 
     kind = "not_owner"
     status = 503
@@ -159,9 +165,9 @@
 
 
 class Fenced(QuillringError):
-    """A store saw a higher ballot than this leader's, which stops writing.
+    """A store has promised a higher ballot than that of this leader, which stops writing.
 
-    The caller asks the new leader; whether its last write took effect is unknown.
+    The caller queries the new leader; whether its last write took effect is unknown.
     """
 
     kind = "fenced"
@@ -170,9 +176,9 @@
 
 
 class NoMajority(QuillringError):
-    """Fewer than a majority of stores answered the leader; a write may still take effect.
+    """The leader got replies from less than a majority of stores; a write may still take effect.
 
-    The caller retries with the same command id; an operator looks for failed stores.
+    The caller retries with the same command id; an operator checks for failed stores.
     """
 
     kind = "no_majority"
@@ -181,7 +187,7 @@
 
 
 class NotFounded(QuillringError):
-    """The fleet was not bootstrapped yet; an operator does that, then the caller retries."""
+    """The fleet is not bootstrapped yet; the caller retries after an operator has done that."""
 
     kind = "not_founded"
     status = 503
@@ -189,9 +195,10 @@
 
 
 class DiskError(QuillringError):
-    """The data folder of a store can't be written or read; sent to the leader that called it.
+    """A store cannot write or read its data folder; sent to the leader that called the store.
 
-    The store acknowledges nothing it could not write; an operator frees room or replaces the disk.
+    The store acknowledges nothing that it could not write. An operator frees disk space or replaces
+    the disk.
     """
 
     kind = "disk_trouble"
@@ -199,15 +206,15 @@
 
 
 class Damaged(DiskError):
-    """The data folder of a store is damaged; the operator takes the repair step that is named."""
+    """The data folder of a store is corrupt; the operator follows the repair step in the error."""
 
     kind = "damaged"
 
 
 class BackendError(QuillringError):
-    """The replica closed early, stalled or sent invalid HTTP; the request may have run.
+    """A replica closed the connection early, stalled or sent invalid HTTP; `reason` says which.
 
-    The edge retries at another replica if the request may run twice; `reason` is the cause.
+    The request may have run. The edge retries it at another replica if it may run twice.
     """
 
     kind = "backend_trouble"
@@ -215,21 +222,21 @@
 
 
 class Busy(BackendError):
-    """The replica had no free slot and ran nothing; the edge tries another replica."""
+    """The replica had no free slot and did not run the request; the edge tries another one."""
 
     kind = "busy"
 
 
 class StaleConnection(BackendError):
-    """An idle connection closed without a byte of a response; the request may have run.
+    """A reused connection was closed before any byte of the response; the request may have run.
 
-    The edge retries a request that may run twice, over a new connection.
+    The edge retries a request that may run twice over a new connection.
     """
 
     kind = "stale_connection"
 
 
 class NotSent(BackendError):
-    """The request certainly did not run at the replica; the edge may send it to any other."""
+    """The request certainly did not run at the replica; the edge may send it to any replica."""
 
     kind = "not_sent"
