--- a/quillring/edge/stream_handlers.py
+++ b/quillring/edge/stream_handlers.py
@@ -21,7 +21,7 @@
     Refused,
     TimedOut,
 )
-from quillring.kernel.request_checks import check_body, need_client_name
+from quillring.kernel.request_checks import check_body, require_client_name
 from quillring.kernel.routes import route
 
 if TYPE_CHECKING:
@@ -57,7 +57,7 @@
 @route("POST", "/v1/inquiries")
 def serve_model(node: Node, request: Request) -> Coroutine:
     """Serve one streamed request to a model."""
-    need_client_name(request)
+    require_client_name(request)
     check_body(MODEL_REQUEST, request.body)
     check_admission(node)
     _, service, promise = node.find("layout").route(request.body["entry"])
@@ -70,7 +70,7 @@
     yield from run_stream(node, stream, 0, node.now() + seconds)
 
 
-@route("GET", "/v1/streams/{token}", query_words=("after",))
+@route("GET", "/v1/streams/{token}", query_parameters=("after",))
 def resume_stream(node: Node, request: Request) -> Coroutine:
     """Serve a stream from the piece after the last one that the client has."""
     check_open(node)
--- a/quillring/kernel/checks.py
+++ b/quillring/kernel/checks.py
@@ -1,4 +1,4 @@
-"""Validation of external input: strict JSON schemas, bounded JSON, counts."""
+"""Validation of external input: JSON with bounded depth, strict JSON schemas, counts."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from quillring.kernel.errors import BadRequest
 from quillring.kernel.lazy import lazy_module
-from quillring.kernel.plain_schema import is_integer, is_number, is_surely_sound
+from quillring.kernel.plain_schema import is_certainly_valid, is_integer, is_number
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -16,45 +16,48 @@
 
 jsonschema = lazy_module("jsonschema")
 
-DEPTH_LIMIT = 32
-DIGITS = 9
+MAX_JSON_DEPTH = 32
+MAX_COUNT_DIGITS = 9
 
 
 class StrictValidator:
-    """A validator of one JSON schema; calls `jsonschema` only when the fast check fails."""
+    """Validator for one JSON schema; calls `jsonschema` only if the fast check does not accept.
+
+    Strict means that 1.0 and booleans are not integers, and that numbers are finite.
+    """
 
     __slots__ = ("schema",)
-    library_class: Any = None
+    validator_class: Any = None
 
     def __init__(self, schema: Any) -> None:
         self.schema = schema
 
     def iter_errors(self, value: Any) -> Iterator[Any]:
-        """Return the validation errors of a value."""
-        if is_surely_sound(self.schema, value):
+        """Return an iterator over the validation errors of a value."""
+        if is_certainly_valid(self.schema, value):
             return iter(())
-        faults: Iterator[Any] = self.make_library_class()(self.schema).iter_errors(value)
+        faults: Iterator[Any] = self.get_validator_class()(self.schema).iter_errors(value)
         return faults
 
     @classmethod
-    def make_library_class(cls) -> Any:
+    def get_validator_class(cls) -> Any:
         """Return the cached `jsonschema` validator class with strict number types."""
-        if cls.library_class is None:
+        if cls.validator_class is None:
             plain_class = jsonschema.Draft202012Validator
             types = {"integer": is_integer, "number": is_number}
-            cls.library_class = jsonschema.validators.extend(
+            cls.validator_class = jsonschema.validators.extend(
                 plain_class, type_checker=plain_class.TYPE_CHECKER.redefine_many(types)
             )
-        return cls.library_class
+        return cls.validator_class
 
 
-def refuse_constant(name: str) -> None:
+def reject_constant(name: str) -> None:
     """Raise ValueError for NaN and the infinities, which RFC 8259 excludes from JSON."""
     raise ValueError(name)
 
 
 def read_float(text: str) -> float:
-    """Return the finite number that a text denotes; ValueError otherwise."""
+    """Return the float that a text denotes; raise ValueError if it is not finite."""
     number = float(text)
     if not math.isfinite(number):
         raise ValueError(text)
@@ -62,10 +65,14 @@
 
 
 def parse_json(data: bytes | str) -> Any:
-    """Return the value of UTF-8 JSON text (RFC 8259); ValueError if it is malformed or too deep."""
+    """Return the value of UTF-8 JSON text (RFC 8259).
+
+    Raises ValueError if the text is malformed, is nested too deep, or has an escaped surrogate
+    without its pair, which UTF-8 cannot encode.
+    """
     text = data.decode("utf-8") if isinstance(data, bytes) else data
     try:
-        value = json.loads(text, parse_constant=refuse_constant, parse_float=read_float)
+        value = json.loads(text, parse_constant=reject_constant, parse_float=read_float)
         if "\\ud" in text.lower():
             json.dumps(value, ensure_ascii=False).encode("utf-8")
     except RecursionError as error:
@@ -75,9 +82,9 @@
 
 
 def check_depth(value: Any) -> None:
-    """Raise ValueError for a value nested deeper than DEPTH_LIMIT."""
+    """Raise ValueError for a value nested deeper than MAX_JSON_DEPTH."""
     level = [value]
-    for _ in range(DEPTH_LIMIT):
+    for _ in range(MAX_JSON_DEPTH):
         level = [
             inner
             for outer in level
@@ -91,7 +98,7 @@
 
 
 def read_count(text: str, field: str) -> int:
-    """Return the integer of a text of at most DIGITS decimal digits; BadRequest otherwise."""
-    if not (text.isascii() and text.isdigit() and len(text) <= DIGITS):
+    """Return the integer of a text of 1 to MAX_COUNT_DIGITS digits; raise BadRequest otherwise."""
+    if not (text.isascii() and text.isdigit() and len(text) <= MAX_COUNT_DIGITS):
         raise BadRequest(field=field, faults=[{"field": field, "fault": "not a count"}])
     return int(text)
--- a/quillring/kernel/plain_schema.py
+++ b/quillring/kernel/plain_schema.py
@@ -1,7 +1,7 @@
-"""A fast check of JSON schemas: it accepts most valid values without the library.
+"""Fast validation of JSON schemas that accepts most valid values without the `jsonschema` library.
 
-Only common keywords are supported. A value that fails here, or a schema with another keyword, is
-left to the full validator, which also reports the errors.
+Only common keywords are supported. If a value is not accepted here, or its schema has another
+keyword, the full validator decides and reports the errors.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
     Schema = dict[str, Any]
     Rule = Callable[[Any, Any, Schema], bool]
-    """`rule(wanted, value, schema)` tells whether a value follows one keyword of a schema."""
+    """`rule(expected, value, schema)`: whether a value satisfies a keyword set to `expected`."""
 
 
 def is_integer(checker: object, value: object) -> bool:
-    """Return whether a value is an integer, and not a float such as 1.0 or a boolean."""
+    """Return whether a value is an integer; a float such as 1.0 and a boolean are not."""
     return isinstance(value, int) and not isinstance(value, bool)
 
 
@@ -40,47 +40,52 @@
 }
 
 
-def is_surely_sound(schema: Schema, value: Any) -> bool:
-    """Return True if a value certainly follows a schema; False means unknown."""
+def is_certainly_valid(schema: Schema, value: Any) -> bool:
+    """Return True if a value certainly satisfies a schema; False if that is not known."""
     return all(
-        keyword in KEYWORDS and KEYWORDS[keyword](wanted, value, schema)
-        for keyword, wanted in schema.items()
+        keyword in KEYWORDS and KEYWORDS[keyword](expected, value, schema)
+        for keyword, expected in schema.items()
     )
 
 
-def follows_type(wanted: Any, value: Any, schema: Schema) -> bool:
-    """Return whether a value has one of the types."""
-    names = [wanted] if isinstance(wanted, str) else wanted
+def follows_type(expected: Any, value: Any, schema: Schema) -> bool:
+    """Return whether a value has one of the expected types."""
+    names = [expected] if isinstance(expected, str) else expected
     return any(name in TYPES and TYPES[name](value) for name in names)
 
 
-def follows_enum(wanted: Any, value: Any, schema: Schema) -> bool:
-    """Return whether a string is one of those listed; False for other types."""
-    return isinstance(value, str) and value in wanted
+def follows_enum(expected: Any, value: Any, schema: Schema) -> bool:
+    """Return whether a value is one of the listed strings; False for values of other types."""
+    return isinstance(value, str) and value in expected
 
 
-def follows_properties(wanted: Any, value: Any, schema: Schema) -> bool:
-    """Return whether each named property follows its schema."""
+def follows_properties(expected: Any, value: Any, schema: Schema) -> bool:
+    """Return whether each property listed in the schema satisfies its subschema."""
     return not isinstance(value, dict) or all(
-        is_surely_sound(inner, value[name]) for name, inner in wanted.items() if name in value
+        is_certainly_valid(subschema, value[name])
+        for name, subschema in expected.items()
+        if name in value
     )
 
 
-def follows_patterns(wanted: Any, value: Any, schema: Schema) -> bool:
-    """Return whether each property follows the schema of every pattern its name matches."""
+def follows_patterns(expected: Any, value: Any, schema: Schema) -> bool:
+    """Return whether each property satisfies the subschemas of all patterns its name matches."""
     return not isinstance(value, dict) or all(
         isinstance(name, str)
         and all(
-            is_surely_sound(inner, item)
-            for pattern, inner in wanted.items()
+            is_certainly_valid(subschema, item)
+            for pattern, subschema in expected.items()
             if re.search(pattern, name)
         )
         for name, item in value.items()
     )
 
 
-def follows_additional(wanted: Any, value: Any, schema: Schema) -> bool:
-    """Return whether each property that no other keyword covers is allowed."""
+def follows_additional(expected: Any, value: Any, schema: Schema) -> bool:
+    """Return whether each property that no other keyword covers is allowed by this one.
+
+    The other keywords are `properties` and `patternProperties`.
+    """
     if not isinstance(value, dict):
         return True
     named, patterns = schema.get("properties", {}), schema.get("patternProperties", {})
@@ -90,58 +95,60 @@
             isinstance(name, str)
             and (
                 any(re.search(pattern, name) for pattern in patterns)
-                or (isinstance(wanted, dict) and is_surely_sound(wanted, item))
+                or (isinstance(expected, dict) and is_certainly_valid(expected, item))
             )
         )
         for name, item in value.items()
     )
 
 
-def follows_items(wanted: Any, value: Any, schema: Schema) -> bool:
-    """Return whether each item after those of `prefixItems` follows the schema."""
+def follows_items(expected: Any, value: Any, schema: Schema) -> bool:
+    """Return whether each item after those of `prefixItems` satisfies the subschema."""
     return not isinstance(value, list) or all(
-        is_surely_sound(wanted, item) for item in value[len(schema.get("prefixItems", ())) :]
+        is_certainly_valid(expected, item) for item in value[len(schema.get("prefixItems", ())) :]
     )
 
 
-def follows_places(wanted: Any, value: Any, schema: Schema) -> bool:
-    """Return whether the first items of a list follow their schemas (`prefixItems`)."""
+def follows_prefix_items(expected: Any, value: Any, schema: Schema) -> bool:
+    """Return whether the first items of a list satisfy their subschemas (`prefixItems`)."""
     return not isinstance(value, list) or all(
-        is_surely_sound(inner, item) for inner, item in zip(wanted, value)
+        is_certainly_valid(subschema, item) for subschema, item in zip(expected, value)
     )
 
 
-def number_rule(holds: Callable[[Any, Any], bool]) -> Rule:
-    """Return the rule of a keyword that bounds a number."""
-    return lambda wanted, value, schema: not is_number(None, value) or holds(value, wanted)
+def number_rule(predicate: Callable[[Any, Any], bool]) -> Rule:
+    """Return the rule of a keyword that limits the value of a number."""
+    return lambda expected, value, schema: not is_number(None, value) or predicate(value, expected)
 
 
-def size_rule(kind: type[Sized], holds: Callable[[int, Any], bool]) -> Rule:
-    """Return the rule of a keyword that bounds the length of a string or list."""
-    return lambda wanted, value, schema: not isinstance(value, kind) or holds(len(value), wanted)
+def size_rule(kind: type[Sized], predicate: Callable[[int, Any], bool]) -> Rule:
+    """Return the rule of a keyword that limits the length of a string or list."""
+    return lambda expected, value, schema: (
+        not isinstance(value, kind) or predicate(len(value), expected)
+    )
 
 
 KEYWORDS: dict[str, Rule] = {
-    "description": lambda wanted, value, schema: True,
+    "description": lambda expected, value, schema: True,
     "type": follows_type,
     "enum": follows_enum,
-    "const": lambda wanted, value, schema: isinstance(value, str) and value == wanted,
-    "pattern": lambda wanted, value, schema: (
-        not isinstance(value, str) or re.search(wanted, value) is not None
+    "const": lambda expected, value, schema: isinstance(value, str) and value == expected,
+    "pattern": lambda expected, value, schema: (
+        not isinstance(value, str) or re.search(expected, value) is not None
     ),
-    "required": lambda wanted, value, schema: (
-        not isinstance(value, dict) or all(name in value for name in wanted)
+    "required": lambda expected, value, schema: (
+        not isinstance(value, dict) or all(name in value for name in expected)
     ),
     "properties": follows_properties,
     "patternProperties": follows_patterns,
     "additionalProperties": follows_additional,
     "items": follows_items,
-    "prefixItems": follows_places,
-    "minimum": number_rule(lambda value, wanted: value >= wanted),
-    "maximum": number_rule(lambda value, wanted: value <= wanted),
-    "exclusiveMinimum": number_rule(lambda value, wanted: value > wanted),
-    "minLength": size_rule(str, lambda size, wanted: size >= wanted),
-    "maxLength": size_rule(str, lambda size, wanted: size <= wanted),
-    "minItems": size_rule(list, lambda size, wanted: size >= wanted),
-    "maxItems": size_rule(list, lambda size, wanted: size <= wanted),
+    "prefixItems": follows_prefix_items,
+    "minimum": number_rule(lambda value, expected: value >= expected),
+    "maximum": number_rule(lambda value, expected: value <= expected),
+    "exclusiveMinimum": number_rule(lambda value, expected: value > expected),
+    "minLength": size_rule(str, lambda size, expected: size >= expected),
+    "maxLength": size_rule(str, lambda size, expected: size <= expected),
+    "minItems": size_rule(list, lambda size, expected: size >= expected),
+    "maxItems": size_rule(list, lambda size, expected: size <= expected),
 }
--- a/quillring/kernel/request_checks.py
+++ b/quillring/kernel/request_checks.py
@@ -1,4 +1,4 @@
-"""Reading and validating HTTP/1.1 + JSON requests: body, query and client name."""
+"""Reads and validates HTTP/1.1 + JSON requests: body, query parameters and client name."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
     from quillring.kernel.routes import Request
 
     Environ = dict[str, Any]
-    """The environment of a request as WSGI gives it (PEP 3333)."""
+    """The WSGI environment of a request (PEP 3333)."""
 
-LONGEST_CLIENT_NAME = 200
-LONGEST_FAULT_TEXT = 200
-LONGEST_FIELD_NAME = 100
-TOLD_FAULTS = 10
+MAX_CLIENT_NAME_LENGTH = 200
+MAX_FAULT_TEXT_LENGTH = 200
+MAX_FIELD_NAME_LENGTH = 100
+MAX_REPORTED_FAULTS = 10
 
 
 def check_body(validator: Any, body: Any) -> None:
-    """Raise BadRequest for a body that violates its schema, naming every invalid field."""
+    """Raise BadRequest with all invalid fields if a body violates the schema of `validator`."""
     faults = sorted(
         (".".join(str(step) for step in error.absolute_path) or "body", error.message)
         for error in validator.iter_errors(body)
@@ -32,13 +32,16 @@
     if faults:
         raise BadRequest(
             field=faults[0][0],
-            faults=[{"field": f, "fault": text[:LONGEST_FAULT_TEXT]} for f, text in faults],
+            faults=[{"field": f, "fault": text[:MAX_FAULT_TEXT_LENGTH]} for f, text in faults],
         )
 
 
-def need_client_name(request: Request) -> None:
-    """Raise BadRequest for a request that must name its client but does not."""
-    if not request.client_name or len(request.client_name) > LONGEST_CLIENT_NAME:
+def require_client_name(request: Request) -> None:
+    """Raise BadRequest if a request has no X-Sender header, or one that is too long.
+
+    The header contains the name of the client.
+    """
+    if not request.client_name or len(request.client_name) > MAX_CLIENT_NAME_LENGTH:
         raise BadRequest(
             field="X-Sender",
             faults=[{"field": "X-Sender", "fault": "a header of 1 to 200 characters is needed"}],
@@ -46,7 +49,15 @@
 
 
 def read_body(environ: Environ, limit: int) -> Any:
-    """Read and parse the JSON body of at most `limit` bytes; TooLarge or BadRequest otherwise."""
+    """Read and parse a JSON body; return None if it is empty.
+
+    Raises
+    ------
+    TooLarge
+        The body is larger than `limit` bytes.
+    BadRequest
+        The body is incomplete or not valid JSON, or Content-Length is invalid.
+    """
     try:
         length = int(environ.get("CONTENT_LENGTH") or 0)
     except ValueError as error:
@@ -69,14 +80,19 @@
         raise BadRequest(field="body", faults=[{"field": "body", "fault": "not JSON"}]) from error
 
 
-def read_query(environ: Environ, query_words: Sequence[str]) -> dict[str, list[str]]:
-    """Return the query parameters; BadRequest for one that the route does not know."""
+def read_query(environ: Environ, query_parameters: Sequence[str]) -> dict[str, list[str]]:
+    """Return the values of the query parameters by name.
+
+    Raises BadRequest if a parameter is not in `query_parameters`.
+    """
     query = parse_qs(environ.get("QUERY_STRING", ""), keep_blank_values=True)
-    unknown_words = sorted(set(query) - set(query_words))
-    if unknown_words:
+    unknown_parameters = sorted(set(query) - set(query_parameters))
+    if unknown_parameters:
         faults = [
-            {"field": word[:LONGEST_FIELD_NAME], "fault": "unknown query word"}
-            for word in unknown_words
+            {"field": name[:MAX_FIELD_NAME_LENGTH], "fault": "unknown query word"}
+            for name in unknown_parameters
         ]
-        raise BadRequest(field=unknown_words[0][:LONGEST_FIELD_NAME], faults=faults[:TOLD_FAULTS])
+        raise BadRequest(
+            field=unknown_parameters[0][:MAX_FIELD_NAME_LENGTH], faults=faults[:MAX_REPORTED_FAULTS]
+        )
     return query
--- a/quillring/kernel/routes.py
+++ b/quillring/kernel/routes.py
@@ -1,4 +1,4 @@
-"""The routes of the HTTP/1.1 + JSON interface: the handler of each method and path."""
+"""Routing table of the HTTP/1.1 + JSON interface: a handler for each method and path."""
 
 from __future__ import annotations
 
@@ -23,12 +23,13 @@
 
 
 class Route(NamedTuple):
-    """One method of a path, and the limits of its requests.
+    """The handler of a method and path, and the limits of its requests.
 
     Attributes
     ----------
-    matcher, names : pattern of the path, and the names of its variable segments
-    body_limit : greatest size of the body in bytes
+    matcher : regular expression of the path
+    names : names of the path parameters, in the order of the groups of `matcher`
+    body_limit : maximum size of the body in bytes
     query_words : names of the allowed query parameters
     handler : `handler(node, request)` returns a JSON body or a coroutine
     """
@@ -36,12 +37,20 @@
     matcher: re.Pattern[str]
     names: list[str]
     body_limit: int
-    query_words: Sequence[str]
+    query_parameters: Sequence[str]
     handler: Handler
 
 
 class Request:
-    """One request: method, variable path segments, query, body and the name of its client."""
+    """A request to the JSON interface.
+
+    Attributes
+    ----------
+    words : path parameters by name
+    query : values of the query parameters by name
+    body : parsed JSON body, None if it was empty
+    client_name : name that the client sent in the X-Sender header, "" without one
+    """
 
     __slots__ = ("method", "words", "query", "body", "client_name")
 
@@ -61,14 +70,17 @@
 
 
 def route(
-    method: str, pattern: str, limit: int = BODY_LIMIT_BYTES, query_words: Sequence[str] = ()
+    method: str, pattern: str, limit: int = BODY_LIMIT_BYTES, query_parameters: Sequence[str] = ()
 ) -> Callable[[H], H]:
-    """Return a decorator that registers a handler for a path such as /v1/lots/{lot}."""
+    """Return a decorator that registers a handler for a path such as /v1/lots/{lot}.
+
+    `limit` is the maximum size of the body in bytes.
+    """
     names = re.findall(r"{(\w+)}", pattern)
     matcher = re.compile(re.sub(r"{\w+}", "([^/]+)", pattern))
 
     def register(function: H) -> H:
-        entry = Route(matcher, names, limit, query_words, function)
+        entry = Route(matcher, names, limit, query_parameters, function)
         ROUTES.entry((method, pattern))(entry)
         return function
 
@@ -76,21 +88,21 @@
 
 
 def find_route(method: str, path: str) -> tuple[Route, dict[str, str]]:
-    """Return the route of a path and its variable segments by name.
+    """Return the route of a method and path, and the path parameters by name.
 
     Raises
     ------
     WrongMethod
-        The path has only other methods, which the error lists.
+        The path supports only other methods, which the error lists.
     NotFound
-        There is no such path.
+        No route matches the path.
     """
     methods: list[str] = []
     for (route_method, _), known_route in ROUTES.entries.items():
-        found = known_route.matcher.fullmatch(path)
-        if found and route_method == method:
-            return known_route, dict(zip(known_route.names, found.groups(), strict=True))
-        methods += [route_method] if found else []
+        match = known_route.matcher.fullmatch(path)
+        if match and route_method == method:
+            return known_route, dict(zip(known_route.names, match.groups(), strict=True))
+        methods += [route_method] if match else []
     if methods:
         raise WrongMethod(path=path, method=method, allowed=sorted(methods))
     raise NotFound(path=path, method=method)
--- a/quillring/kernel/settings.py
+++ b/quillring/kernel/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one process from a file and flags, validated; all errors are reported at once."""
+"""Reads the settings of a process from a file and flags; reports all errors together."""
 
 from __future__ import annotations
 
@@ -126,13 +126,13 @@
 
 
 def split_address(text: str) -> Address:
-    """Return (host, port) of a validated "host:port" text."""
+    """Return (host, port) for a valid "host:port" text."""
     host, port = text.rsplit(":", 1)
     return host, int(port)
 
 
 def find_faults(fields: Any) -> list[str]:
-    """Return one message for each error in the settings, sorted."""
+    """Return a sorted list with a message for each error in the settings."""
     validator = StrictValidator(SCHEMA)
     faults = [
         f"{'.'.join(str(s) for s in error.absolute_path) or 'settings'}: {error.message}"
@@ -140,11 +140,15 @@
     ]
     if not isinstance(fields, dict):
         return faults
-    addresses = [fields.get("address"), fields.get("http_address"), *listed(fields.get("seeds"))]
+    addresses = [
+        fields.get("address"),
+        fields.get("http_address"),
+        *list_or_empty(fields.get("seeds")),
+    ]
     faults.extend(
-        f"address {address}: no such IP number or port"
+        f"address {address}: not an IPv4 address with a port from 1 to 65535"
         for address in addresses
-        if isinstance(address, str) and not is_real_address(address)
+        if isinstance(address, str) and not is_valid_address(address)
     )
     if fields.get("role") == "store" and not fields.get("folder"):
         faults.append("folder: a store needs a data folder")
@@ -155,13 +159,13 @@
     return sorted(faults)
 
 
-def listed(value: Any) -> list[Any]:
-    """Return the value if it is a list, else an empty one."""
+def list_or_empty(value: Any) -> list[Any]:
+    """Return the value if it is a list, otherwise an empty list."""
     return value if isinstance(value, list) else []
 
 
-def is_real_address(address: str) -> bool:
-    """Return whether the text is an IPv4 address and a port from 1 to 65535."""
+def is_valid_address(address: str) -> bool:
+    """Return whether a text is an IPv4 address with a port from 1 to 65535."""
     host, _, port = address.rpartition(":")
     numbers = host.split(".")
     is_host = len(numbers) == 4 and all(n.isdigit() and int(n) < 256 for n in numbers)
@@ -169,7 +173,10 @@
 
 
 def read_settings(path: str | None, flags: dict[str, Any]) -> Settings:
-    """Read a settings file, override it by the flags, and validate the result."""
+    """Read a settings file, override its fields with the flags that are set, and validate them.
+
+    Raises an ExceptionGroup of BadSetting if the file cannot be read or a field is invalid.
+    """
     fields: Any = {}
     if path is not None:
         try:
@@ -184,7 +191,7 @@
 
 
 def check_settings(fields: Any) -> Settings:
-    """Return the settings of valid fields; an ExceptionGroup of BadSetting otherwise."""
+    """Return the settings, or raise an ExceptionGroup with a BadSetting for each invalid field."""
     faults = find_faults(fields)
     if faults:
         raise ExceptionGroup("settings", [BadSetting(fault=fault) for fault in faults])
--- a/quillring/kernel/wsgi.py
+++ b/quillring/kernel/wsgi.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 + JSON interface for clients, replicas and operators (WSGI, PEP 3333)."""
+"""WSGI application (PEP 3333) of the HTTP/1.1 + JSON interface for clients, replicas, operators."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def make_app(node: Node) -> Callable[[Environ, StartResponse], InFlightResponse]:
-    """Return the WSGI application of a node."""
+    """Return the WSGI application that serves the JSON interface of a node."""
 
     def app(environ: Environ, start_response: StartResponse) -> InFlightResponse:
         return InFlightResponse(node, answer(environ, start_response))
@@ -52,25 +52,25 @@
             request = Request(
                 method,
                 words,
-                read_query(environ, route.query_words),
+                read_query(environ, route.query_parameters),
                 read_body(environ, route.body_limit),
                 environ.get("HTTP_X_SENDER", ""),
             )
             outcome = route.handler(node, request)
             if not isinstance(outcome, GeneratorType):
-                return send_whole(start_response, outcome)
+                return send_json(start_response, outcome)
             return send_lines(node, start_response, outcome)
         except QuillringError as error:
             return send_error(node, start_response, error)
         except Exception as error:
-            node.log("error", "inquiry %s: %r", environ.get("PATH_INFO"), error)
+            node.log("error", "request %s failed: %r", environ.get("PATH_INFO"), error)
             return send_error(node, start_response, QuillringError())
 
     return app
 
 
 class InFlightResponse:
-    """A response that counts as in flight until the server has sent it or failed."""
+    """A response body that counts as a request in flight of the node until it is closed."""
 
     def __init__(self, node: Node, chunks: Iterable[bytes]) -> None:
         self.node = node
@@ -82,7 +82,7 @@
         return iter(self.chunks)
 
     def close(self) -> None:
-        """End the response; the server calls this in every case (PEP 3333)."""
+        """End the response; the server calls this also after an error (PEP 3333)."""
         if self.is_open:
             self.is_open = False
             self.node.under_way -= 1
@@ -91,13 +91,13 @@
                 close()
 
 
-def send_whole(
+def send_json(
     start_response: StartResponse,
     answer: Any,
     status: int = 200,
     headers: Iterable[tuple[str, str]] = (),
 ) -> list[bytes]:
-    """Send one JSON body."""
+    """Start a response with a JSON body, and return the body."""
     body = json.dumps(answer).encode()
     start_response(
         f"{status} {REASON_PHRASES.get(status, 'Status')}",
@@ -111,7 +111,11 @@
 
 
 def send_error(node: Node, start_response: StartResponse, error: QuillringError) -> list[bytes]:
-    """Send an error; Retry-After is randomized by 50 % so that clients do not retry together."""
+    """Start an error response and return its JSON body.
+
+    Retry-After is randomized by up to 50 % in both directions, so that clients do not retry at the
+    same time.
+    """
     headers = []
     body = error.to_json()
     if error.may_retry_later:
@@ -119,22 +123,26 @@
         spread_seconds = max(1, round(seconds * (0.5 + node.runtime.random.random())))
         headers = [("Retry-After", str(spread_seconds))]
         body["come_back_s"] = spread_seconds
-    return send_whole(start_response, body, error.status, headers)
+    return send_json(start_response, body, error.status, headers)
 
 
 def send_lines(node: Node, start_response: StartResponse, coroutine: Coroutine) -> Iterable[bytes]:
-    """Run a coroutine: its return value is one JSON body, its emitted items a stream of lines."""
+    """Run a handler's coroutine and return the response body.
+
+    If the coroutine sends items, they are streamed as JSON lines; otherwise its result is a single
+    JSON body.
+    """
     lines = node.runtime.lines(coroutine)
     try:
         first_line = next(lines)
     except StopIteration as stop:
-        return send_whole(start_response, stop.value)
+        return send_json(start_response, stop.value)
     start_response("200 OK", [("Content-Type", "application/x-ndjson")])
     return stream_lines(first_line, lines)
 
 
 def stream_lines(first_line: Any, lines: Generator[Any, None, Any]) -> Iterator[bytes]:
-    """Yield the encoded lines; closing the generator closes the coroutine."""
+    """Yield items as encoded JSON lines; closing this generator closes the coroutine."""
     try:
         yield json.dumps(first_line).encode() + b"\n"
         for line in lines:
--- a/quillring/kernel/wsgi_server.py
+++ b/quillring/kernel/wsgi_server.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 server of the JSON interface, by gevent's WSGI server."""
+"""HTTP/1.1 server of the JSON interface, based on gevent's WSGI server."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 def start_wsgi_server(address: Address, app: Any, error_log: Any = None) -> Any:
-    """Start serving the application at an address.
+    """Start serving the application on an address; return the server.
 
-    The server sends head and body separately; accepted connections inherit TCP_NODELAY, so that
-    the body does not wait for the acknowledgement of the head (Nagle's algorithm).
+    The server writes head and body separately. TCP_NODELAY, which accepted connections inherit,
+    keeps Nagle's algorithm from delaying the body until the client acknowledges the head.
     """
     server = WSGIServer(address, app, log=None, error_log=error_log)
     server.init_socket()
--- a/quillring/lots/prompts/api.py
+++ b/quillring/lots/prompts/api.py
@@ -8,7 +8,7 @@
 from quillring.edge.admission import check_admission
 from quillring.kernel.checks import StrictValidator, read_count
 from quillring.kernel.errors import BadRequest, Refused
-from quillring.kernel.request_checks import check_body, need_client_name
+from quillring.kernel.request_checks import check_body, require_client_name
 from quillring.kernel.routes import route
 from quillring.lots.prompts.acceptance_fence import submit_fenced
 from quillring.lots.prompts.commands import (
@@ -54,7 +54,7 @@
 
     Its name is PART.CLIENT_SPACE.KEY, with the key that the client chose or a random one.
     """
-    need_client_name(request)
+    require_client_name(request)
     check_body(LOT, request.body)
     check_admission(node)
     route, service, _promise = node.find("layout").route(request.body["entry"])
@@ -93,7 +93,7 @@
     return (yield from node.find("ownership").read(part, query.to_wire()))
 
 
-@route("GET", "/v1/lots/{lot}/results", query_words=("from", "count"))
+@route("GET", "/v1/lots/{lot}/results", query_parameters=("from", "count"))
 def show_results(node: Node, request: Request) -> Coroutine:
     """Return the results from a position on, at most MOST_RESULTS of them."""
     start = read_count(request.query.get("from", ["0"])[0], "from")
--- a/quillring/verbs/client.py
+++ b/quillring/verbs/client.py
@@ -7,7 +7,7 @@
 from quillring.kernel import backend
 from quillring.kernel.effects import FetchJson
 from quillring.kernel.errors import BadRequest, error_from_wire
-from quillring.kernel.settings import is_real_address, split_address
+from quillring.kernel.settings import is_valid_address, split_address
 
 TIMEOUT_SECONDS = 15
 
@@ -29,7 +29,7 @@
     QuillringError
         The error that the node reports, as its own type.
     """
-    if not is_real_address(node):
+    if not is_valid_address(node):
         raise BadRequest(field="--node", reason="not an IP:PORT")
     status, answer = backend.fetch(
         FetchJson(split_address(node), method, path, body, TIMEOUT_SECONDS, False)
--- a/tests/test_plain_schema.py
+++ b/tests/test_plain_schema.py
@@ -9,7 +9,7 @@
 
 from quillring.edge.replicas import HEARTBEAT_SCHEMA
 from quillring.kernel.checks import StrictValidator
-from quillring.kernel.plain_schema import is_surely_sound
+from quillring.kernel.plain_schema import is_certainly_valid
 from quillring.kernel.settings import SCHEMA
 from quillring.rollout.schema import FORWARD, LIMITS, RAW_SERVICE
 from tests.settings_rows import EDGE_SETTINGS
@@ -74,12 +74,12 @@
 
 def library_faults(schema, value):
     """Return the faults that the library finds."""
-    return list(StrictValidator.make_library_class()(schema).iter_errors(value))
+    return list(StrictValidator.get_validator_class()(schema).iter_errors(value))
 
 
 @pytest.mark.parametrize("schema, value", CASES)
 def test_sound_values_are_found_sound_at_once(schema, value):
-    assert is_surely_sound(schema, value)
+    assert is_certainly_valid(schema, value)
     assert library_faults(schema, value) == []
 
 
@@ -89,7 +89,7 @@
     sound_count = 0
     for _ in range(1500):
         candidate = changed(chance, value)
-        if is_surely_sound(schema, candidate):
+        if is_certainly_valid(schema, candidate):
             sound_count += 1
             assert library_faults(schema, candidate) == [], candidate
     assert 0 < sound_count < 1500
@@ -97,7 +97,7 @@
 
 def test_a_keyword_that_is_not_read_leaves_the_word_to_the_library():
     schema = {"type": "object", "maxProperties": 0}
-    assert not is_surely_sound(schema, {})
+    assert not is_certainly_valid(schema, {})
     validator = StrictValidator(schema)
     assert list(validator.iter_errors({})) == []
     assert [error.validator for error in validator.iter_errors({"x": 1})] == ["maxProperties"]
--- a/tests/test_wsgi.py
+++ b/tests/test_wsgi.py
@@ -1,3 +1,5 @@
+"""The WSGI application: status, Retry-After, body limit, and requests in flight."""
+
 import io
 import json
 
@@ -9,13 +11,13 @@
 from tests.test_nifty import node
 
 
-def call(made, method, path, body=b"", length=None):
-    seen = {}
+def call(test_node, method, path, body=b"", length=None):
+    response = {}
 
     def start_response(status, headers):
-        seen["status"], seen["headers"] = int(status.split()[0]), dict(headers)
+        response["status"], response["headers"] = int(status.split()[0]), dict(headers)
 
-    answer = make_app(made)(
+    chunks = make_app(test_node)(
         {
             "REQUEST_METHOD": method,
             "PATH_INFO": path,
@@ -24,9 +26,9 @@
         },
         start_response,
     )
-    lines = [json.loads(line) for line in b"".join(answer).splitlines()]
-    answer.close()
-    return seen["status"], seen["headers"], lines
+    lines = [json.loads(line) for line in b"".join(chunks).splitlines()]
+    chunks.close()
+    return response["status"], response["headers"], lines
 
 
 @route("GET", "/test/refusal")
@@ -40,34 +42,34 @@
     yield SendToClient({"n": 2})
 
 
-def test_a_refusal_goes_out_at_once_and_spreads_those_who_come_back():
-    made, _, _ = node("a")
-    seconds = []
+def test_retry_after_of_a_refusal_is_randomized():
+    test_node, _, _ = node("a")
+    delays = []
     for _ in range(200):
-        status, headers, (body,) = call(made, "GET", "/test/refusal")
+        status, headers, (body,) = call(test_node, "GET", "/test/refusal")
         assert status == 503 and body["trouble"] == "refused"
         assert headers["Retry-After"] == str(body["come_back_s"])
-        seconds.append(body["come_back_s"])
-    assert min(seconds) >= 10 and max(seconds) <= 30 and len(set(seconds)) > 15
-    assert made.under_way == 0
+        delays.append(body["come_back_s"])
+    assert min(delays) >= 10 and max(delays) <= 30 and len(set(delays)) > 15
+    assert test_node.under_way == 0
 
 
-def test_a_body_over_the_limit_is_not_read():
-    made, _, _ = node("a")
-    status, _, (body,) = call(made, "POST", "/v1/replicas/beats", b"{", length=2 << 20)
+def test_a_body_over_the_limit_is_rejected_by_its_content_length():
+    test_node, _, _ = node("a")
+    status, _, (body,) = call(test_node, "POST", "/v1/replicas/beats", b"{", length=2 << 20)
     assert status == 413 and body["field"] == "body"
     assert ROUTES.find(("POST", "/v1/replicas/beats")) is not None and routes is not None
 
 
-def test_lines_count_as_under_way_until_they_are_closed():
-    made, _, runtime = node("a")
+def test_a_streamed_response_counts_as_in_flight_until_it_is_closed():
+    test_node, _, runtime = node("a")
 
     def lines(coroutine):
         for effect in coroutine:
-            assert made.under_way == 1 or effect.item == {"n": 1}
+            assert test_node.under_way == 1 or effect.item == {"n": 1}
             yield effect.item
 
     runtime.lines = lines
-    status, headers, body = call(made, "GET", "/test/lines")
+    status, headers, body = call(test_node, "GET", "/test/lines")
     assert status == 200 and body == [{"n": 1}, {"n": 2}]
-    assert made.under_way == 0
+    assert test_node.under_way == 0
