--- a/quillring/kernel/__init__.py
+++ b/quillring/kernel/__init__.py
@@ -1,4 +1,4 @@
-"""The micro-kernel: named services, plug-in registry, effects, settings and the ring-buffer log."""
+"""The kernel: nodes and their services, effects and runtimes, errors, HTTP, settings, logging."""
 
 from quillring.kernel.effects import (
     FetchJson,
--- a/quillring/kernel/http_server.py
+++ b/quillring/kernel/http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 server for requests that are forwarded unchanged."""
+"""HTTP/1.1 server for requests that are forwarded to replicas unchanged."""
 
 from __future__ import annotations
 
@@ -22,11 +22,14 @@
 
 
 class HttpServer:
-    """A listening address; owns its server socket and runs a coroutine for each request.
+    """HTTP server on one address; owns its listening socket and runs a coroutine for each request.
 
-    `handle(node, request)` is a coroutine: it emits (status, headers, first bytes) and then body
-    bytes, or returns (status, headers, body). An error, or a response returned after a head was
-    emitted, closes the connection, so that the client sees an incomplete response.
+    `handle(node, request)` is a coroutine. For a streamed response it sends (status, headers, first
+    body bytes) and then body bytes with SendToClient, and returns None; otherwise it returns
+    (status, headers, body). If it raises an error, or returns a response after it has sent a head,
+    the connection is closed, and the client sees an incomplete response.
+
+    `limits()` returns the current HttpLimits; `report(error)` is called for unexpected exceptions.
     """
 
     __slots__ = ("node", "handle", "limits", "report", "server")
@@ -49,7 +52,7 @@
         return self.node.now()
 
     def start(self, address: Address) -> HttpServer:
-        """Listen at an address, with TCP_NODELAY; return the server."""
+        """Start listening on an address with TCP_NODELAY set; return this server."""
         self.server = gevent.server.StreamServer(tuple(address), self._serve, backlog=1024)
         self.server.init_socket()
         self.server.socket.setsockopt(gevent.socket.IPPROTO_TCP, gevent.socket.TCP_NODELAY, 1)
@@ -63,5 +66,5 @@
             return
 
     def stop(self) -> None:
-        """Stop listening."""
+        """Stop listening; open connections are not closed."""
         self.server.stop(timeout=0)
--- a/quillring/kernel/lazy.py
+++ b/quillring/kernel/lazy.py
@@ -1,4 +1,4 @@
-"""Lazy imports: a module is executed at its first use, which shortens the start."""
+"""Lazy imports: a module is executed at its first use, which shortens process startup."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 def lazy_module(name: str) -> Any:
-    """Return a module that is executed when one of its attributes is first read."""
+    """Return a module whose code runs when one of its attributes is accessed for the first time.
+
+    Raises ModuleNotFoundError if there is no such module.
+    """
     if name in sys.modules:
         return sys.modules[name]
     spec = importlib.util.find_spec(name)
--- a/quillring/kernel/loop_lag.py
+++ b/quillring/kernel/loop_lag.py
@@ -1,4 +1,4 @@
-"""Event-loop lag: shows that the process is overloaded or was suspended."""
+"""Measures event-loop lag, which shows that the process is overloaded or was suspended."""
 
 from __future__ import annotations
 
@@ -11,34 +11,42 @@
     from quillring.kernel.node import Node
     from quillring.kernel.types import Coroutine
 
-PROBE_SHARE = 0.1
-LATE_SHARE = 0.25
-KEPT_BEATS = 2
+PROBE_INTERVAL_RATIO = 0.1
+LATE_RATIO = 0.25
+LATE_MEMORY_HEARTBEATS = 2
 
 
 class LoopLag:
-    """Sleeps for a tenth of the heartbeat interval and measures how late it wakes."""
+    """Detects late wake-ups by sleeping repeatedly for a tenth of the heartbeat interval.
 
-    __slots__ = ("node", "due_at", "late_at")
+    A wake-up is late if it is delayed by more than LATE_RATIO of `bounds.call_timeout`.
+
+    Attributes
+    ----------
+    due_at : monotonic time at which the current sleep should end
+    last_late_at : monotonic time of the last late wake-up, -inf if there was none
+    """
+
+    __slots__ = ("node", "due_at", "last_late_at")
 
     def __init__(self, node: Node) -> None:
         self.node = node
         self.due_at = math.inf
-        self.late_at = -math.inf
+        self.last_late_at = -math.inf
 
     def run(self) -> Coroutine:
-        """Record each late wake-up of this process, in an endless loop."""
+        """Coroutine: sleep in an endless loop and record the time of each late wake-up."""
         while True:
-            seconds = self.node.bounds.heartbeat_interval * PROBE_SHARE
+            seconds = self.node.bounds.heartbeat_interval * PROBE_INTERVAL_RATIO
             self.due_at = self.node.now() + seconds
             yield Sleep(seconds)
             if self._is_overdue():
-                self.late_at = self.node.now()
+                self.last_late_at = self.node.now()
 
     def was_late(self) -> bool:
-        """Return whether the process woke late within two heartbeat intervals, or is late now."""
-        kept_seconds = self.node.bounds.heartbeat_interval * KEPT_BEATS
-        return self._is_overdue() or self.node.now() - self.late_at < kept_seconds
+        """Return whether a wake-up is overdue, or was late in the last two heartbeat intervals."""
+        memory_seconds = self.node.bounds.heartbeat_interval * LATE_MEMORY_HEARTBEATS
+        return self._is_overdue() or self.node.now() - self.last_late_at < memory_seconds
 
     def _is_overdue(self) -> bool:
-        return self.node.now() - self.due_at > self.node.bounds.call_timeout * LATE_SHARE
+        return self.node.now() - self.due_at > self.node.bounds.call_timeout * LATE_RATIO
--- a/quillring/kernel/member.py
+++ b/quillring/kernel/member.py
@@ -1,4 +1,4 @@
-"""The description of a node that it sends to its peers."""
+"""The description of a node that is exchanged between peers."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 FIELDS = ("name", "incarnation", "role", "zone", "host", "port", "http_port", "identity")
 """The fields of a member in their order on the wire."""
-# In the public list of members a zone keeps its former name.
 JSON_NAMES = {"zone": "domain"}
+"""Fields whose released name in the public list of members differs from the attribute."""
 
 
 class Member:
-    """One node of the fleet, as known to its peers.
+    """A node of the fleet as its peers know it.
 
     Attributes
     ----------
     name : name of the node, unique in the fleet
-    incarnation : number of this start of the process, increases with each start
+    incarnation : number that increases with each start of the node's process
     role : "edge", "core" or "store"
-    zone : availability zone (failure domain) of the machine
+    zone : availability zone (failure domain) of the node's machine
     host, port : address for heartbeats and messages
     http_port : port of its HTTP interface on the same host
-    identity : identity of a store's data folder, "" if the node has none
+    identity : identifier of a store's data folder, "" if the node is not a store
     """
 
     __slots__ = FIELDS
@@ -61,7 +61,7 @@
         return [getattr(self, slot) for slot in FIELDS]
 
     def restarted(self, incarnation: int) -> Member:
-        """Return the member under another incarnation."""
+        """Return a copy of the member with another incarnation."""
         return Member(self.name, incarnation, *self.to_list()[2:])
 
     def to_json(self) -> dict[str, Any]:
@@ -70,21 +70,21 @@
 
     @classmethod
     def from_list(cls, fields: list[Any]) -> Member:
-        """Return the member of a record received over the wire.
+        """Return the member for a list of fields received over the wire.
 
         Raises
         ------
         ValueError
-            The record has too few or too many fields.
+            The list has too few or too many fields.
         TypeError
-            A field is of the wrong type.
+            A field has the wrong type.
         """
         if len(fields) != len(FIELDS):
-            raise ValueError("member fields")
+            raise ValueError("wrong number of member fields")
         text_fields = (fields[0], fields[2], fields[3], fields[4], fields[7])
         number_fields = (fields[1], fields[5], fields[6])
         if not all(isinstance(f, str) for f in text_fields):
-            raise TypeError("member text")
+            raise TypeError("a text field of a member is not a string")
         if not all(isinstance(f, int) for f in number_fields):
-            raise TypeError("member number")
+            raise TypeError("a numeric field of a member is not an integer")
         return cls(*fields)
--- a/quillring/kernel/messages.py
+++ b/quillring/kernel/messages.py
@@ -13,13 +13,13 @@
 
 
 class CallRequest(NamedTuple):
-    """The request of a call to a service of another node.
+    """A call to a service of another node, or a one-way message to it.
 
     Attributes
     ----------
     service : name of the service
-    body : argument of its handler
-    call_id : id that the reply must have, opaque to the receiver; None for a one-way message
+    body : argument of the service's handler
+    call_id : id to copy into the reply, opaque to the receiver; None for a one-way message
     """
 
     service: str
@@ -28,24 +28,24 @@
 
     @classmethod
     def from_wire(cls, message: WireMap) -> CallRequest:
-        """Return the request of a message; KeyError if a field is missing."""
+        """Decode a request; raise KeyError if a field is missing."""
         return cls(message["s"], message["b"], message.get("c"))
 
     def to_wire(self) -> WireMap:
-        """Return the message of the request."""
+        """Return the wire format of the request."""
         if self.call_id is None:
             return {"s": self.service, "b": self.body}
         return {"s": self.service, "b": self.body, "c": self.call_id}
 
 
 class CallReply(NamedTuple):
-    """The outcome of a call.
+    """The reply to a call.
 
     Attributes
     ----------
-    call_id : id of the call, copied from its request
-    body : return value of the handler, or the detail of its error
-    error_kind : kind of the error that the handler raised, None if it returned
+    call_id : id of the call, copied from the request
+    body : return value of the handler, or the detail fields of its error
+    error_kind : kind of the error that the handler raised, None if it succeeded
     """
 
     call_id: Any
@@ -54,16 +54,16 @@
 
     @classmethod
     def from_wire(cls, message: WireMap) -> CallReply:
-        """Return the reply of a message; KeyError if a field is missing."""
+        """Decode a reply; raise KeyError if a field is missing."""
         return cls(message["r"], message["b"], message.get("t"))
 
     def to_wire(self) -> WireMap:
-        """Return the message of the reply."""
+        """Return the wire format of the reply."""
         if self.error_kind is None:
             return {"r": self.call_id, "b": self.body}
         return {"r": self.call_id, "t": self.error_kind, "b": self.body}
 
 
 def is_reply(message: WireMap) -> bool:
-    """Return whether a message is a reply, not a request."""
+    """Return whether a message on the wire is a reply; otherwise it is a request."""
     return "r" in message
--- a/quillring/kernel/node.py
+++ b/quillring/kernel/node.py
@@ -1,8 +1,8 @@
-"""A node: named local services, and remote calls between nodes over the nifty transport.
+"""A node: registry of local services, and remote calls between nodes over the nifty transport.
 
-A reply completes a call only if it comes from the called node, with a call id of this incarnation:
-ids start at a hash of name and incarnation. The called node copies the id, whatever its protocol
-version.
+A reply completes a call only if it comes from the called node and has a call id of this
+incarnation. Call ids start at a hash of name and incarnation, so late replies to an earlier
+incarnation do not match. The called node copies the id, whatever its protocol version.
 """
 
 from __future__ import annotations
@@ -40,16 +40,22 @@
 
 
 class PendingCall(NamedTuple):
-    """A pending call: the signal that its reply sets, and the called node."""
+    """A call without a reply so far.
+
+    Attributes
+    ----------
+    reply_signal : signal that is set to the reply's body or its error
+    target : name of the called node
+    """
 
     reply_signal: Signal
     target: str
 
 
 def first_call_id(me: Member) -> int:
-    """Return the number before the first call id of an incarnation.
+    """Return the value that precedes the first call id of an incarnation.
 
-    Its upper 32 bits are a hash of name and incarnation, the lower 31 number the calls.
+    Its upper 32 bits are a hash of name and incarnation; the lower 31 bits count the calls.
     """
     text = f"{me.name}/{me.incarnation}".encode()
     digest = hashlib.blake2b(text, digest_size=INCARNATION_HASH_BYTES).digest()
@@ -57,7 +63,17 @@
 
 
 class Node:
-    """The micro-kernel of one process; owns its services, call handlers, counters and calls."""
+    """The kernel of one process; owns its services, call handlers, counters and pending calls.
+
+    Attributes
+    ----------
+    services : local services by name
+    handlers : handlers of calls by the name of the called service
+    counts : event counters by name
+    is_draining : whether the process is about to stop and finishes its requests before
+    is_closing : whether a draining process already refuses new requests
+    under_way : number of requests in flight
+    """
 
     __slots__ = (
         "me",
@@ -101,40 +117,44 @@
         return self.runtime.now()
 
     def count(self, name: str, amount: int = 1) -> None:
-        """Add to one of the node's counters."""
+        """Add an amount to the event counter of this name."""
         if amount:
             self.counts[name] = self.counts.get(name, 0) + amount
 
     def offer(self, name: str, service: Any) -> Any:
-        """Register a service under a name and return it."""
+        """Register a local service under a name and return it."""
         self.services[name] = service
         return service
 
     def find(self, name: str) -> Any:
-        """Return the service of this name, or None."""
+        """Return the local service of this name, or None."""
         return self.services.get(name)
 
     def handle(self, name: str, handler: CallHandler) -> None:
-        """Register a call handler: handler(body, origin) returns a value or a coroutine."""
+        """Register `handler(body, origin)` for calls to this service name.
+
+        It returns the reply's body, or a coroutine that does; `origin` is the name of the caller.
+        """
         self.handlers[name] = handler
 
     def spawn(self, coroutine: Coroutine) -> Any:
-        """Run a coroutine concurrently."""
+        """Start a coroutine that runs concurrently; return its task."""
         return self.runtime.spawn(coroutine)
 
     def send_oneway(self, target: str, service: str, body: Any) -> None:
-        """Send a message without a reply; it may be lost."""
+        """Send a message that has no reply, without a delivery guarantee."""
         self._send(target, CallRequest(service, body).to_wire())
 
     def call(self, target: str, service: str, body: Any, seconds: float | None = None) -> Coroutine:
-        """Call a service of another node and return its reply, or raise its error.
+        """Coroutine: call a service of a node; return the reply's body or raise its error.
 
         Raises
         ------
         TimedOut
-            No reply came within `seconds` (default: `bounds.call_timeout`); it may have run.
+            No reply arrived within `seconds` (default: `bounds.call_timeout`), or the route to the
+            node was lost; the call may have run.
         Unreachable
-            There is no route to the node.
+            There was no route to the node, and nothing was sent.
         """
         call_id, reply_signal = self._start_call(target, service, body)
         try:
@@ -154,15 +174,16 @@
         seconds: float | None = None,
         repeats: bool = False,
     ) -> Coroutine:
-        """Make all calls concurrently; return {target: reply or error}.
+        """Coroutine: make several calls concurrently; return {target: reply or error}.
 
-        Returns once `need` of them succeeded, all have ended, or `seconds` have passed (default:
-        `bounds.call_timeout`). With `repeats`, for idempotent calls only, those without a reply are
-        sent again after half of the time. A call without a reply gives TimedOut.
+        Returns as soon as `need` calls have succeeded or all calls have completed, at the latest
+        after `seconds` (default: `bounds.call_timeout`). With `repeats`, which is for idempotent
+        calls only, requests without a reply are sent again after half of this time. The result of
+        a call without a reply is TimedOut.
         """
         seconds = self.bounds.call_timeout if seconds is None else seconds
         gathered_replies: dict[str, Any] = {}
-        begun_calls: dict[str, tuple[int, Signal]] = {}
+        started_calls: dict[str, tuple[int, Signal]] = {}
         done_signal = Signal()
 
         def take_reply(target: str, signal: Signal) -> None:
@@ -172,18 +193,18 @@
                 done_signal.set()
 
         for target, service, body in calls:
-            begun_calls[target] = self._start_call(target, service, body)
-        for target, (_, signal) in begun_calls.items():
+            started_calls[target] = self._start_call(target, service, body)
+        for target, (_, signal) in started_calls.items():
             signal.watchers.append(partial(take_reply, target, signal))
             if signal.is_set:
                 take_reply(target, signal)
         if calls and not (yield Wait(done_signal, seconds / 2)):
             for target, service, body in calls if repeats else ():
-                call_id = begun_calls[target][0]
+                call_id = started_calls[target][0]
                 if call_id in self.pending_calls:
                     self._send(target, CallRequest(service, body, call_id).to_wire())
             yield Wait(done_signal, seconds / 2)
-        for call_id, _ in begun_calls.values():
+        for call_id, _ in started_calls.values():
             self.pending_calls.pop(call_id, None)
         return {
             target: gathered_replies.get(target, TimedOut(target=target)) for target, _, _ in calls
@@ -201,7 +222,10 @@
         return call_id, reply_signal
 
     def on_graph(self, graph: RoutingGraph) -> None:
-        """Fail pending calls to nodes without a route with TimedOut; they may have run."""
+        """Fail pending calls to nodes that have no route any more with TimedOut.
+
+        The error is not Unreachable, since the calls may have run.
+        """
         for call in list(self.pending_calls.values()):
             if call.target not in graph.routes:
                 call.reply_signal.set(TimedOut(target=call.target))
@@ -211,7 +235,7 @@
         return is_routed
 
     def on_message(self, origin: str, message: WireMap) -> None:
-        """Handle a message from nifty: complete a call, or run the handler of a request."""
+        """Handle a message from nifty: complete the call of a reply, or run a request's handler."""
         if is_reply(message):
             self._complete_call(origin, CallReply.from_wire(message))
             return
@@ -224,7 +248,7 @@
         self.spawn(self._run_handler(request.service, request.body, origin, send_reply))
 
     def _send_reply(self, target: str, call_id: Any, outcome: Any) -> None:
-        """Send the result or error of a handler, unless the message was one-way."""
+        """Send the result or error of a handler, unless the request was a one-way message."""
         if call_id is None:
             return
         if isinstance(outcome, QuillringError):
@@ -234,7 +258,10 @@
         self._send(target, reply.to_wire())
 
     def _complete_call(self, origin: str, reply: CallReply) -> None:
-        """Complete the call that a reply belongs to; ignore a reply without a pending call."""
+        """Complete the pending call with the id of a reply; ignore the reply if there is none.
+
+        A reply from another node than the called one is counted and ignored.
+        """
         call_id = reply.call_id
         call = self.pending_calls.get(call_id) if isinstance(call_id, int) else None
         if call is None:
@@ -261,7 +288,7 @@
         except QuillringError as error:
             answer = error
         except (KeyError, TypeError, ValueError, IndexError, AttributeError) as error:
-            self.log("error", "handler %s: %r", service, error)
+            self.log("error", "handler of service %s failed: %r", service, error)
             self.count("handler_errors")
             answer = QuillringError(service=service)
         send_reply(answer)
--- a/quillring/kernel/records.py
+++ b/quillring/kernel/records.py
@@ -1,9 +1,10 @@
-"""A `NamedTuple` base for typed records whose classes are cheap to define.
+"""A replacement for `typing.NamedTuple` whose subclasses are faster to define.
 
-`typing.NamedTuple` compiles the annotation of each field when a class is defined, which costs more
-than half of its 0.28 ms. A process defines nearly two hundred such classes when it starts, and
-nodes start on weak cores. This one defines the same classes by `collections.namedtuple` and leaves
-the annotations as text; type checkers see `typing.NamedTuple`.
+`typing.NamedTuple` compiles the annotation of each field when a class is defined, which takes more
+than half of the 0.28 ms per class. A process defines nearly two hundred such classes at startup,
+and nodes may start on slow CPUs. The replacement creates equivalent classes with
+`collections.namedtuple` and leaves the annotations as strings; type checkers see
+`typing.NamedTuple`.
 """
 
 from __future__ import annotations
@@ -37,4 +38,4 @@
             return record
 
     class NamedTuple(metaclass=_RecordType):
-        """Base of records: annotated fields in order; an assigned value is a default."""
+        """Base class of records: annotations define the fields, assigned values their defaults."""
--- a/quillring/kernel/registry.py
+++ b/quillring/kernel/registry.py
@@ -1,4 +1,4 @@
-"""Registries of plug-ins by name."""
+"""Registry of plug-ins by name."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 class Registry:
-    """A named table of plug-ins; each name is registered once."""
+    """A table of plug-ins by name; `subject` is what its error messages call an entry.
+
+    A name can be registered only once.
+    """
 
     __slots__ = ("subject", "entries")
 
@@ -21,20 +24,23 @@
         self.entries: dict[Any, Any] = {}
 
     def entry(self, name: Hashable) -> Callable[[Plugin], Plugin]:
-        """Register the decorated object under the name."""
+        """Return a decorator that registers an object under the name.
+
+        The decorator raises KeyError if the name is already registered.
+        """
 
-        def enter(plugin: Plugin) -> Plugin:
+        def register(plugin: Plugin) -> Plugin:
             if name in self.entries:
                 raise KeyError(f"{self.subject} {name} is registered twice")
             self.entries[name] = plugin
             return plugin
 
-        return enter
+        return register
 
     def find(self, name: Hashable) -> Any:
-        """Return the plug-in of this name, or None."""
+        """Return the plug-in registered under the name, or None."""
         return self.entries.get(name)
 
     def names(self) -> list[Any]:
-        """Return the registered names, sorted."""
+        """Return the registered names in sorted order."""
         return sorted(self.entries)
--- a/quillring/kernel/ringlog.py
+++ b/quillring/kernel/ringlog.py
@@ -1,4 +1,4 @@
-"""Logging to a ring buffer in memory that is written to a file at an error."""
+"""Logging to a ring buffer in memory that is written to a file when an error is logged."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 
 class RingHandler(logging.Handler):
-    """Keeps the last `room` records in memory and appends them to a file at each error."""
+    """Buffers the last `capacity` records in memory; appends them to a file at each error."""
 
-    def __init__(self, path: str | None = None, room: int = 2000) -> None:
+    def __init__(self, path: str | None = None, capacity: int = 2000) -> None:
         super().__init__()
-        self.ring: collections.deque[str] = collections.deque(maxlen=room)
+        self.ring: collections.deque[str] = collections.deque(maxlen=capacity)
         self.path = path
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Buffer the record; if it is an error, write the buffer to the file."""
+        """Add the record to the buffer; if it is an error, write the buffer to the file."""
         self.ring.append(self.format(record))
         if record.levelno >= logging.ERROR:
             self.dump()
 
     def dump(self) -> None:
-        """Append the buffer to its file, if it has one, and clear it."""
+        """Append the buffer to the file and clear it; do nothing if no file is configured."""
         if self.path is None:
             return
         with open(self.path, "a", encoding="utf-8") as log_file:
--- a/quillring/kernel/traffic.py
+++ b/quillring/kernel/traffic.py
@@ -1,4 +1,4 @@
-"""Counters of the bytes that a node sends and receives, by kind of message and zone of the peer."""
+"""Counts messages and bytes between a node and its peers, by message kind and zone of the peer."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class TrafficKey(NamedTuple):
-    """What a counter counts: messages of one kind to or from the nodes of one zone."""
+    """Key of a counter: a message kind and the zone of the peer."""
 
     kind: str
     zone: str
 
 
 class TrafficRow(NamedTuple):
-    """The messages of one kind and zone, and their payload bytes without headers of TCP and IP."""
+    """Counter values for a message kind and zone; payload excludes headers of TCP, UDP and IP."""
 
     kind: str
     zone: str
@@ -28,10 +28,10 @@
 
 
 class TrafficCounters:
-    """Counts messages and payload bytes by kind and zone since the start of the process.
+    """Numbers of messages and payload bytes by kind and zone since the start of the process.
 
-    Messages between nodes are counted where they are sent; responses of replicas where they are
-    received, as replicas do not count. Summed over all nodes, each byte is counted once.
+    Messages between nodes are counted by the sender; responses of replicas by the receiving node,
+    because replicas have no counters. In the sum over all nodes, each byte is counted once.
     """
 
     __slots__ = ("message_counts", "byte_counts")
@@ -41,13 +41,13 @@
         self.byte_counts: dict[TrafficKey, int] = {}
 
     def record(self, kind: str, zone: str, byte_count: int, message_count: int = 1) -> None:
-        """Add messages of one kind, to or from one zone, to the counters."""
+        """Add messages of a kind, to or from a zone, to the counters."""
         key = TrafficKey(kind, zone)
         self.message_counts[key] = self.message_counts.get(key, 0) + message_count
         self.byte_counts[key] = self.byte_counts.get(key, 0) + byte_count
 
     def rows(self) -> list[TrafficRow]:
-        """Return the counters, the most bytes first."""
+        """Return the counters in descending order of bytes."""
         ordered = sorted(self.byte_counts, key=lambda key: (-self.byte_counts[key], key))
         return [
             TrafficRow(key.kind, key.zone, self.message_counts[key], self.byte_counts[key])
