--- a/quillring/kernel/backend.py
+++ b/quillring/kernel/backend.py
@@ -28,7 +28,7 @@
 READ_ERRORS = (OSError, HTTPParseError, ValueError)
 
 
-class Handle:
+class StreamHandle:
     """Handle of an open streamed response; owns its HTTP connection."""
 
     __slots__ = ("client", "response", "status", "kept")
@@ -151,7 +151,7 @@
             client.close()
 
 
-def open_stream(effect: OpenStream) -> Handle:
+def open_stream(effect: OpenStream) -> StreamHandle:
     """Send a POST request and return the handle of its streamed response.
 
     Raises
@@ -164,7 +164,7 @@
     client = _connect(effect.address, effect.seconds)
     try:
         with gevent.Timeout(effect.seconds, BackendError(reason="time")):
-            return Handle(client, _request(client, "POST", effect.path, effect.body))
+            return StreamHandle(client, _request(client, "POST", effect.path, effect.body))
     except (*READ_ERRORS, BackendError) as error:
         client.close()
         if isinstance(error, BackendError):
@@ -172,7 +172,7 @@
         raise BackendError(reason=type(error).__name__) from error
 
 
-def next_line(effect: ReadLine) -> Any:
+def read_line(effect: ReadLine) -> Any:
     """Return the next JSON line, or None at the end of the stream.
 
     Raises BackendError if the connection broke, the line is not JSON, or nothing arrived within
--- a/quillring/kernel/channel.py
+++ b/quillring/kernel/channel.py
@@ -20,8 +20,10 @@
 FRAME_HEADER = struct.Struct(">I")
 MAX_QUEUED_FRAMES = 1024
 MAX_QUEUED_TIMEOUTS = 10
-READABLE = 1
+"""Maximum time of a frame in the queue, as a multiple of the timeout of the channel."""
+READABLE_EVENT = 1
 DISCARD_UNSENT = struct.pack("ii", 1, 0)
+"""SO_LINGER option with a timeout of 0: closing discards unsent data."""
 
 
 class Channel:
@@ -76,7 +78,7 @@
             sock = gevent.socket.create_connection(self.address, self.timeout)
             sock.setsockopt(gevent.socket.IPPROTO_TCP, gevent.socket.TCP_NODELAY, 1)
             self.sock = sock
-            self.close_watcher = gevent.get_hub().loop.io(sock.fileno(), READABLE)
+            self.close_watcher = gevent.get_hub().loop.io(sock.fileno(), READABLE_EVENT)
             self.close_watcher.start(gevent.spawn, self._on_peer_close, sock)
         return self.sock
 
--- a/quillring/kernel/checks.py
+++ b/quillring/kernel/checks.py
@@ -43,10 +43,10 @@
     def get_validator_class(cls) -> Any:
         """Return the cached `jsonschema` validator class with strict number types."""
         if cls.validator_class is None:
-            plain_class = jsonschema.Draft202012Validator
+            library_class = jsonschema.Draft202012Validator
             types = {"integer": is_integer, "number": is_number}
             cls.validator_class = jsonschema.validators.extend(
-                plain_class, type_checker=plain_class.TYPE_CHECKER.redefine_many(types)
+                library_class, type_checker=library_class.TYPE_CHECKER.redefine_many(types)
             )
         return cls.validator_class
 
--- a/quillring/kernel/client_connection.py
+++ b/quillring/kernel/client_connection.py
@@ -34,7 +34,7 @@
     from quillring.kernel.http_server import HttpServer
     from quillring.kernel.types import HeaderLines
 
-READ_SIZE = 65536
+MAX_READ_BYTES = 65536
 MAX_PIPELINED_REQUESTS = 8
 MIN_TIMEOUT_SECONDS = 0.001
 CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -93,7 +93,7 @@
     def _wait_for_close(self) -> None:
         """Discard input until the client closes the connection."""
         try:
-            while self.sock.recv(READ_SIZE):
+            while self.sock.recv(MAX_READ_BYTES):
                 pass
         except OSError:
             return
@@ -133,7 +133,7 @@
         elif not self._is_busy():
             seconds = max(MIN_TIMEOUT_SECONDS, self._idle_seconds_left())
         with gevent.Timeout(seconds, False):
-            data: bytes = self.sock.recv(READ_SIZE)
+            data: bytes = self.sock.recv(MAX_READ_BYTES)
             self.idle_since = self.server.now()
             return data
         return None
@@ -168,7 +168,7 @@
         Requests that are still queued when the client has disconnected are dropped; after the
         process was suspended, several may be queued together with the disconnect.
         """
-        reading = gevent.spawn(self.read_all)
+        reader_greenlet = gevent.spawn(self.read_all)
         try:
             while True:
                 request = self.requests.get()
@@ -187,7 +187,7 @@
                     return
                 self._send_due_continue()
         finally:
-            reading.kill(block=False)
+            reader_greenlet.kill(block=False)
             self.sock.close()
 
     def _send_rejection(self, end: RequestRejected | str) -> None:
--- a/quillring/kernel/connection_pool.py
+++ b/quillring/kernel/connection_pool.py
@@ -134,7 +134,7 @@
     return bool(select.select([sock], [], [], 0)[0])
 
 
-def wait_for_either(sock: Any) -> tuple[bool, bool]:
+def wait_until_ready(sock: Any) -> tuple[bool, bool]:
     """Wait until a socket is readable or writable; return (is readable, is writable)."""
     may_read, may_write, _ = select.select([sock], [sock], [])
     return bool(may_read), bool(may_write)
--- a/quillring/kernel/datagrams.py
+++ b/quillring/kernel/datagrams.py
@@ -16,7 +16,7 @@
 MAX_BATCH_DATAGRAMS = 256
 
 
-class Datagrams:
+class DatagramSocket:
     """A bound UDP socket; datagrams that arrive between two batches are read together, in order.
 
     A wake-up of the process costs as much CPU time as reading several datagrams. The delay does no
--- a/quillring/kernel/effects.py
+++ b/quillring/kernel/effects.py
@@ -13,7 +13,7 @@
     from collections.abc import Callable
     from typing import Any
 
-    from quillring.kernel.backend import Handle
+    from quillring.kernel.backend import StreamHandle
     from quillring.kernel.http_client import ClientExchange
     from quillring.kernel.types import Address
 
@@ -93,7 +93,7 @@
 
     __slots__ = ("handle", "seconds")
 
-    def __init__(self, handle: Handle, seconds: float) -> None:
+    def __init__(self, handle: StreamHandle, seconds: float) -> None:
         self.handle = handle
         self.seconds = seconds
 
--- a/quillring/kernel/gevent_runtime.py
+++ b/quillring/kernel/gevent_runtime.py
@@ -14,7 +14,7 @@
 
 from quillring.kernel import http_client
 from quillring.kernel.channel import FRAME_HEADER, Channel
-from quillring.kernel.datagrams import Datagrams
+from quillring.kernel.datagrams import DatagramSocket
 from quillring.kernel.effects import (
     FetchJson,
     OpenStream,
@@ -66,7 +66,7 @@
 
     def __init__(self, report: Callable[[Exception], object], frame_timeout: float) -> None:
         self.random = random.Random(os.urandom(16))
-        self.datagrams: Datagrams
+        self.datagrams: DatagramSocket
         self.channels: dict[Address, Channel] = {}
         self.report = report
         self.frame_timeout = frame_timeout
@@ -91,7 +91,7 @@
         `on_datagram` and `on_frame` are called with the bytes of each message. Datagrams are read
         at most once per timer step.
         """
-        self.datagrams = Datagrams(host, port)
+        self.datagrams = DatagramSocket(host, port)
         gevent.spawn(
             self.datagrams.run,
             lambda data: self._call_handler(on_datagram, data),
@@ -213,7 +213,7 @@
             case OpenStream():
                 return backend.open_stream(effect)
             case ReadLine():
-                return backend.next_line(effect)
+                return backend.read_line(effect)
             case SendRequest():
                 return http_client.send_request(effect)
             case ReadHead():
--- a/quillring/kernel/http_client.py
+++ b/quillring/kernel/http_client.py
@@ -14,16 +14,17 @@
 import gevent
 import httptools
 
-from quillring.kernel.connection_pool import POOL, connect, wait_for_either
+from quillring.kernel.connection_pool import POOL, connect, wait_until_ready
 from quillring.kernel.errors import BackendError, NotSent, StaleConnection
 
 if TYPE_CHECKING:
     from quillring.kernel.connection_pool import ReplicaConnection
     from quillring.kernel.effects import SendRequest
 
-READ_SIZE = 65536
+MAX_READ_BYTES = 65536
 DEFAULT_KEEP_ALIVE_SECONDS = 4.0
 KEEP_ALIVE_RATIO = 0.6
+"""Share of a keep-alive timeout within which an idle connection is reused."""
 HEAD_METHOD = b"HEAD "
 
 
@@ -127,7 +128,7 @@
         (RFC 9112, section 6.3). Invalid bytes after a complete response are ignored.
         """
         try:
-            data = self.connection.sock.recv(READ_SIZE)
+            data = self.connection.sock.recv(MAX_READ_BYTES)
         except OSError as error:
             raise BackendError(reason=type(error).__name__) from error
         if not data:
@@ -171,7 +172,7 @@
         unsent = memoryview(self.effect.data)
         unsent = unsent[sock.send(unsent) :]
         while unsent and not self.has_head:
-            may_read, may_write = wait_for_either(sock)
+            may_read, may_write = wait_until_ready(sock)
             if may_read:
                 self.read()
             elif may_write:
--- a/quillring/kernel/loop_lag.py
+++ b/quillring/kernel/loop_lag.py
@@ -13,7 +13,9 @@
 
 PROBE_INTERVAL_RATIO = 0.1
 LATE_RATIO = 0.25
+"""Delay of a late wake-up, as a share of the call timeout."""
 LATE_MEMORY_HEARTBEATS = 2
+"""For how many heartbeat intervals a late wake-up is taken into account."""
 
 
 class LoopLag:
--- a/quillring/kernel/node.py
+++ b/quillring/kernel/node.py
@@ -52,8 +52,8 @@
     target: str
 
 
-def first_call_id(me: Member) -> int:
-    """Return the value that precedes the first call id of an incarnation.
+def initial_call_counter(me: Member) -> int:
+    """Return the start value of the call counter of an incarnation, one less than its first id.
 
     Its upper 32 bits are a hash of name and incarnation; the lower 31 bits count the calls.
     """
@@ -104,7 +104,7 @@
         self.services: dict[str, Any] = {}
         self.handlers: dict[str, CallHandler] = {}
         self.pending_calls: dict[int, PendingCall] = {}
-        self.last_call_id = first_call_id(me)
+        self.last_call_id = initial_call_counter(me)
         self.log: LogWriter = log or (lambda level, text, *fields: None)
         self.counts: dict[str, int] = {}
         self.traffic = TrafficCounters()
@@ -188,8 +188,10 @@
 
         def take_reply(target: str, signal: Signal) -> None:
             gathered_replies[target] = signal.value
-            good_count = sum(not isinstance(r, QuillringError) for r in gathered_replies.values())
-            if good_count >= need or len(gathered_replies) == len(calls):
+            success_count = sum(
+                not isinstance(r, QuillringError) for r in gathered_replies.values()
+            )
+            if success_count >= need or len(gathered_replies) == len(calls):
                 done_signal.set()
 
         for target, service, body in calls:
--- a/quillring/kernel/routes.py
+++ b/quillring/kernel/routes.py
@@ -30,7 +30,7 @@
     matcher : regular expression of the path
     names : names of the path parameters, in the order of the groups of `matcher`
     body_limit : maximum size of the body in bytes
-    query_words : names of the allowed query parameters
+    query_parameters : names of the allowed query parameters
     handler : `handler(node, request)` returns a JSON body or a coroutine
     """
 
