--- a/quillring/kernel/client_connection.py
+++ b/quillring/kernel/client_connection.py
@@ -123,8 +123,9 @@
     def _receive(self) -> bytes | None:
         """Return the next bytes, b"" if the client closed the connection, or None after a timeout.
 
-        The timeout is `head_seconds` within a request, else what remains of the `idle_seconds` that
-        began with the last input or the end of the last response.
+        The timeout is `head_seconds` within a request and `idle_seconds` while requests are being
+        answered; otherwise it is what remains of the `idle_seconds` that began with the last input
+        or the end of the last response.
         """
         limits = self.server.limits()
         seconds = limits.idle_seconds
--- a/quillring/kernel/connection_pool.py
+++ b/quillring/kernel/connection_pool.py
@@ -21,7 +21,8 @@
     """Header that identifies the response to a request: its lower-case name and expected value."""
 
 CONNECT_TIMEOUT_SECONDS = 0.4
-MAX_IDLE_CONNECTIONS = 512
+EXPIRY_CHECK_CONNECTIONS = 512
+"""Number of idle connections above which expired ones are closed when one is added."""
 MAX_REQUESTS_PER_CONNECTION = 1000
 
 
@@ -100,7 +101,7 @@
         return None
 
     def put(self, connection: ReplicaConnection, keep_alive_seconds: float) -> None:
-        """Add a connection whose last response was complete, for `keep_alive_seconds`.
+        """Add a connection whose last response was complete; it expires after `keep_alive_seconds`.
 
         It is closed instead if it has carried MAX_REQUESTS_PER_CONNECTION request ids, which bounds
         the size of `carried_ids`.
@@ -111,7 +112,7 @@
         connection.idle_until = time.monotonic() + keep_alive_seconds
         connection.was_reused = True
         self.idle.setdefault(connection.address, []).append(connection)
-        if sum(map(len, self.idle.values())) > MAX_IDLE_CONNECTIONS:
+        if sum(map(len, self.idle.values())) > EXPIRY_CHECK_CONNECTIONS:
             self.close_expired()
 
     def close_expired(self) -> None:
@@ -143,7 +144,8 @@
 def connect(address: Address, seconds: float) -> ReplicaConnection:
     """Return a new connection to an address.
 
-    Raises NotSent if it is not established within `seconds`, at most CONNECT_TIMEOUT_SECONDS.
+    Raises NotSent if the connection is refused, or is not established within `seconds` or
+    CONNECT_TIMEOUT_SECONDS, whichever is less.
     """
     try:
         sock = gevent.socket.create_connection(
--- a/quillring/kernel/errors.py
+++ b/quillring/kernel/errors.py
@@ -212,7 +212,7 @@
 
 
 class BackendError(QuillringError):
-    """A replica closed the connection early, stalled or sent invalid HTTP; `reason` says which.
+    """A replica closed the connection early, stalled or sent invalid HTTP; `reason` is the cause.
 
     The request may have run. The edge retries it at another replica if it may run twice.
     """
--- a/quillring/kernel/gevent_runtime.py
+++ b/quillring/kernel/gevent_runtime.py
@@ -89,7 +89,7 @@
         """Start receiving UDP datagrams and TCP frames at the address; return the TCP server.
 
         `on_datagram` and `on_frame` are called with the bytes of each message. Datagrams are read
-        at most once per timer step.
+        in batches, about one timer step apart.
         """
         self.datagrams = DatagramSocket(host, port)
         gevent.spawn(
