--- a/quillring/lots/prompts/__init__.py
+++ b/quillring/lots/prompts/__init__.py
@@ -1,4 +1,4 @@
-"""Lots submitted over `/v1/lots`: items are prompts to one entry of the configuration."""
+"""Batch jobs (lots) of prompts, submitted over `/v1/lots` for one entry of the configuration."""
 
 from quillring.lots.prompts.scheduler import PromptLotScheduler
 
--- a/quillring/lots/prompts/acceptance_fence.py
+++ b/quillring/lots/prompts/acceptance_fence.py
@@ -1,10 +1,11 @@
-"""Fence delayed duplicates of an acceptance: none may accept a lot again that was dropped.
-
-A part counts the lots that it dropped, and keeps the count at which each of the last KEPT_DROPS
-was dropped. An acceptance carries the count that its node read when the request came in, as a
-fencing token. It is refused where the lot's own name was dropped since, or may have been because
-the table no longer reaches so far back. A lot that still exists is answered as a repetition before
-that check. No clock takes part in this.
+"""Fencing of delayed duplicate acceptances, which must not re-create a dropped lot.
+
+Each part counts the lots that it has dropped, and records for the last MAX_TRACKED_DROPS of them
+the count after the drop. An acceptance carries as its fencing token the count that the submitting
+node read when the request arrived. The part refuses the acceptance if a lot of the same name was
+dropped after that count, or may have been because the table no longer reaches back that far. An
+acceptance of a lot that still exists is answered as a repetition before this check. The check
+depends on no clock.
 """
 
 from __future__ import annotations
@@ -21,14 +22,17 @@
     from quillring.kernel.node import Node
     from quillring.kernel.types import Coroutine
 
-FENCE_LEVEL = 3
-"""The wire version from which acceptances are fenced."""
-KEPT_DROPS = 256
-NOTHING_DROPPED: DropTable = {"count": 0, "floor": 0, "kept": {}}
+MIN_FENCING_VERSION = 3
+"""Acceptances are fenced once every node speaks this wire version."""
+MAX_TRACKED_DROPS = 256
+EMPTY_DROP_TABLE: DropTable = {"count": 0, "floor": 0, "kept": {}}
 
 
 class StaleLot(QuillringError):
-    """A lot of this name, or too many others, were dropped since the request came in."""
+    """The acceptance predates the drop of a lot of this name, or may predate it.
+
+    It is also raised if so many other lots were dropped since that the table cannot tell.
+    """
 
     kind = "stale_lot"
     status = 503
@@ -36,15 +40,15 @@
 
 
 def drop_table(state: State) -> DropTable:
-    """Return the part's table of dropped lots."""
+    """Return the part's table of dropped lots; it is empty before the first drop."""
     table: DropTable | None = state.get("lot_drops")
-    return table or NOTHING_DROPPED
+    return table or EMPTY_DROP_TABLE
 
 
-def check_fresh(state: State, command: AcceptLot) -> None:
-    """Raise StaleLot for an acceptance from before the lot of its name was dropped.
+def check_not_stale(state: State, command: AcceptLot) -> None:
+    """Raise StaleLot if a lot of the same name was, or may have been, dropped since the request.
 
-    An acceptance of the former version carries no count and is not fenced.
+    Acceptances of the previous wire version carry no count and are not fenced.
     """
     if command.seen_drops is None:
         return
@@ -54,13 +58,13 @@
         raise StaleLot(lot=command.lot, drops=last_drop, seen_drops=command.seen_drops)
 
 
-def note_drop(state: State, name: str) -> State:
-    """Return the state that records a dropped lot; it keeps the last KEPT_DROPS of them."""
+def record_drop(state: State, name: str) -> State:
+    """Return the state with a dropped lot recorded; only the last MAX_TRACKED_DROPS are tracked."""
     table = drop_table(state)
     count = table["count"] + 1
     kept = {lot: at for lot, at in table["kept"].items() if lot != name}
     kept[name] = count
-    surplus = list(kept)[: max(0, len(kept) - KEPT_DROPS)]
+    surplus = list(kept)[: max(0, len(kept) - MAX_TRACKED_DROPS)]
     floor = max([table["floor"], *(kept.pop(lot) for lot in surplus)])
     new_table: DropTable = {"count": count, "floor": floor, "kept": kept}
     return {**state, "lot_drops": new_table}
@@ -68,20 +72,21 @@
 
 @QUERIES.entry(commands.FENCE)
 def lot_fence(state: State, wire: Wire) -> dict[str, Any]:
-    """Return how many lots the part dropped, the fencing token of an acceptance."""
+    """Return the number of lots that the part has dropped: the fencing token of an acceptance."""
     return {"drops": drop_table(state)["count"]}
 
 
 def submit_fenced(node: Node, part: str, command: AcceptLot) -> Coroutine:
-    """Read the part's count of dropped lots, then commit an acceptance that carries it.
+    """Commit an acceptance that carries the part's current count of dropped lots.
 
-    StaleLot is not retried here: the node may have resumed from a pause with an old request.
-    Both steps together take at most twice the propagation bound.
+    StaleLot is not retried here, because this process may just have resumed from a pause with an
+    outdated request. Reading the count and committing take at most twice the propagation bound in
+    total.
     """
     ownership = node.find("ownership")
-    if node.find("nifty").lowest_common_version() < FENCE_LEVEL:
+    if node.find("nifty").lowest_common_version() < MIN_FENCING_VERSION:
         return (yield from ownership.submit(part, command.to_wire()))
-    end_time = node.now() + node.bounds.propagation * 2
+    deadline = node.now() + node.bounds.propagation * 2
     fence = yield from ownership.read(part, QueryFence().to_wire())
     fenced = command._replace(seen_drops=fence["drops"])
-    return (yield from ownership.submit(part, fenced.to_wire(), max(0, end_time - node.now())))
+    return (yield from ownership.submit(part, fenced.to_wire(), max(0, deadline - node.now())))
--- a/quillring/lots/prompts/api.py
+++ b/quillring/lots/prompts/api.py
@@ -1,4 +1,4 @@
-"""Lots over HTTP: submit, status, results, release, cancel."""
+"""HTTP handlers of prompt lots: submission, status, results, release and cancellation."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
     from quillring.kernel.routes import Request
     from quillring.kernel.types import Coroutine
 
-LOT_LIMIT_BYTES = 8 << 20
-MOST_RESULTS = 1000
-RELEASE_LEVEL = 2
-"""The wire version from which lots can be released."""
-LOT = StrictValidator(
+MAX_LOT_BODY_BYTES = 8 << 20
+MAX_RESULTS_PER_PAGE = 1000
+MIN_RELEASE_VERSION = 2
+"""Lots can be released once every node speaks this wire version."""
+LOT_SCHEMA = StrictValidator(
     {
         "type": "object",
         "additionalProperties": False,
@@ -48,16 +48,16 @@
 )
 
 
-@route("POST", "/v1/lots", limit=LOT_LIMIT_BYTES)
+@route("POST", "/v1/lots", limit=MAX_LOT_BODY_BYTES)
 def submit_lot(node: Node, request: Request) -> Coroutine:
-    """Accept a lot; answer once it is durable in two zones.
+    """Accept a lot; the response is sent once the lot is durable in two zones.
 
-    Its name is PART.CLIENT_SPACE.KEY, with the key that the client chose or a random one.
+    The lot is named PART.CLIENT_SPACE.KEY, where KEY is the client's key or a random one.
     """
     need_client_name(request)
-    check_body(LOT, request.body)
+    check_body(LOT_SCHEMA, request.body)
     check_admission(node)
-    route, service, _promise = node.find("layout").route(request.body["entry"])
+    route, service, _terms = node.find("layout").route(request.body["entry"])
     if service["kind"] != "model":
         raise BadRequest(field="entry", faults=[{"field": "entry", "fault": "not a model"}])
     part = part_of(route["service"], len(node.find("ownership").parts()) - 1)
@@ -73,12 +73,12 @@
 
 
 def client_space(client_name: str) -> str:
-    """Return the namespace of a client's lot keys: 64 bits of the SHA-256 of its name, in hex."""
+    """Return the namespace of a client's lot keys: 64 bits of the SHA-256 of its name in hex."""
     return hashlib.sha256(client_name.encode("utf-8", "surrogatepass")).hexdigest()[:16]
 
 
 def part_of_lot(node: Node, lot_name: str) -> str:
-    """Return the part that a lot's name starts with; raise BadRequest for an unknown one."""
+    """Return the part named at the start of a lot's name; raise BadRequest if it is unknown."""
     part = lot_name.partition(".")[0]
     if part not in node.find("ownership").parts():
         raise BadRequest(field="lot", faults=[{"field": "lot", "fault": "unknown lot name"}])
@@ -87,7 +87,7 @@
 
 @route("GET", "/v1/lots/{lot}")
 def show_lot(node: Node, request: Request) -> Coroutine:
-    """Return a lot's phase and its counts of items and results."""
+    """Return a lot's phase and the numbers of its items and results."""
     query = QueryStatus(request.words["lot"], request.client_name)
     part = part_of_lot(node, query.lot)
     return (yield from node.find("ownership").read(part, query.to_wire()))
@@ -95,19 +95,21 @@
 
 @route("GET", "/v1/lots/{lot}/results", query_words=("from", "count"))
 def show_results(node: Node, request: Request) -> Coroutine:
-    """Return the results from a position on, at most MOST_RESULTS of them."""
+    """Return at most MAX_RESULTS_PER_PAGE results, starting at the position `from`."""
     start = read_count(request.query.get("from", ["0"])[0], "from")
-    count = read_count(request.query.get("count", [str(MOST_RESULTS)])[0], "count")
-    query = QueryResults(request.words["lot"], request.client_name, start, min(count, MOST_RESULTS))
+    count = read_count(request.query.get("count", [str(MAX_RESULTS_PER_PAGE)])[0], "count")
+    query = QueryResults(
+        request.words["lot"], request.client_name, start, min(count, MAX_RESULTS_PER_PAGE)
+    )
     part = part_of_lot(node, query.lot)
     return (yield from node.find("ownership").read(part, query.to_wire()))
 
 
 @route("POST", "/v1/lots/{lot}/release")
 def release_lot(node: Node, request: Request) -> Coroutine:
-    """Delete an ended lot with its results, before its retention ends."""
+    """Delete an ended lot and its results before its retention period is over."""
     command = ReleaseLot(request.words["lot"], request.client_name)
-    if node.find("nifty").lowest_common_version() < RELEASE_LEVEL:
+    if node.find("nifty").lowest_common_version() < MIN_RELEASE_VERSION:
         raise Refused(reason="some nodes are of the former version")
     part = part_of_lot(node, command.lot)
     return (yield from node.find("ownership").submit(part, command.to_wire()))
@@ -115,7 +117,7 @@
 
 @route("DELETE", "/v1/lots/{lot}")
 def cancel_lot(node: Node, request: Request) -> Coroutine:
-    """Cancel a lot; the results that it has are kept."""
+    """Cancel a lot; results written so far remain readable."""
     command = CancelLot(request.words["lot"], request.client_name)
     part = part_of_lot(node, command.lot)
     return (yield from node.find("ownership").submit(part, command.to_wire()))
--- a/quillring/lots/prompts/commands.py
+++ b/quillring/lots/prompts/commands.py
@@ -1,6 +1,7 @@
-"""Commands and queries of the replicated log; only this module reads and writes their wire form.
+"""Commands and queries for prompt lots; only this module encodes and decodes their wire form.
 
-The field names on the wire (`do`, `ask`, `n`, `by` ...) are those of the landed version and stay.
+Commands are entries of the part's replicated log. The field names on the wire (`do`, `ask`, `n`,
+`by` ...) must not change, because other versions read them too.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 from quillring.quorum.values import Ballot
 
 Wire = Mapping[str, Any]
-"""A command or query as it stands in the log and on the wire."""
+"""A command or query as encoded in the log and on the wire."""
 
 ACCEPT, START, RESULT = "lot.accept", "lot.start", "lot.result"
 CANCEL, DROP, RELEASE = "lot.cancel", "lot.drop", "lot.release"
@@ -20,18 +21,21 @@
 
 
 class AcceptLot(NamedTuple):
-    """Accept a lot, once.
+    """Accept a lot; a repetition has no effect.
 
     Parameters
     ----------
     lot
         The lot's name, see `api.submit_lot`.
+    sender
+        The name of the client that submitted the lot.
     entry
-        The configuration's entry that answers the prompts.
+        The entry of the configuration that serves the prompts.
     items
         The prompts.
     seen_drops
-        How many lots the part had dropped when the request came in; None from a former version.
+        Number of lots that the part had dropped when the request arrived, the fencing token; None
+        from nodes of a previous version.
     """
 
     lot: str
@@ -42,13 +46,13 @@
 
     @classmethod
     def from_wire(cls, wire: Wire) -> AcceptLot:
-        """Read the command."""
+        """Decode the command."""
         return cls(
             wire["lot"], wire["sender"], wire["entry"], wire["items"], wire.get("seen_drops")
         )
 
     def to_wire(self) -> dict[str, Any]:
-        """Return the command's form in the log."""
+        """Encode the command for the log."""
         wire: dict[str, Any] = {
             "do": ACCEPT,
             "lot": self.lot,
@@ -62,9 +66,10 @@
 
 
 class StartItem(NamedTuple):
-    """Mark an item that may not be repeated as started, under the leader's ballot.
+    """Mark an item that must not run twice as started, under the leader's ballot.
 
-    `was_unsent` is true where the same leader started it before and nothing reached a replica.
+    `was_unsent` is true if the same leader has started the item before without the request
+    reaching a replica.
     """
 
     lot: str
@@ -74,11 +79,11 @@
 
     @classmethod
     def from_wire(cls, wire: Wire) -> StartItem:
-        """Read the command."""
+        """Decode the command."""
         return cls(wire["lot"], wire["n"], Ballot.from_wire(wire["by"]), wire["was_unsent"])
 
     def to_wire(self) -> dict[str, Any]:
-        """Return the command's form in the log."""
+        """Encode the command for the log."""
         return {
             "do": START,
             "lot": self.lot,
@@ -89,7 +94,7 @@
 
 
 class WriteResult(NamedTuple):
-    """Write an item's result: {"text": ...} or {"trouble": ...}."""
+    """Write an item's result: {"text": ...} on success, {"trouble": ...} on failure."""
 
     lot: str
     number: int
@@ -97,11 +102,11 @@
 
     @classmethod
     def from_wire(cls, wire: Wire) -> WriteResult:
-        """Read the command."""
+        """Decode the command."""
         return cls(wire["lot"], wire["n"], wire["result"])
 
     def to_wire(self) -> dict[str, Any]:
-        """Return the command's form in the log."""
+        """Encode the command for the log."""
         return {"do": RESULT, "lot": self.lot, "n": self.number, "result": self.result}
 
 
@@ -113,26 +118,26 @@
 
     @classmethod
     def from_wire(cls, wire: Wire) -> CancelLot:
-        """Read the command."""
+        """Decode the command."""
         return cls(wire["lot"], wire["sender"])
 
     def to_wire(self) -> dict[str, Any]:
-        """Return the command's form in the log."""
+        """Encode the command for the log."""
         return {"do": CANCEL, "lot": self.lot, "sender": self.sender}
 
 
 class DropLot(NamedTuple):
-    """Delete an ended lot whose retention is over."""
+    """Delete an ended lot whose retention period is over."""
 
     lot: str
 
     @classmethod
     def from_wire(cls, wire: Wire) -> DropLot:
-        """Read the command."""
+        """Decode the command."""
         return cls(wire["lot"])
 
     def to_wire(self) -> dict[str, Any]:
-        """Return the command's form in the log."""
+        """Encode the command for the log."""
         return {"do": DROP, "lot": self.lot}
 
 
@@ -144,57 +149,57 @@
 
     @classmethod
     def from_wire(cls, wire: Wire) -> ReleaseLot:
-        """Read the command."""
+        """Decode the command."""
         return cls(wire["lot"], wire["sender"])
 
     def to_wire(self) -> dict[str, Any]:
-        """Return the command's form in the log."""
+        """Encode the command for the log."""
         return {"do": RELEASE, "lot": self.lot, "sender": self.sender}
 
 
 class QueryStatus(NamedTuple):
-    """Ask for a lot's phase and counts, on behalf of the client that submitted it."""
+    """Query a lot's phase and counts on behalf of the client that submitted it."""
 
     lot: str
     sender: str
 
     @classmethod
     def from_wire(cls, wire: Wire) -> QueryStatus:
-        """Read the query."""
+        """Decode the query."""
         return cls(wire["lot"], wire["sender"])
 
     def to_wire(self) -> dict[str, Any]:
-        """Return the query's form on the wire."""
+        """Encode the query for the wire."""
         return {"ask": STATUS, "lot": self.lot, "sender": self.sender}
 
 
 class QueryResults(NamedTuple):
-    """Ask for the results of `most_items` items from `start` on, on behalf of the client."""
+    """Query the results of up to `max_items` items from number `start` on, for the submitter."""
 
     lot: str
     sender: str
     start: int
-    most_items: int
+    max_items: int
 
     @classmethod
     def from_wire(cls, wire: Wire) -> QueryResults:
-        """Read the query."""
+        """Decode the query."""
         return cls(wire["lot"], wire["sender"], wire["from"], wire["count"])
 
     def to_wire(self) -> dict[str, Any]:
-        """Return the query's form on the wire."""
+        """Encode the query for the wire."""
         return {
             "ask": RESULTS,
             "lot": self.lot,
             "sender": self.sender,
             "from": self.start,
-            "count": self.most_items,
+            "count": self.max_items,
         }
 
 
 class QueryFence(NamedTuple):
-    """Ask how many lots the part has dropped."""
+    """Query the number of lots that the part has dropped, the fencing token."""
 
     def to_wire(self) -> dict[str, Any]:
-        """Return the query's form on the wire."""
+        """Encode the query for the wire."""
         return {"ask": FENCE}
--- a/quillring/lots/prompts/lot_table.py
+++ b/quillring/lots/prompts/lot_table.py
@@ -1,4 +1,4 @@
-"""The lots of prompts in a part's state, in their stored form."""
+"""The stored form of prompt lots in a part's state."""
 
 from __future__ import annotations
 
@@ -6,17 +6,19 @@
 from typing import Any, TypedDict
 
 State = dict[str, Any]
-"""The whole state of a part; it is copied, never changed."""
+"""The complete state of a part; updates copy it and never mutate it."""
 
 OPEN, ENDED, CANCELLED = "open", "ended", "cancelled"
 """The phases of a lot."""
 
 
 class LotRecord(TypedDict):
-    """A lot in the state, under `lots` by name.
+    """A lot in the state, stored under `lots` by name.
 
-    `results` holds results and `started` the ballots of items that may not repeat, by item number;
-    `weight` is the length of the items. An ended lot keeps its results only.
+    `results` maps item numbers to results. `started` maps the numbers of started items that must
+    not run twice to the ballots of the leaders that started them. `count` is the number of items,
+    `weight` their total length in characters. Once the lot has ended, `items` and `started` are
+    empty.
     """
 
     sender: str
@@ -31,10 +33,10 @@
 
 
 class DropTable(TypedDict):
-    """The lots that a part dropped, under `lot_drops` in the state.
+    """The lots that a part has dropped, stored under `lot_drops` in the state.
 
-    `count` is their number, `kept` the count at which each of the last ones was dropped, by name,
-    and `floor` the highest count no longer in `kept`.
+    `count` is the number of all drops. `kept` maps the names of the most recently dropped lots to
+    the count after the drop, and `floor` is the highest count that was removed from `kept`.
     """
 
     count: int
@@ -43,7 +45,7 @@
 
 
 def lot_records(state: State) -> dict[str, LotRecord]:
-    """Return the part's lots by name."""
+    """Return the records of the part's lots by name."""
     records: dict[str, LotRecord] = state["lots"]
     return records
 
--- a/quillring/lots/prompts/retention.py
+++ b/quillring/lots/prompts/retention.py
@@ -1,4 +1,4 @@
-"""Retain the results of ended lots; over the limit new lots are refused, none evicted."""
+"""Retention of ended lots; over the size limit new lots are refused and none is evicted."""
 
 from __future__ import annotations
 
@@ -12,49 +12,51 @@
 if TYPE_CHECKING:
     from quillring.kernel.node import Node
 
-KEPT_SECONDS = 7 * 86_400
+RETENTION_SECONDS = 7 * 86_400
 HELD_LIMIT_BYTES = 48 << 20
 ITEM_OVERHEAD_BYTES = 1024
 
 
-class WeighedResults(NamedTuple):
-    """The results of an ended lot, and how many bytes they take."""
+class CachedWeight(NamedTuple):
+    """The results of an ended lot and their approximate size in bytes."""
 
     results: Any
     weight: int
 
 
 class Retention:
-    """The bytes and the ends of the lots of the parts led here, by this node's clock.
+    """Sizes and end times of the lots in the parts that this node leads.
 
     Attributes
     ----------
-    weights, ended_at
-        By part and lot.
-    checked_at
-        When `drop_old` last checked a part's lots, by part.
+    cached_weights
+        The sizes of ended lots, by part and lot.
+    ended_at
+        When this node first saw that a lot had ended, by part and lot, in seconds of its clock.
+    last_checked_at
+        When `drop_expired` last checked a part's lots, by part, in seconds of the node's clock.
     """
 
-    __slots__ = ("node", "weights", "ended_at", "checked_at")
+    __slots__ = ("node", "cached_weights", "ended_at", "last_checked_at")
 
     def __init__(self, node: Node) -> None:
         self.node = node
-        self.weights: dict[tuple[str, str], WeighedResults] = {}
+        self.cached_weights: dict[tuple[str, str], CachedWeight] = {}
         self.ended_at: dict[tuple[str, str], float] = {}
-        self.checked_at: dict[str, float] = {}
+        self.last_checked_at: dict[str, float] = {}
 
     def weight(self, part: str, name: str, lot: LotRecord) -> int:
-        """Return about how many bytes a lot takes; that of an ended lot is cached."""
+        """Return the approximate size of a lot in bytes; the size of an ended lot is cached."""
         if lot["phase"] == OPEN:
             return lot["weight"] + ITEM_OVERHEAD_BYTES * lot["count"]
-        known = self.weights.get((part, name))
-        if known is None or known.results is not lot["results"]:
+        cached = self.cached_weights.get((part, name))
+        if cached is None or cached.results is not lot["results"]:
             weight = sum(len(str(result)) for result in lot["results"].values())
-            known = self.weights[part, name] = WeighedResults(lot["results"], weight)
-        return known.weight
+            cached = self.cached_weights[part, name] = CachedWeight(lot["results"], weight)
+        return cached.weight
 
     def check(self, leader: Any, wire: Wire) -> None:
-        """Raise TooManyLots for a new lot that would bring its part over HELD_LIMIT_BYTES."""
+        """Raise TooManyLots if a new lot would take its part over HELD_LIMIT_BYTES."""
         if wire["do"] != ACCEPT:
             return
         command, lots = AcceptLot.from_wire(wire), lot_records(leader.state)
@@ -65,32 +67,34 @@
         if held + added > HELD_LIMIT_BYTES:
             raise TooManyLots(lot=command.lot, held_weight=held)
 
-    def drop_old(self, leader: Any) -> None:
-        """Drop one lot that ended over KEPT_SECONDS ago by this leader's clock.
+    def drop_expired(self, leader: Any) -> None:
+        """Drop one lot that ended more than RETENTION_SECONDS ago by this leader's clock.
 
-        A part is checked once per recovery bound.
+        Each part is checked at most once per recovery bound.
         """
         now, bounds = self.node.now(), self.node.bounds
-        if now - self.checked_at.get(leader.part, -bounds.recovery) < bounds.recovery:
+        if now - self.last_checked_at.get(leader.part, -bounds.recovery) < bounds.recovery:
             return
-        self.checked_at[leader.part] = now
+        self.last_checked_at[leader.part] = now
         lots = lot_records(leader.state)
         ended = [name for name, lot in lots.items() if lot["phase"] != OPEN]
-        self._follow(leader.part, lots, ended, now)
+        self._track_ended(leader.part, lots, ended, now)
         for name in ended:
-            is_due = now - self.ended_at[leader.part, name] > KEPT_SECONDS
+            is_due = now - self.ended_at[leader.part, name] > RETENTION_SECONDS
             if is_due and not leader.has_queued_commands():
                 self.node.spawn(leader.submit(DropLot(name).to_wire()))
                 return
 
-    def _follow(self, part: str, lots: dict[str, LotRecord], ended: list[str], now: float) -> None:
-        """Record when lots ended, as first seen here, and remove the entries of deleted ones."""
+    def _track_ended(
+        self, part: str, lots: dict[str, LotRecord], ended: list[str], now: float
+    ) -> None:
+        """Record when this node first saw lots ended, and discard the entries of deleted lots."""
         ended_at = {key: at for key, at in self.ended_at.items() if key[0] != part}
         for name in ended:
             ended_at[part, name] = self.ended_at.get((part, name), now)
         self.ended_at = ended_at
-        self.weights = {
-            (other_part, name): known
-            for (other_part, name), known in self.weights.items()
+        self.cached_weights = {
+            (other_part, name): cached
+            for (other_part, name), cached in self.cached_weights.items()
             if other_part != part or name in lots
         }
--- a/quillring/lots/prompts/scheduler.py
+++ b/quillring/lots/prompts/scheduler.py
@@ -1,4 +1,7 @@
-"""Run the items of open lots from the core that leads their part, ITEMS_AT_ONCE of each lot."""
+"""Scheduling of the items of open lots by the core that leads their part.
+
+At most ITEMS_AT_ONCE items of a lot run concurrently.
+"""
 
 from __future__ import annotations
 
@@ -24,13 +27,13 @@
     from quillring.kernel.types import Coroutine
 
 ITEMS_AT_ONCE = 4
-RESULT_LIMIT_CHARACTERS = 1 << 18
-MOST_PIECES = 64
+MAX_RESULT_CHARACTERS = 1 << 18
+MAX_PIECES = 64
 BUSY_STATUS = 503
 
 
 class ItemKey(NamedTuple):
-    """The key of an item, unique over all parts."""
+    """The key of an item, unique across all parts."""
 
     part: str
     lot: str
@@ -38,7 +41,10 @@
 
 
 class RunningItem:
-    """An item in flight; it owns the replica's stream, which `stop` closes."""
+    """An item in flight, which owns the stream from its replica.
+
+    `stop_signal` is set when the item is to be stopped; `handle` is the open stream or None.
+    """
 
     __slots__ = ("stop_signal", "handle")
 
@@ -47,46 +53,48 @@
         self.handle: Any = None
 
     def stop(self) -> None:
-        """Stop the item now; the replica sees its connection close."""
+        """Stop the item; the replica sees the connection close."""
         self.stop_signal.set()
         self.close()
 
     def close(self) -> None:
-        """Close the replica's stream if there is one."""
+        """Close the stream from the replica, if it is open."""
         if self.handle is not None:
             self.handle.close()
 
 
 class PromptLotScheduler:
-    """Runs the items of open lots in the parts led here until each has a result.
+    """Runs the items of open lots, in the parts that this node leads, until each has a result.
 
     Attributes
     ----------
     running
         The items in flight, by key.
     unsent
-        Items whose last run reached no replica.
-    first_open
-        The first number without a result, by part and lot.
+        Keys of the items whose last run reached no replica.
+    first_pending
+        The lowest item number without a result, by part and lot.
+    retention
+        Size accounting and expiry of the lots.
     """
 
-    __slots__ = ("node", "running", "unsent", "first_open", "retention")
+    __slots__ = ("node", "running", "unsent", "first_pending", "retention")
 
     def __init__(self, node: Node) -> None:
         self.node = node
         self.running: dict[ItemKey, RunningItem] = {}
         self.unsent: set[ItemKey] = set()
-        self.first_open: dict[tuple[str, str], int] = {}
+        self.first_pending: dict[tuple[str, str], int] = {}
         self.retention: Retention = node.offer("keeping", Retention(node))
 
     def run(self) -> Coroutine:
-        """Start items while there is room, and stop those of ended lots."""
+        """Process: periodically drop expired lots, start pending items and stop unwanted ones."""
         ownership = self.node.find("ownership")
         while True:
             yield Sleep(self.node.bounds.heartbeat_interval / 5)
             for leader in ownership.leaders.values():
                 if leader.has_lease():
-                    self.retention.drop_old(leader)
+                    self.retention.drop_expired(leader)
                     if not ownership.is_leaving(self.node.me.name):
                         self._start_items(leader)
             self._stop_ended()
@@ -95,35 +103,36 @@
         part, lots = leader.part, lot_records(leader.state)
         open_lots = {name: lot for name, lot in lots.items() if lot["phase"] == OPEN}
         running = Counter((key.part, key.lot) for key in self.running)
-        self.first_open = {
+        self.first_pending = {
             (other_part, name): number
-            for (other_part, name), number in self.first_open.items()
+            for (other_part, name), number in self.first_pending.items()
             if other_part != part or name in open_lots
         }
         for name, lot in open_lots.items():
-            room = max(0, ITEMS_AT_ONCE - running[part, name])
-            for number in islice(self._waiting(part, name, lot), room):
+            free_slots = max(0, ITEMS_AT_ONCE - running[part, name])
+            for number in islice(self._pending_numbers(part, name, lot), free_slots):
                 key = ItemKey(part, name, number)
                 self.running[key] = RunningItem()
                 self.node.spawn(self._run_item(leader, key, lot))
 
-    def _waiting(self, part: str, name: str, lot: LotRecord) -> Iterator[int]:
-        """Yield the numbers of items that neither have a result nor run.
+    def _pending_numbers(self, part: str, name: str, lot: LotRecord) -> Iterator[int]:
+        """Yield the numbers of items that have no result and are not in flight.
 
-        The leading items with results are skipped once, by way of `first_open`.
+        `first_pending` avoids scanning the leading items with results on every call.
         """
-        first = self.first_open.get((part, name), 0)
+        first = self.first_pending.get((part, name), 0)
         while first in lot["results"]:
             first += 1
-        self.first_open[part, name] = first
+        self.first_pending[part, name] = first
         for number in range(first, len(lot["items"])):
             if number not in lot["results"] and ItemKey(part, name, number) not in self.running:
                 yield number
 
     def on_batch(self, leader: Any, batch: Sequence[Wire]) -> None:
-        """Have replicas stop the items of cancelled lots, whichever leader sent them.
+        """Make replicas stop the items of cancelled lots, whichever leader sent them.
 
-        A former leader whose process is paused keeps its connections open.
+        Closing this node's own connections is not enough, because a former leader whose process is
+        paused keeps its connections open.
         """
         for wire in batch:
             if wire["do"] != CANCEL:
@@ -134,14 +143,14 @@
                 self.node.spawn(self._tell_replicas(command.lot, lot["entry"]))
 
     def _tell_replicas(self, lot_name: str, route_name: str) -> Coroutine:
-        route, _service, _promise = self.node.find("layout").route(route_name)
+        route, _service, _terms = self.node.find("layout").route(route_name)
         replicas = self.node.find("replicas").available_before(route["service"], math.inf)
         for replica in replicas:
-            self.node.spawn(self._tell_replica(replica, f"{lot_name}-"))
+            self.node.spawn(self._stop_items_on_replica(replica, f"{lot_name}-"))
         return
         yield
 
-    def _tell_replica(self, replica: Any, prefix: str) -> Coroutine:
+    def _stop_items_on_replica(self, replica: Any, prefix: str) -> Coroutine:
         try:
             yield FetchJson(
                 replica.address,
@@ -168,33 +177,33 @@
 
     def _run_item(self, leader: Any, key: ItemKey, lot: LotRecord) -> Coroutine:
         try:
-            result = yield from self._item_result(leader, key, lot)
+            result = yield from self._execute_item(leader, key, lot)
             if result is not None:
                 yield from leader.submit(WriteResult(key.lot, key.number, result).to_wire())
         except QuillringError as error:
             self.node.count("item_troubles")
-            self.node.log("debug", "item %s: %s", tuple(key), error)
+            self.node.log("debug", "item %s failed: %s", tuple(key), error)
             yield Wait(self.running[key].stop_signal, self.node.bounds.heartbeat_interval)
         finally:
             self.running.pop(key, None)
 
-    def _item_result(self, leader: Any, key: ItemKey, lot: LotRecord) -> Coroutine:
-        """Run an item on a replica; return its result, None once its lot no longer wants it."""
+    def _execute_item(self, leader: Any, key: ItemKey, lot: LotRecord) -> Coroutine:
+        """Run an item on a replica; return its result, or None if it is no longer wanted."""
         node, item = self.node, self.running[key]
-        route, service, promise = node.find("layout").route(lot["entry"])
-        end_time = node.now() + promise["time_left_ms"] / 1000
+        route, service, terms = node.find("layout").route(lot["entry"])
+        deadline = node.now() + terms["time_left_ms"] / 1000
         prefix = route.get("prefix", "")
         lease = yield from node.find("dispatch").acquire(
             route["service"],
             route["class"],
-            promise,
+            terms,
             prefix_key(prefix),
             node.now() + node.bounds.propagation,
         )
         try:
-            if not may_repeat(promise) and not (yield from self._mark_started(leader, key)):
+            if not may_repeat(terms) and not (yield from self._mark_started(leader, key)):
                 return {"trouble": "outcome_unknown"}
-            check_before_sending(node, lease.replica, end_time)
+            check_before_sending(node, lease.replica, deadline)
             if not self._is_wanted(leader, key):
                 return None
             stall_seconds = service.get("stall_ms", DEFAULT_STALL_MS) / 1000
@@ -214,7 +223,7 @@
             item.close()
 
     def _mark_started(self, leader: Any, key: ItemKey) -> Coroutine:
-        """Commit the start of an item that may not be repeated; return whether it may run."""
+        """Commit the start of an item that must not run twice; return whether it may run now."""
         ballot, was_unsent = Ballot.from_wire(leader.ballot), key in self.unsent
         command = StartItem(key.lot, key.number, ballot, was_unsent)
         answer = yield from leader.submit(command.to_wire())
@@ -237,7 +246,7 @@
         return result
 
     def _read_result(self, item: RunningItem, request_name: str, stall_seconds: float) -> Coroutine:
-        """Read the stream's lines; return the result, None if the item was stopped."""
+        """Read the stream to its end; return the result, or None if the item was stopped."""
         pieces: list[str] = []
         length = 0
         while not item.stop_signal.is_set:
@@ -247,7 +256,7 @@
                 return {"text": "".join(pieces)}
             pieces.append(line["piece"])
             length += len(line["piece"])
-            if length > RESULT_LIMIT_CHARACTERS:
+            if length > MAX_RESULT_CHARACTERS:
                 return {"trouble": "too_large"}
         return None
 
@@ -259,5 +268,5 @@
         "prefix": prefix,
         "prompt": prompt,
         "from": 0,
-        "max_pieces": MOST_PIECES,
+        "max_pieces": MAX_PIECES,
     }
--- a/tests/test_prompt_lot_acceptance_fence.py
+++ b/tests/test_prompt_lot_acceptance_fence.py
@@ -3,7 +3,7 @@
 import pytest
 
 from quillring.kernel.errors import Conflict
-from quillring.lots.prompts.acceptance_fence import KEPT_DROPS, StaleLot, lot_fence
+from quillring.lots.prompts.acceptance_fence import MAX_TRACKED_DROPS, StaleLot, lot_fence
 from quillring.lots.prompts.api import submit_lot
 from quillring.lots.prompts.state_machine import accept_lot
 from quillring.quorum.commands import apply_batch, first_state
@@ -57,10 +57,10 @@
 def test_the_memory_is_bounded_and_what_went_out_of_it_is_still_fenced():
     state = first_state([])
     first = accept("lot-0")
-    for number in range(KEPT_DROPS * 3):
+    for number in range(MAX_TRACKED_DROPS * 3):
         name = f"lot-{number}"
         state, _ = apply_batch(state, [accept(name, number), *forgets("drop", name)])
-    assert len(state["lot_drops"]["kept"]) == KEPT_DROPS
+    assert len(state["lot_drops"]["kept"]) == MAX_TRACKED_DROPS
     _, (late, never_seen, fresh) = apply_batch(
         state, [first, accept("new", 1), accept("new", lot_fence(state, {})["drops"])]
     )
