--- a/tests/http_lot_replica.py
+++ b/tests/http_lot_replica.py
@@ -1,4 +1,4 @@
-"""Raw replicas for the tests; they stand with the simulator."""
+"""Raw replicas for the tests, re-exported from the simulator."""
 
 from proving.sim.raw_replicas import (
     EVENT_SECONDS,
--- a/tests/http_lot_stage.py
+++ b/tests/http_lot_stage.py
@@ -1,4 +1,4 @@
-"""A small simulated fleet with a forward of lots and raw replicas."""
+"""A small simulated fleet with a forward for lots of HTTP requests, and raw replicas."""
 
 from unittest import mock
 
@@ -17,21 +17,27 @@
 SIZES = {**SMALL, "replicas": [("words", 1, 4), ("map", 1, 4)]}
 
 
-def check_whole(stage, rows, name, count):
-    """Every item of the lot has its whole text, once."""
+def check_complete_results(stage, rows, name, count):
+    """Assert that each item of the lot is listed once, with its complete text."""
     assert sorted(row[0] for row in rows) == sorted(f"{name}-{n}" for n in range(count))
     for item_id, state, text in rows:
         assert (state, text) == ("finished", text_of(item_id, stage.counts.get(item_id, 6)))
 
 
-def accepted(stage, name, count, **words):
-    answer, error = stage.submit(name, count, **words)
+def submit_accepted(stage, name, count, **options):
+    """Submit a lot, assert that it is accepted, and return the answer."""
+    answer, error = stage.submit(name, count, **options)
     assert error is None, error
     return answer
 
 
 class HttpLotStage:
-    """A small founded fleet with a forward of lots and three replicas, at second 8 of its life."""
+    """A small fleet with a forward for lots, set up and run until second 8 of simulated time.
+
+    `counts` sets the number of events per item (default 6). `arrivals` records each request that
+    reached a replica as (time, item, replica, last event id, request), `whole_runs` the items whose
+    stream was sent to its end. Further keyword arguments replace settings of the forward.
+    """
 
     def __init__(self, seed, slots=8, replicas=3, versions=SPOKEN, **fields):
         with mock.patch.object(sim_fleet, "SimRuntime", RawRuntime):
@@ -53,7 +59,7 @@
             self.replicas[name] = RawReplica(self, name, zone, slots)
         self.env.process(self.sim.found())
         self.env.run(until=6)
-        names = self.up("core").find("ownership").parts()
+        names = self.pick_running("core").find("ownership").parts()
         self.parts = [part for part in names if part != "config"]
         self.configure(**fields)
         self.run(2)
@@ -64,8 +70,8 @@
     def __exit__(self, *failure):
         self.patch.stop()
 
-    def configure(self, is_gone=False, **fields):
-        """Adopt a layout with one forward of lots, or with none."""
+    def configure(self, is_removed=False, **fields):
+        """Adopt a configuration with the forward for lots, or without it if `is_removed`."""
         forward = {
             "host": HOST,
             "prefix": "/bulk/",
@@ -86,59 +92,60 @@
             "base_edition": self.configuration_version,
             "whole": False,
             "services": {SERVICE: service},
-            "forwards": {} if is_gone else {FORWARD: forward},
+            "forwards": {} if is_removed else {FORWARD: forward},
             "limits": None,
-            "removed": {"forwards": [FORWARD]} if is_gone else None,
+            "removed": {"forwards": [FORWARD]} if is_removed else None,
             "extras": None,
         }
         self.configuration_version += 1
-        value, error = self.do(
-            self.up("core"), lambda node: node.find("ownership").submit("config", command, 8)
+        value, error = self.run_on_node(
+            self.pick_running("core"),
+            lambda node: node.find("ownership").submit("config", command, 8),
         )
         assert error is None, error
 
     def run(self, seconds):
-        """Let time pass."""
+        """Advance the simulation by some seconds."""
         self.env.run(until=self.env.now + seconds)
 
-    def up(self, role):
-        """Return a node of a role that is up."""
+    def pick_running(self, role):
+        """Return a random running node of a role."""
         return self.sim.chance.choice(self.sim.up_nodes(role))
 
-    def begin(self, node, make):
+    def start_on_node(self, node, make):
         """Start a coroutine on a node; return its process."""
         return self.env.process(self.sim.run_script(node, make(node)))
 
-    def do(self, node, make, seconds=20):
-        """Run a coroutine on a node; return (its value, None) or (None, its error)."""
-        process = self.begin(node, make)
+    def run_on_node(self, node, make, seconds=20):
+        """Run a coroutine on a node to its end; return (its value, None) or (None, its error)."""
+        process = self.start_on_node(node, make)
         self.env.run(until=process | self.env.timeout(seconds))
         assert process.triggered, "the coroutine did not end in time"
         return process.value
 
     def items(self, name, count, tokens=10, body=b"body"):
-        """Return the items of a lot."""
+        """Return `count` items for a lot, each with the same body and cost in tokens."""
         return [
             [f"{name}-{n}", f"/bulk/{n}?q=1", [["Model", "m"]], body, tokens] for n in range(count)
         ]
 
     def submit(self, name, count, node=None, tokens=10):
-        """Hand a lot in at an edge; return (answer, error)."""
+        """Submit a lot through an edge; return (answer, error)."""
         items = self.items(name, count, tokens)
-        return self.do(
-            node or self.up("edge"),
+        return self.run_on_node(
+            node or self.pick_running("edge"),
             lambda node: api.submit_lot(node, FORWARD, name, items),
         )
 
     def read(self, name, start=0, hold=0.0, node=None):
-        """Read results at an edge; return (answer, error)."""
-        return self.do(
-            node or self.up("edge"),
+        """Read results through an edge, waiting up to `hold` seconds; return (answer, error)."""
+        return self.run_on_node(
+            node or self.pick_running("edge"),
             lambda node: api.read_results(node, HOST, name, start, hold),
         )
 
     def read_all(self, name, seconds=30):
-        """Read until every item has a result; return the rows."""
+        """Read until every item has a result; return the results."""
         end_time, answer = self.env.now + seconds, None
         while self.env.now < end_time:
             answer, error = self.read(name)
@@ -155,16 +162,16 @@
         self.sim.start(name)
         self.run(2)
 
-    def former_version(self):
-        """Let edges hand lots in as the former version did: in their host's part."""
+    def submitting_as_previous_version(self):
+        """Return a patch: edges submit to the host's part, as the previous version did."""
         return mock.patch.object(api, "are_lots_spread", lambda node: False)
 
     def part(self, name="a"):
-        """Return the part in which a lot lives."""
+        """Return the part that stores a lot."""
         return part_of(lot_key(HOST, name), len(self.parts))
 
-    def home(self):
-        """Return the part that keeps the reservations of the forward."""
+    def home_part(self):
+        """Return the host's part, which stores the token reservations of the forward."""
         return part_of(bare_host(HOST), len(self.parts))
 
     def owner(self, name="a"):
@@ -173,10 +180,12 @@
 
     def owner_of(self, part):
         """Return the node that owns a part."""
-        return self.sim.nodes[self.up("edge").find("gossip").get(f"owner/{part}")["owner"]]
+        return self.sim.nodes[
+            self.pick_running("edge").find("gossip").get(f"owner/{part}")["owner"]
+        ]
 
     def state_of(self, part):
-        """Return a part's newest state that any running core or store has applied."""
+        """Return the newest state of a part that any running core or store has applied."""
         cores, stores = self.sim.up_nodes("core"), self.sim.up_nodes("store")
         owners = [core.find("ownership").leaders.get(part) for core in cores]
         records = [store.find("acceptors").parts.get(part) for store in stores]
@@ -184,12 +193,12 @@
         known += [(r.applied, r.state) for r in records if r is not None and r.state is not None]
         return max(known, key=lambda row: row[0])[1]
 
-    def waiting(self):
-        """Return the tokens that wait over all parts, and those that are reserved."""
+    def token_totals(self):
+        """Return (pending tokens in all parts, reserved tokens of the forward)."""
         lots = [lot for part in self.parts for lot in lot_records(self.state_of(part)).values()]
-        reserved = reserved_tokens(self.state_of(self.home()), FORWARD)
+        reserved = reserved_tokens(self.state_of(self.home_part()), FORWARD)
         return sum(lot["tokens"] for lot in lots), reserved
 
-    def counted(self, name):
-        """Return a counter summed over all nodes."""
+    def counter_total(self, name):
+        """Return the sum of a counter over all nodes."""
         return sum(node.counts.get(name, 0) for node in self.sim.nodes.values())
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -10,7 +10,7 @@
 from quillring.lots.http_requests.lot_placement import lot_key
 from quillring.quorum.parts import CONFIG
 from tests.fleet_stage import SelfFounded
-from tests.http_lot_stage import HOST, HttpLotStage, accepted, check_whole
+from tests.http_lot_stage import HOST, HttpLotStage, check_complete_results, submit_accepted
 
 MINUTE = 60
 READERS = {
@@ -53,7 +53,7 @@
         for node in stage.sim.nodes.values():
             is_edge = node.me.role == "edge"
             node.runtime.wall_offset = edge_offset if is_edge else core_offset
-        accepted(stage, "a", 4)
+        submit_accepted(stage, "a", 4)
         stage.run(0.5)
         left = open_lot(stage, "a").due_at - stage.owner().now()
         assert 7.0 < left <= 8.0
@@ -64,15 +64,15 @@
     chance = random.Random(seed)
     with HttpLotStage(70 + seed) as stage:
         step_clocks(stage, chance)
-        accepted(stage, "a", 8)
+        submit_accepted(stage, "a", 8)
         stage.run(chance.uniform(0, 0.4))
         step_clocks(stage, chance, 0.5)
         stage.sim.kill(stage.owner().me.name)
         stage.run(5)
-        accepted(stage, "b", 8)
+        submit_accepted(stage, "b", 8)
         step_clocks(stage, chance, 0.5)
-        check_whole(stage, stage.read_all("a"), "a", 8)
-        check_whole(stage, stage.read_all("b"), "b", 8)
+        check_complete_results(stage, stage.read_all("a"), "a", 8)
+        check_complete_results(stage, stage.read_all("b"), "b", 8)
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -80,7 +80,7 @@
     chance = random.Random(seed)
     with HttpLotStage(80 + seed, replicas=0, retain_ms=6000) as stage:
         step_clocks(stage, chance)
-        accepted(stage, "a", 3)
+        submit_accepted(stage, "a", 3)
         accepted_at = stage.env.now
         for _ in range(10):
             stage.run(0.5)
--- a/tests/test_election_progress.py
+++ b/tests/test_election_progress.py
@@ -8,7 +8,7 @@
 
 
 def parts_seen(stage, node):
-    answer, error = stage.do(node, lambda node: show_parts(node, None))
+    answer, error = stage.run_on_node(node, lambda node: show_parts(node, None))
     assert error is None, error
     return {row["part"]: row for row in answer["parts"]}
 
@@ -33,7 +33,7 @@
         assert row["takeover"]["phase"] == STATE and row["takeover"]["core"] == node.me.name
         stage.sim.net.link_bytes_per_second = LINK
         stage.run(10)
-        row = parts_seen(stage, stage.up("edge"))[part]
+        row = parts_seen(stage, stage.pick_running("edge"))[part]
         assert row["takeover"]["phase"] == OWNED and row["owner"] == row["takeover"]["core"]
         assert row["takeover"]["bytes_fetched"] > LINK and row["takeover"]["seconds"] > 1
 
--- a/tests/test_elections.py
+++ b/tests/test_elections.py
@@ -29,7 +29,9 @@
 def submit(stage, name, count):
     """Hand in a lot of large bodies; return (answer, error)."""
     items = stage.items(name, count, body=BODY)
-    return stage.do(stage.up("edge"), lambda node: api.submit_lot(node, FORWARD, name, items))
+    return stage.run_on_node(
+        stage.pick_running("edge"), lambda node: api.submit_lot(node, FORWARD, name, items)
+    )
 
 
 def lose_all_power(stage):
--- a/tests/test_event_bytes.py
+++ b/tests/test_event_bytes.py
@@ -5,7 +5,7 @@
 from proving.sim.scripted_runtime import BREAK, END
 from quillring.forward import EventReader
 from tests.forward_stage import HEAD, STREAM, address, both, make_stage, run, stream_bytes
-from tests.http_lot_stage import HttpLotStage, accepted
+from tests.http_lot_stage import HttpLotStage, submit_accepted
 
 EVENT_WITH_NEW_VERSION = b"weight-versions:7\nid: 1\ndata: p1\n\n"
 STREAMS = {
@@ -62,6 +62,6 @@
 
 def test_items_of_a_lot_are_sent_with_the_model_of_their_prompt():
     with HttpLotStage(330) as stage:
-        accepted(stage, "a", 2)
+        submit_accepted(stage, "a", 2)
         stage.read_all("a")
         assert all(row[4]["model"] == "m" for row in stage.arrivals)
--- a/tests/test_histories_found.py
+++ b/tests/test_histories_found.py
@@ -23,7 +23,9 @@
 def submit(stage, name, count):
     """Hand in a lot under one name; another count makes another lot."""
     items = stage.items("x", count)
-    return stage.do(stage.up("edge"), lambda node: api.submit_lot(node, FORWARD, name, items))
+    return stage.run_on_node(
+        stage.pick_running("edge"), lambda node: api.submit_lot(node, FORWARD, name, items)
+    )
 
 
 def test_a_lot_that_is_handed_in_again_is_acknowledged_after_another_of_its_name_was_refused():
@@ -47,7 +49,7 @@
         for turn in range(1, 13):
             items = stage.items("x", 3)
             edge, other = stage.sim.up_nodes("edge")[:2]
-            stage.begin(
+            stage.start_on_node(
                 edge,
                 lambda node, items=items, turn=turn: api.submit_lot(
                     node, FORWARD, f"a{turn}", items
@@ -55,7 +57,7 @@
             )
             stage.run(0.003 * turn)
             stage.sim.kill(edge.me.name)
-            _, error = stage.do(
+            _, error = stage.run_on_node(
                 other,
                 lambda node, turn=turn: api.submit_lot(
                     node, FORWARD, f"a{turn}", stage.items("x", 4)
@@ -76,9 +78,9 @@
 
 def peek_at_edge(stage, part, query):
     """Read a part from a majority of its stores, as an edge does without an owner."""
-    group = stage.up("edge").find("ownership").group(part)
-    known, error = stage.do(
-        stage.up("edge"), lambda node: read_from_majority(node, part, group, query)
+    group = stage.pick_running("edge").find("ownership").group(part)
+    known, error = stage.run_on_node(
+        stage.pick_running("edge"), lambda node: read_from_majority(node, part, group, query)
     )
     assert error is None and known is not None
     return value_of(known)
@@ -87,15 +89,17 @@
 def test_an_owner_shows_no_older_configuration_than_its_stores_told():
     """An entry that the stores have accepted is chosen, though its owner has no answer yet."""
     with HttpLotStage(9) as stage:
-        owner = stage.sim.nodes[stage.up("edge").find("gossip").get("owner/config")["owner"]]
+        owner = stage.sim.nodes[
+            stage.pick_running("edge").find("gossip").get("owner/config")["owner"]
+        ]
         former = peek_at_edge(stage, CONFIG, {"ask": "edition"})["edition"]
         cut_answers_to(stage, owner)
         command = {**EMPTY_CHANGE, "edition": former + 1, "base_edition": former}
-        stage.begin(owner, lambda node: node.find("ownership").submit(CONFIG, command, 2))
+        stage.start_on_node(owner, lambda node: node.find("ownership").submit(CONFIG, command, 2))
         stage.run(0.05)
         assert peek_at_edge(stage, CONFIG, {"ask": "edition"})["edition"] == former + 1
         stage.sim.net.heal()
-        known, error = stage.do(
+        known, error = stage.run_on_node(
             owner, lambda node: node.find("ownership").read(CONFIG, {"ask": "edition"}, 2)
         )
         assert error is None and known["edition"] == former + 1
@@ -108,14 +112,16 @@
             replica.is_silent = True
         assert stage.submit("a", 2)[1] is None
         stage.run(0.3)
-        edge = stage.up("edge")
+        edge = stage.pick_running("edge")
         place = place_of_lot(edge, HOST, "a")
         owner = stage.sim.nodes[edge.find("gossip").get(f"owner/{place.own}")["owner"]]
         query = {"ask": "raw.results", "lot": place.key, "from": 0, "limit": 1000}
         cut_answers_to(stage, owner)
         command = {"do": "raw.result", "lot": place.key, "n": 0, "state": "finished"}
         command.update(text=b"x", run="r")
-        stage.begin(owner, lambda node: node.find("ownership").submit(place.own, command, 2))
+        stage.start_on_node(
+            owner, lambda node: node.find("ownership").submit(place.own, command, 2)
+        )
         stage.run(0.05)
         assert len(peek_at_edge(stage, place.own, query)["results"]) == 1
         stage.sim.net.heal()
--- a/tests/test_http_lot_failures.py
+++ b/tests/test_http_lot_failures.py
@@ -5,26 +5,33 @@
 from quillring.kernel.errors import Fenced, NotSent, OutcomeUnknown, Refused
 from quillring.lots.http_requests import api
 from quillring.lots.http_requests.lot_table import QuotaExceeded, lot_records
-from tests.http_lot_stage import FORWARD, HOST, SERVICE, HttpLotStage, accepted, check_whole
+from tests.http_lot_stage import (
+    FORWARD,
+    HOST,
+    SERVICE,
+    HttpLotStage,
+    check_complete_results,
+    submit_accepted,
+)
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_the_owner_killed_right_after_the_accept_loses_nothing(seed):
     with HttpLotStage(10 + seed) as stage:
-        accepted(stage, "a", 12)
+        submit_accepted(stage, "a", 12)
         stage.sim.kill(stage.owner().me.name)
         stage.run(0.9)
         for node in stage.sim.up_nodes("edge"):
             answer, error = stage.read("a", node=node)
             assert isinstance(error, Refused) or (error is None and answer["items"] == 12)
-        check_whole(stage, stage.read_all("a"), "a", 12)
+        check_complete_results(stage, stage.read_all("a"), "a", 12)
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_positions_stand_and_runs_go_on_while_the_owner_is_killed(seed):
     with HttpLotStage(20 + seed, slots=16) as stage:
         stage.counts = {f"a-{n}": 60 if n > 4 else 6 for n in range(40)}
-        accepted(stage, "a", 40)
+        submit_accepted(stage, "a", 40)
         stage.run(0.5 + seed * 0.4)
         owner = stage.owner()
         own_items = {f"a-{run.number}" for run in owner.find("raw_worker").runs.values()}
@@ -41,16 +48,16 @@
             if len(seen) == 40:
                 break
             stage.run(0.1)
-        check_whole(stage, seen, "a", 40)
+        check_complete_results(stage, seen, "a", 40)
         runs = Counter(item_id for _, item_id, _, _, _ in stage.arrivals)
         assert {item_id for item_id, count in runs.items() if count > 1} <= own_items
-        assert stage.counted("raw_runs_taken_over") > 0
+        assert stage.counter_total("raw_runs_taken_over") > 0
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_the_owner_killed_between_a_commit_and_its_answer_lists_nothing_twice(seed):
     with HttpLotStage(30 + seed) as stage:
-        accepted(stage, "a", 16)
+        submit_accepted(stage, "a", 16)
         owner = stage.owner()
         part = stage.part()
         while not any(
@@ -59,13 +66,13 @@
         ):
             stage.env.step()
         stage.sim.kill(owner.me.name)
-        check_whole(stage, stage.read_all("a"), "a", 16)
+        check_complete_results(stage, stage.read_all("a"), "a", 16)
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_items_of_a_killed_worker_run_again_elsewhere(seed):
     with HttpLotStage(40 + seed) as stage:
-        accepted(stage, "a", 20)
+        submit_accepted(stage, "a", 20)
         stage.run(0.15)
         owner = stage.owner()
         worker = next(
@@ -75,7 +82,7 @@
         )
         stage.sim.kill(worker.me.name)
         start_time = stage.env.now
-        check_whole(stage, stage.read_all("a"), "a", 20)
+        check_complete_results(stage, stage.read_all("a"), "a", 20)
         assert stage.env.now - start_time < 5
 
 
@@ -83,12 +90,14 @@
 def test_a_lot_ended_while_its_owner_is_frozen_sends_nothing_three_seconds_later(seed):
     with HttpLotStage(60 + seed, slots=2) as stage:
         stage.counts = {f"a-{n}": 20 for n in range(40)}
-        accepted(stage, "a", 40)
+        submit_accepted(stage, "a", 40)
         stage.run(0.5)
         stage.sim.freeze(stage.owner().me.name, 9)
         end_time = None
         for _ in range(30):
-            _, error = stage.do(stage.up("edge"), lambda node: api.end_lot(node, HOST, "a"))
+            _, error = stage.run_on_node(
+                stage.pick_running("edge"), lambda node: api.end_lot(node, HOST, "a")
+            )
             if error is None:
                 end_time = stage.env.now
                 break
@@ -102,7 +111,7 @@
     with HttpLotStage(62) as stage:
         for replica in stage.replicas.values():
             replica.is_silent = True
-        accepted(stage, "a", 1)
+        submit_accepted(stage, "a", 1)
         stage.run(0.3)
         owner, part = stage.owner(), stage.part()
         worker = next(node for node in stage.sim.up_nodes("core") if node is not owner)
@@ -124,7 +133,7 @@
 
         def ask(**changes):
             call = worker.me.name, "raw.run", {**body, **changes}
-            return stage.do(owner, lambda node: node.call(*call))
+            return stage.run_on_node(owner, lambda node: node.call(*call))
 
         assert isinstance(ask(service="words")[1], Refused)
         assert isinstance(ask(forward="none")[1], Refused)
@@ -139,8 +148,8 @@
         for replica in stage.replicas.values():
             replica.is_silent = True
         processes = [
-            stage.begin(
-                stage.up("edge"),
+            stage.start_on_node(
+                stage.pick_running("edge"),
                 lambda node, name=f"l{n}": api.submit_lot(
                     node, FORWARD, name, stage.items(name, 5, 30)
                 ),
@@ -158,12 +167,12 @@
     with HttpLotStage(57, retain_ms=4000) as stage:
         for replica in stage.replicas.values():
             replica.is_silent = True
-        accepted(stage, "a", 3)
+        submit_accepted(stage, "a", 3)
         start_time = stage.env.now
         rows = stage.read_all("a")
         assert {row[1] for row in rows} == {"errored"} and stage.env.now - start_time > 4
-        accepted(stage, "b", 3)
-        stage.configure(is_gone=True)
+        submit_accepted(stage, "b", 3)
+        stage.configure(is_removed=True)
         start_time = stage.env.now
         rows = stage.read_all("b")
         assert {row[1] for row in rows} == {"errored"} and stage.env.now - start_time < 4
@@ -171,7 +180,7 @@
 
 def test_no_item_goes_to_a_service_that_the_configuration_no_longer_names():
     with HttpLotStage(58, slots=2) as stage:
-        accepted(stage, "a", 30)
+        submit_accepted(stage, "a", 30)
         stage.run(0.4)
         stage.configure(split=[["words", 1]])
         changed_at = stage.env.now
@@ -189,8 +198,8 @@
         assert stage.env.now - start_time < 1.9
         assert isinstance(error, OutcomeUnknown) and error.status == 502
         stage.run(1.5)
-        accepted(stage, "a", 4)
-        check_whole(stage, stage.read_all("a"), "a", 4)
+        submit_accepted(stage, "a", 4)
+        check_complete_results(stage, stage.read_all("a"), "a", 4)
 
 
 def test_an_item_that_failed_everywhere_alive_does_not_wait_for_a_replica_that_died():
@@ -206,5 +215,5 @@
 
         for replica in stage.replicas.values():
             replica.way = way
-        accepted(stage, "a", 10)
-        check_whole(stage, stage.read_all("a", 12), "a", 10)
+        submit_accepted(stage, "a", 10)
+        check_complete_results(stage, stage.read_all("a", 12), "a", 10)
--- a/tests/test_http_lot_large_results.py
+++ b/tests/test_http_lot_large_results.py
@@ -1,6 +1,6 @@
 from quillring.lots.http_requests.lot_placement import lot_key
 from quillring.lots.http_requests.lot_table import lot_records, with_lot
-from tests.http_lot_stage import HOST, HttpLotStage, accepted
+from tests.http_lot_stage import HOST, HttpLotStage, submit_accepted
 
 LINK_BYTES = 15e6 / 8
 
@@ -10,19 +10,19 @@
     net, free_at = stage.sim.net, [0.0]
     carry = net.carry
 
-    def carry_slowly(home, target, data, kind):
+    def carry_slowly(source, target, data, kind):
         if tuple(target) != node.me.address or kind != "frame":
-            return carry(home, target, data, kind)
+            return carry(source, target, data, kind)
         free_at[0] = max(free_at[0], stage.env.now) + len(data) / LINK_BYTES
         event = stage.env.timeout(free_at[0] - stage.env.now)
-        event.callbacks.append(lambda _: carry(home, target, data, kind))
+        event.callbacks.append(lambda _: carry(source, target, data, kind))
 
     net.carry = carry_slowly
 
 
 def test_a_lot_of_much_text_is_read_whole_over_a_narrow_link():
     with HttpLotStage(9) as stage:
-        accepted(stage, "a", 40)
+        submit_accepted(stage, "a", 40)
         stage.read_all("a")
         node = stage.sim.up_nodes("edge")[0]
         part, key = stage.part(), lot_key(HOST, "a")
--- a/tests/test_http_lot_placement.py
+++ b/tests/test_http_lot_placement.py
@@ -9,22 +9,28 @@
 from quillring.lots.http_requests.lot_placement import SPREAD_LEVEL, LotPlacement, lot_key
 from quillring.lots.http_requests.lot_table import HeldTooMuch, QuotaExceeded, lot_records
 from quillring.quorum.parts import part_of
-from tests.http_lot_stage import FORWARD, HOST, HttpLotStage, accepted, check_whole
+from tests.http_lot_stage import (
+    FORWARD,
+    HOST,
+    HttpLotStage,
+    check_complete_results,
+    submit_accepted,
+)
 
 
 def accept_as_before(stage, name, count, tokens=10):
     """Commit a lot in its host's part, with the command of the former version."""
-    with stage.former_version():
+    with stage.submitting_as_previous_version():
         answer, error = stage.submit(name, count, tokens=tokens)
     assert error is None, error
-    assert lot_key(HOST, name) in lot_records(stage.state_of(stage.home()))
+    assert lot_key(HOST, name) in lot_records(stage.state_of(stage.home_part()))
     return answer
 
 
 def name_outside_home(stage, prefix="old"):
     """Return the name of a lot that lives in another part than its host's."""
     names = (f"{prefix}{number}" for number in range(50))
-    return next(name for name in names if stage.part(name) != stage.home())
+    return next(name for name in names if stage.part(name) != stage.home_part())
 
 
 def test_the_lots_of_one_host_spread_evenly_over_any_number_of_parts():
@@ -38,10 +44,10 @@
     with HttpLotStage(101, slots=32) as stage:
         names = [f"l{number}" for number in range(16)]
         for name in names:
-            accepted(stage, name, 2)
+            submit_accepted(stage, name, 2)
         for name in names:
-            check_whole(stage, stage.read_all(name), name, 2)
-        parts = [p for p in stage.up("edge").find("ownership").parts() if p != "config"]
+            check_complete_results(stage, stage.read_all(name), name, 2)
+        parts = [p for p in stage.pick_running("edge").find("ownership").parts() if p != "config"]
         held = [set(lot_records(stage.state_of(part))) for part in parts]
         assert sorted(key for keys in held for key in keys) == sorted(
             lot_key(HOST, name) for name in names
@@ -51,14 +57,14 @@
 
 def test_owners_of_several_parts_share_the_slots_that_lots_may_take():
     with HttpLotStage(102, slots=8) as stage:
-        home, own = stage.home(), name_outside_home(stage)
-        other = next(f"m{n}" for n in range(50) if stage.part(f"m{n}") == home)
-        accepted(stage, own, 60)
-        accepted(stage, other, 60)
+        home_part, own = stage.home_part(), name_outside_home(stage)
+        other = next(f"m{n}" for n in range(50) if stage.part(f"m{n}") == home_part)
+        submit_accepted(stage, own, 60)
+        submit_accepted(stage, other, 60)
         stage.run(2.5)
         assert {replica.most_active for replica in stage.replicas.values()} == {6}
         for name in (own, other):
-            check_whole(stage, stage.read_all(name), name, 60)
+            check_complete_results(stage, stage.read_all(name), name, 60)
 
 
 @pytest.mark.parametrize("most_tokens", [0, 500])
@@ -66,14 +72,15 @@
     with HttpLotStage(103, slots=2, most_tokens=most_tokens) as stage:
         name = name_outside_home(stage)
         accept_as_before(stage, name, 12)
-        answer, error = stage.do(
-            stage.up("edge"), lambda node: api.read_item_body(node, HOST, name, f"{name}-11")
+        answer, error = stage.run_on_node(
+            stage.pick_running("edge"),
+            lambda node: api.read_item_body(node, HOST, name, f"{name}-11"),
         )
         assert (answer, error) == (b"body", None)
-        assert accepted(stage, name, 12)["repeated"]
+        assert submit_accepted(stage, name, 12)["repeated"]
         rows = stage.read_all(name)
-        check_whole(stage, rows, name, 12)
-        assert accepted(stage, name, 12)["repeated"]
+        check_complete_results(stage, rows, name, 12)
+        assert submit_accepted(stage, name, 12)["repeated"]
         assert Counter(stage.whole_runs).most_common(1)[0][1] == 1
         assert lot_key(HOST, name) not in lot_records(stage.state_of(stage.part(name)))
 
@@ -83,12 +90,12 @@
         name = name_outside_home(stage)
         accept_as_before(stage, name, 30)
         ask = lambda node: api.end_lot(node, HOST, name)  # noqa: E731
-        assert stage.do(stage.up("edge"), ask)[1] is None
+        assert stage.run_on_node(stage.pick_running("edge"), ask)[1] is None
         ended_at = stage.env.now
         stage.run(3)
         assert all(arrival[0] < ended_at + 0.1 for arrival in stage.arrivals)
         ask = lambda node: api.end_lot(node, HOST, "none")  # noqa: E731
-        assert isinstance(stage.do(stage.up("edge"), ask)[1], NotFound)
+        assert isinstance(stage.run_on_node(stage.pick_running("edge"), ask)[1], NotFound)
 
 
 def test_lots_of_the_former_version_count_against_the_quota_until_they_are_done():
@@ -98,28 +105,28 @@
         name = name_outside_home(stage)
         accept_as_before(stage, name, 20)
         assert isinstance(stage.submit("b", 11)[1], QuotaExceeded)
-        accepted(stage, "c", 10)
+        submit_accepted(stage, "c", 10)
         for replica in stage.replicas.values():
             replica.is_silent = False
         stage.read_all(name)
         stage.run(1)
-        accepted(stage, "d", 20)
+        submit_accepted(stage, "d", 20)
 
 
 def test_a_command_of_the_former_version_is_not_taken_beside_a_ledger():
     with HttpLotStage(106, slots=2, most_tokens=300) as stage:
         for replica in stage.replicas.values():
             replica.is_silent = True
-        accepted(stage, "a", 20)
-        with stage.former_version():
+        submit_accepted(stage, "a", 20)
+        with stage.submitting_as_previous_version():
             assert isinstance(stage.submit("b", 20)[1], QuotaExceeded)
-            accepted(stage, "c", 10)
+            submit_accepted(stage, "c", 10)
         assert lot_key(HOST, "c") in lot_records(stage.state_of(stage.part("c")))
 
 
 def test_places_are_the_same_whatever_the_case_and_port_of_the_host():
     with HttpLotStage(107) as stage:
-        node = stage.up("edge")
+        node = stage.pick_running("edge")
         assert lot_placement.place_of_lot(node, "LOTS.example:80", "a") == (
             lot_placement.place_of_lot(node, HOST, "a")
         )
@@ -129,7 +136,9 @@
 
 def keys_at_home(stage, names):
     """Return those of the lots that lie in their host's part."""
-    return {lot_key(HOST, name) for name in names} & set(lot_records(stage.state_of(stage.home())))
+    return {lot_key(HOST, name) for name in names} & set(
+        lot_records(stage.state_of(stage.home_part()))
+    )
 
 
 def test_lots_stay_in_the_hosts_part_until_the_last_member_is_upgraded():
@@ -138,22 +147,22 @@
         *others, last = list(stage.sim.nodes)
         names = [f"l{number}" for number in range(8)]
         for name in names[:4]:
-            accepted(stage, name, 2)
+            submit_accepted(stage, name, 2)
         for node_name in others:
             stage.upgrade(node_name)
         for name in names[4:]:
-            accepted(stage, name, 2)
+            submit_accepted(stage, name, 2)
         assert len(keys_at_home(stage, names)) == 8
         stage.upgrade(last)
         later = [f"m{number}" for number in range(8)]
         for name in later:
-            accepted(stage, name, 2)
-        at_home = {lot_key(HOST, name) for name in later if stage.part(name) == stage.home()}
+            submit_accepted(stage, name, 2)
+        at_home = {lot_key(HOST, name) for name in later if stage.part(name) == stage.home_part()}
         assert keys_at_home(stage, later) == at_home and 0 < len(at_home) < 8
         for name in names + later:
-            check_whole(stage, stage.read_all(name), name, 2)
+            check_complete_results(stage, stage.read_all(name), name, 2)
         stage.run(1)
-        assert stage.waiting() == (0, 0)
+        assert stage.token_totals() == (0, 0)
 
 
 def test_all_parts_together_hold_no_more_than_the_bound(monkeypatch):
--- a/tests/test_http_lot_restarts.py
+++ b/tests/test_http_lot_restarts.py
@@ -2,12 +2,12 @@
 
 from quillring.lots.http_requests import api
 from quillring.lots.http_requests.lot_table import QuotaExceeded
-from tests.http_lot_stage import HttpLotStage, accepted, check_whole
+from tests.http_lot_stage import HttpLotStage, check_complete_results, submit_accepted
 
 
 def test_all_nodes_restarted_from_disk_keep_results_and_finish_the_rest():
     with HttpLotStage(80, slots=2) as stage:
-        accepted(stage, "a", 30)
+        submit_accepted(stage, "a", 30)
         stage.run(1.2)
         before, _ = stage.read("a")
         assert 0 < before["next"] < 30
@@ -20,13 +20,13 @@
         stage.run(6)
         rows = stage.read_all("a")
         assert rows[: before["next"]] == before["results"]
-        check_whole(stage, rows, "a", 30)
+        check_complete_results(stage, rows, "a", 30)
 
 
 def test_without_the_durable_refusal_a_late_accept_would_run_what_was_refused():
     command = {"try": "t"}
     with HttpLotStage(90, most_tokens=50) as stage:
-        accepted(stage, "a", 5)
+        submit_accepted(stage, "a", 5)
         sent = []
         real = api.submit_until_sure
 
@@ -39,8 +39,8 @@
         assert isinstance(error, QuotaExceeded) and command
         stage.read_all("a")
         part, command = sent[0]
-        answer, _ = stage.do(
-            stage.up("edge"), lambda node: node.find("ownership").submit(part, command)
+        answer, _ = stage.run_on_node(
+            stage.pick_running("edge"), lambda node: node.find("ownership").submit(part, command)
         )
         assert answer == {"refused": "quota"}
         assert not any(arrival[1].startswith("b-") for arrival in stage.arrivals)
--- a/tests/test_http_lot_scheduler.py
+++ b/tests/test_http_lot_scheduler.py
@@ -4,16 +4,16 @@
 
 from quillring.kernel.errors import NotFound, Refused
 from quillring.lots.http_requests import api
-from tests.http_lot_stage import HOST, HttpLotStage, accepted, check_whole
+from tests.http_lot_stage import HOST, HttpLotStage, check_complete_results, submit_accepted
 
 
 def test_a_lot_is_run_and_read_in_one_order_from_every_node():
     with HttpLotStage(1) as stage:
         start_time = stage.env.now
-        accepted(stage, "a", 20)
+        submit_accepted(stage, "a", 20)
         assert stage.env.now - start_time < 0.4
         rows = stage.read_all("a")
-        check_whole(stage, rows, "a", 20)
+        check_complete_results(stage, rows, "a", 20)
         for node in stage.sim.up_nodes("edge"):
             answer, error = stage.read("a", node=node)
             assert error is None and answer["results"] == rows
@@ -26,24 +26,24 @@
 
 def test_a_lot_sent_again_at_other_nodes_is_taken_once():
     with HttpLotStage(2) as stage:
-        answers = [accepted(stage, "a", 6, node=node) for node in stage.sim.up_nodes("edge")]
+        answers = [submit_accepted(stage, "a", 6, node=node) for node in stage.sim.up_nodes("edge")]
         assert [answer.get("repeated", False) for answer in answers] == [False, True, True, True]
-        check_whole(stage, stage.read_all("a"), "a", 6)
-        assert accepted(stage, "a", 6)["repeated"]
+        check_complete_results(stage, stage.read_all("a"), "a", 6)
+        assert submit_accepted(stage, "a", 6)["repeated"]
         assert len(stage.whole_runs) == 6
 
 
 def test_a_held_read_ends_with_the_next_result_and_an_unknown_lot_is_not_found_at_once():
     with HttpLotStage(3) as stage:
-        accepted(stage, "a", 1)
+        submit_accepted(stage, "a", 1)
         start_time = stage.env.now
         answer, _ = stage.read("a", hold=0.8)
         assert answer["next"] == 1 and 0.2 < stage.env.now - start_time < 0.5
         start_time = stage.env.now
         _, error = stage.read("nothing", hold=0.8)
         assert isinstance(error, NotFound) and stage.env.now - start_time < 0.1
-        _, error = stage.do(
-            stage.up("edge"), lambda node: api.read_results(node, "other.example", "a", 0)
+        _, error = stage.run_on_node(
+            stage.pick_running("edge"), lambda node: api.read_results(node, "other.example", "a", 0)
         )
         assert isinstance(error, (NotFound, Refused))
 
@@ -52,13 +52,13 @@
     with HttpLotStage(4) as stage:
         for replica in stage.replicas.values():
             replica.is_silent = True
-        accepted(stage, "a", 2)
+        submit_accepted(stage, "a", 2)
         ask = lambda node: api.read_item_body(node, HOST, "a", "a-1")  # noqa: E731
-        assert stage.do(stage.up("edge"), ask) == (b"body", None)
+        assert stage.run_on_node(stage.pick_running("edge"), ask) == (b"body", None)
         for replica in stage.replicas.values():
             replica.is_silent = False
         stage.read_all("a")
-        assert isinstance(stage.do(stage.up("edge"), ask)[1], NotFound)
+        assert isinstance(stage.run_on_node(stage.pick_running("edge"), ask)[1], NotFound)
 
 
 def test_a_run_that_breaks_off_goes_on_elsewhere_where_it_stopped():
@@ -73,8 +73,8 @@
 
         for replica in stage.replicas.values():
             replica.way = way
-        accepted(stage, "a", 10)
-        check_whole(stage, stage.read_all("a"), "a", 10)
+        submit_accepted(stage, "a", 10)
+        check_complete_results(stage, stage.read_all("a"), "a", 10)
         lasts = Counter(last for _, _, _, last, _ in stage.arrivals)
         assert lasts == {None: 10, 2: 10}
 
@@ -95,8 +95,8 @@
 
         for replica in stage.replicas.values():
             replica.way = way
-        accepted(stage, "a", 8)
-        check_whole(stage, stage.read_all("a"), "a", 8)
+        submit_accepted(stage, "a", 8)
+        check_complete_results(stage, stage.read_all("a"), "a", 8)
         assert len(strange_ones) == 8
 
 
@@ -105,7 +105,7 @@
         ways = {"a-0": 422, "a-1": 500}
         for replica in stage.replicas.values():
             replica.way = lambda replica, item_id, last: ways.get(item_id)
-        accepted(stage, "a", 4)
+        submit_accepted(stage, "a", 4)
         rows = {row[0]: (row[1], row[2]) for row in stage.read_all("a")}
         assert rows["a-0"] == rows["a-1"] == ("errored", b"")
         assert rows["a-2"][0] == rows["a-3"][0] == "finished"
@@ -116,20 +116,20 @@
 def test_full_replicas_cost_no_attempt_and_the_items_go_elsewhere():
     with HttpLotStage(53) as stage:
         stage.replicas["i-0"].way = stage.replicas["i-1"].way = lambda *words: "full"
-        accepted(stage, "a", 12)
-        check_whole(stage, stage.read_all("a"), "a", 12)
+        submit_accepted(stage, "a", 12)
+        check_complete_results(stage, stage.read_all("a"), "a", 12)
         assert {name for _, _, name, _, _ in stage.arrivals} == {"i-2"}
 
 
 def test_lots_take_three_quarters_of_the_slots_and_more_near_the_end():
     with HttpLotStage(59, slots=8) as stage:
-        accepted(stage, "a", 40)
+        submit_accepted(stage, "a", 40)
         stage.run(0.9)
         assert {replica.most_active for replica in stage.replicas.values()} == {6}
-        check_whole(stage, stage.read_all("a"), "a", 40)
-        assert stage.counted("raw_runs_lost") == 0
+        check_complete_results(stage, stage.read_all("a"), "a", 40)
+        assert stage.counter_total("raw_runs_lost") == 0
     with HttpLotStage(59, slots=8, due_ms=1500) as stage:
-        accepted(stage, "a", 40)
+        submit_accepted(stage, "a", 40)
         stage.run(0.9)
         assert {replica.most_active for replica in stage.replicas.values()} == {7}
 
@@ -139,12 +139,12 @@
         for replica in stage.replicas.values():
             replica.cold_until = stage.env.now + 6
         stage.run(1)
-        accepted(stage, "a", 60)
+        submit_accepted(stage, "a", 60)
         stage.run(4)
         for replica in stage.replicas:
             times = [at for at, _, name, _, _ in stage.arrivals if name == replica]
             assert all(sum(at <= t < at + 1 for t in times) <= 10 for at in times)
-        check_whole(stage, stage.read_all("a"), "a", 60)
+        check_complete_results(stage, stage.read_all("a"), "a", 60)
 
 
 def test_no_run_that_is_done_is_told_to_stop():
@@ -156,28 +156,30 @@
                 told.append(body),
                 worker.on_stop(body, origin),
             )[1]
-        accepted(stage, "a", 60)
-        check_whole(stage, stage.read_all("a"), "a", 60)
+        submit_accepted(stage, "a", 60)
+        check_complete_results(stage, stage.read_all("a"), "a", 60)
         assert told == []
 
 
 def test_a_silent_replica_and_one_that_is_gone_are_left():
     with HttpLotStage(54) as stage:
         stage.replicas["i-0"].is_silent = True
-        accepted(stage, "a", 12)
+        submit_accepted(stage, "a", 12)
         stage.run(0.2)
         stage.replicas["i-1"].leave()
         start_time = stage.env.now
-        check_whole(stage, stage.read_all("a"), "a", 12)
+        check_complete_results(stage, stage.read_all("a"), "a", 12)
         assert stage.env.now - start_time < 8
 
 
 def test_an_ended_lot_stops_at_once_and_sends_nothing_later():
     with HttpLotStage(55, slots=2) as stage:
         stage.counts = {f"a-{n}": 60 for n in range(30)}
-        accepted(stage, "a", 30)
+        submit_accepted(stage, "a", 30)
         stage.run(0.5)
-        _, error = stage.do(stage.up("edge"), lambda node: api.end_lot(node, HOST, "a"))
+        _, error = stage.run_on_node(
+            stage.pick_running("edge"), lambda node: api.end_lot(node, HOST, "a")
+        )
         assert error is None
         end_time = stage.env.now
         stage.run(0.3)
@@ -186,6 +188,13 @@
         assert all(arrival[0] < end_time + 0.1 for arrival in stage.arrivals)
         answer, _ = stage.read("a")
         assert answer["items"] == 30
-        assert stage.do(stage.up("edge"), lambda node: api.end_lot(node, HOST, "a"))[1] is None
-        _, error = stage.do(stage.up("edge"), lambda node: api.end_lot(node, HOST, "b"))
+        assert (
+            stage.run_on_node(
+                stage.pick_running("edge"), lambda node: api.end_lot(node, HOST, "a")
+            )[1]
+            is None
+        )
+        _, error = stage.run_on_node(
+            stage.pick_running("edge"), lambda node: api.end_lot(node, HOST, "b")
+        )
         assert isinstance(error, NotFound)
--- a/tests/test_killed_process.py
+++ b/tests/test_killed_process.py
@@ -5,7 +5,7 @@
 from quillring.kernel.errors import QuillringError
 from quillring.lots.http_requests import api
 from quillring.quorum.leader.membership_repair import MembershipRepair
-from tests.http_lot_stage import FORWARD, HttpLotStage, accepted, check_whole
+from tests.http_lot_stage import FORWARD, HttpLotStage, check_complete_results, submit_accepted
 
 AIM = 0.4
 
@@ -16,8 +16,8 @@
     for number in range(count):
         name, began = f"k{number}", stage.env.now
         row = [name, None, None]
-        process = stage.begin(
-            stage.up("edge"),
+        process = stage.start_on_node(
+            stage.pick_running("edge"),
             lambda node, name=name: api.submit_lot(node, FORWARD, name, stage.items(name, 3)),
         )
 
@@ -39,7 +39,7 @@
         assert [row for row in rows if row[2] is not None] == []
         assert sum(not row[1] for row in rows) <= 2
         for name, _, _ in rows:
-            check_whole(stage, stage.read_all(name), name, 3)
+            check_complete_results(stage, stage.read_all(name), name, 3)
 
 
 @pytest.mark.parametrize("seed", range(2))
@@ -48,33 +48,33 @@
         victim = stage.owner_of(stage.parts[seed % 2]).me.name
         stage.sim.kill(victim, loses_power=True)
         stage.run(1)
-        assert stage.up("edge").find("nifty").reaches(victim)
+        assert stage.pick_running("edge").find("nifty").reaches(victim)
         stage.run(2)
         assert stage.owner_of(stage.parts[seed % 2]).me.name != victim
-        assert stage.counted("refused_links") == 0
-        accepted(stage, "a", 4)
+        assert stage.counter_total("refused_links") == 0
+        submit_accepted(stage, "a", 4)
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_evidence_that_is_wrong_harms_nothing(seed):
     with HttpLotStage(520 + seed, most_tokens=300) as stage:
-        name = next(f"n{n}" for n in range(50) if stage.part(f"n{n}") != stage.home())
-        accepted(stage, name, 20)
+        name = next(f"n{n}" for n in range(50) if stage.part(f"n{n}") != stage.home_part())
+        submit_accepted(stage, name, 20)
         live = stage.owner(name)
         for node in stage.sim.nodes.values():
             node.find("nifty").on_refused(live.me.address)
         most, errors = 0, []
         for number in range(12):
             errors.append(stage.submit(f"x{number}", 7)[1])
-            most = max(most, stage.waiting()[0])
+            most = max(most, stage.token_totals()[0])
         assert most <= 300
         assert all(error is None or isinstance(error, QuillringError) for error in errors)
         stage.run(2)
         assert all(node.find("nifty").reaches(live.me.name) for node in stage.sim.nodes.values())
-        check_whole(stage, stage.read_all(name), name, 20)
+        check_complete_results(stage, stage.read_all(name), name, 20)
         for number, error in enumerate(errors):
             if error is None:
-                check_whole(stage, stage.read_all(f"x{number}"), f"x{number}", 7)
+                check_complete_results(stage, stage.read_all(f"x{number}"), f"x{number}", 7)
 
 
 def test_a_process_that_starts_again_is_in_touch_at_its_first_beats():
@@ -85,12 +85,12 @@
         assert not any(core.find("nifty").reaches(victim) for core in stage.sim.up_nodes("core"))
         stage.sim.start(victim)
         stage.run(1.2)
-        assert stage.up("edge").find("nifty").reaches(victim)
+        assert stage.pick_running("edge").find("nifty").reaches(victim)
 
 
 def test_a_killed_store_counts_as_lost_for_repair_no_sooner_than_its_beats_are_missed():
     with HttpLotStage(531) as stage:
-        core, victim = stage.up("core"), stage.up("store").me.name
+        core, victim = stage.pick_running("core"), stage.pick_running("store").me.name
         repair = MembershipRepair(core)
         stage.sim.kill(victim)
         stage.run(0.5)
@@ -103,7 +103,7 @@
 
 def test_nobody_is_refused_through_a_cut():
     with HttpLotStage(532) as stage:
-        victim, edge = stage.owner_of(stage.parts[0]).me.name, stage.up("edge")
+        victim, edge = stage.owner_of(stage.parts[0]).me.name, stage.pick_running("edge")
         stage.sim.cut([victim], [edge.me.name])
         stage.sim.kill(victim)
         stage.run(0.1)
--- a/tests/test_late_starts.py
+++ b/tests/test_late_starts.py
@@ -7,7 +7,7 @@
 from quillring.lots.http_requests import api, scheduler
 from quillring.lots.http_requests.item_executor import ItemExecutor
 from quillring.lots.http_requests.scheduler import LotScheduler
-from tests.http_lot_stage import HOST, HttpLotStage, accepted
+from tests.http_lot_stage import HOST, HttpLotStage, submit_accepted
 
 REAL_DISPATCH = LotScheduler._dispatch
 
@@ -40,7 +40,7 @@
                 stage.sim.freeze(self.node.me.name, seconds)
 
         with mock.patch.object(LotScheduler, "_dispatch", freezing_dispatch):
-            accepted(stage, "a", 8)
+            submit_accepted(stage, "a", 8)
             while not frozen:
                 stage.run(0.01)
             frozen_at = stage.env.now
@@ -48,7 +48,7 @@
             while not is_ended and stage.env.now < frozen_at + 15:
                 node = next(n for n in stage.sim.up_nodes("edge"))
                 coroutine = api.end_lot(node, HOST, "a")
-                _, error = stage.do(node, lambda node, coroutine=coroutine: coroutine)
+                _, error = stage.run_on_node(node, lambda node, coroutine=coroutine: coroutine)
                 is_ended = error is None
             assert is_ended
             ended_at = stage.env.now
--- a/tests/test_lot_backlog.py
+++ b/tests/test_lot_backlog.py
@@ -16,7 +16,7 @@
 from quillring.lots.http_requests.concurrency_limits import rounding_offsets
 from quillring.nifty import Graph
 from tests.http_lot_replica import SERVICE
-from tests.http_lot_stage import FORWARD, HttpLotStage, accepted, check_whole
+from tests.http_lot_stage import FORWARD, HttpLotStage, check_complete_results, submit_accepted
 
 
 def names_in(stage, part, count, prefix):
@@ -29,8 +29,8 @@
     """Hand lots in at once, without waiting for the answers."""
     for name in names:
         items = stage.items(name, count)
-        stage.begin(
-            stage.up("edge"),
+        stage.start_on_node(
+            stage.pick_running("edge"),
             lambda node, name=name, items=items: api.submit_lot(node, FORWARD, name, items, 4),
         )
 
@@ -42,7 +42,7 @@
         answer, error = stage.read(name)
         assert error is None or isinstance(error, QuillringError)
         if error is None and answer["next"] == count:
-            check_whole(stage, answer["results"], name, count)
+            check_complete_results(stage, answer["results"], name, count)
             return stage.env.now - began
         stage.run(0.05)
 
@@ -53,12 +53,12 @@
         own, other = stage.parts[seed % 2], stage.parts[1 - seed % 2]
         (first,) = names_in(stage, own, 1, "a")
         later = names_in(stage, other, 12, "b")
-        accepted(stage, first, 60)
+        submit_accepted(stage, first, 60)
         submit_later(stage, later, 60)
         alone, among_all = 60 / 18 * 0.35, 780 / 18 * 0.35
         assert seconds_until_whole(stage, first, 60) < alone * 2 < among_all / 3
         for name in later:
-            check_whole(stage, stage.read_all(name, 60), name, 60)
+            check_complete_results(stage, stage.read_all(name, 60), name, 60)
 
 
 def due(*rows):
@@ -133,7 +133,7 @@
         cores, told = stage.sim.up_nodes("core"), []
         for core in cores:
             core.handle("raw.demand", lambda body, origin: told.append(body["parts"]))
-        accepted(stage, "a", 40)
+        submit_accepted(stage, "a", 40)
         stage.run(0.2)
         part = stage.part("a")
         assert any(0 < parts.get(part, {}).get(SERVICE, 0) <= 40 for parts in told)
--- a/tests/test_system_lots.py
+++ b/tests/test_system_lots.py
@@ -37,7 +37,7 @@
             node, forward, method, target, {"host": HOST.upper() + ":80", **named}, body
         )
 
-    return stage.do(stage.up("edge"), make)
+    return stage.run_on_node(stage.pick_running("edge"), make)
 
 
 def test_a_lot_goes_through_from_hand_in_to_end():
--- a/tests/test_token_quota.py
+++ b/tests/test_token_quota.py
@@ -9,7 +9,13 @@
 from quillring.lots.http_requests import api
 from quillring.lots.http_requests.lot_table import QuotaExceeded
 from quillring.lots.http_requests.token_reservations import reserved_lots
-from tests.http_lot_stage import FORWARD, HOST, HttpLotStage, accepted, check_whole
+from tests.http_lot_stage import (
+    FORWARD,
+    HOST,
+    HttpLotStage,
+    check_complete_results,
+    submit_accepted,
+)
 
 
 def silence(stage, is_silent=True):
@@ -18,12 +24,14 @@
 
 
 def name_outside_home(stage):
-    return next(f"n{n}" for n in range(50) if stage.part(f"n{n}") != stage.home())
+    return next(f"n{n}" for n in range(50) if stage.part(f"n{n}") != stage.home_part())
 
 
-def begin(stage, name, count, tokens=10):
+def start_submission(stage, name, count, tokens=10):
     items = stage.items(name, count, tokens)
-    return stage.begin(stage.up("edge"), lambda node: api.submit_lot(node, FORWARD, name, items))
+    return stage.start_on_node(
+        stage.pick_running("edge"), lambda node: api.submit_lot(node, FORWARD, name, items)
+    )
 
 
 def hold(seconds):
@@ -50,62 +58,64 @@
 def test_the_quota_is_exact_over_the_parts_and_all_of_it_is_used():
     with HttpLotStage(201, most_tokens=1000) as stage:
         silence(stage)
-        processes = [begin(stage, f"l{n}", 5, 30) for n in range(20)]
+        processes = [start_submission(stage, f"l{n}", 5, 30) for n in range(20)]
         stage.run(2)
         outcomes = [process.value[1] for process in processes]
         assert outcomes.count(None) == 6
-        assert stage.waiting() == (900, 900)
+        assert stage.token_totals() == (900, 900)
         assert len({stage.part(f"l{n}") for n in range(20) if outcomes[n] is None}) > 1
         silence(stage, False)
         for number, outcome in enumerate(outcomes):
             if outcome is None:
-                check_whole(stage, stage.read_all(f"l{number}"), f"l{number}", 5)
+                check_complete_results(stage, stage.read_all(f"l{number}"), f"l{number}", 5)
         stage.run(1)
-        assert stage.waiting() == (0, 0)
+        assert stage.token_totals() == (0, 0)
 
 
 def test_tokens_of_items_that_are_done_are_free_again_within_a_second():
     with HttpLotStage(202, most_tokens=300, slots=32) as stage:
-        accepted(stage, "a", 30)
+        submit_accepted(stage, "a", 30)
         assert isinstance(stage.submit("b", 1)[1], QuotaExceeded)
         stage.read_all("a")
         stage.run(0.6)
-        accepted(stage, "b", 30)
+        submit_accepted(stage, "b", 30)
 
 
 def test_a_lot_that_was_accepted_is_known_again_however_full_the_quota_is():
     with HttpLotStage(203, most_tokens=200, slots=32) as stage:
         name = name_outside_home(stage)
-        accepted(stage, name, 20)
-        check_whole(stage, stage.read_all(name), name, 20)
+        submit_accepted(stage, name, 20)
+        check_complete_results(stage, stage.read_all(name), name, 20)
         stage.run(1)
         silence(stage)
-        accepted(stage, "full", 20)
-        assert accepted(stage, name, 20)["repeated"]
+        submit_accepted(stage, "full", 20)
+        assert submit_accepted(stage, name, 20)["repeated"]
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_the_reservation_of_a_lot_that_never_arrives_is_taken_back(seed):
     with HttpLotStage(210 + seed, most_tokens=300) as stage:
-        name, edge = name_outside_home(stage), stage.up("edge")
+        name, edge = name_outside_home(stage), stage.pick_running("edge")
         sent, patch = commands_sent(is_accept_held=True)
         with patch:
             items = stage.items(name, 30)
-            process = stage.begin(edge, lambda node: api.submit_lot(node, FORWARD, name, items))
+            process = stage.start_on_node(
+                edge, lambda node: api.submit_lot(node, FORWARD, name, items)
+            )
             while not sent or sent[-1][1]["do"] != "raw.accept":
                 stage.env.step()
             stage.sim.kill(edge.me.name)
         stage.env.run(until=stage.env.now + 0.001)
         assert not process.triggered or process.value != ({"items": 30}, None)
-        assert stage.waiting() == (0, 300)
+        assert stage.token_totals() == (0, 300)
         stage.run(2)
-        assert stage.waiting() == (0, 0)
+        assert stage.token_totals() == (0, 0)
         part, command = sent[-1]
-        answer, _ = stage.do(
-            stage.up("edge"), lambda node: node.find("ownership").submit(part, command)
+        answer, _ = stage.run_on_node(
+            stage.pick_running("edge"), lambda node: node.find("ownership").submit(part, command)
         )
         assert answer == {"refused": "fenced"}
-        accepted(stage, "other", 30)
+        submit_accepted(stage, "other", 30)
         stage.run(1)
         assert not any(arrival[1].startswith(f"{name}-") for arrival in stage.arrivals)
 
@@ -118,37 +128,37 @@
         name = name_outside_home(stage)
         sent, patch = commands_sent()
         with patch:
-            process = begin(stage, name, 20)
+            process = start_submission(stage, name, 20)
             while not sent or sent[-1][1]["do"] != "raw.accept":
                 stage.env.step()
-            part = stage.home() if killed == "home" else stage.part(name)
+            part = stage.home_part() if killed == "home" else stage.part(name)
             stage.sim.kill(stage.owner_of(part).me.name)
             stage.env.run(until=process)
         error = process.value[1]
         assert error is None or isinstance(error, QuillringError)
         most = 0
         for number in range(30):
-            begin(stage, f"x{number}", 7)
+            start_submission(stage, f"x{number}", 7)
             stage.run(0.2)
-            most = max(most, stage.waiting()[0])
+            most = max(most, stage.token_totals()[0])
         assert 0 < most <= 300
         silence(stage, False)
         stage.run(10)
         if error is not None:
-            accepted(stage, name, 20)
-        check_whole(stage, stage.read_all(name), name, 20)
+            submit_accepted(stage, name, 20)
+        check_complete_results(stage, stage.read_all(name), name, 20)
         stage.run(8)
-        assert stage.waiting() == (0, 0)
+        assert stage.token_totals() == (0, 0)
 
 
 def test_an_accept_that_was_fenced_gets_a_new_ticket_and_is_taken():
     with HttpLotStage(230, most_tokens=300) as stage:
-        name, home = name_outside_home(stage), stage.home()
+        name, home_part = name_outside_home(stage), stage.home_part()
         real, fenced = api.submit_until_sure, []
 
         def submit(node, part, command, seconds):
             if command["do"] == "raw.accept" and not fenced:
-                fence = {"do": "raw.fence", "lot": "", "ledger": home, "lots": []}
+                fence = {"do": "raw.fence", "lot": "", "ledger": home_part, "lots": []}
                 fenced.append(
                     (yield from real(node, part, {**fence, "ticket": command["ticket"]}, seconds))
                 )
@@ -157,17 +167,17 @@
         with mock.patch.object(api, "submit_until_sure", submit):
             answer, error = stage.submit(name, 20)
         assert (answer, error, fenced) == ({"items": 20}, None, [{"left": {}}])
-        assert stage.counted("raw_accepts_fenced") == 1
-        assert reserved_lots(stage.state_of(home))[f"{name}@{HOST.lower()}"]["ticket"] == 2
-        check_whole(stage, stage.read_all(name), name, 20)
+        assert stage.counter_total("raw_accepts_fenced") == 1
+        assert reserved_lots(stage.state_of(home_part))[f"{name}@{HOST.lower()}"]["ticket"] == 2
+        check_complete_results(stage, stage.read_all(name), name, 20)
         stage.run(1)
-        assert stage.waiting() == (0, 0)
+        assert stage.token_totals() == (0, 0)
 
 
 def test_without_the_ledgers_owner_nothing_is_taken_and_that_is_said():
     with HttpLotStage(231, most_tokens=300) as stage:
-        stage.sim.freeze(stage.owner_of(stage.home()).me.name, 20)
+        stage.sim.freeze(stage.owner_of(stage.home_part()).me.name, 20)
         _, error = stage.submit(name_outside_home(stage), 4)
         assert isinstance(error, Refused) and error.status == 503
         stage.run(4)
-        assert stage.waiting()[0] == 0 and not stage.arrivals
+        assert stage.token_totals()[0] == 0 and not stage.arrivals
--- a/tests/test_token_reservation_order.py
+++ b/tests/test_token_reservation_order.py
@@ -11,7 +11,14 @@
 )
 from quillring.quorum.commands import apply_batch, first_state
 from tests.test_http_lot_state_machine import result
-from tests.test_token_reservations import HOME, MOST, accept_under, fence, release, reserve
+from tests.test_token_reservations import (
+    HOME,
+    QUOTA_TOKENS,
+    accept_with_ticket,
+    fence,
+    release,
+    reserve,
+)
 
 LOTS = {"a": "part-0", "b": "part-1", "c": "part-1", "d": "part-2"}
 
@@ -47,12 +54,12 @@
     @rule(reserved=tickets)
     def accept(self, reserved):
         name, ticket = reserved
-        self.do(LOTS[name], accept_under(ticket, name, attempt=f"{name}{ticket}"))
+        self.do(LOTS[name], accept_with_ticket(ticket, name, attempt=f"{name}{ticket}"))
 
     @rule(target=tickets, reserved=tickets)
     def accept_and_reserve_anew(self, reserved):
         name, ticket = reserved
-        command = accept_under(ticket, name, attempt=f"{name}{ticket}")
+        command = accept_with_ticket(ticket, name, attempt=f"{name}{ticket}")
         if self.do(LOTS[name], command).get("refused") != FENCED:
             return multiple()
         again = reserve(name, attempt=f"{name}{ticket}", part=LOTS[name], fenced=ticket)
@@ -103,7 +110,7 @@
             lot["tokens"] for state in self.states.values() for lot in lot_records(state).values()
         )
         reserved = reserved_tokens(self.states[HOME], "f")
-        assert waiting <= reserved <= MOST
+        assert waiting <= reserved <= QUOTA_TOKENS
         lots = reserved_lots(self.states[HOME]).values()
         assert reserved == sum(entry["left"] for entry in lots)
 
--- a/tests/test_token_reservations.py
+++ b/tests/test_token_reservations.py
@@ -12,10 +12,12 @@
 from quillring.quorum.commands import apply_batch, first_state
 from tests.test_http_lot_state_machine import accept, result
 
-HOME, MOST = "part-0", 60
+HOME, QUOTA_TOKENS = "part-0", 60
 
 
-def reserve(name, tokens=30, attempt="t", fenced=None, digest=b"d", most=MOST, part="part-1"):
+def reserve(
+    name, tokens=30, attempt="t", fenced=None, digest=b"d", most=QUOTA_TOKENS, part="part-1"
+):
     return {
         "do": "raw.reserve",
         "lot": name,
@@ -30,8 +32,8 @@
     }
 
 
-def accept_under(ticket, name, count=3, **words):
-    return {**accept(name, count, most=MOST, **words), "ledger": HOME, "ticket": ticket}
+def accept_with_ticket(ticket, name, count=3, **words):
+    return {**accept(name, count, most=QUOTA_TOKENS, **words), "ledger": HOME, "ticket": ticket}
 
 
 def release(*rows):
@@ -83,13 +85,13 @@
 
 def test_a_fenced_ticket_takes_no_lot_and_a_known_lot_keeps_its_tokens():
     state, answers = apply(
-        accept_under(3, "a"),
+        accept_with_ticket(3, "a"),
         fence(4, "a", "b"),
-        accept_under(4, "b", attempt="b"),
-        accept_under(3, "a", attempt="again"),
-        accept_under(5, "b", attempt="b2"),
+        accept_with_ticket(4, "b", attempt="b"),
+        accept_with_ticket(3, "a", attempt="again"),
+        accept_with_ticket(5, "b", attempt="b2"),
         fence(2, "b"),
-        accept_under(4, "c", attempt="c"),
+        accept_with_ticket(4, "c", attempt="c"),
     )
     assert answers[1] == {"left": {"a": 30}}
     assert answers[2] == {"refused": FENCED}
@@ -108,16 +110,16 @@
 
 def test_a_dropped_lot_is_not_taken_again_under_its_ticket():
     state, answers = apply(
-        accept_under(3, "a", 1),
+        accept_with_ticket(3, "a", 1),
         result("a", 0),
         {"do": "raw.drop", "lot": "a"},
-        accept_under(3, "a", 1, attempt="late"),
+        accept_with_ticket(3, "a", 1, attempt="late"),
     )
     assert answers[2] == {"dropped": True} and answers[3] == {"refused": FENCED}
 
 
 def test_a_refusal_for_weight_holds_for_its_try_under_the_same_ticket():
-    heavy = {**accept_under(1, "a"), "most_weight": 900}
+    heavy = {**accept_with_ticket(1, "a"), "most_weight": 900}
     state, answers = apply(heavy, {**heavy, "most_weight": 9000})
     assert answers == [{"refused": HELD}, {"refused": HELD}]
     assert lot_records(state) == {}
@@ -136,7 +138,7 @@
 
 
 def test_what_a_part_holds_is_counted_along():
-    weighed = {**accept_under(1, "b"), "most_weight": 1 << 20}
+    weighed = {**accept_with_ticket(1, "b"), "most_weight": 1 << 20}
     state, _ = apply(accept("a"), weighed, result("a", 0, b"x" * 500), result("b", 1, b"y" * 70))
     state, _ = apply({"do": "raw.end", "lot": "a"}, {"do": "raw.expire", "lot": "b"}, state=state)
     for batch in ([], [{"do": "raw.drop", "lot": "a"}], [{"do": "raw.drop", "lot": "b"}]):
--- a/tests/wire_record.py
+++ b/tests/wire_record.py
@@ -19,7 +19,7 @@
 from proving.sim.network import SimNet
 from quillring.nifty.wire import COMPRESSION_VERSION, HEADS, PLAIN_VERSION, unpack
 from tests.fleet_stage import SelfFounded
-from tests.http_lot_random_days import HttpLotDay
+from tests.http_lot_random_days import RandomFaultRun
 
 DEPTH = 3
 DIGEST_BYTES = 6
@@ -124,7 +124,7 @@
 
 def day_of_raw_lots():
     """A day of raw lots with faults, under a quota."""
-    HttpLotDay(3, seconds=12, faults=4, lots=8, most_tokens=300).play()
+    RandomFaultRun(3, seconds=12, faults=4, lots=8, most_tokens=300).run_all()
 
 
 def founded_and_asked():
