--- a/quillring/lots/prompts/retention.py
+++ b/quillring/lots/prompts/retention.py
@@ -62,10 +62,10 @@
         command, lots = AcceptLot.from_wire(wire), lot_records(leader.state)
         if command.lot in lots:
             return
-        held = sum(self.weight(leader.part, name, lot) for name, lot in lots.items())
-        added = sum(map(len, command.items)) + ITEM_OVERHEAD_BYTES * len(command.items)
-        if held + added > HELD_LIMIT_BYTES:
-            raise TooManyLots(lot=command.lot, held_weight=held)
+        held_bytes = sum(self.weight(leader.part, name, lot) for name, lot in lots.items())
+        added_bytes = sum(map(len, command.items)) + ITEM_OVERHEAD_BYTES * len(command.items)
+        if held_bytes + added_bytes > HELD_LIMIT_BYTES:
+            raise TooManyLots(lot=command.lot, held_weight=held_bytes)
 
     def drop_expired(self, leader: Any) -> None:
         """Drop one lot that ended more than RETENTION_SECONDS ago by this leader's clock.
--- a/tests/test_http_lot_restarts.py
+++ b/tests/test_http_lot_restarts.py
@@ -27,18 +27,18 @@
     command = {"try": "t"}
     with HttpLotStage(90, most_tokens=50) as stage:
         submit_accepted(stage, "a", 5)
-        sent = []
-        real = api.submit_until_sure
+        submissions = []
+        real_submit = api.submit_until_sure
 
         def record_and_submit(node, part, command, seconds):
-            sent.append((part, command))
-            return real(node, part, command, seconds)
+            submissions.append((part, command))
+            return real_submit(node, part, command, seconds)
 
         with mock.patch.object(api, "submit_until_sure", record_and_submit):
             _, error = stage.submit("b", 5)
         assert isinstance(error, QuotaExceeded) and command
         stage.read_all("a")
-        part, command = sent[0]
+        part, command = submissions[0]
         answer, _ = stage.run_on_node(
             stage.pick_running("edge"), lambda node: node.find("ownership").submit(part, command)
         )
--- a/tests/test_http_lot_state_machine.py
+++ b/tests/test_http_lot_state_machine.py
@@ -6,7 +6,7 @@
 from quillring.quorum.commands import apply_batch, first_state
 
 
-def accept(name, count=3, tokens=10, most=0, attempt="t", forward="f", digest=b"d", body=b"body"):
+def accept(name, count=3, tokens=10, quota=0, attempt="t", forward="f", digest=b"d", body=b"body"):
     items = [[f"{name}-{n}", f"/p/{n}", [["Model", "m"]], body, tokens] for n in range(count)]
     return {
         "do": "raw.accept",
@@ -16,7 +16,7 @@
         "items": items,
         "digest": digest,
         "try": attempt,
-        "most_tokens": most,
+        "most_tokens": quota,
         "at": 1000,
         "due_ms": 8000,
         "retain_ms": 40_000,
@@ -71,10 +71,10 @@
 
 def test_the_quota_counts_only_pending_items_of_the_same_forward():
     state, answers = apply(
-        accept("a", tokens=10, most=60),
-        accept("b", tokens=10, most=60),
-        accept("c", tokens=1, most=60, attempt="c"),
-        accept("d", forward="other", most=60, attempt="d"),
+        accept("a", tokens=10, quota=60),
+        accept("b", tokens=10, quota=60),
+        accept("c", tokens=1, quota=60, attempt="c"),
+        accept("d", forward="other", quota=60, attempt="d"),
     )
     assert answers[2] == {"refused": QUOTA} and answers[3] == {"items": 3}
     assert waiting_tokens(state, "f") == 60
@@ -82,8 +82,8 @@
         result("a", 0),
         result("a", 0),
         failed("a", 1, "r1"),
-        accept("e", count=1, tokens=11, most=60, attempt="e"),
-        accept("g", count=1, tokens=10, most=60, attempt="g"),
+        accept("e", count=1, tokens=11, quota=60, attempt="e"),
+        accept("g", count=1, tokens=10, quota=60, attempt="g"),
         state=state,
     )
     assert answers[3:] == [{"refused": QUOTA}, {"items": 1}]
@@ -92,12 +92,12 @@
 
 
 def test_a_refused_attempt_stays_refused_and_a_new_attempt_may_be_accepted():
-    state, answers = apply(accept("a", most=30), accept("b", most=30, attempt="b1"))
+    state, answers = apply(accept("a", quota=30), accept("b", quota=30, attempt="b1"))
     assert answers[1] == {"refused": QUOTA}
     state, answers = apply(
         {"do": "raw.end", "lot": "a"},
-        accept("b", most=30, attempt="b1"),
-        accept("b", most=30, attempt="b2"),
+        accept("b", quota=30, attempt="b1"),
+        accept("b", quota=30, attempt="b2"),
         state=state,
     )
     assert answers[1:] == [{"refused": QUOTA}, {"items": 3}]
--- a/tests/test_token_reservations.py
+++ b/tests/test_token_reservations.py
@@ -16,7 +16,7 @@
 
 
 def reserve(
-    name, tokens=30, attempt="t", fenced=None, digest=b"d", most=QUOTA_TOKENS, part="part-1"
+    name, tokens=30, attempt="t", fenced=None, digest=b"d", quota=QUOTA_TOKENS, part="part-1"
 ):
     return {
         "do": "raw.reserve",
@@ -27,13 +27,13 @@
         "tokens": tokens,
         "digest": digest,
         "try": attempt,
-        "most_tokens": most,
+        "most_tokens": quota,
         "fenced": fenced,
     }
 
 
 def accept_with_ticket(ticket, name, count=3, **options):
-    return {**accept(name, count, most=QUOTA_TOKENS, **options), "ledger": HOME, "ticket": ticket}
+    return {**accept(name, count, quota=QUOTA_TOKENS, **options), "ledger": HOME, "ticket": ticket}
 
 
 def release(*rows):
@@ -126,13 +126,16 @@
 
 
 def test_the_first_reservation_adds_the_lots_of_the_previous_version_to_the_table():
-    state, _ = apply(accept("old", 2, most=60), accept("free", 2))
+    state, _ = apply(accept("old", 2, quota=60), accept("free", 2))
     state, _ = apply({"do": "raw.end", "lot": "free"}, state=state)
     state, answers = apply(reserve("a", 50), reserve("b", 40, "b"), reserve("old"), state=state)
     assert answers == [{"refused": QUOTA}, {"ticket": 1}, {"items": 2, "repeated": True}]
     assert reserved_lots(state)["old"]["part"] == HOME and reserved_tokens(state, "f") == 60
     state, answers = apply(
-        result("old", 0), release(("old", 0, 10)), accept("x", 1, most=60, attempt="x"), state=state
+        result("old", 0),
+        release(("old", 0, 10)),
+        accept("x", 1, quota=60, attempt="x"),
+        state=state,
     )
     assert answers[1] == {"released": 10} and answers[2] == {"refused": MOVED}
 
