--- a/tests/wire_record.py
+++ b/tests/wire_record.py
@@ -24,7 +24,7 @@
     unpack,
 )
 from tests.fleet_stage import SelfFounded
-from tests.http_lot_random_days import HttpLotDay
+from tests.http_lot_random_days import RandomFaultRun
 
 DEPTH = 3
 DIGEST_BYTES = 6
@@ -129,7 +129,7 @@
 
 def day_of_raw_lots():
     """A day of raw lots with faults, under a quota."""
-    HttpLotDay(3, seconds=12, faults=4, lots=8, most_tokens=300).play()
+    RandomFaultRun(3, seconds=12, faults=4, lots=8, most_tokens=300).run_all()
 
 
 def founded_and_asked():
