--- a/proving/points/__init__.py
+++ b/proving/points/__init__.py
@@ -1,1 +1,1 @@
-"""Scenarios that provoke what must never happen."""
+"""Simulator scenarios that provoke failures and check that the promises in POINTS hold."""
--- a/proving/points/__main__.py
+++ b/proving/points/__main__.py
@@ -1,4 +1,4 @@
-"""What must never happen, point by point: each scenario, with its guard and without it."""
+"""Command that runs every scenario, both with its guards and with the guards disabled."""
 
 import json
 import multiprocessing
@@ -8,52 +8,61 @@
 import click
 
 from proving.points.catalog import POINTS
-from proving.points.scenario_fleet import without
+from proving.points.scenario_fleet import run_without_guards
 
 
 def run_point(job):
-    """Run one scenario under one seed, as it is and with its guard taken out."""
-    number, seed, is_both_ways = job
-    text, scenario, guards = POINTS[number]
+    """Run one scenario with one seed and return its result as a row.
+
+    `job` is (index in POINTS, seed, whether to run it a second time with its guards disabled).
+    """
+    number, seed, runs_unguarded_too = job
+    promise, scenario, guards = POINTS[number]
     start_time = time.perf_counter()
     try:
         violations, figures = scenario(seed)
     except Exception as error:
         violations, figures = [f"failure: {error!r}"], {}
-    found_without = None
-    if guards and is_both_ways:
-        found_without = len(without(guards, lambda: scenario(seed))[0])
+    unguarded_violations = None
+    if guards and runs_unguarded_too:
+        unguarded_violations = len(run_without_guards(guards, lambda: scenario(seed))[0])
     return {
-        "point": text,
+        "point": promise,
         "scenario": scenario.__name__,
         "seed": seed,
         "violations": violations,
-        "without_guard": found_without,
+        "without_guard": unguarded_violations,
         "figures": figures,
         "seconds": round(time.perf_counter() - start_time, 1),
     }
 
 
-def tell_many(rows):
-    """Print a line a scenario: seeds that failed, and seeds that can't fail without the guard."""
+def print_summaries(rows):
+    """Print one JSON line per scenario and a replay command per violation.
+
+    A line lists the seeds that failed, and as `toothless` those on which the run without guards
+    found no violation. Returns whether any row has a violation.
+    """
     by_name = {}
     for row in rows:
         by_name.setdefault(row["scenario"], []).append(row)
-    for name, some in sorted(by_name.items()):
-        failed = sorted(row["seed"] for row in some if row["violations"])
-        toothless = sorted(row["seed"] for row in some if row["without_guard"] == 0)
+    for name, scenario_rows in sorted(by_name.items()):
+        failed_seeds = sorted(row["seed"] for row in scenario_rows if row["violations"])
+        undetected_seeds = sorted(row["seed"] for row in scenario_rows if row["without_guard"] == 0)
         click.echo(
             json.dumps(
                 {
                     "scenario": name,
-                    "seeds": len(some),
-                    "failed": failed,
-                    "toothless": toothless,
-                    "unguarded_runs": sum(row["without_guard"] is not None for row in some),
+                    "seeds": len(scenario_rows),
+                    "failed": failed_seeds,
+                    "toothless": undetected_seeds,
+                    "unguarded_runs": sum(
+                        row["without_guard"] is not None for row in scenario_rows
+                    ),
                 }
             )
         )
-        for row in some:
+        for row in scenario_rows:
             if row["violations"]:
                 click.echo(f"  seed {row['seed']}: {row['violations'][:2]}"[:400])
                 click.echo(
@@ -65,27 +74,28 @@
 
 @click.command()
 @click.option("--seed", default=1, show_default=True, help="The first seed.")
-@click.option("--seeds", default=1, show_default=True, help="How many seeds of each.")
-@click.option("--only", default="", help="Only the points whose text holds this.")
-@click.option("--guarded", is_flag=True, help="Leave out the runs without their guards.")
+@click.option("--seeds", default=1, show_default=True, help="Number of seeds per scenario.")
+@click.option("--only", default="", help="Run only promises that contain this text.")
+@click.option("--guarded", is_flag=True, help="Skip the runs without guards.")
 @click.option("--workers", default=8, show_default=True)
 def main(seed, seeds, only, guarded, workers):
-    """Run every scenario as it is and with its guard taken out; exit 1 on a violation.
+    """Run every scenario with its guards and without them; exit 1 on a violation.
 
-    With several seeds, a seed on which the unguarded run can't fail is reported as toothless.
+    With a single seed, an unguarded run without a violation also makes it exit 1. With several
+    seeds, such a seed is only reported as toothless.
     """
     if seeds > 1:
         jobs = [
-            (number, one, not guarded)
-            for one in range(seed, seed + seeds)
+            (number, job_seed, not guarded)
+            for job_seed in range(seed, seed + seeds)
             for number, point in enumerate(POINTS)
             if only in point[0]
         ]
         with multiprocessing.Pool(workers, maxtasksperchild=20) as pool:
-            sys.exit(1 if tell_many(list(pool.imap_unordered(run_point, jobs))) else 0)
+            sys.exit(1 if print_summaries(list(pool.imap_unordered(run_point, jobs))) else 0)
     failed = 0
-    for number, (text, _, _) in enumerate(POINTS):
-        if only not in text:
+    for number, (promise, _, _) in enumerate(POINTS):
+        if only not in promise:
             continue
         row = run_point((number, seed, not guarded))
         failed += bool(row["violations"]) or row["without_guard"] == 0
--- a/proving/points/callers.py
+++ b/proving/points/callers.py
@@ -1,4 +1,4 @@
-"""Scenarios about wrong callers: surplus answers, and what may not repeat through resets."""
+"""Scenarios about forwarding: surplus answers on reused connections, resets and timeouts."""
 
 import random
 
@@ -19,65 +19,73 @@
 ID_HEADER = "request-id"
 EXCHANGES, REQUESTS = 600, 400
 ATTEMPTS, REPLICAS = 2, 4
-START_TIME, DEADLINE_SECONDS, HELD_PAST_END = 1000.0, 4, 0.25
+START_TIME, DEADLINE_SECONDS, DEADLINE_TOLERANCE_SECONDS = 1000.0, 4, 0.25
 
 
 def surplus_answers(seed):
-    """Replicas send late copies, foreign answers and cut ones on kept connections."""
-    chance, wire = random.Random(seed), FakeWire()
+    """Replicas send late duplicates, answers to other requests and truncated answers.
+
+    Connections are pooled, so a surplus answer may still be unread when the next request reuses
+    its connection. No request may receive the answer to another one.
+    """
+    rng, wire = random.Random(seed), FakeWire()
     wire.start()
     try:
-        return _exchange_all(chance, wire)
+        return _exchange_all(rng, wire)
     finally:
         wire.stop()
 
 
-def _exchange_all(chance, wire):
-    violations, figures, carried = [], {"whole": 0, "broken": 0}, {}
+def _exchange_all(rng, wire):
+    """Make the exchanges one after another; return (violations, figures)."""
+    violations, figures, sent_by_socket = [], {"whole": 0, "broken": 0}, {}
     for number in range(EXCHANGES):
-        name = f"r{number if chance.random() < 0.8 else chance.randrange(number + 1)}"
-        body = b"answer to sending %d" % number
+        name = f"r{number if rng.random() < 0.8 else rng.randrange(number + 1)}"
+        expected_body = b"answer to sending %d" % number
         request = f"POST / HTTP/1.1\r\nRequest-Id: {name}\r\nContent-Length: 0\r\n\r\n".encode()
-        may_reuse = chance.random() < 0.9
+        may_reuse = rng.random() < 0.9
         handle = send_request(SendRequest(ADDRESS, request, 1, may_reuse, (ID_HEADER, name)))
         sock = handle.connection.sock
         if not may_reuse and len(sock.written) > 1:
-            violations.append(f"sending {number} went out on a kept connection")
-        answer = answer_bytes(name, body)
-        before = carried.setdefault(sock, [])
-        _answer_somehow(chance, sock, answer, before)
-        before.append(answer)
-        got = _read(handle)
-        figures["broken" if got is None else "whole"] += 1
-        if got is not None and got != body:
-            violations.append(f"sending {number} got {got!r}")
-        if chance.random() < 0.2 and not sock.is_closed:
-            sock.put(chance.choice(before))
+            violations.append(f"exchange {number} was sent on a reused connection")
+        answer = answer_bytes(name, expected_body)
+        previous_answers = sent_by_socket.setdefault(sock, [])
+        _answer_with_faults(rng, sock, answer, previous_answers)
+        previous_answers.append(answer)
+        received = _read(handle)
+        figures["broken" if received is None else "whole"] += 1
+        if received is not None and received != expected_body:
+            violations.append(f"exchange {number} got {received!r}")
+        if rng.random() < 0.2 and not sock.is_closed:
+            sock.put(rng.choice(previous_answers))
     return violations, {**figures, "connections": len(wire.sockets)}
 
 
-def _answer_somehow(chance, sock, answer, before):
-    """Put the answer due on the wire, with what may stand before and behind it."""
-    cuts = [chance.randrange(200) for _ in range(chance.randrange(3))]
-    if before and chance.random() < 0.3:
-        sock.put(chance.choice(before), cuts)
-    if chance.random() < 0.1:
+def _answer_with_faults(rng, sock, answer, previous_answers):
+    """Send the expected answer, at random preceded by surplus answers or truncated.
+
+    `previous_answers` are the answers sent on this socket so far.
+    """
+    cuts = [rng.randrange(200) for _ in range(rng.randrange(3))]
+    if previous_answers and rng.random() < 0.3:
+        sock.put(rng.choice(previous_answers), cuts)
+    if rng.random() < 0.1:
         sock.put(b"HTTP/1.1 100 Continue\r\n\r\n" + answer_bytes("foreign", b"of another"), cuts)
-    if chance.random() < 0.1:
-        sock.put(answer[: chance.randrange(len(answer))])
-        sock.arrived.append(chance.choice([END, RESET]))
+    if rng.random() < 0.1:
+        sock.put(answer[: rng.randrange(len(answer))])
+        sock.arrived.append(rng.choice([END, RESET]))
         return
     sock.put(answer, cuts)
 
 
 def answer_bytes(name, body):
-    """Return a whole answer under an id."""
+    """Return a complete HTTP answer that carries the request id `name`."""
     head = f"HTTP/1.1 200 OK\r\nRequest-Id: {name}\r\nContent-Length: {len(body)}\r\n\r\n"
     return head.encode() + body
 
 
 def _read(handle):
-    """Return the whole body of an answer, or None where it broke off."""
+    """Return the body of an answer, or None if the answer is incomplete."""
     parts = []
     try:
         handle.read_head(1)
@@ -91,31 +99,33 @@
 
 
 class FaultyRuntime(ScriptedRuntime):
-    """A scripted runtime whose replicas fail in a way drawn anew for each sending."""
+    """A scripted runtime whose replicas fail in a randomly chosen way on each send."""
 
     def __init__(self, seed):
         super().__init__(seed=seed)
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.may_have_run = []
 
     def _send(self, effect):
-        way = self.chance.choice(WAYS)
+        script = self.rng.choice(FAULT_SCRIPTS)
         self.sent.append((effect.address, effect.data, effect.may_reuse))
-        if way is NOT_RUN_WAY:
-            return ScriptedAnswer(self, way)
+        if script is NOT_RUN_SCRIPT:
+            return ScriptedAnswer(self, script)
         self.may_have_run.append((tuple(effect.address), effect.may_reuse))
-        return ScriptedAnswer(self, STALE_WAY if effect.may_reuse and way is RESET_WAY else way)
+        return ScriptedAnswer(
+            self, STALE_SCRIPT if effect.may_reuse and script is RESET_SCRIPT else script
+        )
 
 
 SEALED = {"x-seal": "s", "x-inquiry": "q"}
 STREAM = {**SEALED, "content-type": "text/event-stream"}
 EVENT = b"id: 0\ndata: p\n\n"
-NOT_RUN_WAY = [(0.01, (503, {"x-inquiry": "q", "x-not-run": "1"}))]
-RESET_WAY, STALE_WAY = [(0.01, BREAK)], [(0.01, STALE)]
+NOT_RUN_SCRIPT = [(0.01, (503, {"x-inquiry": "q", "x-not-run": "1"}))]
+RESET_SCRIPT, STALE_SCRIPT = [(0.01, BREAK)], [(0.01, STALE)]
 KINDS = [("once", False), ("stream", False), ("stream", True), ("repeatable", False)]
-WAYS = [
-    NOT_RUN_WAY,
-    RESET_WAY,
+FAULT_SCRIPTS = [
+    NOT_RUN_SCRIPT,
+    RESET_SCRIPT,
     [(9, SILENT)],
     [(0.01, (503, SEALED)), (0, None)],
     [(0.01, (200, SEALED)), (0.01, b"part"), (0.01, BREAK)],
@@ -126,37 +136,40 @@
 
 
 def resets_and_silences(seed):
-    """Replicas reset, fall silent and refuse, for requests of every kind."""
-    chance, violations, outcomes = random.Random(seed), [], {}
+    """Replicas reset connections, stop answering or refuse, for requests of every kind.
+
+    A request that may not repeat must reach a replica at most once, on a new connection.
+    """
+    rng, violations, outcomes = random.Random(seed), [], {}
     for number in range(REQUESTS):
-        kind, is_resumable = chance.choice(KINDS)
-        runtime = FaultyRuntime(chance.random())
+        kind, is_resumable = rng.choice(KINDS)
+        runtime = FaultyRuntime(rng.random())
         outcome = _forward(runtime, kind, is_resumable)
         runs = runtime.may_have_run
-        is_single = kind == "once" or (kind == "stream" and not is_resumable)
-        if is_single and len(runs) > 1:
+        is_unrepeatable = kind == "once" or (kind == "stream" and not is_resumable)
+        if is_unrepeatable and len(runs) > 1:
             violations.append(f"request {number} ({kind}) may have run {len(runs)} times")
-        if is_single and any(may_reuse for _, may_reuse in runs):
-            violations.append(f"request {number} ({kind}) went out on a kept connection")
-        if is_single and runs and outcome == "refused":
+        if is_unrepeatable and any(may_reuse for _, may_reuse in runs):
+            violations.append(f"request {number} ({kind}) was sent on a reused connection")
+        if is_unrepeatable and runs and outcome == "refused":
             violations.append(f"request {number} ({kind}) may have run and was refused")
         if len({address for address, _ in runs}) > ATTEMPTS:
             violations.append(f"request {number} ({kind}) ran on too many replicas")
-        if runtime.now() > START_TIME + DEADLINE_SECONDS + HELD_PAST_END:
-            violations.append(f"request {number} ({kind}) was held past its time")
-        name = f"{'once' if is_single else 'repeatable'}/{outcome}"
+        if runtime.now() > START_TIME + DEADLINE_SECONDS + DEADLINE_TOLERANCE_SECONDS:
+            violations.append(f"request {number} ({kind}) was held past its deadline")
+        name = f"{'once' if is_unrepeatable else 'repeatable'}/{outcome}"
         outcomes[name] = outcomes.get(name, 0) + 1
     return violations, dict(sorted(outcomes.items()))
 
 
 def _forward(runtime, kind, is_resumable):
-    """Pass one request on; return how it ended for its client."""
+    """Forward one request; return the outcome that its client sees."""
     node = make_node(
         Member("edge-1", 1, "edge", "north", "10.0.0.9", 7000, 7001, ""), runtime, [], Bounds()
     )
     node.find("gossip").publish("layout", [1], [1, 1, _configuration(kind, is_resumable), []])
     for number in range(REPLICAS):
-        node.find("replicas").on_heartbeat(_beat(number))
+        node.find("replicas").on_heartbeat(_heartbeat(number))
     pairs = [("Host", "h"), ("X-Inquiry", "q"), ("X-Deadline-Ms", str(DEADLINE_SECONDS * 1000))]
     request = Request(node.find("dialect"), "POST", "/a/x", pairs, b"")
     try:
@@ -188,7 +201,7 @@
     return {"domains": {}, "services": services, "forwards": {"f": forward}}
 
 
-def _beat(number):
+def _heartbeat(number):
     return {
         "name": f"r{number}",
         "service": "s",
@@ -202,9 +215,9 @@
 
 
 def take_any(pool, address, answer_id=None):
-    """Stand-in for the guard: any kept connection will do."""
-    kept = pool.idle.get(address)
-    return kept.pop() if kept else None
+    """Replaces the guard: any idle connection is reused, even one with unread data."""
+    idle_connections = pool.idle.get(address)
+    return idle_connections.pop() if idle_connections else None
 
 
 ALWAYS = property(lambda forward: True)
--- a/proving/points/catalog.py
+++ b/proving/points/catalog.py
@@ -1,4 +1,4 @@
-"""The catalog of scenarios: (what must never happen, scenario, guards that stand against it)."""
+"""The catalog of scenarios: tuples (promise, scenario, guards that enforce the promise)."""
 
 from proving.points import (
     borrowed_capacity,
--- a/proving/points/early_refusals.py
+++ b/proving/points/early_refusals.py
@@ -1,7 +1,7 @@
-"""Scenarios about requests whose deadline can't be met: refused as soon as that is known."""
+"""Scenarios about requests that can't meet their deadline and must be refused early."""
 
-from proving.points.configuration import names_but
-from proving.points.scenario_fleet import Stage, always_hopeful
+from proving.points.configuration import names_except
+from proving.points.scenario_fleet import ScenarioFleet, always_hopeful
 from quillring.edge.dispatcher import Dispatcher
 from quillring.edge.stream_handlers import serve_model
 from quillring.kernel.node import Node
@@ -10,12 +10,16 @@
 from quillring.ownership.part_client import PartClient
 
 
-def timed_refusals(stage, make, bodies, client_name="ann"):
-    """Send inquiries at once at edge-1; return lists of seconds to refusal, to success."""
-    refusals, served, env = [], [], stage.env
-    node = stage.node("edge-1")
+def timed_refusals(fleet, make_coroutine, bodies, client_name="ann"):
+    """Send requests at once at edge-1; return (seconds to each refusal, seconds to each answer).
 
-    def one(number, body):
+    Both lists are filled as simulated time advances. For an answer the time is that of its first
+    line.
+    """
+    refusals, served, env = [], [], fleet.env
+    node = fleet.node("edge-1")
+
+    def send(number, body):
         start_time, first_at = env.now, []
 
         def sink(line):
@@ -23,58 +27,63 @@
             return True
 
         request = Request("POST", {}, {}, body, f"{client_name}-{number}")
-        _, error = yield from stage.sim.run_script(node, make(node, request), sink)
+        _, error = yield from fleet.sim.run_script(node, make_coroutine(node, request), sink)
         (refusals if error else served).append((first_at or [env.now])[0] - start_time)
 
     for number, body in enumerate(bodies):
-        stage.start(one(number, body))
+        fleet.start(send(number, body))
     return refusals, served
 
 
 def model_bodies(count, route="wayfinding"):
-    """Return the bodies of many short inquiries."""
+    """Return the bodies of `count` short model requests."""
     return [{"entry": route, "prompt": f"p{n}", "max_pieces": 8} for n in range(count)]
 
 
 def hopeless_queue(seed):
-    """Far more arrive at once than can get their first piece in time; all that fit are served."""
-    stage = Stage(seed)
+    """140 requests arrive at once, more than can get their first piece in time.
+
+    Those that can't must be refused early, and those that can must be served.
+    """
+    fleet = ScenarioFleet(seed)
     for _ in range(40):
-        stage.start(stage.callers.stream("wayfinding", "warm", 8, drop_after=1 << 30))
-        stage.run(0.05)
-    stage.run(2)
-    refusals, served = timed_refusals(stage, serve_model, model_bodies(140))
-    stage.run(30)
-    late = [t for t in refusals if t > 0.75]
-    if len(late) * 4 > len(refusals):
-        stage.sim.history.violate(f"{len(late)} of {len(refusals)} refusals were held")
+        fleet.start(fleet.callers.stream("wayfinding", "warm", 8, drop_after=1 << 30))
+        fleet.run(0.05)
+    fleet.run(2)
+    refusals, served = timed_refusals(fleet, serve_model, model_bodies(140))
+    fleet.run(30)
+    late_refusals = [t for t in refusals if t > 0.75]
+    if len(late_refusals) * 4 > len(refusals):
+        fleet.sim.history.violate(
+            f"{len(late_refusals)} of {len(refusals)} refusals came after 0.75 s"
+        )
     if len(served) < 95:
-        stage.sim.history.violate(f"only {len(served)} were served")
-    return stage.sim.history.violations, {
+        fleet.sim.history.violate(f"only {len(served)} were served")
+    return fleet.sim.history.violations, {
         "served": len(served),
         "refused": len(refusals),
-        "held_over_half_the_time": len(late),
+        "held_over_half_the_time": len(late_refusals),
     }
 
 
 def last_replica_leaves(seed):
-    """Inquiries wait for room when the last replicas say that they leave."""
-    stage = Stage(seed)
+    """The last replicas leave while requests are queued; none may stay queued."""
+    fleet = ScenarioFleet(seed)
     refusals, served = timed_refusals(
-        stage, serve_model, [{**b, "max_pieces": 200} for b in model_bodies(60, "tagging")]
+        fleet, serve_model, [{**b, "max_pieces": 200} for b in model_bodies(60, "tagging")]
     )
-    stage.run(0.3)
-    left_at = stage.env.now
-    for replica in stage.sim.replicas.values():
+    fleet.run(0.3)
+    left_at = fleet.env.now
+    for replica in fleet.sim.replicas.values():
         if replica.row["service"] == "words":
             replica.leave()
-    stage.run(3)
-    held = len(stage.node("edge-1").find("dispatch").queue)
-    if held:
-        stage.sim.history.violate(f"{held} still wait though no replica is left")
-    stage.run(30)
-    slow = [t for t in refusals if t > stage.env.now - left_at]
-    return stage.sim.history.violations, {
+    fleet.run(3)
+    queued = len(fleet.node("edge-1").find("dispatch").queue)
+    if queued:
+        fleet.sim.history.violate(f"{queued} requests are still queued, no replica is left")
+    fleet.run(30)
+    slow = [t for t in refusals if t > fleet.env.now - left_at]
+    return fleet.sim.history.violations, {
         "served": len(served),
         "refused": len(refusals),
         "slow": len(slow),
@@ -82,62 +91,66 @@
 
 
 def lost_majority(seed):
-    """Two stores of a part are down; lots for it are refused at once, not after seconds."""
-    stage = Stage(seed)
-    chance = stage.sim.chance
-    group = [s[0] for s in stage.node("core-1").find("ownership").group("part-1")]
+    """Two stores of a part are down; lots for it must be refused within 0.3 s."""
+    fleet = ScenarioFleet(seed)
+    chance = fleet.sim.chance
+    group = [s[0] for s in fleet.node("core-1").find("ownership").group("part-1")]
     for name in chance.sample(group, 2):
-        stage.sim.kill(name)
-    stage.run(3)
+        fleet.sim.kill(name)
+    fleet.run(3)
     bodies = [{"entry": "gate-notices", "items": ["x"]} for _ in range(20)]
-    refusals, served = timed_refusals(stage, submit_lot, bodies)
-    stage.run(20)
-    _check_fast(stage, refusals, served)
-    return stage.sim.history.violations, {
+    refusals, served = timed_refusals(fleet, submit_lot, bodies)
+    fleet.run(20)
+    _check_fast(fleet, refusals, served)
+    return fleet.sim.history.violations, {
         "refused": len(refusals),
         "slowest_refusal_s": round(max(refusals, default=0), 3),
     }
 
 
 def lost_cores(seed):
-    """Every core is out of reach; lots are refused at once; calls under way end with the cut."""
-    stage = Stage(seed)
-    cores = stage.sim.names("core")
-    stage.sim.cut(cores, names_but(stage, *cores))
+    """All cores are cut off: lots must be refused within 0.3 s.
+
+    A call in flight when the cut begins must end once the link counts as lost.
+    """
+    fleet = ScenarioFleet(seed)
+    cores = fleet.sim.names("core")
+    fleet.sim.cut(cores, names_except(fleet, *cores))
     early, _ = timed_refusals(
-        stage, submit_lot, [{"entry": "gate-notices", "items": ["x"]}], "early"
+        fleet, submit_lot, [{"entry": "gate-notices", "items": ["x"]}], "early"
     )
-    stage.run(3)
+    fleet.run(3)
     bodies = [{"entry": "gate-notices", "items": ["x"]} for _ in range(20)]
-    refusals, served = timed_refusals(stage, submit_lot, bodies)
-    stage.run(20)
-    _check_fast(stage, refusals, served)
+    refusals, served = timed_refusals(fleet, submit_lot, bodies)
+    fleet.run(20)
+    _check_fast(fleet, refusals, served)
     if (
         early
-        and max(early) > stage.sim.bounds.link_timeout + stage.sim.bounds.heartbeat_interval * 1.5
+        and max(early) > fleet.sim.bounds.link_timeout + fleet.sim.bounds.heartbeat_interval * 1.5
     ):
-        stage.sim.history.violate(f"a call to a lost core was held for {max(early):.2f} s")
-    return stage.sim.history.violations, {
+        fleet.sim.history.violate(f"a call to a lost core ended only after {max(early):.2f} s")
+    return fleet.sim.history.violations, {
         "refused": len(refusals),
         "slowest_refusal_s": round(max(refusals, default=0), 3),
         "early_s": [round(t, 2) for t in early],
     }
 
 
-def _check_fast(stage, refusals, served):
+def _check_fast(fleet, refusals, served):
+    """Check that all 20 lots were refused, each within 0.3 s."""
     if served or len(refusals) != 20:
-        stage.sim.history.violate(f"{len(served)} were served, {len(refusals)} refused")
+        fleet.sim.history.violate(f"{len(served)} were served, {len(refusals)} refused")
     if max(refusals, default=0) > 0.3:
-        stage.sim.history.violate(f"a hopeless wait was held for {max(refusals):.2f} s")
+        fleet.sim.history.violate(f"a refusal took {max(refusals):.2f} s")
 
 
 def never_lost(self, part):
-    """Stand-in for the guard: a majority is always hoped for."""
+    """Replaces the guard: a majority of the part's stores always counts as reachable."""
     return None
 
 
 def keep_pending(self, graph):
-    """Stand-in for the guard: calls to lost nodes wait for their time to pass."""
+    """Replaces the guard: calls to nodes that became unreachable wait for their timeout."""
 
 
 POINTS = [
--- a/proving/points/failures.py
+++ b/proving/points/failures.py
@@ -1,9 +1,9 @@
-"""Scenarios about machines that freeze and wake, stores that go in turn, cores that are cut."""
+"""Scenarios about frozen processes, stores that fail one after another, and isolated cores."""
 
-from proving.points.configuration import adopt, names_but
+from proving.points.configuration import adopt, names_except
 from proving.points.lots import accept_at_once
-from proving.points.partitions import traffic
-from proving.points.scenario_fleet import Stage, no_check
+from proving.points.partitions import run_traffic
+from proving.points.scenario_fleet import ScenarioFleet, no_check
 from proving.points.serving import rerun_attempt
 from quillring.edge import ReplicaTable, stream_handlers
 from quillring.nifty.graph import Graph
@@ -13,42 +13,43 @@
 
 
 def woken(role):
-    """Make the scenario in which a node of a role freezes, the world moves on, and it wakes.
+    """Return the scenario in which a node of `role` freezes and resumes with outdated state.
 
-    To a woken edge what came in meanwhile is lost. With a core or store a part's owner and an edge
-    freeze and wake as well, and lots come in at that edge at once.
+    A zone is emptied meanwhile. An edge loses the packets that arrived while it was frozen. With a
+    core or a store, a part's owner and edge-1 freeze too, and many lots are submitted at that edge
+    right after they resume.
     """
 
     def scenario(seed):
-        stage = Stage(seed)
-        sim, chance = stage.sim, stage.sim.chance
-        stage.start(stage.callers.generate(8, stage.callers.stream, "wayfinding", "short", 20))
-        stage.start(stage.callers.generate(3, stage.callers.stream, "once", "once", 12, True))
-        stage.start(stage.callers.generate(1, stage.callers.lot, "gate-notices", 3, 0.3))
-        stage.run(1.5)
+        fleet = ScenarioFleet(seed)
+        sim, chance = fleet.sim, fleet.sim.chance
+        fleet.start(fleet.callers.generate(8, fleet.callers.stream, "wayfinding", "short", 20))
+        fleet.start(fleet.callers.generate(3, fleet.callers.stream, "once", "once", 12, True))
+        fleet.start(fleet.callers.generate(1, fleet.callers.lot, "gate-notices", 3, 0.3))
+        fleet.run(1.5)
         name = chance.choice(sim.names(role))
-        owner_name = stage.node("edge-1").find("gossip").get("owner/part-1")["owner"]
+        owner_name = fleet.node("edge-1").find("gossip").get("owner/part-1")["owner"]
         name = owner_name if role == "core" else name
         zone = chance.choice([d for d in ("north", "east") if d != sim.rows[name]["domain"]])
         frozen_seconds = chance.uniform(5.5, 7.5)
         sim.freeze(name, frozen_seconds)
         if role == "edge":
             sim.env.timeout(frozen_seconds - 0.001).callbacks.append(
-                lambda _: stage.node(name).runtime.held.clear()
+                lambda _: fleet.node(name).runtime.held.clear()
             )
         else:
             for other in {owner_name, "edge-1"} - {name}:
                 sim.freeze(other, frozen_seconds)
-            stage.start(_lots_at_once(stage, frozen_seconds + 0.01))
-        stage.run(0.3)
+            fleet.start(_submit_lot_burst(fleet, frozen_seconds + 0.01))
+        fleet.run(0.3)
         others = [n for n in sim.names("core") if n not in (name, owner_name)]
-        answer, _ = adopt(stage, others[0], {"domains": {zone: {"emptied": True}}})
+        answer, _ = adopt(fleet, others[0], {"domains": {zone: {"emptied": True}}})
         if answer:
-            sim.history.emptied[zone] = stage.env.now
-        stage.run(12)
-        stage.callers.stop_at = stage.env.now
-        stage.run(15)
-        outcomes, accepted = stage.outcomes(), sim.history.counts.get("accepted_lots", 0)
+            sim.history.emptied[zone] = fleet.env.now
+        fleet.run(12)
+        fleet.callers.stop_at = fleet.env.now
+        fleet.run(15)
+        outcomes, accepted = fleet.outcomes(), sim.history.counts.get("accepted_lots", 0)
         ended = outcomes.get("lot/ended", 0) + outcomes.get("lot/cancelled", 0)
         if not answer or ended != accepted:
             sim.history.violate(f"layout {answer}, lots accepted {accepted}: {outcomes}")
@@ -58,140 +59,150 @@
     return scenario
 
 
-def _lots_at_once(stage, seconds):
-    yield stage.env.timeout(seconds)
-    stage.only_edge("edge-1")
+def _submit_lot_burst(fleet, seconds):
+    """Process: after `seconds`, submit 30 lots at edge-1 in quick succession."""
+    yield fleet.env.timeout(seconds)
+    fleet.route_to_edge("edge-1")
     for _ in range(30):
-        stage.start(stage.callers.lot("gate-notices", 2, 0.0))
-        yield stage.env.timeout(0.02)
-    stage.any_edge()
+        fleet.start(fleet.callers.lot("gate-notices", 2, 0.0))
+        yield fleet.env.timeout(0.02)
+    fleet.route_to_any_edge()
 
 
 def woken_replica(seed):
-    """A replica freezes amid streams and once-only work, wakes, and goes on as if nothing was."""
-    stage = Stage(seed)
+    """A replica freezes during streams and unrepeatable work, and resumes them 4 s later."""
+    fleet = ScenarioFleet(seed)
     for _ in range(10):
-        stage.start(stage.callers.stream("wayfinding", "short", 60))
-        stage.start(stage.callers.stream("once", "once", 40, True))
-    stage.run(stage.sim.chance.uniform(0.2, 0.8))
-    replica = stage.sim.replicas[f"words-{stage.sim.chance.randrange(1, 5)}"]
+        fleet.start(fleet.callers.stream("wayfinding", "short", 60))
+        fleet.start(fleet.callers.stream("once", "once", 40, True))
+    fleet.run(fleet.sim.chance.uniform(0.2, 0.8))
+    replica = fleet.sim.replicas[f"words-{fleet.sim.chance.randrange(1, 5)}"]
     replica.is_frozen = True
-    stage.run(4)
+    fleet.run(4)
     replica.is_frozen = False
-    stage.run(40)
-    outcomes = stage.outcomes()
+    fleet.run(40)
+    outcomes = fleet.outcomes()
     if outcomes.get("short/complete", 0) != 10:
-        stage.sim.history.violate(f"conversations were dropped: {outcomes}")
-    return stage.sim.history.violations, outcomes
+        fleet.sim.history.violate(f"conversations were dropped: {outcomes}")
+    return fleet.sim.history.violations, outcomes
 
 
-def check_groups(stage, when, left_name=None):
-    """Every part has three live members, each under its present identity, without the one named."""
-    ownership = stage.node("edge-1").find("ownership")
-    live = {n.find("acceptors").identity for n in stage.sim.up_nodes("store")}
+def check_groups(fleet, when, left_name=None):
+    """Check that every part has three live members with current identities, without `left_name`."""
+    ownership = fleet.node("edge-1").find("ownership")
+    live = {n.find("acceptors").identity for n in fleet.sim.up_nodes("store")}
     for part in ownership.parts():
         stores = ownership.group(part)
         is_sound = len(stores) == 3 and {s[1] for s in stores} <= live
         if not is_sound or left_name in [s[0] for s in stores]:
-            stage.sim.history.violate(f"{part} has the group {stores} {when}")
+            fleet.sim.history.violate(f"{part} has the group {stores} {when}")
 
 
 def isolated_store(seed):
-    """A store is isolated, then emptied, then retired, under traffic; every part stays whole."""
-    stage = Stage(seed)
-    sim, callers = stage.sim, stage.callers
-    stage.start(callers.generate(1.5, callers.lot, "gate-notices", 3, 0.0))
-    stage.start(callers.generate(5, callers.stream, "wayfinding", "short", 10))
-    group = stage.node("core-1").find("ownership").group("part-1")
+    """Under traffic a store is isolated, loses its disk and is retired.
+
+    Every part must end with three members, and no accepted lot may be lost.
+    """
+    fleet = ScenarioFleet(seed)
+    sim, callers = fleet.sim, fleet.callers
+    fleet.start(callers.generate(1.5, callers.lot, "gate-notices", 3, 0.0))
+    fleet.start(callers.generate(5, callers.stream, "wayfinding", "short", 10))
+    group = fleet.node("core-1").find("ownership").group("part-1")
     name = sim.chance.choice([store[0] for store in group])
-    sim.cut([name], names_but(stage, name))
-    stage.run(5)
+    sim.cut([name], names_except(fleet, name))
+    fleet.run(5)
     sim.heal()
-    stage.run(4)
+    fleet.run(4)
     sim.lose_disk(name)
-    stage.run(1)
+    fleet.run(1)
     sim.start(name)
-    stage.run(12)
-    check_groups(stage, "after the store came back empty")
-    answer, error = adopt(stage, "core-1", {"stores": {name: {"retired": True}}})
-    stage.run(12)
-    callers.stop_at = stage.env.now
-    stage.run(15)
-    check_groups(stage, "after the retirement", name)
-    outcomes, accepted = stage.outcomes(), sim.history.counts.get("accepted_lots", 0)
+    fleet.run(12)
+    check_groups(fleet, "after the store restarted with an empty disk")
+    answer, error = adopt(fleet, "core-1", {"stores": {name: {"retired": True}}})
+    fleet.run(12)
+    callers.stop_at = fleet.env.now
+    fleet.run(15)
+    check_groups(fleet, "after the retirement", name)
+    outcomes, accepted = fleet.outcomes(), sim.history.counts.get("accepted_lots", 0)
     if outcomes.get("lot/ended", 0) != accepted or not answer:
         sim.history.violate(f"accepted {accepted}, retired {answer or error}: {outcomes}")
     return sim.history.violations, {**outcomes, "store": name}
 
 
 def two_stores_power(seed):
-    """Two stores of a part, its third one slow, and all cores lose power after a confirmation."""
-    stage = Stage(seed)
-    sim = stage.sim
+    """Two stores of a part and all cores lose power right after a lot was acknowledged.
+
+    The third store is frozen at that time, so that only the two stores have the lot.
+    """
+    fleet = ScenarioFleet(seed)
+    sim = fleet.sim
     for _ in range(3):
         before = sim.history.counts.get("accepted_lots", 0)
-        group = [s[0] for s in stage.node("edge-1").find("ownership").group("part-1")]
+        group = [s[0] for s in fleet.node("edge-1").find("ownership").group("part-1")]
         names = sim.chance.sample(group, 2)
         (slow_name,) = set(group) - set(names)
         sim.freeze(slow_name, 1.2)
-        stage.start(stage.callers.lot("gate-notices", 4, 0.0))
+        fleet.start(fleet.callers.lot("gate-notices", 4, 0.0))
         while sim.history.counts.get("accepted_lots", 0) == before:
-            stage.env.step()
-        stage.node(slow_name).runtime.held.clear()
+            fleet.env.step()
+        fleet.node(slow_name).runtime.held.clear()
         names += sim.names("core")
         for name in names:
             sim.kill(name, loses_power=True)
-        stage.run(sim.chance.uniform(0.2, 3))
+        fleet.run(sim.chance.uniform(0.2, 3))
         for name in names:
             sim.start(name)
-        stage.run(8)
-    stage.run(20)
-    outcomes = stage.outcomes()
+        fleet.run(8)
+    fleet.run(20)
+    outcomes = fleet.outcomes()
     if outcomes.get("lot/ended", 0) != 3:
         sim.history.violate(f"accepted lots are lost: {outcomes}")
     return sim.history.violations, outcomes
 
 
 def core_cuts(seed):
-    """The cores are cut in two; then off, but for one bridge; then off wholly; then all heals."""
-    stage = Stage(seed)
-    sim, cores = stage.sim, stage.sim.names("core")
-    lone = sim.chance.choice(cores)
-    rest = [name for name in cores if name != lone]
+    """The cores are cut in two, then reachable through one bridge, then isolated, then healed.
+
+    Requests must succeed in every phase but the isolation, during which they must be answered.
+    """
+    fleet = ScenarioFleet(seed)
+    sim, cores = fleet.sim, fleet.sim.names("core")
+    isolated_core = sim.chance.choice(cores)
+    rest = [name for name in cores if name != isolated_core]
     figures = {}
-    sim.cut([lone], rest)
-    stage.run(4)
-    figures["in two"] = traffic(stage, 4)
+    sim.cut([isolated_core], rest)
+    fleet.run(4)
+    figures["in two"] = run_traffic(fleet, 4)
     sim.net.cuts.clear()
     bridge = sim.chance.choice(sim.names("edge"))
-    sim.cut(cores, [n for n in names_but(stage, *cores) if n != bridge])
-    stage.run(4)
-    figures["bridge"] = traffic(stage, 4)
+    sim.cut(cores, [n for n in names_except(fleet, *cores) if n != bridge])
+    fleet.run(4)
+    figures["bridge"] = run_traffic(fleet, 4)
     sim.cut(cores, [bridge])
-    stage.run(4)
-    tasks = [stage.start(stage.callers.stream("wayfinding", "alone", 8)) for _ in range(10)]
-    stage.run(10)
+    fleet.run(4)
+    tasks = [fleet.start(fleet.callers.stream("wayfinding", "alone", 8)) for _ in range(10)]
+    fleet.run(10)
     figures["alone"] = sum(task.triggered for task in tasks)
     sim.heal()
-    stage.run(8)
-    figures["healed"] = traffic(stage, 4)
+    fleet.run(8)
+    figures["healed"] = run_traffic(fleet, 4)
     for phase in ("in two", "bridge", "healed"):
         kinds = {name.partition("/")[0] for name in figures[phase]}
-        bad = [n for n in figures[phase] if not n.endswith(("complete", "ended"))]
-        if bad or kinds != {"short", "lot", "tile"}:
+        failed = [n for n in figures[phase] if not n.endswith(("complete", "ended"))]
+        if failed or kinds != {"short", "lot", "tile"}:
             sim.history.violate(f"{phase}: {figures[phase]}")
     if figures["alone"] != 10:
-        sim.history.violate(f"{figures['alone']} of 10 got an answer while the cores were off")
+        sim.history.violate(f"{figures['alone']} of 10 got an answer while the cores were isolated")
     return sim.history.violations, {name: figures[name] for name in ("in two", "bridge", "healed")}
 
 
 def never(self, store):
-    """Stand-in for the guard: no store counts as emptied."""
+    """Replaces the guard: a store that lost its data is not detected."""
     return False
 
 
-def always_fresh(self):
-    """Stand-in for the guard: whatever layout is known counts as fresh."""
+def fresh_with_any_layout(self):
+    """Replaces the guard: any known layout counts as fresh, however old its confirmation."""
     return self.node.find("layout").configuration is not None
 
 
@@ -201,7 +212,7 @@
     lambda self: {name: (1, (name,)) for name in self.links.get(self.home, ())},
 )
 FRESH = [
-    (Freshness, "is_fresh", always_fresh),
+    (Freshness, "is_fresh", fresh_with_any_layout),
     (stream_handlers, "check_before_sending", no_check),
     (ReplicaTable, "is_alive", lambda self, name: True),
 ]
--- a/proving/points/fleet.py
+++ b/proving/points/fleet.py
@@ -1,7 +1,7 @@
-"""Scenarios about machines that are swapped, seeds that change, founding, floods of lots."""
+"""Scenarios about replaced machines, changed seeds, concurrent founding and floods of lots."""
 
-from proving.points.partitions import traffic
-from proving.points.scenario_fleet import Stage
+from proving.points.partitions import run_traffic
+from proving.points.scenario_fleet import ScenarioFleet
 from proving.sim.fleet import SimFleet
 from quillring.classes import QuotaClient
 from quillring.edge.slot_lease import QueuedRequest
@@ -13,49 +13,52 @@
 
 
 def swapped_machines(seed):
-    """A core and a store are swapped for empty ones at new addresses; every seed moves."""
-    stage = Stage(seed)
-    stage.start(stage.callers.lot("gate-notices", 6, 0.0))
-    stage.run(1)
-    stage.sim.lose_disk("store-1")
-    stage.sim.kill("core-1")
-    stage.sim.kill("core-2")
-    stage.run(2.5)
+    """Two cores and a store restart at new addresses, the store with an empty disk.
+
+    An edge then restarts with the new seed addresses. The fleet must repair its groups and serve.
+    """
+    fleet = ScenarioFleet(seed)
+    fleet.start(fleet.callers.lot("gate-notices", 6, 0.0))
+    fleet.run(1)
+    fleet.sim.lose_disk("store-1")
+    fleet.sim.kill("core-1")
+    fleet.sim.kill("core-2")
+    fleet.run(2.5)
     for number, name in enumerate(("store-1", "core-1", "core-2")):
-        stage.sim.rows[name]["address"] = f"127.0.41.{240 + number}:7400"
-    new_seeds = [stage.sim.rows[name]["address"] for name in ("core-1", "core-2")]
-    stage.sim.rows["core-1"]["seeds"] = [stage.sim.rows["edge-2"]["address"]]
-    stage.sim.rows["core-2"]["seeds"] = new_seeds[:1]
-    stage.sim.rows["store-1"]["seeds"] = new_seeds
+        fleet.sim.rows[name]["address"] = f"127.0.41.{240 + number}:7400"
+    new_seeds = [fleet.sim.rows[name]["address"] for name in ("core-1", "core-2")]
+    fleet.sim.rows["core-1"]["seeds"] = [fleet.sim.rows["edge-2"]["address"]]
+    fleet.sim.rows["core-2"]["seeds"] = new_seeds[:1]
+    fleet.sim.rows["store-1"]["seeds"] = new_seeds
     for name in ("core-1", "core-2", "store-1"):
-        stage.sim.start(name)
-    stage.run(3)
-    stage.sim.kill("edge-1")
-    stage.sim.rows["edge-1"]["seeds"] = new_seeds
-    stage.sim.start("edge-1")
-    stage.run(12)
-    stage.only_edge("edge-1")
-    outcomes = traffic(stage, 5)
-    ownership = stage.node("edge-1").find("ownership")
-    live = {n.find("acceptors").identity for n in stage.sim.up_nodes("store")}
+        fleet.sim.start(name)
+    fleet.run(3)
+    fleet.sim.kill("edge-1")
+    fleet.sim.rows["edge-1"]["seeds"] = new_seeds
+    fleet.sim.start("edge-1")
+    fleet.run(12)
+    fleet.route_to_edge("edge-1")
+    outcomes = run_traffic(fleet, 5)
+    ownership = fleet.node("edge-1").find("ownership")
+    live = {n.find("acceptors").identity for n in fleet.sim.up_nodes("store")}
     groups = {part: [s[1] for s in ownership.group(part)] for part in ownership.parts()}
-    if not all(len(g) == 3 and set(g) <= live for g in groups.values()):
-        stage.sim.history.violate(f"groups {groups}")
+    if not all(len(group) == 3 and set(group) <= live for group in groups.values()):
+        fleet.sim.history.violate(f"a group lacks three live members: {groups}")
     if any(not name.endswith(("complete", "ended")) for name in outcomes):
-        stage.sim.history.violate(f"not served: {outcomes}")
-    if stage.outcomes().get("lot/ended", 0) < 2:
-        stage.sim.history.violate(f"lots: {stage.outcomes()}")
-    return stage.sim.history.violations, outcomes
+        fleet.sim.history.violate(f"not every request succeeded: {outcomes}")
+    if fleet.outcomes().get("lot/ended", 0) < 2:
+        fleet.sim.history.violate(f"too few lots ended: {fleet.outcomes()}")
+    return fleet.sim.history.violations, outcomes
 
 
 def learn_once(self, member):
-    """Stand-in for the guard: a member that is known keeps its first address."""
+    """Replaces the guard: a known member keeps the first address that was learned."""
     if member.name not in self.roster.members:
         REAL_LEARN(self, member)
 
 
 def racing_founders(seed):
-    """Two operators found the fleet at the same moment at two cores."""
+    """Two operators found the fleet through two cores at once; only one fleet may exist."""
     sim = SimFleet("ferrowa", seed, {"sizes": {"edge": 2, "core": 2, "store": 4}})
     for name in sim.rows:
         sim.start(name)
@@ -70,54 +73,54 @@
         for n in sim.up_nodes("store")
         if n.find("acceptors").founding
     }
-    told = {answer["fleet"] for answer, _ in (task.value for task in tasks) if answer}
-    if len(fleets) != 1 or told - fleets:
-        sim.history.violate(f"fleets {fleets}, operators were told {told}")
-    return sim.history.violations, {"fleets": len(fleets), "operators_told": len(told)}
+    reported_fleets = {answer["fleet"] for answer, _ in (task.value for task in tasks) if answer}
+    if len(fleets) != 1 or reported_fleets - fleets:
+        sim.history.violate(f"fleets {fleets}, operators were told {reported_fleets}")
+    return sim.history.violations, {"fleets": len(fleets), "operators_told": len(reported_fleets)}
 
 
 def found_anything(self, body, origin):
-    """Stand-in for the guard: a later founding takes the place of the first."""
+    """Replaces the guard: a later founding record overwrites the first."""
     yield from self.persist(FoundRecord(body["founding"]))
     return body["founding"]["fleet"]
 
 
 def flood_of_lots(seed):
-    """Three hundred lots come in at once; travellers still get their first piece in time."""
-    stage = Stage(seed)
+    """300 lots are submitted at once; urgent streams must still get their first piece in time."""
+    fleet = ScenarioFleet(seed)
     for _ in range(300):
-        stage.start(stage.callers.lot("gate-notices", 3, 0.0))
-    stage.run(1)
-    stage.callers.record.first_pieces.clear()
+        fleet.start(fleet.callers.lot("gate-notices", 3, 0.0))
+    fleet.run(1)
+    fleet.callers.record.first_pieces.clear()
     for _ in range(20):
-        stage.start(stage.callers.stream("wayfinding", "urgent", 8, drop_after=1 << 30))
-        stage.run(0.25)
-    firsts = sorted(stage.callers.record.first_pieces)
-    stage.run(90)
-    outcomes = stage.outcomes()
-    accepted = stage.sim.history.counts.get("accepted_lots", 0)
+        fleet.start(fleet.callers.stream("wayfinding", "urgent", 8, drop_after=1 << 30))
+        fleet.run(0.25)
+    first_piece_seconds = sorted(fleet.callers.record.first_pieces)
+    fleet.run(90)
+    outcomes = fleet.outcomes()
+    accepted = fleet.sim.history.counts.get("accepted_lots", 0)
     if outcomes.get("urgent/complete", 0) != 20 or outcomes.get("lot/ended", 0) != accepted:
-        stage.sim.history.violate(f"accepted {accepted}: {outcomes}")
-    if len(firsts) < 20 or firsts[-1] > 1.5:
-        stage.sim.history.violate(f"first pieces came after {firsts[-3:]}")
-    return stage.sim.history.violations, {
+        fleet.sim.history.violate(f"lots accepted {accepted}, outcomes {outcomes}")
+    if len(first_piece_seconds) < 20 or first_piece_seconds[-1] > 1.5:
+        fleet.sim.history.violate(f"first pieces came after {first_piece_seconds[-3:]} s")
+    return fleet.sim.history.violations, {
         **outcomes,
         "accepted": accepted,
-        "slowest_first_piece_s": round(firsts[-1], 2),
+        "slowest_first_piece_s": round(first_piece_seconds[-1], 2),
     }
 
 
-def equal_waiter(self, promise, *words):
-    """Stand-in for the guard: all that wait are equally urgent."""
-    REAL_WAITER(self, {**promise, "urgency": 5}, *words)
+def equal_waiter(self, promise, *args):
+    """Replaces the guard: all queued requests are equally urgent."""
+    REAL_QUEUED_REQUEST_INIT(self, {**promise, "urgency": 5}, *args)
 
 
 def no_limit(self, service, class_name):
-    """Stand-in for the guard: no class has a limit."""
+    """Replaces the guard: no class has a slot limit."""
     return None
 
 
-REAL_WAITER = QueuedRequest.__init__
+REAL_QUEUED_REQUEST_INIT = QueuedRequest.__init__
 REAL_LEARN = Nifty.learn
 POINTS = [
     (
@@ -125,7 +128,11 @@
         swapped_machines,
         [(Nifty, "learn", learn_once)],
     ),
-    ("two founders found one fleet", racing_founders, [(Acceptors, "on_found", found_anything)]),
+    (
+        "two founders found one fleet",
+        racing_founders,
+        [(Acceptors, "on_found", found_anything)],
+    ),
     (
         "a flood of lots leaves urgent classes their promise",
         flood_of_lots,
--- a/proving/points/lots.py
+++ b/proving/points/lots.py
@@ -1,10 +1,10 @@
-"""Scenarios about lots, owners and stores; each returns its violations and figures."""
+"""Scenarios about lots, part owners and stores."""
 
 from unittest import mock
 
 from proving.points.configuration import CommandsWith
 from proving.points.orders import unfenced_state
-from proving.points.scenario_fleet import Stage, no_check
+from proving.points.scenario_fleet import ScenarioFleet, no_check
 from proving.sim import backends
 from quillring.lots.prompts.scheduler import PromptLotScheduler
 from quillring.ownership.election_timing import ElectionTiming
@@ -18,155 +18,162 @@
 
 
 def power_after_accept(seed):
-    """All stores and cores lose their power the moment a lot was accepted."""
-    stage = Stage(seed)
-    stage.start(stage.callers.lot("gate-notices", 8, 0.0))
-    while not stage.sim.history.counts.get("accepted_lots"):
-        stage.env.step()
-    names = [*stage.sim.names("store"), *stage.sim.names("core")]
+    """All stores and cores lose power at the moment a lot is accepted; the lot must not be lost."""
+    fleet = ScenarioFleet(seed)
+    fleet.start(fleet.callers.lot("gate-notices", 8, 0.0))
+    while not fleet.sim.history.counts.get("accepted_lots"):
+        fleet.env.step()
+    names = [*fleet.sim.names("store"), *fleet.sim.names("core")]
     for name in names:
-        stage.sim.kill(name, loses_power=True)
-    stage.run(2)
+        fleet.sim.kill(name, loses_power=True)
+    fleet.run(2)
     for name in names:
-        stage.sim.start(name)
-    stage.run(30)
-    outcomes = stage.outcomes()
+        fleet.sim.start(name)
+    fleet.run(30)
+    outcomes = fleet.outcomes()
     if outcomes.get("lot/ended") != 1:
-        stage.sim.history.violate(f"the accepted lot is lost: {outcomes}")
-    return stage.sim.history.violations, outcomes
+        fleet.sim.history.violate(f"the accepted lot is lost: {outcomes}")
+    return fleet.sim.history.violations, outcomes
 
 
 def zone_lost_after_accept(seed):
-    """Two stores are slow; a lot is accepted; the third one's domain and disk are lost for good."""
-    stage = Stage(seed)
-    group = stage.node("core-1").find("ownership").group("part-1")
+    """The zone and the disk of one store are lost for good right after lots were accepted.
+
+    The part's two other stores are frozen while the lots are submitted, and lose the packets that
+    arrived meanwhile. No accepted lot may be lost.
+    """
+    fleet = ScenarioFleet(seed)
+    group = fleet.node("core-1").find("ownership").group("part-1")
     lost_store, *slow_stores = [store[0] for store in group]
-    zone = stage.node(lost_store).me.zone
-    stage.callers.edge = lambda: next(n for n in stage.sim.up_nodes("edge") if n.me.zone != zone)
+    zone = fleet.node(lost_store).me.zone
+    fleet.callers.edge = lambda: next(n for n in fleet.sim.up_nodes("edge") if n.me.zone != zone)
     for name in slow_stores:
-        stage.sim.freeze(name, 1.2)
+        fleet.sim.freeze(name, 1.2)
     for _ in range(4):
-        stage.start(stage.callers.lot("gate-notices", 4, 0.0))
-    while not stage.sim.history.counts.get("accepted_lots"):
-        stage.env.step()
-    for node in list(stage.sim.nodes.values()):
+        fleet.start(fleet.callers.lot("gate-notices", 4, 0.0))
+    while not fleet.sim.history.counts.get("accepted_lots"):
+        fleet.env.step()
+    for node in list(fleet.sim.nodes.values()):
         if node.me.zone == zone:
-            stage.sim.kill(node.me.name, loses_power=True)
-    stage.sim.disks[lost_store].lose_all()
-    for node in stage.sim.nodes.values():
+            fleet.sim.kill(node.me.name, loses_power=True)
+    fleet.sim.disks[lost_store].lose_all()
+    for node in fleet.sim.nodes.values():
         if node.me.name in slow_stores:
             node.runtime.held.clear()
-    stage.run(40)
-    outcomes = stage.outcomes()
+    fleet.run(40)
+    outcomes = fleet.outcomes()
     if outcomes.get("lot/ended") != 4:
-        stage.sim.history.violate(f"accepted lots are lost: {outcomes}")
-    return stage.sim.history.violations, outcomes
+        fleet.sim.history.violate(f"accepted lots are lost: {outcomes}")
+    return fleet.sim.history.violations, outcomes
 
 
 def two_owners(seed):
-    """A part's owner and an edge freeze; another owner takes over; both wake, lots come in."""
-    stage = Stage(seed)
-    owner_name = stage.node("core-1").find("gossip").get("owner/part-1")["owner"]
-    stage.start(stage.callers.lot("gate-notices", 6, 0.0))
-    stage.run(0.3)
+    """A part's owner and edge-1 freeze until another core owns the part, then both resume.
+
+    Lots are submitted through edge-1 at once: the former owner must accept none of them.
+    """
+    fleet = ScenarioFleet(seed)
+    owner_name = fleet.node("core-1").find("gossip").get("owner/part-1")["owner"]
+    fleet.start(fleet.callers.lot("gate-notices", 6, 0.0))
+    fleet.run(0.3)
     for name in (owner_name, "edge-1"):
-        stage.sim.freeze(name, 6)
-    stage.only_edge("edge-2")
-    stage.start(stage.callers.lot("gate-notices", 6, 0.0))
-    stage.run(6.01)
-    stage.only_edge("edge-1")
+        fleet.sim.freeze(name, 6)
+    fleet.route_to_edge("edge-2")
+    fleet.start(fleet.callers.lot("gate-notices", 6, 0.0))
+    fleet.run(6.01)
+    fleet.route_to_edge("edge-1")
     for _ in range(30):
-        stage.start(stage.callers.lot("gate-notices", 2, 0.0))
-        stage.run(0.02)
-    stage.any_edge()
-    stage.run(30)
-    takeovers = sum(n.counts.get("takeovers", 0) for n in stage.sim.nodes.values())
-    outcomes = stage.outcomes()
+        fleet.start(fleet.callers.lot("gate-notices", 2, 0.0))
+        fleet.run(0.02)
+    fleet.route_to_any_edge()
+    fleet.run(30)
+    takeovers = sum(n.counts.get("takeovers", 0) for n in fleet.sim.nodes.values())
+    outcomes = fleet.outcomes()
     if (
         outcomes.get("lot/lost")
-        or stage.node("core-1").find("gossip").get("owner/part-1")["owner"] is None
+        or fleet.node("core-1").find("gossip").get("owner/part-1")["owner"] is None
     ):
-        stage.sim.history.violate(f"lots are lost: {outcomes}")
-    return stage.sim.history.violations, {**outcomes, "takeovers": takeovers}
+        fleet.sim.history.violate(f"lots are lost: {outcomes}")
+    return fleet.sim.history.violations, {**outcomes, "takeovers": takeovers}
 
 
 def noisy_results(seed):
-    """Two runs of an item differ; the second result comes in after the first was read."""
-    stage = Stage(seed)
-    for replica in stage.sim.replicas.values():
+    """A second, different result of an item arrives after a caller read the first one."""
+    fleet = ScenarioFleet(seed)
+    for replica in fleet.sim.replicas.values():
         replica.is_noisy = replica.row["service"] == "words"
-    real_violate, first = stage.sim.history.violate, {}
-    stage.sim.history.violate = lambda text: "wrong result" in text or real_violate(text)
+    real_violate, first_results = fleet.sim.history.violate, {}
+    fleet.sim.history.violate = lambda text: "wrong result" in text or real_violate(text)
     for _ in range(4):
-        stage.start(stage.callers.lot("gate-notices", 4, 0.0))
+        fleet.start(fleet.callers.lot("gate-notices", 4, 0.0))
     for _ in range(40):
-        stage.run(0.2)
-        for name, known in stage.callers.lots.items():
+        fleet.run(0.2)
+        for name, known in fleet.callers.lots.items():
             for number, text in known["seen"].items():
-                if first.setdefault((name, number), text) != text:
+                if first_results.setdefault((name, number), text) != text:
                     real_violate(f"result {number} of {name} changed")
-            core = stage.node("core-1")
+            core = fleet.node("core-1")
             command = {"do": "lot.result", "lot": name, "n": 0, "result": {"text": "late"}}
             coroutine = core.find("ownership").submit(name.partition(".")[0], command)
             if known["seen"]:
-                stage.start(stage.sim.run_script(core, coroutine))
+                fleet.start(fleet.sim.run_script(core, coroutine))
                 known["phase"] = "open"
-    return stage.sim.history.violations, {"results": len(first)}
+    return fleet.sim.history.violations, {"results": len(first_results)}
 
 
 def cancelled_lot(seed):
-    """Lots are cancelled while their items run slowly."""
-    stage = Stage(seed)
+    """Lots are cancelled while their slow items run on replicas."""
+    fleet = ScenarioFleet(seed)
     with mock.patch.object(backends, "PIECE_SECONDS", 0.5):
         for _ in range(6):
-            stage.start(stage.callers.lot("gate-notices", 40, 1.0))
-        stage.run(30)
-    return stage.sim.history.violations, stage.outcomes()
+            fleet.start(fleet.callers.lot("gate-notices", 40, 1.0))
+        fleet.run(30)
+    return fleet.sim.history.violations, fleet.outcomes()
 
 
 def frozen_owner(seed):
-    """Lots are cancelled while the core that runs their items is frozen."""
-    stage = Stage(seed)
-    callers = stage.callers
+    """Lots are cancelled while the core that schedules their items is frozen."""
+    fleet = ScenarioFleet(seed)
+    callers = fleet.callers
     with mock.patch.object(backends, "PIECE_SECONDS", 0.5):
         for _ in range(4):
-            stage.start(callers.lot("gate-notices", 6, 0.0))
-        stage.run(stage.sim.chance.uniform(1, 2))
-        stage.sim.freeze(stage.node("edge-1").find("gossip").get("owner/part-1")["owner"], 14)
-        stage.run(0.2)
+            fleet.start(callers.lot("gate-notices", 6, 0.0))
+        fleet.run(fleet.sim.chance.uniform(1, 2))
+        fleet.sim.freeze(fleet.node("edge-1").find("gossip").get("owner/part-1")["owner"], 14)
+        fleet.run(0.2)
         cancels = [
-            stage.start(callers._cancel(lot, known["sender"], known["items"]))
+            fleet.start(callers._cancel(lot, known["sender"], known["items"]))
             for lot, known in callers.lots.items()
         ]
         for task in cancels:
-            stage.finish(task, 20)
-        stage.run(30)
-    ended = len(stage.sim.history.ended_at)
+            fleet.finish(task, 20)
+        fleet.run(30)
+    ended = len(fleet.sim.history.ended_at)
     if not ended:
-        stage.sim.history.violate("no lot was cancelled")
-    return stage.sim.history.violations, {**stage.outcomes(), "items_ended": ended}
+        fleet.sim.history.violate("no lot was cancelled")
+    return fleet.sim.history.violations, {**fleet.outcomes(), "items_ended": ended}
 
 
 def tell_nobody(self, lot_name, route_name):
-    """Stand-in for the guard: no replica is told to stop."""
+    """Replaces the guard: replicas are not asked to stop the lot's items."""
     return
     yield
 
 
 def accept_at_once(self, records):
-    """Stand-in for the guard: answered before anything is synced."""
+    """Replaces the guard: a commit returns before its records are synced to disk."""
     self.pending.append(checkpointed_log.PendingCommit(records, checkpointed_log.Signal()))
     return
     yield
 
 
 def unfenced(self, request):
-    """Stand-in for the guard: any ballot and any identity will do."""
+    """Replaces the guard: any ballot and any store identity are accepted."""
     return self.parts.get(request.part) or acceptor.AcceptorState()
 
 
 def overwrite_result(state, command):
-    """Stand-in for the guard: a later result takes the place of the first."""
+    """Replaces the guard: a later result overwrites the first one."""
     lot = state["lots"][command["lot"]]
     results = {**lot["results"], command["n"]: command["result"]}
     phase = "ended" if len(results) == lot["count"] else "open"
@@ -175,27 +182,30 @@
 
 
 def emptied_store(seed):
-    """A store's disk is emptied; the new member may not vote for the old one."""
-    stage = Stage(seed)
-    stage.run(1)
-    identity = stage.node("store-1").find("acceptors").identity
-    stage.sim.lose_disk("store-1")
-    stage.run(0.5)
-    node = stage.sim.start("store-1")
-    stage.run(0.5)
+    """A store loses its disk and restarts as a new member, which must not vote as the old one.
+
+    Every part must replace the old identity in its group.
+    """
+    fleet = ScenarioFleet(seed)
+    fleet.run(1)
+    identity = fleet.node("store-1").find("acceptors").identity
+    fleet.sim.lose_disk("store-1")
+    fleet.run(0.5)
+    node = fleet.sim.start("store-1")
+    fleet.run(0.5)
     body = {"part": CONFIG_PART, "ballot": [99, "core-9"], "identity": identity}
-    call = stage.node("core-1").call("store-1", "quorum.prepare", body)
-    _, error = stage.finish(stage.start(stage.sim.run_script(stage.node("core-1"), call)))
+    call = fleet.node("core-1").call("store-1", "quorum.prepare", body)
+    _, error = fleet.finish(fleet.start(fleet.sim.run_script(fleet.node("core-1"), call)))
     if not isinstance(error, WrongIdentity):
-        stage.sim.history.violate(f"the emptied store voted for the old one: {error}")
-    stage.run(20)
-    table = stage.node("core-1").find("ownership")
-    groups = {part: table.group(part) for part in table.parts()}
+        fleet.sim.history.violate(f"the emptied store voted under its old identity: {error}")
+    fleet.run(20)
+    ownership = fleet.node("core-1").find("ownership")
+    groups = {part: ownership.group(part) for part in ownership.parts()}
     for part, group in groups.items():
         if len(group) != 3 or identity in [s[1] for s in group]:
-            stage.sim.history.violate(f"{part} was not mended: {group}")
+            fleet.sim.history.violate(f"{part} was not repaired: {group}")
     installed = sum(r.state is not None for r in node.find("acceptors").parts.values())
-    return stage.sim.history.violations, {"parts_at_the_new_member": installed}
+    return fleet.sim.history.violations, {"parts_at_the_new_member": installed}
 
 
 POINTS = [
--- a/proving/points/many_configurations.py
+++ b/proving/points/many_configurations.py
@@ -1,4 +1,4 @@
-"""Scenarios about hundreds of configurations; each returns its violations and figures."""
+"""Scenario about stores that miss many configuration changes."""
 
 import cbor2
 
@@ -10,21 +10,28 @@
 
 
 def many_changes(seed):
-    """A store that missed a hundred changes, frozen or down, comes back; then the owner dies."""
+    """A store misses CHANGES changes while frozen, then while down; at last the owner is replaced.
+
+    Each time the fleet must be up to date within 4 s, and in the end all stores hold one state.
+    """
     fleet, figures = ManyChanges(seed, 2, 2, stores=3), {}
     fleet.change(1)
     violations = fleet.sim.history.violations
     for case in (frozen_store, restarted_store, new_owner):
         number = fleet.number
-        taken, (seconds, _) = case(fleet, CHANGES)
+        acknowledged, (seconds, _) = case(fleet, CHANGES)
         figures[f"{case.__name__}_s"] = seconds
-        if taken != CHANGES or seconds is None or seconds > 4:
-            fleet.sim.history.violate(f"{case.__name__}: {taken} taken, in step after {seconds}")
+        if acknowledged != CHANGES or seconds is None or seconds > 4:
+            fleet.sim.history.violate(
+                f"{case.__name__}: {acknowledged} acknowledged, up to date after {seconds} s"
+            )
             return violations, figures
         fleet.run(1)
         owner = fleet.owner()
         if owner is None or owner.state["layout"]["edition"] != number + CHANGES:
-            fleet.sim.history.violate(f"{case.__name__}: an owner leads with an old state")
+            fleet.sim.history.violate(
+                f"{case.__name__}: the owner is missing or has an outdated state"
+            )
     nodes = [fleet.sim.nodes[name] for name in fleet.group()]
     states = {cbor2.dumps(n.find("acceptors").parts[CONFIG_PART].state) for n in nodes}
     if len(states) != 1:
@@ -33,7 +40,7 @@
 
 
 def nobody_is_late(self):
-    """Stand-in for the guard: no store is found to miss anything."""
+    """Replaces the guard: no store is found to lag behind."""
     return {}
     yield
 
--- a/proving/points/membership.py
+++ b/proving/points/membership.py
@@ -1,8 +1,8 @@
-"""Scenarios about members that are lost and replaced, and members that leave."""
+"""Scenarios about members that are lost and replaced, and members that are retired."""
 
 from proving.points.configuration import adopt
-from proving.points.partitions import traffic
-from proving.points.scenario_fleet import Stage
+from proving.points.partitions import run_traffic
+from proving.points.scenario_fleet import ScenarioFleet
 from quillring.kernel.errors import TimedOut
 from quillring.quorum.leader.membership_change import GroupChange
 from quillring.quorum.leader.membership_repair import MembershipRepair
@@ -10,100 +10,112 @@
 from quillring.quorum.values import group_to_wire
 from quillring.rollout.operator_orders import is_retired
 
-SYNC_SECONDS = 5.0
+RESYNC_SECONDS = 5.0
 PART = "part-1"
 
 
-def quick_stage(seed, **options):
-    """Return a stage whose lost stores are replaced within the sync bound."""
-    stage = Stage(seed, **options)
-    stage.sim.bounds.resync = SYNC_SECONDS
-    return stage
+def fleet_with_fast_repair(seed, **options):
+    """Return a fleet that replaces a lost store within RESYNC_SECONDS."""
+    fleet = ScenarioFleet(seed, **options)
+    fleet.sim.bounds.resync = RESYNC_SECONDS
+    return fleet
 
 
-def owner_of(stage, part):
-    """Return the newest owner of a part on a running core, or None."""
-    tables = [node.find("ownership").leaders for node in stage.sim.up_nodes("core")]
+def leader_of(fleet, part):
+    """Return the part's leader with the highest ballot among running cores, or None."""
+    tables = [node.find("ownership").leaders for node in fleet.sim.up_nodes("core")]
     owners = [table[part] for table in tables if part in table and table[part].is_leader]
     return max(owners, key=lambda owner: owner.ballot, default=None)
 
 
-def members(stage, part):
-    """Return the names of a part's stores as its owner knows them."""
-    owner = owner_of(stage, part)
+def members(fleet, part):
+    """Return the names of a part's stores as its leader knows them, or an empty list."""
+    owner = leader_of(fleet, part)
     return [store[0] for store in owner.group] if owner is not None else []
 
 
-def wait_for(stage, is_so, seconds=15, step=0.005):
-    """Let time pass until something is so; tell whether it came."""
-    end_time = stage.env.now + seconds
-    while not is_so() and stage.env.now < end_time:
-        stage.run(step)
-    return bool(is_so())
+def wait_for(fleet, condition, seconds=15, step=0.005):
+    """Advance time until `condition` holds or `seconds` pass; return whether it holds."""
+    end_time = fleet.env.now + seconds
+    while not condition() and fleet.env.now < end_time:
+        fleet.run(step)
+    return bool(condition())
 
 
 def second_loss(seed):
-    """A store dies; as soon as its successor is a member another one loses its disk for good."""
-    stage = quick_stage(seed)
-    first, second, _ = members(stage, PART)
-    (spare,) = set(stage.sim.names("store")) - set(members(stage, PART))
-    stage.sim.kill(first)
-    is_replaced = wait_for(stage, lambda: spare in members(stage, PART))
-    stage.sim.lose_disk(second)
-    stage.run(6)
-    outcomes = traffic(stage, 4)
-    accepted = stage.sim.history.counts.get("accepted_lots", 0)
-    if not is_replaced or not accepted or stage.outcomes().get("lot/ended", 0) != accepted:
-        stage.sim.history.violate(f"replaced {is_replaced}, accepted {accepted}: {outcomes}")
-    return stage.sim.history.violations, outcomes
+    """A store dies; as soon as a spare has replaced it, another member loses its disk for good.
+
+    The group must still have a majority with the data: every accepted lot ends.
+    """
+    fleet = fleet_with_fast_repair(seed)
+    first, second, _ = members(fleet, PART)
+    (spare,) = set(fleet.sim.names("store")) - set(members(fleet, PART))
+    fleet.sim.kill(first)
+    is_replaced = wait_for(fleet, lambda: spare in members(fleet, PART))
+    fleet.sim.lose_disk(second)
+    fleet.run(6)
+    outcomes = run_traffic(fleet, 4)
+    accepted = fleet.sim.history.counts.get("accepted_lots", 0)
+    if not is_replaced or not accepted or fleet.outcomes().get("lot/ended", 0) != accepted:
+        fleet.sim.history.violate(f"replaced {is_replaced}, accepted {accepted}: {outcomes}")
+    return fleet.sim.history.violations, outcomes
 
 
 def add_only(self, former_group):
-    """Stand-in for the guard: the successor joins first, the lost member leaves later."""
+    """Replaces the guard: the replacement joins first, and the lost member is removed later."""
     group = [*former_group, self.joining] if self.joining is not None else self.group
     return [{"do": "group.change", "group": group_to_wire(group)}]
 
 
 def leaving_member(seed):
-    """A store retires, one is down, one is slow to take the state; more is lost right after."""
-    stage = quick_stage(seed)
-    sim, node = stage.sim, stage.node("edge-1")
-    leaving, staying, late = members(stage, PART)
-    (spare,) = set(sim.names("store")) - {leaving, staying, late}
-    take_state_late(stage.node(spare), stage.env.now + 6)
-    sim.kill(late)
-    stage.run(0.2)
+    """A store is retired while another member is down and the spare can't yet take the state.
+
+    As soon as the operator is told that the store is retired, it and another member lose their
+    disks, and the leader dies. No lot may be lost.
+    """
+    fleet = fleet_with_fast_repair(seed)
+    sim, node = fleet.sim, fleet.node("edge-1")
+    retired_store, remaining_store, stopped_store = members(fleet, PART)
+    (spare,) = set(sim.names("store")) - {retired_store, remaining_store, stopped_store}
+    delay_state_transfer(fleet.node(spare), fleet.env.now + 6)
+    sim.kill(stopped_store)
+    fleet.run(0.2)
     for _ in range(4):
-        stage.start(stage.callers.lot("gate-notices", 4, 0.0))
-    stage.run(2)
-    adopt(stage, "core-1", {"stores": {leaving: {"retired": True}}})
-    told = []
+        fleet.start(fleet.callers.lot("gate-notices", 4, 0.0))
+    fleet.run(2)
+    adopt(fleet, "core-1", {"stores": {retired_store: {"retired": True}}})
+    retired_answers = []
 
     def ask():
-        while not told:
-            answer, _ = yield from sim.run_script(node, is_retired(node, leaving, 2))
-            told.extend([True] if answer else [])
-            yield stage.env.timeout(0.005)
-
-    stage.start(ask())
-    wait_for(stage, lambda: told, 4)
-    sim.start(late)
-    is_finished, lots = wait_for(stage, lambda: told), set(owner_of(stage, PART).state["lots"])
-    sim.kill(owner_of(stage, PART).node.me.name)
-    sim.lose_disk(leaving)
-    sim.lose_disk(staying)
-    stage.run(1)
-    sim.start(staying)
-    stage.run(25)
-    owner = owner_of(stage, PART)
+        while not retired_answers:
+            answer, _ = yield from sim.run_script(node, is_retired(node, retired_store, 2))
+            retired_answers.extend([True] if answer else [])
+            yield fleet.env.timeout(0.005)
+
+    fleet.start(ask())
+    wait_for(fleet, lambda: retired_answers, 4)
+    sim.start(stopped_store)
+    is_finished, lots = (
+        wait_for(fleet, lambda: retired_answers),
+        set(leader_of(fleet, PART).state["lots"]),
+    )
+    sim.kill(leader_of(fleet, PART).node.me.name)
+    sim.lose_disk(retired_store)
+    sim.lose_disk(remaining_store)
+    fleet.run(1)
+    sim.start(remaining_store)
+    fleet.run(25)
+    owner = leader_of(fleet, PART)
     lost = lots - set(owner.state["lots"] if owner is not None else ())
     if not is_finished or not lots or lost:
-        sim.history.violate(f"finished {is_finished}, lost {sorted(lost)} of {sorted(lots)}")
-    return sim.history.violations, {**stage.outcomes(), "lots": len(lots)}
+        sim.history.violate(
+            f"retirement finished {is_finished}, lots lost {sorted(lost)} of {sorted(lots)}"
+        )
+    return sim.history.violations, {**fleet.outcomes(), "lots": len(lots)}
 
 
-def take_state_late(node, ready_at):
-    """Have a store fail to take any state until a time, as over a link that is too slow."""
+def delay_state_transfer(node, ready_at):
+    """Make state transfers to a store time out until `ready_at`, as over a very slow link."""
     for service in ("quorum.install", "quorum.catch_up"):
         handler = node.handlers[service]
 
@@ -116,13 +128,13 @@
 
 
 def without_catching_up(self, leader, store):
-    """Stand-in for the guard: a store joins with nothing."""
+    """Replaces the guard: a store joins a group before it has the state."""
     return True
     yield
 
 
 def is_only_apart(self, store, size):
-    """Stand-in for the guard: a store is free as soon as no group names it."""
+    """Replaces the guard: a store counts as retired as soon as the group doesn't name it."""
     return store not in self.group
 
 
--- a/proving/points/orders.py
+++ b/proving/points/orders.py
@@ -1,9 +1,9 @@
-"""Scenarios about operators' orders: late copies, several at once, a machine that is cut off."""
+"""Scenarios about operators' orders: delayed copies, concurrent orders, an isolated core."""
 
 from unittest import mock
 
 from proving.points.configuration import adopt
-from proving.points.scenario_fleet import Stage, no_check
+from proving.points.scenario_fleet import ScenarioFleet, no_check
 from quillring.kernel.errors import Conflict, NotLeader
 from quillring.ownership import Ownership
 from quillring.ownership.part_client import PartClient
@@ -13,166 +13,185 @@
 from quillring.rollout.operator_orders import retire_store
 from quillring.rollout.orders import submit_order
 
-HELD_SECONDS = 20
-TRY_SECONDS = 0.8
+FAULT_SECONDS = 20
+ATTEMPT_TIMEOUT_SECONDS = 0.8
 
 
-def order_zone(stage, node_name, zone, is_emptied):
-    """An operator orders a zone emptied or filled at a node; return (answer, error)."""
-    node, order = stage.node(node_name), OrderZone(zone, is_emptied, includes_nodes=False)
-    coroutine = submit_order(node, order, TRY_SECONDS)
-    return stage.finish(stage.start(stage.sim.run_script(node, coroutine)))
+def order_zone(fleet, node_name, zone, is_emptied):
+    """Order a zone emptied or filled again, through one node; return (answer, error)."""
+    node, order = fleet.node(node_name), OrderZone(zone, is_emptied, includes_nodes=False)
+    coroutine = submit_order(node, order, ATTEMPT_TIMEOUT_SECONDS)
+    return fleet.finish(fleet.start(fleet.sim.run_script(node, coroutine)))
 
 
-def order_until_taken(stage, zone, is_emptied, names):
-    """An operator sends an order to one node after another until it is acknowledged."""
+def order_until_acknowledged(fleet, zone, is_emptied, names):
+    """Send an order through one node after another; return whether one was acknowledged."""
     for number in range(12):
-        answer, _ = order_zone(stage, names[number % len(names)], zone, is_emptied)
+        answer, _ = order_zone(fleet, names[number % len(names)], zone, is_emptied)
         if answer:
             return True
-        stage.run(0.3)
+        fleet.run(0.3)
     return False
 
 
-def owner_of(stage, part="config"):
+def owner_name_of(fleet, part="config"):
     """Return the name of the core that owns a part."""
-    return stage.node("edge-1").find("gossip").get(f"owner/{part}")["owner"]
+    return fleet.node("edge-1").find("gossip").get(f"owner/{part}")["owner"]
 
 
-class HeldFrames:
-    """A relay or socket that holds what one node sends to another, to be let go later."""
+class DelayedFrames:
+    """Delays the frames that one node sends to another, as a slow relay would."""
 
-    def __init__(self, stage, home, target):
-        self.net = stage.sim.net
-        self.ends = (stage.node(home).me.address, stage.node(target).me.address)
-        self.held = []
+    def __init__(self, fleet, sender_name, receiver_name):
+        self.net = fleet.sim.net
+        self.address_pair = (
+            fleet.node(sender_name).me.address,
+            fleet.node(receiver_name).me.address,
+        )
+        self.delayed = []
         self.real_carry = self.net.carry
 
     def carry(self, home, target, data, kind):
-        """Hold a frame of the pair, carry everything else."""
-        if (home, target) == self.ends and kind == "frame":
-            self.held.append(data)
+        """Keep a frame of the pair for `release`, and carry everything else at once."""
+        if (home, target) == self.address_pair and kind == "frame":
+            self.delayed.append(data)
         else:
             self.real_carry(home, target, data, kind)
 
-    def let_go(self):
-        """Deliver all that was held."""
-        for data in self.held:
-            self.real_carry(*self.ends, data, "frame")
+    def release(self):
+        """Deliver the delayed frames."""
+        for data in self.delayed:
+            self.real_carry(*self.address_pair, data, "frame")
 
 
 def late_order(seed):
-    """A copy of an order to empty a zone is held for 20 s, and comes after the order's end."""
-    stage = Stage(seed)
-    owner, zone = owner_of(stage), stage.sim.chance.choice(("north", "east", "south"))
-    asker = next(name for name in stage.sim.names("core") if name != owner)
-    held = HeldFrames(stage, asker, owner)
-    with mock.patch.object(stage.sim.net, "carry", held.carry):
-        answer, _ = order_zone(stage, asker, zone, True)
+    """A copy of an order to empty a zone is delivered 20 s late, after the zone was filled again.
+
+    The late copy must have no effect, and later orders must be accepted.
+    """
+    fleet = ScenarioFleet(seed)
+    owner, zone = owner_name_of(fleet), fleet.sim.chance.choice(("north", "east", "south"))
+    requester = next(name for name in fleet.sim.names("core") if name != owner)
+    delayed = DelayedFrames(fleet, requester, owner)
+    with mock.patch.object(fleet.sim.net, "carry", delayed.carry):
+        answer, _ = order_zone(fleet, requester, zone, True)
         if answer:
-            stage.sim.history.violate("an order was acknowledged that reached nobody")
-        others = [name for name in stage.sim.names("core") if name != asker]
-        taken = [order_until_taken(stage, zone, e, others) for e in (True, False)]
-    if taken != [True, True]:
-        stage.sim.history.violate(f"orders that were sent again were not taken: {taken}")
-    stage.run(HELD_SECONDS)
-    held.let_go()
-    stage.run(2)
-    emptied = [n.me.name for n in stage.sim.nodes.values() if n.find("layout").is_emptied(zone)]
+            fleet.sim.history.violate("an order was acknowledged that reached no owner")
+        others = [name for name in fleet.sim.names("core") if name != requester]
+        acknowledged = [
+            order_until_acknowledged(fleet, zone, is_emptied, others)
+            for is_emptied in (True, False)
+        ]
+    if acknowledged != [True, True]:
+        fleet.sim.history.violate(f"repeated orders were not acknowledged: {acknowledged}")
+    fleet.run(FAULT_SECONDS)
+    delayed.release()
+    fleet.run(2)
+    emptied = [n.me.name for n in fleet.sim.nodes.values() if n.find("layout").is_emptied(zone)]
     if emptied:
-        stage.sim.history.violate(f"{zone} is empty at {emptied} after its end")
-    if not order_until_taken(stage, zone, True, others):
-        stage.sim.history.violate("a new order after the late one was not taken")
-    return stage.sim.history.violations, {"held": len(held.held)}
+        fleet.sim.history.violate(f"{zone} is emptied at {emptied} by the late order")
+    if not order_until_acknowledged(fleet, zone, True, others):
+        fleet.sim.history.violate("a new order after the late one was not acknowledged")
+    return fleet.sim.history.violations, {"held": len(delayed.delayed)}
 
 
 def two_retirements(seed):
-    """Two operators retire two of four stores at two cores in one moment, and ask again."""
-    stage = Stage(seed)
-    stores = stage.sim.chance.sample(stage.sim.names("store"), 2)
+    """Two operators retire two of four stores through two cores at once, and repeat the order.
+
+    Exactly one may succeed, both times; the other must get a conflict.
+    """
+    fleet = ScenarioFleet(seed)
+    stores = fleet.sim.chance.sample(fleet.sim.names("store"), 2)
     outcomes = {}
     for _ in range(2):
         tasks = {}
         for core, store in zip(("core-1", "core-2"), stores, strict=True):
-            node = stage.node(core)
-            coroutine = retire_store(node, store, TRY_SECONDS)
-            tasks[store] = stage.start(stage.sim.run_script(node, coroutine))
+            node = fleet.node(core)
+            coroutine = retire_store(node, store, ATTEMPT_TIMEOUT_SECONDS)
+            tasks[store] = fleet.start(fleet.sim.run_script(node, coroutine))
         for store, task in tasks.items():
-            outcomes.setdefault(store, []).append(stage.finish(task)[1])
-    taken = [store for store, errors in outcomes.items() if None in errors]
+            outcomes.setdefault(store, []).append(fleet.finish(task)[1])
+    acknowledged = [store for store, errors in outcomes.items() if None in errors]
     kinds = {store: [e and e.kind for e in errors] for store, errors in outcomes.items()}
-    if len(taken) != 1 or kinds[taken[0]] != [None, None]:
-        stage.sim.history.violate(f"of two retirements {kinds}")
-    if not all(isinstance(e, Conflict) for s, es in outcomes.items() for e in es if s not in taken):
-        stage.sim.history.violate(f"the other one got {kinds}")
-    return stage.sim.history.violations, {"taken": len(taken)}
+    if len(acknowledged) != 1 or kinds[acknowledged[0]] != [None, None]:
+        fleet.sim.history.violate(f"not exactly one retirement succeeded: {kinds}")
+    if not all(
+        isinstance(e, Conflict) for s, es in outcomes.items() for e in es if s not in acknowledged
+    ):
+        fleet.sim.history.violate(f"the other retirement got no conflict: {kinds}")
+    return fleet.sim.history.violations, {"taken": len(acknowledged)}
 
 
 def cut_off_core(seed):
-    """The owner of the configuration is cut off for 20 s and frozen for a part of that.
+    """The owner of the configuration is isolated for 20 s and frozen for the first 12 s of it.
 
-    Operators reach it all the while, and change the configuration elsewhere.
+    Operators still reach it, and change the configuration through the other cores meanwhile. The
+    isolated core must answer no read and acknowledge no order.
     """
-    stage = Stage(seed)
-    core = owner_of(stage)
-    others = [name for name in stage.sim.names("core") if name != core]
-    direction = stage.sim.chance.choice(("both", "in", "out"))
-    far_names = [name for name in stage.sim.nodes if name != core]
+    fleet = ScenarioFleet(seed)
+    core = owner_name_of(fleet)
+    others = [name for name in fleet.sim.names("core") if name != core]
+    direction = fleet.sim.chance.choice(("both", "in", "out"))
+    far_names = [name for name in fleet.sim.nodes if name != core]
     homes, targets = (far_names, [core]) if direction == "in" else ([core], far_names)
-    stage.sim.cut(homes, targets, both_ways=direction == "both")
-    taken, answers = 0, []
-    stage.sim.freeze(core, HELD_SECONDS * 0.6)
-    end_time, thaw_time = stage.env.now + HELD_SECONDS, stage.env.now + HELD_SECONDS * 0.6
-    while stage.env.now < end_time:
-        if stage.env.now < thaw_time:
-            adopted, _ = adopt(stage, others[taken % 2], {"domains": {"west": {}}})
-            taken += adopted is not None
-            stage.env.run(until=min(thaw_time, stage.env.now + 0.5))
+    fleet.sim.cut(homes, targets, both_ways=direction == "both")
+    acknowledged, answers = 0, []
+    fleet.sim.freeze(core, FAULT_SECONDS * 0.6)
+    end_time, thaw_time = fleet.env.now + FAULT_SECONDS, fleet.env.now + FAULT_SECONDS * 0.6
+    while fleet.env.now < end_time:
+        if fleet.env.now < thaw_time:
+            adopted, _ = adopt(fleet, others[acknowledged % 2], {"domains": {"west": {}}})
+            acknowledged += adopted is not None
+            fleet.env.run(until=min(thaw_time, fleet.env.now + 0.5))
             continue
-        answers.append(ask_once(stage, core))
-        stage.run(0.1)
-    stage.sim.heal()
-    stage.run(4)
+        answers.append(probe_node(fleet, core))
+        fleet.run(0.1)
+    fleet.sim.heal()
+    fleet.run(4)
     late = max((seconds for _, _, seconds in answers), default=0)
-    newest = stage.node(others[0]).find("layout").version
+    newest = fleet.node(others[0]).find("layout").version
     for read, ordered, _ in answers:
         if read is not None or ordered is not None:
-            stage.sim.history.violate(f"{core} answered {read}, {ordered}; newest is {newest}")
-    if taken < 4 or late > 1 or stage.node(core).find("layout").version != newest:
-        stage.sim.history.violate(f"{taken} changes taken, slowest answer {late}")
-    return stage.sim.history.violations, {"taken": taken, "asked": len(answers), "cut": direction}
-
-
-def ask_once(stage, name):
-    """An operator reads the version at a node and orders there; (version, answer, slowest s)."""
-    node, start_time = stage.node(name), stage.env.now
-    coroutine = node.find("ownership").read("config", {"ask": "version"}, TRY_SECONDS)
-    read, _ = stage.finish(stage.start(stage.sim.run_script(node, coroutine)))
-    read_seconds, start_time = stage.env.now - start_time, stage.env.now
-    ordered, _ = order_zone(stage, name, "north", True)
-    seconds = max(read_seconds, stage.env.now - start_time)
+            fleet.sim.history.violate(f"{core} answered {read}, {ordered}; newest is {newest}")
+    if acknowledged < 4 or late > 1 or fleet.node(core).find("layout").version != newest:
+        fleet.sim.history.violate(f"{acknowledged} changes acknowledged, slowest answer {late}")
+    return fleet.sim.history.violations, {
+        "taken": acknowledged,
+        "asked": len(answers),
+        "cut": direction,
+    }
+
+
+def probe_node(fleet, name):
+    """Read the version and send an order at a node; return (version, answer, slowest seconds)."""
+    node, start_time = fleet.node(name), fleet.env.now
+    coroutine = node.find("ownership").read("config", {"ask": "version"}, ATTEMPT_TIMEOUT_SECONDS)
+    read, _ = fleet.finish(fleet.start(fleet.sim.run_script(node, coroutine)))
+    read_seconds, start_time = fleet.env.now - start_time, fleet.env.now
+    ordered, _ = order_zone(fleet, name, "north", True)
+    seconds = max(read_seconds, fleet.env.now - start_time)
     return read and read["version"], ordered, round(seconds, 2)
 
 
 def unfenced_state(self):
-    """Stand-in for the guard: an owner answers from its memory without asking its stores."""
+    """Replaces the guard: an owner answers from memory without a round trip to its stores."""
     return self.state
     yield
 
 
 def former_owner(self, part):
-    """Stand-in for the guard: whoever owned the part once answers for it."""
+    """Replaces the guard: any core that ever owned the part answers for it."""
     if part not in self.leaders:
         raise NotLeader(part=part)
     return self.leaders[part]
 
 
 def never_hopeless(self, part):
-    """Stand-in for the guard: a core that reaches nobody still tries."""
+    """Replaces the guard: a call is tried even if no majority is reachable."""
 
 
 def no_last_order(state, section, name):
-    """Stand-in for the guard: no order is known to be the last."""
+    """Replaces the guard: no last order is known, so a late copy of an earlier one is applied."""
     return 0
 
 
--- a/proving/points/removed_members.py
+++ b/proving/points/removed_members.py
@@ -1,9 +1,9 @@
-"""Scenarios about removed members that do not know it, and about seeds that start apart."""
+"""Scenarios about members unaware of their removal, and seeds that start in a partition."""
 
 from unittest import mock
 
-from proving.points.configuration import adopt, names_but
-from proving.points.membership import members, owner_of, quick_stage, wait_for
+from proving.points.configuration import adopt, names_except
+from proving.points.membership import fleet_with_fast_repair, leader_of, members, wait_for
 from proving.sim.fleet import SimFleet
 from quillring.gossip import Gossip
 from quillring.kernel.errors import NotFounded
@@ -20,40 +20,49 @@
 
 
 def removed_members(seed):
-    """Two members leave one by one; an edge that missed their leaving is cut off with both."""
-    stage = quick_stage(seed, sizes=SIX_STORES)
-    sim, edge, real_publish = stage.sim, stage.node("edge-1"), Gossip.publish
+    """Two members are removed one by one; an edge that does not know it is cut off with both.
+
+    The edge still has the former group, of which the two are a majority. They must not confirm to
+    it that its outdated layout is fresh.
+    """
+    fleet = fleet_with_fast_repair(seed, sizes=SIX_STORES)
+    sim, edge, real_publish = fleet.sim, fleet.node("edge-1"), Gossip.publish
 
     def publish(self, key, version, value):
         is_lost = self.node is edge and key == "group/config"
         return False if is_lost else real_publish(self, key, version, value)
 
     with mock.patch.object(Gossip, "publish", publish):
-        left = members(stage, CONFIG_PART)[1:]
-        for store in left:
-            adopt(stage, "core-1", {"stores": {store: {"retired": True}}})
-            wait_for(stage, lambda s=store: members(stage, CONFIG_PART) and s not in owned(stage))
-        stage.run(1)
+        removed_names = members(fleet, CONFIG_PART)[1:]
+        for store in removed_names:
+            adopt(fleet, "core-1", {"stores": {store: {"retired": True}}})
+            wait_for(
+                fleet,
+                lambda s=store: members(fleet, CONFIG_PART) and s not in config_members(fleet),
+            )
+        fleet.run(1)
         was_fresh = edge.find("freshness").is_fresh()
-        sim.cut(["edge-1", *left], names_but(stage, "edge-1", *left))
-        stage.run(4)
-        asker = owner_of(stage, CONFIG_PART).node.me.name
-        answer, error = adopt(stage, asker, {"domains": {"north": {"emptied": True}}})
-        stage.run(1)
+        sim.cut(["edge-1", *removed_names], names_except(fleet, "edge-1", *removed_names))
+        fleet.run(4)
+        asker = leader_of(fleet, CONFIG_PART).node.me.name
+        answer, error = adopt(fleet, asker, {"domains": {"north": {"emptied": True}}})
+        fleet.run(1)
         is_fresh = edge.find("freshness").is_fresh()
     if is_fresh or not was_fresh or error:
-        sim.history.violate(f"fresh before {was_fresh}, in the cut {is_fresh}: {error}")
-    return sim.history.violations, {"left": left, "version": answer and answer["version"]}
+        sim.history.violate(
+            f"fresh before the cut {was_fresh}, during it {is_fresh}, change: {error}"
+        )
+    return sim.history.violations, {"left": removed_names, "version": answer and answer["version"]}
 
 
-def owned(stage):
-    """Return the members of the config part."""
-    return members(stage, CONFIG_PART)
+def config_members(fleet):
+    """Return the names of the members of the config part."""
+    return members(fleet, CONFIG_PART)
 
 
 def is_fresh_by_heard_group(self):
-    """Stand-in for the guard: the group counts that was heard of, whatever the layout's is."""
-    snapshot, edge_time = (
+    """Replaces the guard: freshness uses the group known from gossip, not that of the layout."""
+    snapshot, oldest_confirmation = (
         self.node.find("layout"),
         self.node.now() - self.node.bounds.configuration_freshness,
     )
@@ -61,16 +70,16 @@
         group = self.node.find("ownership").group(CONFIG_PART)
     except NotFounded:
         return False
-    good = [
+    confirmed_indexes = [
         report.committed_index
         for report in self._reports(group)
-        if report.confirmed_at is not None and report.confirmed_at > edge_time
+        if report.confirmed_at is not None and report.confirmed_at > oldest_confirmation
     ]
-    return sum(index <= snapshot.index for index in good) >= majority(group)
+    return sum(index <= snapshot.index for index in confirmed_indexes) >= majority(group)
 
 
 def stamp_of_any(self):
-    """Stand-in for the guard: a store that was removed goes on giving its stamp."""
+    """Replaces the guard: a removed store still returns its stamp."""
     record = self.parts.get(CONFIG_PART)
     if record is None or record.state is None:
         return None
@@ -78,14 +87,17 @@
 
 
 def first_start_apart(seed):
-    """The seeds start on two sides that do not see each other, each with stores; then it heals."""
+    """The seeds first start in a partition with stores on both sides, which heals later.
+
+    Only one fleet may be founded, and an order acknowledged during the partition must persist.
+    """
     sim = SimFleet("ferrowa", seed, {"sizes": {"edge": 2, "core": 4, "store": 6}})
     for name in sim.rows:
         node = sim.start(name)
         if node.me.role == "core":
             node.spawn(found_at_first_start(node, True, 2))
-    side = ["core-1", "core-4", "edge-1", "store-1", "store-2", "store-3"]
-    sim.cut(side, [name for name in sim.nodes if name not in side])
+    first_side = ["core-1", "core-4", "edge-1", "store-1", "store-2", "store-3"]
+    sim.cut(first_side, [name for name in sim.nodes if name not in first_side])
     sim.env.run(until=20)
     node = sim.nodes["core-2"]
     command = {"do": "domain.mark", "domain": "north", "emptied": True}
@@ -105,7 +117,7 @@
 
 
 def choose_alone(node, founding):
-    """Stand-in for the guard: a founder asks no seed."""
+    """Replaces the guard: a founder proceeds without the agreement of the other seeds."""
     return founding
     yield
 
--- a/proving/points/retention.py
+++ b/proving/points/retention.py
@@ -1,165 +1,180 @@
-"""Scenarios about retention: unread results, keys of several senders, journals, long streams."""
+"""Scenarios about retention: unread results, keys of several senders, journal space."""
 
 from unittest import mock
 
-from proving.points.scenario_fleet import Stage, no_check
+from proving.points.scenario_fleet import ScenarioFleet, no_check
 from quillring.edge import journal, stream_takeover
 from quillring.lots.prompts import api, retention
 from quillring.lots.prompts.api import release_lot, show_results, submit_lot
 from quillring.lots.prompts.retention import Retention
 
 
-def submit(stage, key, client_name, items):
-    """Hand in a lot; return (answer, error)."""
+def submit(fleet, key, client_name, items):
+    """Submit a lot; return (answer, error)."""
     body = {"entry": "gate-notices", "key": key, "items": items}
-    return stage.finish(
-        stage.start(stage.callers.ask(submit_lot, "POST", body=body, client_name=client_name))
+    return fleet.finish(
+        fleet.start(fleet.callers.ask(submit_lot, "POST", body=body, client_name=client_name))
     )
 
 
 def unread_results(seed):
-    """Lots come in that nobody reads, until the part is full; then some are released."""
-    stage, accepted, refused, heaviest = Stage(seed), {}, 0, 0
-    bound = 30_000
-    with mock.patch.object(retention, "HELD_LIMIT_BYTES", bound):
+    """Lots whose results are not read fill the part, then some are released.
+
+    Results stay readable, further lots are refused at the limit, and released space is usable.
+    """
+    fleet, accepted, refused, most_held_bytes = ScenarioFleet(seed), {}, 0, 0
+    limit_bytes = 30_000
+    with mock.patch.object(retention, "HELD_LIMIT_BYTES", limit_bytes):
         for number in range(60):
             items = [f"unread {number} {n}" for n in range(3)]
-            answer, error = submit(stage, f"k{number}", "ann", items)
+            answer, error = submit(fleet, f"k{number}", "ann", items)
             if answer:
                 accepted[answer["lot"]] = items
             elif error.kind == "too_many_lots":
                 refused += 1
             else:
-                stage.sim.history.violate(f"strange refusal {error}")
-            stage.run(0.7)
-            heaviest = max(heaviest, *(_held(n) for n in stage.sim.up_nodes("core")))
-        stage.run(10)
-        _check_all_there(stage, accepted)
-        if not refused or heaviest > bound:
-            stage.sim.history.violate(f"{refused} refused, up to {heaviest} held of {bound}")
+                fleet.sim.history.violate(f"unexpected refusal {error}")
+            fleet.run(0.7)
+            most_held_bytes = max(
+                most_held_bytes, *(_held_bytes(n) for n in fleet.sim.up_nodes("core"))
+            )
+        fleet.run(10)
+        _check_results_readable(fleet, accepted)
+        if not refused or most_held_bytes > limit_bytes:
+            fleet.sim.history.violate(
+                f"{refused} refused, up to {most_held_bytes} of {limit_bytes} bytes held"
+            )
         for lot in list(accepted)[:6]:
-            answer, error = stage.finish(
-                stage.start(stage.callers.ask(release_lot, "POST", {"lot": lot}, client_name="eve"))
+            answer, error = fleet.finish(
+                fleet.start(fleet.callers.ask(release_lot, "POST", {"lot": lot}, client_name="eve"))
             )
             if answer or error.kind != "not_found":
-                stage.sim.history.violate(f"another sender released a lot: {answer} {error}")
-            stage.finish(
-                stage.start(stage.callers.ask(release_lot, "POST", {"lot": lot}, client_name="ann"))
+                fleet.sim.history.violate(f"another sender released a lot: {answer} {error}")
+            fleet.finish(
+                fleet.start(fleet.callers.ask(release_lot, "POST", {"lot": lot}, client_name="ann"))
             )
             del accepted[lot]
-        answer, error = submit(stage, "later", "ann", ["one more"])
+        answer, error = submit(fleet, "later", "ann", ["one more"])
         if not answer:
-            stage.sim.history.violate(f"released room was not given: {error}")
-        _check_all_there(stage, accepted)
-    return stage.sim.history.violations, {
+            fleet.sim.history.violate(f"a lot was refused after others were released: {error}")
+        _check_results_readable(fleet, accepted)
+    return fleet.sim.history.violations, {
         "accepted": len(accepted) + 6,
         "refused": refused,
-        "most_held": heaviest,
+        "most_held": most_held_bytes,
     }
 
 
-def _held(node):
+def _held_bytes(node):
+    """Return the most bytes that the lots of any part owned by the node take up."""
     owners = node.find("ownership").leaders.values()
     return max(
         (
-            sum(node.find("keeping").weight(o.part, n, lot) for n, lot in o.state["lots"].items())
-            for o in owners
-            if o.is_leader
+            sum(
+                node.find("keeping").weight(owner.part, name, lot)
+                for name, lot in owner.state["lots"].items()
+            )
+            for owner in owners
+            if owner.is_leader
         ),
         default=0,
     )
 
 
-def _check_all_there(stage, accepted):
+def _check_results_readable(fleet, accepted):
+    """Check that every result of the accepted lots, {lot: items}, can be read."""
     for lot, items in accepted.items():
-        answer, error = stage.finish(
-            stage.start(stage.callers.ask(show_results, words={"lot": lot}, client_name="ann"))
+        answer, error = fleet.finish(
+            fleet.start(fleet.callers.ask(show_results, words={"lot": lot}, client_name="ann"))
         )
         if not answer or len(answer["results"]) != len(items):
-            stage.sim.history.violate(f"results of {lot} vanished: {answer} {error}")
+            fleet.sim.history.violate(f"results of {lot} vanished: {answer} {error}")
 
 
 def same_keys(seed):
-    """Several senders use one key at once, each for a lot of its own."""
-    stage = Stage(seed)
+    """Several senders use the same idempotency key, each for a different lot."""
+    fleet = ScenarioFleet(seed)
     client_names = ["ann", "bob", "", "\u00fc", "ann "]
     lots = {}
     for client_name in client_names:
-        answer, error = submit(stage, "monday", client_name, [f"item of {client_name}"])
+        answer, error = submit(fleet, "monday", client_name, [f"item of {client_name}"])
         lots[client_name] = answer["lot"] if answer else error.kind
-    again, _ = submit(stage, "monday", "ann", ["item of ann"])
-    other, error = submit(stage, "monday", "ann", ["another item"])
+    again, _ = submit(fleet, "monday", "ann", ["item of ann"])
+    other, error = submit(fleet, "monday", "ann", ["another item"])
     if lots.pop("") != "bad_inquiry" or len(set(lots.values())) != 4:
-        stage.sim.history.violate(f"keys of several senders met: {lots}")
+        fleet.sim.history.violate(f"the key of one sender affected another: {lots}")
     if not again or not again.get("repeated") or other or error.kind != "conflict":
-        stage.sim.history.violate(f"the own key: {again} {other} {error}")
-    return stage.sim.history.violations, {"lots": len(lots)}
+        fleet.sim.history.violate(f"a repeated key was not handled: {again} {other} {error}")
+    return fleet.sim.history.violations, {"lots": len(lots)}
 
 
 def full_journal(seed):
-    """Journals are small; streams under way fill them while many others come and end."""
-    stage = Stage(seed)
-    callers = stage.callers
+    """Long streams fill small journals while many short ones start and end; none may be dropped."""
+    fleet = ScenarioFleet(seed)
+    callers = fleet.callers
     with mock.patch.object(journal, "MAX_BYTES", 9_000):
         for _ in range(8):
-            stage.start(callers.stream("tagging", "long", 400, drop_after=60))
+            fleet.start(callers.stream("tagging", "long", 400, drop_after=60))
         for _ in range(60):
-            stage.start(callers.stream("wayfinding", "short", 30, drop_after=1 << 30))
-            stage.run(0.25)
-        stage.run(40)
-    outcomes = stage.outcomes()
+            fleet.start(callers.stream("wayfinding", "short", 30, drop_after=1 << 30))
+            fleet.run(0.25)
+        fleet.run(40)
+    outcomes = fleet.outcomes()
     if outcomes.get("long/complete", 0) + outcomes.get("long/refused", 0) != 8:
-        stage.sim.history.violate(f"streams under way were dropped: {outcomes}")
+        fleet.sim.history.violate(f"streams in flight were dropped: {outcomes}")
     if outcomes.get("short/complete", 0) < 20:
-        stage.sim.history.violate(f"no room was made for others: {outcomes}")
-    weights = [n.find("journal").size for n in stage.sim.nodes.values() if n.find("journal")]
-    if max(weights) > 50_000:
-        stage.sim.history.violate(f"journals weigh {weights}")
-    dropped = sum(n.counts.get("streams_dropped", 0) for n in stage.sim.nodes.values())
-    return stage.sim.history.violations, {**outcomes, "ended_ones_dropped": dropped}
+        fleet.sim.history.violate(f"ended streams did not make room for others: {outcomes}")
+    journal_bytes = [n.find("journal").size for n in fleet.sim.nodes.values() if n.find("journal")]
+    if max(journal_bytes) > 50_000:
+        fleet.sim.history.violate(f"journals are too large: {journal_bytes} bytes")
+    dropped = sum(n.counts.get("streams_dropped", 0) for n in fleet.sim.nodes.values())
+    return fleet.sim.history.violations, {**outcomes, "ended_ones_dropped": dropped}
 
 
 def refused_crowd(seed):
-    """A crowd is refused; nothing of it stays in the journals."""
-    stage = Stage(seed)
-    for replica in stage.sim.replicas.values():
+    """300 requests are refused for lack of replicas; none of them may stay in a journal."""
+    fleet = ScenarioFleet(seed)
+    for replica in fleet.sim.replicas.values():
         if replica.row["service"] == "words":
             replica.leave()
-    stage.run(1)
+    fleet.run(1)
     for _ in range(300):
-        stage.start(stage.callers.stream("wayfinding", "crowd", 8))
-    stage.run(5)
+        fleet.start(fleet.callers.stream("wayfinding", "crowd", 8))
+    fleet.run(5)
     held = sum(
-        len(n.find("journal").streams) for n in stage.sim.nodes.values() if n.find("journal")
+        len(n.find("journal").streams) for n in fleet.sim.nodes.values() if n.find("journal")
     )
     if held:
-        stage.sim.history.violate(f"{held} refused inquiries are still in journals")
-    return stage.sim.history.violations, {**stage.outcomes(), "held": held}
+        fleet.sim.history.violate(f"{held} refused requests are still in journals")
+    return fleet.sim.history.violations, {**fleet.outcomes(), "held": held}
 
 
 def frozen_holders(seed):
-    """All that could hold a piece freeze; the sender asks its edge again; then that edge dies."""
-    stage = Stage(seed)
-    sim = stage.sim
-    stage.only_edge("edge-1")
+    """All possible journal backups of edge-1 freeze, senders resume there, and edge-1 dies.
+
+    Every stream must still complete, resumed from a backup.
+    """
+    fleet = ScenarioFleet(seed)
+    sim = fleet.sim
+    fleet.route_to_edge("edge-1")
     for _ in range(16):
-        stage.start(stage.callers.stream("wayfinding", "short", 200, drop_after=1 << 30))
-    stage.run(sim.chance.uniform(0.5, 1))
+        fleet.start(fleet.callers.stream("wayfinding", "short", 200, drop_after=1 << 30))
+    fleet.run(sim.chance.uniform(0.5, 1))
     for node in sim.up_nodes("edge") + sim.up_nodes("core"):
         if node.me.zone != sim.rows["edge-1"]["domain"]:
             sim.freeze(node.me.name, 3)
-    stage.run(sim.chance.uniform(2.5, 2.9))
+    fleet.run(sim.chance.uniform(2.5, 2.9))
     sim.kill("edge-1")
-    stage.any_edge()
-    stage.run(60)
-    outcomes = stage.outcomes()
+    fleet.route_to_any_edge()
+    fleet.run(60)
+    outcomes = fleet.outcomes()
     if outcomes != {"short/complete": 16}:
-        sim.history.violate(f"conversations were dropped: {outcomes}")
+        sim.history.violate(f"not every stream completed: {outcomes}")
     return sim.history.violations, {**outcomes, "resumes": sim.history.counts.get("resumes", 0)}
 
 
 def drop_oldest(self):
-    """Stand-in for the guard: room is made by dropping the oldest, under way or not."""
+    """Replaces the guard: the oldest streams are dropped to make room, even those in flight."""
     while self._is_full() and self.streams:
         self.forget(min(self.streams.values(), key=lambda s: (s.has_ended, s.last_used_at)))
 
--- a/proving/points/scenario_fleet.py
+++ b/proving/points/scenario_fleet.py
@@ -1,4 +1,4 @@
-"""A small simulated fleet with callers and a monitor, and replacements for guards taken out."""
+"""The simulated fleet that scenarios run on, and helpers that disable guards."""
 
 from contextlib import ExitStack
 from unittest import mock
@@ -9,16 +9,16 @@
 from proving.sim.seeded_run import ONCE_CLASS
 from quillring.kernel.routes import Request
 
-SMALL = {
+SMALL_FLEET = {
     "sizes": {"edge": 4, "core": 3, "store": 4},
     "replicas": [("words", 4, 4), ("map", 2, 4)],
 }
 
 
-class Stage:
-    """A small bootstrapped fleet with callers and a monitor, run until `ready_at` seconds."""
+class ScenarioFleet:
+    """A small founded fleet with callers and a monitor, advanced to simulated second `ready_at`."""
 
-    def __init__(self, seed, deployment="ferrowa", sizes=SMALL, ready_at=8, versions=None):
+    def __init__(self, seed, deployment="ferrowa", sizes=SMALL_FLEET, ready_at=8, versions=None):
         self.sim = SimFleet(deployment, seed, sizes)
         configuration = self.sim.configuration
         self.sim.configuration = {
@@ -36,50 +36,53 @@
         self.env.run(until=ready_at)
 
     def run(self, seconds):
-        """Let time pass."""
+        """Advance simulated time by so many seconds."""
         self.env.run(until=self.env.now + seconds)
 
     def start(self, process):
-        """Start a caller or operator."""
+        """Start a simulation process, such as a caller or an operator, and return it."""
         return self.env.process(process)
 
     def finish(self, process, seconds=60):
-        """Let time pass until a process has ended; return its value."""
-        limit = self.env.timeout(seconds)
-        self.env.run(until=process | limit)
+        """Advance time until a process ends and return its value, or None after `seconds`."""
+        timeout = self.env.timeout(seconds)
+        self.env.run(until=process | timeout)
         return process.value if process.triggered else None
 
     def node(self, name):
-        """Return a node."""
+        """Return the node of this name."""
         return self.sim.nodes[name]
 
-    def only_edge(self, name):
-        """Have the load balancer give new connections to this edge only."""
+    def route_to_edge(self, name):
+        """Make the load balancer send new connections to this edge only."""
         self.callers.edge = lambda: self.node(name)
 
-    def any_edge(self):
-        """Have the load balancer use every live edge again."""
+    def route_to_any_edge(self):
+        """Make the load balancer use every live edge again."""
         del self.callers.edge
 
-    def request(self, method, words, query, body, client_name):
-        """Return an inquiry as the HTTP side hands it on."""
-        return Request(method, words, query, body, client_name)
+    def request(self, method, path_words, query, body, client_name):
+        """Return a request in the form in which the HTTP server passes it to handlers."""
+        return Request(method, path_words, query, body, client_name)
 
     def outcomes(self):
-        """Return {kind/outcome: count} of the callers."""
-        return {f"{k}/{o}": n for (k, o), n in sorted(self.callers.record.outcomes.items())}
+        """Return the callers' outcome counts, keyed by "kind/outcome"."""
+        return {
+            f"{kind}/{outcome}": n
+            for (kind, outcome), n in sorted(self.callers.record.outcomes.items())
+        }
 
 
-def no_check(*words):
-    """Replacement for a check that is taken out: it does nothing."""
+def no_check(*args):
+    """Replacement for a disabled check or step."""
 
 
 def always_hopeful(self, waiter):
-    """Stand-in for the guard: whoever waits keeps waiting."""
+    """Replaces the guard: a queued request is never refused before its deadline."""
 
 
-def without(guards, run):
-    """Run a scenario with its guards taken out; `guards` are (object, name, replacement)."""
+def run_without_guards(guards, run):
+    """Call `run` with its guards disabled; `guards` are (object, attribute name, replacement)."""
     with ExitStack() as stack:
         for target, name, replacement in guards:
             stack.enter_context(mock.patch.object(target, name, replacement))
--- a/proving/points/serving.py
+++ b/proving/points/serving.py
@@ -1,155 +1,162 @@
-"""Scenarios about replicas and inquiries; each returns its violations and figures."""
+"""Scenarios about replicas, queues and requests that may not repeat."""
 
-from proving.points.scenario_fleet import Stage, always_hopeful, no_check
+from proving.points.scenario_fleet import ScenarioFleet, always_hopeful, no_check
 from quillring.classes.quota_client import QuotaClient
 from quillring.edge import dispatcher, replicas, stream_handlers
 from quillring.rollout.freshness import Freshness
 
 
 def lost_reply(seed):
-    """A replica goes dark after it began work that may not repeat."""
-    stage = Stage(seed)
+    """Two replicas stop answering after they began work that may not repeat."""
+    fleet = ScenarioFleet(seed)
     for _ in range(16):
-        stage.start(stage.callers.stream("once", "once", 30, True))
-    stage.run(0.4)
+        fleet.start(fleet.callers.stream("once", "once", 30, True))
+    fleet.run(0.4)
     for name in ("words-1", "words-2"):
-        stage.sim.replicas[name].is_dark = True
-    stage.run(30)
-    return stage.sim.history.violations, stage.outcomes()
+        fleet.sim.replicas[name].is_dark = True
+    fleet.run(30)
+    return fleet.sim.history.violations, fleet.outcomes()
 
 
 def frozen_before_sending(seed):
-    """An edge freezes while work that may not repeat waits for room; it wakes too late."""
-    stage = Stage(seed)
-    stage.only_edge("edge-1")
-    for replica in stage.sim.replicas.values():
+    """An edge freezes while work that may not repeat is queued, and resumes past the deadline.
+
+    The requests count as refused from the start, so that a late send is a violation.
+    """
+    fleet = ScenarioFleet(seed)
+    fleet.route_to_edge("edge-1")
+    for replica in fleet.sim.replicas.values():
         replica.logic.busy = replica.logic.slots
-    edge = stage.node("edge-1")
+    edge = fleet.node("edge-1")
     for replica in edge.find("replicas").table.values():
         replica.in_flight = replica.slots
-    told = []
+    caller_processes = []
     for _ in range(3):
-        told.append(stage.start(stage.callers.stream("once", "once", 8, True)))
-    stage.run(0.3)
-    for prompt in list(stage.sim.history.single):
-        stage.sim.history.refused(prompt)
-    stage.sim.freeze("edge-1", 3)
-    for replica in stage.sim.replicas.values():
+        caller_processes.append(fleet.start(fleet.callers.stream("once", "once", 8, True)))
+    fleet.run(0.3)
+    for prompt in list(fleet.sim.history.single):
+        fleet.sim.history.refused(prompt)
+    fleet.sim.freeze("edge-1", 3)
+    for replica in fleet.sim.replicas.values():
         replica.logic.busy = 0
     for replica in edge.find("replicas").table.values():
         replica.in_flight = 0
-    stage.run(20)
-    return stage.sim.history.violations, stage.outcomes()
+    fleet.run(20)
+    return fleet.sim.history.violations, fleet.outcomes()
 
 
 def replica_leaves(seed):
-    """An edge that hears no news still reaches a replica that says it is leaving."""
-    stage = Stage(seed)
-    others = [name for name in stage.sim.nodes if name != "edge-1"]
-    stage.only_edge("edge-1")
-    stage.start(stage.callers.generate(20, stage.callers.stream, "wayfinding", "short", 8))
-    stage.run(1)
-    stage.sim.cut(["edge-1"], others)
-    for replica in stage.sim.replicas.values():
+    """Replicas leave while the edge that uses them is cut off from all other nodes."""
+    fleet = ScenarioFleet(seed)
+    others = [name for name in fleet.sim.nodes if name != "edge-1"]
+    fleet.route_to_edge("edge-1")
+    fleet.start(fleet.callers.generate(20, fleet.callers.stream, "wayfinding", "short", 8))
+    fleet.run(1)
+    fleet.sim.cut(["edge-1"], others)
+    for replica in fleet.sim.replicas.values():
         if replica.row["service"] == "words":
             replica.leave()
-    stage.run(8)
-    return stage.sim.history.violations, stage.outcomes()
+    fleet.run(8)
+    return fleet.sim.history.violations, fleet.outcomes()
 
 
 def cold_replicas(seed):
-    """Replicas are replaced one after another while crowds call."""
-    stage = Stage(seed)
-    stage.start(stage.callers.generate(25, stage.callers.stream, "wayfinding", "short", 12))
+    """Replicas are replaced one after another under load; a cold one must not be overloaded."""
+    fleet = ScenarioFleet(seed)
+    fleet.start(fleet.callers.generate(25, fleet.callers.stream, "wayfinding", "short", 12))
     for number in range(1, 5):
-        stage.run(2)
-        stage.sim.replicas[f"words-{number}"].kill()
-        stage.run(0.3)
-        stage.sim.start_replica(f"words-{number}")
-    stage.run(6)
-    overloads = sum(r.logic.overloads for r in stage.sim.replicas.values())
+        fleet.run(2)
+        fleet.sim.replicas[f"words-{number}"].kill()
+        fleet.run(0.3)
+        fleet.sim.start_replica(f"words-{number}")
+    fleet.run(6)
+    overloads = sum(r.logic.overloads for r in fleet.sim.replicas.values())
     if overloads:
-        stage.sim.history.violate(f"cold replicas got too much {overloads} times")
-    return stage.sim.history.violations, stage.outcomes()
+        fleet.sim.history.violate(f"cold replicas were overloaded {overloads} times")
+    return fleet.sim.history.violations, fleet.outcomes()
 
 
 def crowd(seed):
-    """A crowd arrives all at once: bounded queues, refusals at once, urgent ones served."""
-    stage = Stage(seed)
-    stage.only_edge("edge-1")
-    env, refusal_times, waiting = stage.env, [], []
+    """400 requests arrive at once: queues stay bounded, and all urgent requests are served."""
+    fleet = ScenarioFleet(seed)
+    fleet.route_to_edge("edge-1")
+    env, refusal_seconds, queue_lengths = fleet.env, [], []
 
     def caller(route, kind):
         start_time = env.now
-        before = stage.callers.record.outcomes.get((kind, "refused"), 0)
-        yield from stage.callers.stream(route, kind, 12)
-        if stage.callers.record.outcomes.get((kind, "refused"), 0) > before:
-            refusal_times.append(env.now - start_time)
+        refused_before = fleet.callers.record.outcomes.get((kind, "refused"), 0)
+        yield from fleet.callers.stream(route, kind, 12)
+        if fleet.callers.record.outcomes.get((kind, "refused"), 0) > refused_before:
+            refusal_seconds.append(env.now - start_time)
 
     for _ in range(400):
-        stage.start(caller("gate-notices", "crowd"))
-    stage.run(0.2)
+        fleet.start(caller("gate-notices", "crowd"))
+    fleet.run(0.2)
     for _ in range(20):
-        stage.start(stage.callers.stream("wayfinding", "urgent", 8))
+        fleet.start(fleet.callers.stream("wayfinding", "urgent", 8))
     for _ in range(200):
-        stage.run(0.1)
-        waiting.append(len(stage.node("edge-1").find("dispatch").queue))
-    stage.run(30)
-    if max(waiting) > 64 + 128:
-        stage.sim.history.violate(f"{max(waiting)} wait in queues of 64 and 128")
-    outcomes = stage.outcomes()
+        fleet.run(0.1)
+        queue_lengths.append(len(fleet.node("edge-1").find("dispatch").queue))
+    fleet.run(30)
+    if max(queue_lengths) > 64 + 128:
+        fleet.sim.history.violate(
+            f"{max(queue_lengths)} requests are queued, the limits are 64 and 128"
+        )
+    outcomes = fleet.outcomes()
     if outcomes.get("urgent/complete", 0) < 20:
-        stage.sim.history.violate(f"urgent ones lost: {outcomes}")
-    early = sorted(refusal_times)[:100]
-    return stage.sim.history.violations, {
+        fleet.sim.history.violate(f"not every urgent request was served: {outcomes}")
+    fastest_refusals = sorted(refusal_seconds)[:100]
+    return fleet.sim.history.violations, {
         **outcomes,
-        "most_waiting": max(waiting),
-        "refusal_median_ms": round(1000 * early[len(early) // 2], 1) if early else None,
+        "most_waiting": max(queue_lengths),
+        "refusal_median_ms": round(1000 * fastest_refusals[len(fastest_refusals) // 2], 1)
+        if fastest_refusals
+        else None,
     }
 
 
 def all_working(self, replica):
-    """Stand-in for the guard: every known replica may get work."""
+    """Replaces the guard: a replica without recent heartbeats counts as usable."""
     return replica.state not in ("leaving", "gone")
 
 
 def all_slots(self, replica):
-    """Stand-in for the guard: a cold replica's slots are free for all."""
+    """Replaces the guard: a cold replica offers all its slots."""
     return replica.slots
 
 
-def endless(self, *words, **options):
-    """Stand-in for the guard: a queue without a bound."""
-    promise = {**words[2], "queue": 1 << 30}
-    return (yield from REAL_ACQUIRE(self, words[0], words[1], promise, *words[3:], **options))
+def endless(self, *args, **options):
+    """Replaces the guard: the queue has no length limit."""
+    promise = {**args[2], "queue": 1 << 30}
+    return (yield from REAL_ACQUIRE(self, args[0], args[1], promise, *args[3:], **options))
 
 
 REAL_ACQUIRE = dispatcher.Dispatcher.acquire
 
 
 def rerun_attempt(node, stream, progress, end_time, avoided_names):
-    """Stand-in for the guard: work that may not repeat is tried elsewhere all the same."""
+    """Replaces the guard: work that may not repeat is retried on another replica."""
     configuration = node.find("layout")
     real_route = configuration.route
     route, service, promise = real_route(stream.request["entry"])
     patched = (route, service, {**promise, "resumable": True, "repeatable": True})
-    holder = type("Image", (), {"route": staticmethod(lambda name: patched)})
-    node.services["layout"], kept = _Facade(configuration, holder), configuration
+    override = type("Image", (), {"route": staticmethod(lambda name: patched)})
+    node.services["layout"], original = _LayoutOverride(configuration, override), configuration
     try:
         yield from REAL_ATTEMPT(node, stream, progress, end_time, avoided_names)
     finally:
-        node.services["layout"] = kept
+        node.services["layout"] = original
 
 
-class _Facade:
-    """A layout image whose entries claim to be resumable."""
+class _LayoutOverride:
+    """A layout snapshot whose `route` is replaced; other attributes are those of `real`."""
 
-    def __init__(self, real, holder):
+    def __init__(self, real, override):
         self.real = real
-        self.holder = holder
+        self.override = override
 
     def __getattr__(self, name):
-        return getattr(self.holder if name == "route" else self.real, name)
+        return getattr(self.override if name == "route" else self.real, name)
 
 
 REAL_ATTEMPT = stream_handlers.try_replica
--- a/proving/points/starts.py
+++ b/proving/points/starts.py
@@ -1,54 +1,58 @@
-"""Scenarios about starts: clocks set back, versions mixed, settings changed, rolling upgrades."""
+"""Scenarios about restarts: clocks set back, mixed versions and rolling upgrades."""
 
 from proving.points.configuration import drain
-from proving.points.partitions import traffic
-from proving.points.scenario_fleet import Stage
+from proving.points.partitions import run_traffic
+from proving.points.scenario_fleet import ScenarioFleet
 from quillring.nifty import Nifty
 from quillring.nifty.wire import SPOKEN
 
-FORMER = tuple(version - 1 for version in SPOKEN)
-STRANGE = tuple(version + 5 for version in SPOKEN)
+FORMER_VERSIONS = tuple(version - 1 for version in SPOKEN)
+UNKNOWN_VERSIONS = tuple(version + 5 for version in SPOKEN)
 
 
 def clock_set_back(seed):
-    """An edge, a core and a store are restarted, their clocks set back by a long time."""
-    stage = Stage(seed)
-    stage.start(stage.callers.lot("gate-notices", 6, 0.0))
-    names = [stage.sim.chance.choice(stage.sim.names(role)) for role in ("edge", "core", "store")]
+    """An edge, a core and a store restart with clocks set back and must be admitted again."""
+    fleet = ScenarioFleet(seed)
+    fleet.start(fleet.callers.lot("gate-notices", 6, 0.0))
+    names = [fleet.sim.chance.choice(fleet.sim.names(role)) for role in ("edge", "core", "store")]
     for name in names:
-        stage.sim.kill(name)
-        stage.sim.clocks[name] = 0
-        stage.sim.start(name)
-    stage.run(6)
-    lost = sorted(
+        fleet.sim.kill(name)
+        fleet.sim.clocks[name] = 0
+        fleet.sim.start(name)
+    fleet.run(6)
+    unreached_names = sorted(
         {
             name
-            for node in stage.sim.nodes.values()
+            for node in fleet.sim.nodes.values()
             for name in names
             if not node.find("nifty").reaches(name)
         }
     )
-    if lost:
-        stage.sim.history.violate(f"{lost} are still kept out")
-    stage.only_edge(names[0])
-    outcomes = traffic(stage, 4)
+    if unreached_names:
+        fleet.sim.history.violate(f"{unreached_names} are still not reached by every node")
+    fleet.route_to_edge(names[0])
+    outcomes = run_traffic(fleet, 4)
     if any(not name.endswith(("complete", "ended")) for name in outcomes):
-        stage.sim.history.violate(f"not served at {names[0]}: {outcomes}")
-    return stage.sim.history.violations, {**outcomes, "restarted": names}
+        fleet.sim.history.violate(f"not every request at {names[0]} succeeded: {outcomes}")
+    return fleet.sim.history.violations, {**outcomes, "restarted": names}
 
 
 def mixed_versions(seed):
-    """A fleet of the former version is upgraded one by one under traffic; a strange one knocks."""
-    stage = Stage(seed, versions=FORMER)
-    sim, callers = stage.sim, stage.callers
-    wrong_fleet = {
+    """Nodes of the former version are upgraded one by one under traffic.
+
+    The fleet uses the former version until the last node is upgraded. A node with an unknown
+    version tries to join throughout, and must be counted and not admitted.
+    """
+    fleet = ScenarioFleet(seed, versions=FORMER_VERSIONS)
+    sim, callers = fleet.sim, fleet.callers
+    unknown_node_row = {
         "name": "edge-9",
         "role": "edge",
         "domain": "west",
         "address": "127.0.41.99:7400",
         "seeds": [sim.rows["core-1"]["address"]],
     }
-    sim.rows["edge-9"], sim.versions["edge-9"] = wrong_fleet, STRANGE
+    sim.rows["edge-9"], sim.versions["edge-9"] = unknown_node_row, UNKNOWN_VERSIONS
     real_edge = callers.edge
 
     def ready_edge():
@@ -58,46 +62,46 @@
                 return node
 
     callers.edge = ready_edge
-    stage.start(callers.generate(5, callers.stream, "wayfinding", "short", 12))
-    stage.start(callers.generate(0.7, callers.lot, "gate-notices", 3, 0.0))
+    fleet.start(callers.generate(5, callers.stream, "wayfinding", "short", 12))
+    fleet.start(callers.generate(0.7, callers.lot, "gate-notices", 3, 0.0))
     sim.start("edge-9")
     order = [name for name in sim.rows if name != "edge-9"]
     sim.chance.shuffle(order)
-    levels = []
+    versions_in_use = []
     for name in order:
-        node = stage.node(name)
-        levels.append(stage.node("edge-1").find("nifty").lowest_common_version())
+        node = fleet.node(name)
+        versions_in_use.append(fleet.node("edge-1").find("nifty").lowest_common_version())
         if node.me.role != "store":
-            drain(stage, node)
+            drain(fleet, node)
         sim.kill(name)
         sim.versions[name] = SPOKEN
         sim.start(name)
-        stage.run(3.5)
-    callers.stop_at = stage.env.now
-    stage.run(20)
-    outcomes = stage.outcomes()
-    after = {stage.node(n).find("nifty").lowest_common_version() for n in order}
-    if after != {SPOKEN[-1]} or set(levels) != {FORMER[-1]}:
-        sim.history.violate(f"levels {levels}, in the end {after}")
-    knocked = stage.node("core-1").counts.get("other_versions", 0)
-    if not knocked or "edge-9" in stage.node("core-1").find("nifty").roster.members:
-        sim.history.violate(f"the strange node: {knocked} beats counted")
-    bad = {k: n for k, n in outcomes.items() if not k.endswith(("complete", "ended", "refused"))}
+        fleet.run(3.5)
+    callers.stop_at = fleet.env.now
+    fleet.run(20)
+    outcomes = fleet.outcomes()
+    after = {fleet.node(n).find("nifty").lowest_common_version() for n in order}
+    if after != {SPOKEN[-1]} or set(versions_in_use) != {FORMER_VERSIONS[-1]}:
+        sim.history.violate(f"versions in use {versions_in_use}, in the end {after}")
+    rejected_beats = fleet.node("core-1").counts.get("other_versions", 0)
+    if not rejected_beats or "edge-9" in fleet.node("core-1").find("nifty").roster.members:
+        sim.history.violate(f"unknown version admitted or not counted: {rejected_beats} heartbeats")
+    failed = {k: n for k, n in outcomes.items() if not k.endswith(("complete", "ended", "refused"))}
     accepted = sim.history.counts.get("accepted_lots", 0)
-    if bad or outcomes.get("lot/ended", 0) != accepted:
+    if failed or outcomes.get("lot/ended", 0) != accepted:
         sim.history.violate(f"accepted {accepted}, outcomes {outcomes}")
-    return sim.history.violations, {**outcomes, "knocked": knocked}
+    return sim.history.violations, {**outcomes, "knocked": rejected_beats}
 
 
-def no_word(*words):
-    """Stand-in for the guard: nobody tells a late start of the former one."""
+def no_word(*args):
+    """Replaces the guard: a restarted node isn't told that a higher incarnation is known."""
 
 
 REAL_INIT = Nifty.__init__
 
 
 def newest_only(self, node, seeds, versions):
-    """Stand-in for the guard: every node speaks its newest version and no other."""
+    """Replaces the guard: every node supports only its newest version."""
     REAL_INIT(self, node, seeds, versions[-1:])
 
 
--- a/proving/points/stream_resumption.py
+++ b/proving/points/stream_resumption.py
@@ -1,10 +1,10 @@
-"""Scenarios about resuming streams: forbidden classes, foreign tokens, other senders."""
+"""Scenarios about resuming streams: classes that forbid it, invalid tokens, other senders."""
 
 import base64
 
 import cbor2
 
-from proving.points.scenario_fleet import Stage, no_check
+from proving.points.scenario_fleet import ScenarioFleet, no_check
 from proving.sim.callers import Connection
 from quillring.edge import stream_handlers
 from quillring.edge.journal_messages import Term
@@ -16,78 +16,84 @@
 from quillring.lots.prompts.api import cancel_lot, show_lot, show_results
 
 
-def open_stream(stage, edge, route, client_name, max_pieces=100):
-    """Open a model inquiry at an edge; return the connection and its head line."""
+def open_stream(fleet, edge, route, client_name, max_pieces=100):
+    """Open a model stream at an edge; return (connection, head line)."""
     prompt = f"{route} {client_name}"
     body = {"entry": route, "prompt": prompt, "max_pieces": max_pieces}
-    node = stage.node(edge)
+    node = fleet.node(edge)
     connection = Connection(
-        stage.sim, node, serve_model(node, Request("POST", {}, {}, body, client_name))
+        fleet.sim, node, serve_model(node, Request("POST", {}, {}, body, client_name))
     )
-    return connection, stage.finish(stage.start(connection.next(10)))
+    return connection, fleet.finish(fleet.start(connection.next(10)))
 
 
-def resume(stage, edge, token, client_name, after=0):
-    """Ask an edge to resume; return (connection, first line)."""
-    node = stage.node(edge)
+def resume(fleet, edge, token, client_name, after=0):
+    """Ask an edge to resume a stream after piece `after`; return (connection, first line)."""
+    node = fleet.node(edge)
     request = Request("GET", {"token": token}, {"after": [str(after)]}, None, client_name)
-    connection = Connection(stage.sim, node, resume_stream(node, request))
-    return connection, stage.finish(stage.start(connection.next(10)))
+    connection = Connection(fleet.sim, node, resume_stream(node, request))
+    return connection, fleet.finish(fleet.start(connection.next(10)))
 
 
-def read_rest(stage, connection):
-    """Return all further lines of a connection."""
+def read_rest(fleet, connection):
+    """Return the remaining lines of a connection."""
     lines = []
-    while (line := stage.finish(stage.start(connection.next(10)))) is not None:
+    while (line := fleet.finish(fleet.start(connection.next(10)))) is not None:
         lines.append(line)
     return lines
 
 
-def kind_of(connection):
-    """Return the kind of error an exchange ended with, or None."""
+def error_kind(connection):
+    """Return the kind of the error that the exchange ended with, or None."""
     error = connection.outcome[1] if connection.outcome else None
     return error.kind if error else None
 
 
 def forbidden_resume(seed):
-    """A sender asks to resume what its class forbids, while it runs, after a cut, after its end."""
-    stage, seen = Stage(seed), []
-    violate = stage.sim.history.violate
-    stage.sim.history.single.add("once ann")
-    running, head = open_stream(stage, "edge-1", "once", "ann")
-    other, line = resume(stage, "edge-2", head["resume"], "ann")
-    seen.append(kind_of(other))
-    rest = read_rest(stage, running)
+    """A sender asks to resume streams of a class that forbids it.
+
+    It asks while the stream runs, after it ended, and after its edge died; each must be refused.
+    """
+    fleet, error_kinds = ScenarioFleet(seed), []
+    violate = fleet.sim.history.violate
+    fleet.sim.history.single.add("once ann")
+    running, head = open_stream(fleet, "edge-1", "once", "ann")
+    other, line = resume(fleet, "edge-2", head["resume"], "ann")
+    error_kinds.append(error_kind(other))
+    rest = read_rest(fleet, running)
     if not rest or rest[-1].get("end") is not True:
-        violate(f"the running stream was cut: {rest[-1:]}")
-    ended, line = resume(stage, "edge-3", head["resume"], "ann")
-    seen.append(kind_of(ended))
-    stage.sim.history.single.add("once bob")
-    broken, head = open_stream(stage, "edge-1", "once", "bob")
-    stage.sim.kill("edge-1")
-    stage.run(3)
-    again, line = resume(stage, "edge-2", head["resume"], "bob")
-    seen.append(kind_of(again))
-    if seen != ["not_resumable"] * 3:
-        violate(f"resumed though the class forbids it: {seen}")
-    return stage.sim.history.violations, {"answers": seen}
+        violate(f"the running stream was interrupted: {rest[-1:]}")
+    ended, line = resume(fleet, "edge-3", head["resume"], "ann")
+    error_kinds.append(error_kind(ended))
+    fleet.sim.history.single.add("once bob")
+    broken, head = open_stream(fleet, "edge-1", "once", "bob")
+    fleet.sim.kill("edge-1")
+    fleet.run(3)
+    again, line = resume(fleet, "edge-2", head["resume"], "bob")
+    error_kinds.append(error_kind(again))
+    if error_kinds != ["not_resumable"] * 3:
+        violate(f"resumed though the class forbids it: {error_kinds}")
+    return fleet.sim.history.violations, {"answers": error_kinds}
 
 
 def strange_tokens(seed):
-    """Tokens forged, of another sender, expired, cut off; the answer stays its sender's own."""
-    stage = Stage(seed)
-    running, head = open_stream(stage, "edge-1", "wayfinding", "ann")
-    rest = read_rest(stage, running)
-    node = stage.node("edge-2")
-    stream = stage.node("edge-1").find("journal").streams[head["stream"]]
+    """Forged, expired and truncated tokens and those of another sender are all refused alike.
+
+    The sender of the stream can still read all of it afterwards.
+    """
+    fleet = ScenarioFleet(seed)
+    running, head = open_stream(fleet, "edge-1", "wayfinding", "ann")
+    rest = read_rest(fleet, running)
+    node = fleet.node("edge-2")
+    stream = fleet.node("edge-1").find("journal").streams[head["stream"]]
     secret = node.find("ownership").founding()["secret"]
-    chance = stage.sim.chance
-    place = chance.randrange(len(head["resume"]) - 2)
-    swapped = "A" if head["resume"][place] != "A" else "B"
+    chance = fleet.sim.chance
+    position = chance.randrange(len(head["resume"]) - 2)
+    swapped = "A" if head["resume"][position] != "A" else "B"
     forged_body = cbor2.dumps([stream.name, [1, "edge-1"], 1 << 40])
     tokens = {
         "one letter changed": (
-            head["resume"][:place] + swapped + head["resume"][place + 1 :],
+            head["resume"][:position] + swapped + head["resume"][position + 1 :],
             "ann",
         ),
         "made by a stranger": (
@@ -104,38 +110,42 @@
         "not ascii": ("\u00fc" * 8, "ann"),
     }
     for label, (token, client_name) in tokens.items():
-        connection, line = resume(stage, "edge-2", token, client_name)
+        connection, line = resume(fleet, "edge-2", token, client_name)
         error = connection.outcome[1] if connection.outcome else None
         if line is not None or error is None or error.to_json() != {"trouble": "bad_token"}:
-            stage.sim.history.violate(f"{label}: {line} {error}")
-    good, line = resume(stage, "edge-2", head["resume"], "ann")
-    again = read_rest(stage, good)
+            fleet.sim.history.violate(f"{label}: {line} {error}")
+    good, line = resume(fleet, "edge-2", head["resume"], "ann")
+    again = read_rest(fleet, good)
     if again != rest:
-        stage.sim.history.violate(f"the rightful sender got {len(again)} of {len(rest)} lines")
-    return stage.sim.history.violations, {"refused": len(tokens), "lines": len(again)}
+        fleet.sim.history.violate(f"the sender of the stream got {len(again)} of {len(rest)} lines")
+    return fleet.sim.history.violations, {"refused": len(tokens), "lines": len(again)}
 
 
 def foreign_lot(seed):
-    """Another sender asks for a lot, its results and its end; it learns nothing."""
-    stage = Stage(seed)
-    callers = stage.callers
-    stage.start(callers.lot("gate-notices", 4, 0.0))
-    stage.run(6)
+    """Another sender asks for a lot and its results and cancels it; it must learn nothing."""
+    fleet = ScenarioFleet(seed)
+    callers = fleet.callers
+    fleet.start(callers.lot("gate-notices", 4, 0.0))
+    fleet.run(6)
     lot, known = next(iter(callers.lots.items()))
     answers = []
-    for make, method in ((show_lot, "GET"), (show_results, "GET"), (cancel_lot, "DELETE")):
+    for make_coroutine, method in (
+        (show_lot, "GET"),
+        (show_results, "GET"),
+        (cancel_lot, "DELETE"),
+    ):
         for name in (lot, f"{lot}x"):
-            answer, error = stage.finish(
-                stage.start(callers.ask(make, method, {"lot": name}, client_name="eve"))
+            answer, error = fleet.finish(
+                fleet.start(callers.ask(make_coroutine, method, {"lot": name}, client_name="eve"))
             )
             answers.append(error.to_json() if error else answer)
     if any(answer != {"trouble": "not_found", "field": "lot"} for answer in answers):
-        stage.sim.history.violate(f"another sender's lot was told of: {answers}")
-    return stage.sim.history.violations, {"asked": len(answers)}
+        fleet.sim.history.violate(f"another sender's lot was disclosed: {answers}")
+    return fleet.sim.history.violations, {"asked": len(answers)}
 
 
 def read_any_token(secret, token, client_name, now):
-    """Stand-in for the guard: neither signature nor time are looked at."""
+    """Replaces the guard: neither the signature nor the expiry time is checked."""
     try:
         body = base64.urlsafe_b64decode(token + "=" * (-len(token) % 4))[16:]
         name, served_term, _ = cbor2.loads(body)
@@ -145,7 +155,7 @@
 
 
 def find_any_lot(state, query):
-    """Stand-in for the guard: whoever asks is answered."""
+    """Replaces the guard: a lot is found for any sender."""
     lot = state["lots"].get(query.lot)
     if lot is None:
         raise NotFound(field="lot")
--- a/proving/points/streams.py
+++ b/proving/points/streams.py
@@ -1,9 +1,9 @@
-"""Scenarios about streams; each returns its violations and figures."""
+"""Scenarios about streams, their journals and resuming."""
 
 from itertools import count, pairwise
 from unittest import mock
 
-from proving.points.scenario_fleet import Stage, no_check
+from proving.points.scenario_fleet import ScenarioFleet, no_check
 from proving.sim import callers
 from proving.tools.callers import Answer
 from quillring.edge import journal, stream_handlers
@@ -13,96 +13,102 @@
 
 
 def mixed_answers(seed):
-    """A replica mixes in another inquiry's pieces; another one ends before the end."""
-    stage = Stage(seed)
+    """Replicas mix in pieces of other requests, and one ends streams early.
+
+    No sender may receive a mixed answer, or a truncated one as complete.
+    """
+    fleet = ScenarioFleet(seed)
     for number, replica in enumerate(
-        r for r in stage.sim.replicas.values() if r.row["service"] == "words"
+        r for r in fleet.sim.replicas.values() if r.row["service"] == "words"
     ):
         replica.mixes_up, replica.breaks_off = number % 2 == 0, number == 1
     for _ in range(30):
-        stage.start(stage.callers.stream("wayfinding", "short"))
-        stage.run(0.2)
-    stage.run(20)
-    return stage.sim.history.violations, stage.outcomes()
+        fleet.start(fleet.callers.stream("wayfinding", "short"))
+        fleet.run(0.2)
+    fleet.run(20)
+    return fleet.sim.history.violations, fleet.outcomes()
 
 
 def edge_dies(seed):
-    """Edges die in the middle of streams; senders resume elsewhere."""
-    stage = Stage(seed)
+    """Two edges die one after the other during streams; senders resume at other edges."""
+    fleet = ScenarioFleet(seed)
     for _ in range(14):
-        stage.start(stage.callers.stream("wayfinding", "short", 100))
-    stage.run(0.6)
-    stage.sim.kill("edge-1")
-    stage.run(3)
-    stage.sim.kill("edge-2")
-    stage.run(40)
-    outcomes = stage.outcomes()
+        fleet.start(fleet.callers.stream("wayfinding", "short", 100))
+    fleet.run(0.6)
+    fleet.sim.kill("edge-1")
+    fleet.run(3)
+    fleet.sim.kill("edge-2")
+    fleet.run(40)
+    outcomes = fleet.outcomes()
     if outcomes.get("short/complete", 0) != 14:
-        stage.sim.history.violate(f"conversations were dropped: {outcomes}")
-    return stage.sim.history.violations, {
+        fleet.sim.history.violate(f"not every stream completed: {outcomes}")
+    return fleet.sim.history.violations, {
         **outcomes,
-        "resumes": stage.sim.history.counts.get("resumes", 0),
+        "resumes": fleet.sim.history.counts.get("resumes", 0),
     }
 
 
 def holder_dies(seed):
-    """The journal's second holders die mid-stream, then the edge that runs the streams."""
-    stage = Stage(seed)
-    stage.only_edge("edge-1")
-    tasks = [stage.start(stage.callers.stream("wayfinding", "short", 100)) for _ in range(8)]
-    stage.run(0.6)
-    holders = sorted(
-        {s.backup for s in stage.node("edge-1").find("journal").streams.values() if s.backup}
+    """A backup holder of stream journals dies, and 1.2 s later the edge that runs the streams."""
+    fleet = ScenarioFleet(seed)
+    fleet.route_to_edge("edge-1")
+    tasks = [fleet.start(fleet.callers.stream("wayfinding", "short", 100)) for _ in range(8)]
+    fleet.run(0.6)
+    backup_names = sorted(
+        {s.backup for s in fleet.node("edge-1").find("journal").streams.values() if s.backup}
     )
-    for holder in holders[:1]:
-        stage.sim.kill(holder)
-    stage.run(1.2)
-    stage.any_edge()
-    stage.sim.kill("edge-1")
-    stage.run(40)
-    outcomes = stage.outcomes()
+    for backup_name in backup_names[:1]:
+        fleet.sim.kill(backup_name)
+    fleet.run(1.2)
+    fleet.route_to_any_edge()
+    fleet.sim.kill("edge-1")
+    fleet.run(40)
+    outcomes = fleet.outcomes()
     if outcomes.get("short/complete", 0) != len(tasks):
-        stage.sim.history.violate(f"conversations were dropped: {outcomes}")
-    return stage.sim.history.violations, {**outcomes, "holders": len(holders)}
+        fleet.sim.history.violate(f"not every stream completed: {outcomes}")
+    return fleet.sim.history.violations, {**outcomes, "holders": len(backup_names)}
 
 
 def half_open(seed):
-    """A sender resumes at another edge; the first one never sees its connection close."""
-    stage = Stage(seed)
+    """A sender resumes at another edge, while the first one never sees its connection close.
+
+    Only the second edge may go on running the stream.
+    """
+    fleet = ScenarioFleet(seed)
     with mock.patch.object(callers.Connection, "_take", half_open_take):
-        stage.only_edge("edge-1")
-        stage.start(stage.callers.stream("wayfinding", "short", 200, drop_after=10))
-        stage.run(0.6)
-        stage.only_edge("edge-2")
-        stage.run(2.5)
-        running = [n for n in stage.sim.names("edge") if stage.node(n).find("dispatch").leases]
+        fleet.route_to_edge("edge-1")
+        fleet.start(fleet.callers.stream("wayfinding", "short", 200, drop_after=10))
+        fleet.run(0.6)
+        fleet.route_to_edge("edge-2")
+        fleet.run(2.5)
+        running = [n for n in fleet.sim.names("edge") if fleet.node(n).find("dispatch").leases]
         if running != ["edge-2"]:
-            stage.sim.history.violate(f"{running} run one stream")
-        stage.run(20)
-    return stage.sim.history.violations, stage.outcomes()
+            fleet.sim.history.violate(f"{running} run the stream, not edge-2 alone")
+        fleet.run(20)
+    return fleet.sim.history.violations, fleet.outcomes()
 
 
 def stale_holder(seed):
-    """The first edge goes on behind a cut with a holder of its own; then the second edge dies.
+    """A former edge keeps extending its copy of a stream behind a cut; then the newer edge dies.
 
-    Two days: on about one of six, the last edge's holder has the longest copy, so that nothing
-    can go wrong even without the guard.
+    Runs with two seeds: in about one of six runs the last edge's backup has the longest copy, so
+    that a run cannot fail even without the guard.
     """
-    outcomes = [stale_holder_day(day_seed) for day_seed in (seed, seed + 1)]
+    outcomes = [stale_holder_run(run_seed) for run_seed in (seed, seed + 1)]
     violations = [violation for found, _ in outcomes for violation in found]
     return violations, {f"day {n}": figures for n, (_, figures) in enumerate(outcomes)}
 
 
-def stale_holder_day(seed):
-    """One day of it.
+def stale_holder_run(seed):
+    """Run `stale_holder` with one seed.
 
-    The replicas are noisy: a piece tells the run it is of, and where that run began. A sender's
-    answer may change runs only where the next one began.
+    The replicas are noisy: each piece names its run and the piece at which that run began. An
+    answer may change from one run to another only at the piece at which the later run began.
     """
-    stage = Stage(seed)
-    for replica in stage.sim.replicas.values():
+    fleet = ScenarioFleet(seed)
+    for replica in fleet.sim.replicas.values():
         replica.is_noisy = replica.row["service"] == "words"
-    stage.callers.record.violate = lambda text: None
+    fleet.callers.record.violate = lambda text: None
     answers = []
     real_take = Answer.take
 
@@ -115,32 +121,32 @@
         mock.patch.object(Answer, "take", take),
         mock.patch.object(callers.Connection, "_take", half_open_take),
     ):
-        stage.only_edge("edge-1")
+        fleet.route_to_edge("edge-1")
         for _ in range(STREAMS_CUT):
-            stage.start(stage.callers.stream("wayfinding", "short", 300, drop_after=10))
-        stage.run(0.55)
-        stage.sim.cut(
-            ["edge-1", "edge-3"], [n for n in stage.sim.nodes if n not in ("edge-1", "edge-3")]
+            fleet.start(fleet.callers.stream("wayfinding", "short", 300, drop_after=10))
+        fleet.run(0.55)
+        fleet.sim.cut(
+            ["edge-1", "edge-3"], [n for n in fleet.sim.nodes if n not in ("edge-1", "edge-3")]
         )
-        stage.only_edge("edge-2")
-        stage.run(4.5)
-        stage.sim.heal()
-        stage.run(1.2)
-        stage.sim.kill("edge-2")
-        stage.only_edge("edge-4")
-        stage.run(40)
-    changes = 0
+        fleet.route_to_edge("edge-2")
+        fleet.run(4.5)
+        fleet.sim.heal()
+        fleet.run(1.2)
+        fleet.sim.kill("edge-2")
+        fleet.route_to_edge("edge-4")
+        fleet.run(40)
+    run_changes = 0
     for answer in answers:
-        words = [piece.split() for piece in answer.pieces]
-        for before, after in pairwise(words):
-            changes += before[1] != after[1]
+        split_pieces = [piece.split() for piece in answer.pieces]
+        for before, after in pairwise(split_pieces):
+            run_changes += before[1] != after[1]
             if before[1] != after[1] and int(after[3]) != int(before[5]):
-                stage.sim.history.violate(f"piece {after} follows {before}")
-    return stage.sim.history.violations, {**stage.outcomes(), "changes of run": changes}
+                fleet.sim.history.violate(f"piece {after} follows {before}")
+    return fleet.sim.history.violations, {**fleet.outcomes(), "changes of run": run_changes}
 
 
 def half_open_take(connection, line):
-    """Stand-in for a connection whose other end left without a word."""
+    """Replaces a connection whose sender left without closing it: writes still succeed."""
     if connection.is_open:
         connection.lines.append(line)
         connection.signal.set()
@@ -148,7 +154,7 @@
 
 
 def append_locally(self, stream, new_pieces, has_ended=False):
-    """Stand-in for the guard: pieces are kept on the own node only."""
+    """Replaces the guard: pieces are appended on this node only, without a backup."""
     stream.pieces.extend(new_pieces)
     stream.has_ended = has_ended or stream.has_ended
     return
@@ -156,7 +162,7 @@
 
 
 def append_unfenced(self, body, origin):
-    """Stand-in for the guard: an append of any round is taken."""
+    """Replaces the guard: an append is accepted in any term."""
     stream = self.streams.get(body["stream"]) or journal.JournaledStream(
         body["stream"], body["inquiry"], body["sender"], self.node.now(), body["round"]
     )
@@ -167,16 +173,18 @@
 
 
 def claim_longest(self, name, client_name, served_term, check):
-    """Stand-in for the guard: the longest copy counts, of whatever round."""
+    """Replaces the guard: takes over from the longest copy, whatever its term."""
     question = {"stream": name, "sender": client_name}
-    reached = [n for n in self.possible_holders() if self.node.find("nifty").reaches(n)]
+    reachable_names = [n for n in self.possible_holders() if self.node.find("nifty").reaches(n)]
     claim_term = [next(CLAIM_TERMS), ""]
-    calls = [(n, "journal.claim", {**question, "round": claim_term}) for n in reached]
+    calls = [(n, "journal.claim", {**question, "round": claim_term}) for n in reachable_names]
     claims = yield from self.node.gather(calls, len(calls))
-    good = [reply for reply in claims.values() if not isinstance(reply, QuillringError)]
-    if not good:
+    successful_claims = [
+        reply for reply in claims.values() if not isinstance(reply, QuillringError)
+    ]
+    if not successful_claims:
         raise Refused(reason="the stream's holders are out of reach")
-    request, pieces, ended, _ = max(good, key=lambda reply: len(reply[1]))
+    request, pieces, ended, _ = max(successful_claims, key=lambda reply: len(reply[1]))
     stream = journal.JournaledStream(name, request, client_name, self.node.now(), claim_term)
     stream.pieces, stream.has_ended = list(pieces), ended
     self.streams[name] = stream
--- a/proving/points/zone_loss.py
+++ b/proving/points/zone_loss.py
@@ -1,10 +1,10 @@
-"""Scenarios about whole zones: emptied with all their nodes, lost with all their roles."""
+"""Scenarios about complete zones: emptied by an operator, or lost without warning."""
 
 from contextlib import contextmanager
 from unittest import mock
 
 from proving.points.configuration import adopt
-from proving.points.scenario_fleet import Stage, no_check
+from proving.points.scenario_fleet import ScenarioFleet, no_check
 from proving.sim import backends
 from quillring.edge import Journal, short_requests, stream_handlers
 from quillring.edge.admission import check_admission
@@ -15,50 +15,54 @@
 
 
 def emptied_nodes(seed):
-    """A domain with an edge, a core and streams' holders is emptied under traffic."""
-    stage = Stage(seed)
-    callers, chance = stage.callers, stage.sim.chance
+    """A zone with an edge, a core and journal backups is emptied under traffic.
+
+    From 5 s later its nodes may admit no request, own no part, back up no new stream and start no
+    item. Every accepted lot must still end.
+    """
+    fleet = ScenarioFleet(seed)
+    callers, chance = fleet.callers, fleet.sim.chance
     zone = chance.choice(("north", "east", "south"))
-    stage.start(callers.generate(6, callers.stream, "wayfinding", "short", 30))
-    stage.start(callers.generate(1, callers.stream, "tagging", "long", 200))
-    stage.start(callers.generate(1.5, callers.lot, "gate-notices", 6, 0.0))
-    stage.run(3)
-    answer, _ = adopt(stage, "core-1", {"domains": {zone: {"emptied": True}}})
+    fleet.start(callers.generate(6, callers.stream, "wayfinding", "short", 30))
+    fleet.start(callers.generate(1, callers.stream, "tagging", "long", 200))
+    fleet.start(callers.generate(1.5, callers.lot, "gate-notices", 6, 0.0))
+    fleet.run(3)
+    answer, _ = adopt(fleet, "core-1", {"domains": {zone: {"emptied": True}}})
     if not answer:
-        stage.sim.history.violate("the emptying was not accepted")
-    accepted_at = stage.env.now
-    inside = [n for n in stage.sim.nodes.values() if n.me.zone == zone]
-    stage.run(5)
-    taken = []
-    with mock.patch.object(backends, "PIECE_SECONDS", 0.1), _note_takings(zone, taken):
+        fleet.sim.history.violate("the change that empties the zone was not accepted")
+    accepted_at = fleet.env.now
+    zone_nodes = [n for n in fleet.sim.nodes.values() if n.me.zone == zone]
+    fleet.run(5)
+    new_work = []
+    with mock.patch.object(backends, "PIECE_SECONDS", 0.1), _record_new_work(zone, new_work):
         for _ in range(50):
-            stage.run(0.1)
-            _check_emptied(stage, inside, accepted_at)
-    callers.stop_at = stage.env.now
-    stage.run(25)
-    outcomes = stage.outcomes()
-    if outcomes.get("lot/ended", 0) != stage.sim.history.counts.get("accepted_lots"):
-        stage.sim.history.violate(f"lots did not end: {outcomes}")
-    return sorted({*stage.sim.history.violations, *taken}), {
+            fleet.run(0.1)
+            _check_emptied(fleet, zone_nodes, accepted_at)
+    callers.stop_at = fleet.env.now
+    fleet.run(25)
+    outcomes = fleet.outcomes()
+    if outcomes.get("lot/ended", 0) != fleet.sim.history.counts.get("accepted_lots"):
+        fleet.sim.history.violate(f"not every accepted lot ended: {outcomes}")
+    return sorted({*fleet.sim.history.violations, *new_work}), {
         **outcomes,
-        "nodes": sorted(n.me.name for n in inside),
+        "nodes": sorted(n.me.name for n in zone_nodes),
     }
 
 
 @contextmanager
-def _note_takings(zone, taken):
-    """Note every new holding of a stream and every start of an item inside from now on."""
+def _record_new_work(zone, new_work):
+    """Within the context, append to `new_work` each stream backed up and item started in a zone."""
     real_hold, real_run = Journal.hold, PromptLotScheduler._run_item
 
     def hold(self, request):
         if self.node.me.zone == zone and request.stream_name not in self.streams:
-            taken.append(f"{self.node.me.name} became a holder")
+            new_work.append(f"{self.node.me.name} became the backup of a stream")
         return real_hold(self, request)
 
-    def run_item(self, *words):
+    def run_item(self, *args):
         if self.node.me.zone == zone:
-            taken.append(f"{self.node.me.name} started an item")
-        return real_run(self, *words)
+            new_work.append(f"{self.node.me.name} started an item")
+        return real_run(self, *args)
 
     with (
         mock.patch.object(Journal, "hold", hold),
@@ -67,49 +71,57 @@
         yield
 
 
-def _check_emptied(stage, inside, accepted_at):
-    for node in inside:
+def _check_emptied(fleet, zone_nodes, accepted_at):
+    """Check that the nodes of an emptied zone admit no requests and own no parts."""
+    for node in zone_nodes:
         if node.me.role == "edge":
             try:
                 check_admission(node)
-                stage.sim.history.violate(f"{node.me.name} takes work, emptied at {accepted_at}")
+                fleet.sim.history.violate(
+                    f"{node.me.name} admits requests, zone emptied at {accepted_at} s"
+                )
             except QuillringError:
                 pass
         owned = [p for p, owner in node.find("ownership").leaders.items() if owner.is_leader]
         if owned:
-            stage.sim.history.violate(f"{node.me.name} owns {owned}, emptied at {accepted_at}")
+            fleet.sim.history.violate(
+                f"{node.me.name} owns {owned}, zone emptied at {accepted_at} s"
+            )
 
 
 def lost_zone(seed):
-    """A domain is lost with edge, core, store and replicas, amid streams and lots; no warning."""
-    stage = Stage(seed)
-    callers, chance = stage.callers, stage.sim.chance
+    """All nodes and replicas of a zone lose power during streams and lots.
+
+    Every stream must end for its sender, and every accepted lot must end.
+    """
+    fleet = ScenarioFleet(seed)
+    callers, chance = fleet.callers, fleet.sim.chance
     zone = chance.choice(("north", "east", "south"))
     for _ in range(12):
-        stage.start(callers.stream("wayfinding", "short", 150))
-        stage.start(callers.lot("gate-notices", 5, 0.0))
-    stage.run(chance.uniform(0.4, 1.5))
-    for node in list(stage.sim.nodes.values()):
+        fleet.start(callers.stream("wayfinding", "short", 150))
+        fleet.start(callers.lot("gate-notices", 5, 0.0))
+    fleet.run(chance.uniform(0.4, 1.5))
+    for node in list(fleet.sim.nodes.values()):
         if node.me.zone == zone:
-            stage.sim.kill(node.me.name, loses_power=True)
-    for replica in stage.sim.replicas.values():
+            fleet.sim.kill(node.me.name, loses_power=True)
+    for replica in fleet.sim.replicas.values():
         if replica.row["domain"] == zone:
             replica.kill()
-    stage.run(60)
-    outcomes, accepted = stage.outcomes(), stage.sim.history.counts.get("accepted_lots", 0)
+    fleet.run(60)
+    outcomes, accepted = fleet.outcomes(), fleet.sim.history.counts.get("accepted_lots", 0)
     if outcomes.get("short/complete", 0) + outcomes.get("short/no_answer", 0) != 12:
-        stage.sim.history.violate(f"conversations were dropped: {outcomes}")
+        fleet.sim.history.violate(f"not every stream ended: {outcomes}")
     if outcomes.get("lot/ended", 0) != accepted:
-        stage.sim.history.violate(f"{accepted} lots were accepted: {outcomes}")
-    return stage.sim.history.violations, {
+        fleet.sim.history.violate(f"{accepted} lots were accepted: {outcomes}")
+    return fleet.sim.history.violations, {
         **outcomes,
         "accepted": accepted,
-        "resumes": stage.sim.history.counts.get("resumes", 0),
+        "resumes": fleet.sim.history.counts.get("resumes", 0),
     }
 
 
 def one_zone(self, name, avoided_names=()):
-    """Stand-in for the guard: the second holder may stand in the same domain."""
+    """Replaces the guard: backup candidates may be in the same zone, and those come first."""
     members = self.node.find("nifty").roster.members.values()
     return sorted(
         (
@@ -124,7 +136,7 @@
 
 
 def never_leaving(self, name):
-    """Stand-in for the guard: no node is left alone."""
+    """Replaces the guard: no node counts as leaving, so none is avoided."""
     return False
 
 
--- a/proving/sim/measure.py
+++ b/proving/sim/measure.py
@@ -6,7 +6,7 @@
 import click
 
 from proving.points.configuration import adopt
-from proving.points.scenario_fleet import Stage
+from proving.points.scenario_fleet import ScenarioFleet
 
 WIDE = {"replicas": [("words", 6, 8), ("map", 4, 8)]}
 
@@ -20,7 +20,7 @@
     """Heartbeat bytes and packets a second and node, and graph work, against node count."""
     rows = {}
     for count in (16, 28, 64, 128):
-        stage = Stage(seed, sizes=sizes(count - 8), ready_at=10)
+        stage = ScenarioFleet(seed, sizes=sizes(count - 8), ready_at=10)
         before = {n: dict(node.counts) for n, node in stage.sim.nodes.items()}
         stage.run(4)
         nodes = stage.sim.nodes.values()
@@ -54,7 +54,7 @@
     """Time from a cut to the broken link and to the relayed route, in heartbeat periods."""
     found, rerouted, healed = [], [], []
     for number in range(8):
-        stage = Stage(seed + number)
+        stage = ScenarioFleet(seed + number)
         stage.run(0.5 + number * 0.07)
         node = stage.node("edge-1")
         stage.sim.cut(["edge-1"], ["store-1"])
@@ -75,7 +75,7 @@
     """Time from acceptance of a layout to the last live node."""
     times = []
     for number in range(6):
-        stage = Stage(seed + number, sizes=sizes(20))
+        stage = ScenarioFleet(seed + number, sizes=sizes(20))
         adopt(stage, "core-1", {"entries": {"extra": {"service": "words", "class": "traveller"}}})
         times.append(
             until(
@@ -94,7 +94,7 @@
     """Time from the death of a part's owner to the first commit under the next one."""
     times = []
     for number in range(8):
-        stage = Stage(seed + number)
+        stage = ScenarioFleet(seed + number)
         stage.run(0.5 + number * 0.11)
         owner = stage.node("edge-1").find("gossip").get("owner/part-1")["owner"]
         stage.sim.kill(owner)
@@ -110,7 +110,7 @@
     """Store syncs an accepted lot, one at a time and forty at once."""
     rows = {}
     for label, count in (("one", 1), ("forty at once", 40)):
-        stage = Stage(seed)
+        stage = ScenarioFleet(seed)
         stage.run(1)
         for replica in stage.sim.replicas.values():
             replica.is_dark = True
@@ -132,7 +132,7 @@
     """Share of model inquiries that found their prefix in the replica's cache."""
     rows = {}
     for label, prefixes in (("two prefixes", 2), ("forty prefixes", 40)):
-        stage = Stage(seed, sizes=sizes(7))
+        stage = ScenarioFleet(seed, sizes=sizes(7))
         entries = {
             f"p-{n}": {"service": "words", "class": "traveller", "prefix": f"prefix {n}"}
             for n in range(prefixes)
@@ -157,7 +157,7 @@
     """Messages relayed a second by each bridge, with one to four bridges."""
     rows = {}
     for count in (1, 2, 3):
-        stage = Stage(seed, sizes={"sizes": {"edge": 4, "core": 3, "store": 4}, **WIDE})
+        stage = ScenarioFleet(seed, sizes={"sizes": {"edge": 4, "core": 3, "store": 4}, **WIDE})
         cores = stage.sim.names("core")
         stage.sim.cut([*stage.sim.names("edge"), *cores[count:]], [*stage.sim.names("store")])
         stage.run(4)
--- a/proving/sim/traces.py
+++ b/proving/sim/traces.py
@@ -6,8 +6,8 @@
 import cbor2
 import click
 
-from proving.points.configuration import names_but
-from proving.points.scenario_fleet import Stage
+from proving.points.configuration import names_except
+from proving.points.scenario_fleet import ScenarioFleet
 from proving.sim.disk import InstantLog
 from proving.sim.quorum_fuzz import Fuzz
 from quillring.kernel.errors import QuillringError
@@ -86,7 +86,7 @@
 
 def record_node(seed, name):
     """Record the heartbeats a node took in while links were cut, one way too, and healed."""
-    stage, taken = Stage(seed), []
+    stage, taken = ScenarioFleet(seed), []
     node = stage.node(name)
     nifty, runtime = node.find("nifty"), node.runtime
     start = runtime.now()
@@ -116,7 +116,7 @@
         stage.run(4)
         stage.sim.heal()
         stage.run(3)
-        stage.sim.cut([name], names_but(stage, name))
+        stage.sim.cut([name], names_except(stage, name))
         stage.run(3)
     finally:
         Nifty.send_heartbeats = real_send_heartbeats
--- a/tests/http_lot_stage.py
+++ b/tests/http_lot_stage.py
@@ -2,7 +2,7 @@
 
 from unittest import mock
 
-from proving.points.scenario_fleet import SMALL
+from proving.points.scenario_fleet import SMALL_FLEET
 from proving.sim import fleet as sim_fleet
 from proving.sim.fleet import SimFleet
 from quillring.lots.http_requests import api
@@ -14,7 +14,7 @@
 from tests.http_lot_replica import SERVICE, RawBackends, RawReplica, RawRuntime, text_of
 
 HOST, FORWARD = "Lots.example", "bulk"
-SIZES = {**SMALL, "replicas": [("words", 1, 4), ("map", 1, 4)]}
+SIZES = {**SMALL_FLEET, "replicas": [("words", 1, 4), ("map", 1, 4)]}
 
 
 def check_whole(stage, rows, name, count):
--- a/tests/test_follower_read.py
+++ b/tests/test_follower_read.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from proving.points.scenario_fleet import Stage
+from proving.points.scenario_fleet import ScenarioFleet
 from quillring.kernel.effects import Signal, Wait
 from quillring.kernel.errors import NotFound
 from quillring.quorum.acceptor import Acceptors
@@ -133,7 +133,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_lot_accepted_by_a_majority_is_readable_although_its_leader_died_before_the_commit(seed):
-    stage = Stage(seed)
+    stage = ScenarioFleet(seed)
     name = stage.node("edge-1").find("gossip").get("owner/part-1")["owner"]
     node = stage.node(name)
     leader = node.find("ownership").leaders["part-1"]
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-from proving.points.scenario_fleet import Stage
+from proving.points.scenario_fleet import ScenarioFleet
 from proving.tools import fuzz
 from proving.tools.deployments import DEPLOYMENTS, configuration_of, settings_of
 from quillring.kernel.checks import parse_json
@@ -68,7 +68,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_garbage_between_nodes_changes_nothing(seed):
-    stage, chance = Stage(seed), random.Random(f"wire {seed}")
+    stage, chance = ScenarioFleet(seed), random.Random(f"wire {seed}")
     node = stage.node("edge-1")
     sent = []
     real = node.runtime.datagram
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -1,6 +1,6 @@
 import pytest
 
-from proving.points.scenario_fleet import Stage
+from proving.points.scenario_fleet import ScenarioFleet
 from proving.tools.deployments import DEPLOYMENTS, configuration_of
 from quillring.kernel.errors import Conflict, NotFound
 from quillring.plans.commands import Contradiction, Impossible, StalePlan
@@ -186,7 +186,7 @@
 
 
 def test_a_confirmed_plan_outlives_the_core_that_runs_it():
-    stage = Stage(3)
+    stage = ScenarioFleet(3)
     node = stage.node("edge-1")
     plan = make_plan(
         view(groups={"config": [s[0] for s in node.find("ownership").group(CONFIG_PART)]}),
--- a/tests/test_quorum.py
+++ b/tests/test_quorum.py
@@ -1,6 +1,6 @@
 import pytest
 
-from proving.points.scenario_fleet import Stage
+from proving.points.scenario_fleet import ScenarioFleet
 from proving.sim.quorum_fuzz import Fuzz
 from quillring.kernel.errors import NotLeader
 
@@ -15,7 +15,7 @@
 
 
 def test_an_ended_term_stays_ended_when_the_core_leads_the_part_again():
-    stage = Stage(5)
+    stage = ScenarioFleet(5)
     name = stage.node("edge-1").find("gossip").get("owner/part-1")["owner"]
     ownership = stage.node(name).find("ownership")
     previous_leader = ownership.leaders["part-1"]
@@ -30,7 +30,7 @@
 
 
 def test_a_late_end_of_a_previous_term_does_not_end_the_quota_terms_of_the_next_one():
-    stage = Stage(5)
+    stage = ScenarioFleet(5)
     name = stage.node("edge-1").find("gossip").get("owner/part-1")["owner"]
     ownership, granter = stage.node(name).find("ownership"), stage.node(name).find("granter")
     previous_leader = ownership.leaders["part-1"]
