--- a/proving/points/catalog.py
+++ b/proving/points/catalog.py
@@ -1,4 +1,8 @@
-"""The catalog of scenarios: tuples (promise, scenario, guards that enforce the promise)."""
+"""The catalog of scenarios: tuples (promise, scenario, guards that enforce the promise).
+
+A scenario takes a seed and returns (violations, figures). A guard is (object, attribute name,
+replacement): with the replacements in place the scenario must find a violation.
+"""
 
 from proving.points import (
     borrowed_capacity,
--- a/proving/points/early_refusals.py
+++ b/proving/points/early_refusals.py
@@ -43,7 +43,8 @@
 def hopeless_queue(seed):
     """140 requests arrive at once, more than can get their first piece in time.
 
-    Those that can't must be refused early, and those that can must be served.
+    Those that can't must be refused early, and those that can must be served. A refusal after
+    0.75 s, half the time allowed for the first piece, counts as late.
     """
     fleet = ScenarioFleet(seed)
     for _ in range(40):
--- a/proving/points/failures.py
+++ b/proving/points/failures.py
@@ -93,8 +93,8 @@
     live = {n.find("acceptors").identity for n in fleet.sim.up_nodes("store")}
     for part in ownership.parts():
         stores = ownership.group(part)
-        is_sound = len(stores) == 3 and {s[1] for s in stores} <= live
-        if not is_sound or left_name in [s[0] for s in stores]:
+        is_complete = len(stores) == 3 and {s[1] for s in stores} <= live
+        if not is_complete or left_name in [s[0] for s in stores]:
             fleet.sim.history.violate(f"{part} has the group {stores} {when}")
 
 
@@ -132,7 +132,7 @@
 def two_stores_power(seed):
     """Two stores of a part and all cores lose power right after a lot was acknowledged.
 
-    The third store is frozen at that time, so that only the two stores have the lot.
+    The third store is frozen at that time, so that only the two stores have the lot. Three rounds.
     """
     fleet = ScenarioFleet(seed)
     sim = fleet.sim
--- a/proving/points/isolated_cores_and_slow_disks.py
+++ b/proving/points/isolated_cores_and_slow_disks.py
@@ -24,7 +24,7 @@
         self.slowest_seconds = {}
         self.confirmed = []
         self.number = 0
-        self.refusal_known_at = fleet.env.now + SETTLED_SECONDS
+        self.isolation_known_at = fleet.env.now + SETTLED_SECONDS
 
     def record_outcome(self, kind, started_at, error):
         """Count the outcome of a call and check it.
@@ -42,7 +42,7 @@
             fleet.sim.history.violate(f"{kind} at {self.name} got a refusal that allows no retry")
         if seconds > (
             ANSWER_LIMIT_SECONDS
-            if started_at < self.refusal_known_at
+            if started_at < self.isolation_known_at
             else SETTLED_ANSWER_LIMIT_SECONDS
         ):
             fleet.sim.history.violate(f"{kind} at {self.name} took {seconds:.2f} s")
--- a/proving/points/lots.py
+++ b/proving/points/lots.py
@@ -68,7 +68,7 @@
 
 
 def two_owners(seed):
-    """A part's owner and edge-1 freeze until another core owns the part, then both resume.
+    """A part's owner and edge-1 freeze for 6 s, another core takes the part over, both resume.
 
     Lots are submitted through edge-1 at once: the former owner must accept none of them.
     """
--- a/proving/points/many_configurations.py
+++ b/proving/points/many_configurations.py
@@ -10,7 +10,7 @@
 
 
 def many_changes(seed):
-    """A store misses CHANGES changes while frozen, then while down; at last the owner is replaced.
+    """A store misses CHANGES changes while frozen, then while down; at last the owner dies.
 
     Each time the fleet must be up to date within 4 s, and in the end all stores hold one state.
     """
--- a/proving/points/orders.py
+++ b/proving/points/orders.py
@@ -148,13 +148,15 @@
         fleet.run(0.1)
     fleet.sim.heal()
     fleet.run(4)
-    late = max((seconds for _, _, seconds in answers), default=0)
+    slowest_seconds = max((seconds for _, _, seconds in answers), default=0)
     newest = fleet.node(others[0]).find("layout").version
     for read, ordered, _ in answers:
         if read is not None or ordered is not None:
             fleet.sim.history.violate(f"{core} answered {read}, {ordered}; newest is {newest}")
-    if acknowledged < 4 or late > 1 or fleet.node(core).find("layout").version != newest:
-        fleet.sim.history.violate(f"{acknowledged} changes acknowledged, slowest answer {late}")
+    if acknowledged < 4 or slowest_seconds > 1 or fleet.node(core).find("layout").version != newest:
+        fleet.sim.history.violate(
+            f"{acknowledged} changes acknowledged, slowest answer {slowest_seconds} s"
+        )
     return fleet.sim.history.violations, {
         "taken": acknowledged,
         "asked": len(answers),
@@ -174,7 +176,7 @@
 
 
 def unfenced_state(self):
-    """Replaces the guard: an owner answers from memory without a round trip to its stores."""
+    """Replaces the guard: an owner answers without a majority's confirmation of its ballot."""
     return self.state
     yield
 
--- a/proving/points/reads.py
+++ b/proving/points/reads.py
@@ -20,7 +20,7 @@
     before the read began.
     """
     fleet = ScenarioFleet(seed)
-    sim, chance, late, slowest, reads = fleet.sim, fleet.sim.chance, [], [], []
+    sim, chance, faults, read_seconds, reads = fleet.sim, fleet.sim.chance, [], [], []
     for _ in range(8):
         fleet.start(fleet.callers.lot("gate-notices", 8, 0.0))
 
@@ -33,10 +33,10 @@
             seconds = sim.env.now - start_time
             reads.append(seconds)
             if not answer or seconds > sim.bounds.read_timeout:
-                late.append(f"{lot} after {seconds:.2f} s: {error}")
+                faults.append(f"{lot} after {seconds:.2f} s: {error}")
             elif {row["n"] for row in answer["results"]} < written:
-                late.append(f"{lot} lacks results that were written before the read began")
-            slowest.append(seconds)
+                faults.append(f"{lot} lacks results that were written before the read began")
+            read_seconds.append(seconds)
             yield sim.env.timeout(chance.uniform(0.05, 0.15))
 
     fleet.run(1.5)
@@ -49,12 +49,12 @@
         fleet.run(4)
         sim.start(name)
         fleet.run(2)
-    for text in late[:5]:
+    for text in faults[:5]:
         sim.history.violate(text)
     return sim.history.violations, {
         "reads": len(reads),
-        "late": len(late),
-        "slowest_s": round(max(slowest, default=0), 2),
+        "late": len(faults),
+        "slowest_s": round(max(read_seconds, default=0), 2),
     }
 
 
--- a/proving/points/retention.py
+++ b/proving/points/retention.py
@@ -109,7 +109,7 @@
 
 
 def full_journal(seed):
-    """Long streams fill small journals while many short ones start and end; none may be dropped."""
+    """Streams fill small journals while many others start and end; none in flight is dropped."""
     fleet = ScenarioFleet(seed)
     callers = fleet.callers
     with mock.patch.object(journal, "MAX_BYTES", 9_000):
--- a/proving/points/serving.py
+++ b/proving/points/serving.py
@@ -116,7 +116,7 @@
 
 
 def all_working(self, replica):
-    """Replaces the guard: a replica without recent heartbeats counts as usable."""
+    """Replaces the guard: a replica is usable without heartbeats, and in an emptied zone."""
     return replica.state not in ("leaving", "gone")
 
 
--- a/proving/points/stream_resumption.py
+++ b/proving/points/stream_resumption.py
@@ -114,11 +114,13 @@
         error = connection.outcome[1] if connection.outcome else None
         if line is not None or error is None or error.to_json() != {"trouble": "bad_token"}:
             fleet.sim.history.violate(f"{label}: {line} {error}")
-    good, line = resume(fleet, "edge-2", head["resume"], "ann")
-    again = read_rest(fleet, good)
-    if again != rest:
-        fleet.sim.history.violate(f"the sender of the stream got {len(again)} of {len(rest)} lines")
-    return fleet.sim.history.violations, {"refused": len(tokens), "lines": len(again)}
+    resumed, line = resume(fleet, "edge-2", head["resume"], "ann")
+    resumed_lines = read_rest(fleet, resumed)
+    if resumed_lines != rest:
+        fleet.sim.history.violate(
+            f"the sender of the stream got {len(resumed_lines)} of {len(rest)} lines"
+        )
+    return fleet.sim.history.violations, {"refused": len(tokens), "lines": len(resumed_lines)}
 
 
 def foreign_lot(seed):
--- a/proving/points/streams.py
+++ b/proving/points/streams.py
@@ -89,7 +89,7 @@
 
 
 def stale_holder(seed):
-    """A former edge keeps extending its copy of a stream behind a cut; then the newer edge dies.
+    """A former edge continues a stream behind a cut with its own backup; then the new edge dies.
 
     Runs with two seeds: in about one of six runs the last edge's backup has the longest copy, so
     that a run cannot fail even without the guard.
