--- a/proving/model/__init__.py
+++ b/proving/model/__init__.py
@@ -1,4 +1,4 @@
-"""A model checker of the quorum: the production state machines under every order of events.
+"""Model checker of the quorum: runs the production state machines under every order of events.
 
 `python -m proving.model` explores small worlds breadth first. See docs/model.md.
 """
--- a/proving/model/bugs.py
+++ b/proving/model/bugs.py
@@ -1,6 +1,6 @@
-"""Seeded bugs: one guard of the product taken out each, to show that the checker finds it.
+"""Seeded bugs: each removes one safeguard of the product to show that the checker notices.
 
-Each is a context manager that patches the product where others call it.
+Each bug is a function that returns a context manager, which patches the product while it is open.
 """
 
 from typing import NamedTuple
@@ -8,9 +8,9 @@
 
 import quillring.quorum.acceptor.state as record_module
 from proving.model.errors import UnknownName
-from proving.model.patches import all_of, around, without_sync
+from proving.model.patches import apply_patches, patch_handler, run_without_sync
 from proving.model.phase_bugs import skip_promise_again, stay_in_phase_two
-from proving.model.store_machine import as_script
+from proving.model.store_machine import as_coroutine
 from proving.model.vote_bugs import accept_below_vote, tell_no_record, vote_in_memory
 from quillring.quorum import commands
 from quillring.quorum.acceptor.state import AcceptorState
@@ -22,7 +22,7 @@
 
 
 class Bug(NamedTuple):
-    """A guard taken out: the patch, the world it shows in, and the bounds to look within."""
+    """A seeded bug: the patch, the world in which it is found, and the bounds of the search."""
 
     patch: object
     world: str
@@ -30,7 +30,7 @@
 
     @property
     def about(self):
-        """What the product does without the guard, in one sentence."""
+        """One sentence on what the patched product does wrong."""
         return self.patch.__doc__
 
 
@@ -43,73 +43,73 @@
             record.promised = min(record.promised, Ballot.from_wire(body["ballot"]))
         return real(self, body, origin)
 
-    return all_of([around("on_accept", change)])
+    return apply_patches([patch_handler("on_accept", change)])
 
 
 def confirm_anyone():
-    """An acceptor confirms any ballot."""
-    return all_of([around("on_confirm", lambda real, self, body, origin: True)])
+    """An acceptor confirms any ballot as the newest it promised."""
+    return apply_patches([patch_handler("on_confirm", lambda real, self, body, origin: True)])
 
 
 def answer_for_former_self():
-    """An acceptor doesn't compare the identity that a call names with its own."""
+    """An acceptor doesn't check that the identity in a request is its own."""
 
     def change(real, self, body, origin):
         return real(self, {**body, "identity": self.identity}, origin)
 
     names = ("on_prepare", "on_accept", "on_commit", "on_install", "on_catch_up", "on_confirm")
-    return all_of([around(name, change) for name in names])
+    return apply_patches([patch_handler(name, change) for name in names])
 
 
 def promise_in_memory():
-    """A promise is answered before it is durable."""
-    return all_of([around("on_prepare", without_sync)])
+    """An acceptor answers a prepare request before its promise is durable."""
+    return apply_patches([patch_handler("on_prepare", run_without_sync)])
 
 
 def accept_in_memory():
-    """An accepted entry is answered before it is durable."""
-    return all_of([around("on_accept", without_sync)])
+    """An acceptor answers an accept request before the entry is durable."""
+    return apply_patches([patch_handler("on_accept", run_without_sync)])
 
 
 def forget_tail():
-    """A new owner doesn't propose again what may have been chosen."""
+    """A new owner doesn't propose again the uncommitted entries that may have been chosen."""
 
     def change(real, self, body, origin):
-        fields = yield from as_script(real(self, body, origin))
+        fields = yield from as_coroutine(real(self, body, origin))
         fields[3] = []
         return fields
 
-    return all_of([around("on_prepare", change)])
+    return apply_patches([patch_handler("on_prepare", change)])
 
 
 def reuse_ballot():
-    """A core that takes a part again begins with its first ballot once more."""
+    """A core that becomes the owner of a part again starts over with its first ballot."""
     real = PartLeader.__init__
 
     def begin(self, node, part, group, former=None):
         real(self, node, part, group)
 
-    return all_of([mock.patch.object(PartLeader, "__init__", begin)])
+    return apply_patches([mock.patch.object(PartLeader, "__init__", begin)])
 
 
 def learn_any_ballot():
-    """A store applies whatever entry it holds at an index that was committed."""
+    """A store applies its entry at a committed index whatever the entry's ballot is."""
     real = AcceptorState.apply_committed
 
     def apply_committed(self, ballot, committed):
         self.entries = {i: entry._replace(ballot=ballot) for i, entry in self.entries.items()}
         real(self, ballot, committed)
 
-    return all_of([mock.patch.object(AcceptorState, "apply_committed", apply_committed)])
+    return apply_patches([mock.patch.object(AcceptorState, "apply_committed", apply_committed)])
 
 
 def change_group_at_will():
-    """A group changes to any other one in one step."""
+    """A group may change to any other group in one step."""
 
     def change_group(state, command):
         return {**state, "group": command["group"]}, {"group": command["group"]}
 
-    return all_of(
+    return apply_patches(
         [
             mock.patch.dict(COMMANDS.entries, {"group.change": change_group}),
             mock.patch.object(commands, "is_one_swap", lambda group, next_group: True),
@@ -118,7 +118,7 @@
 
 
 def change_group_twice():
-    """An entry of the log may replace more than one member of the group."""
+    """One log entry may replace more than one member of the group."""
     real = state_machine.apply_batch
 
     def apply_batch(state, batch):
@@ -129,65 +129,67 @@
         return state, answers
 
     modules = (state_machine, record_module)
-    return all_of([mock.patch.object(module, "apply_batch", apply_batch) for module in modules])
+    return apply_patches(
+        [mock.patch.object(module, "apply_batch", apply_batch) for module in modules]
+    )
 
 
 def adopt_oldest():
-    """A new owner starts from the oldest state among the promises."""
+    """A new owner starts from the oldest state reported in the promises."""
     real = StateFetcher.adopt_newest
 
     def adopt_newest(self, promises):
         oldest = min(promises, key=lambda store: promises[store].applied)
         return real(self, {oldest: promises[oldest]})
 
-    return all_of([mock.patch.object(StateFetcher, "adopt_newest", adopt_newest)])
+    return apply_patches([mock.patch.object(StateFetcher, "adopt_newest", adopt_newest)])
 
 
 def ignore_base_version():
-    """A configuration is adopted whatever version it was made on."""
+    """A configuration is adopted without comparing its base version with the present one."""
     real = COMMANDS.find("layout.adopt")
 
     def adopt_configuration(state, command):
         return real(state, {**command, "base_version": state["version"]})
 
-    return all_of([mock.patch.dict(COMMANDS.entries, {"layout.adopt": adopt_configuration})])
+    return apply_patches([mock.patch.dict(COMMANDS.entries, {"layout.adopt": adopt_configuration})])
 
 
 def peek_applied_only():
-    """A read from the stores counts only what they applied."""
+    """A read from a majority of the stores ignores entries that are not applied yet."""
     real = follower_read.find_answer
 
     def find_answer(replies, group, query):
         applied_only = [r._replace(uncommitted_lots=(), uncommitted=None) for r in replies]
         return real(applied_only, group, query)
 
-    return all_of([mock.patch.object(follower_read, "find_answer", find_answer)])
+    return apply_patches([mock.patch.object(follower_read, "find_answer", find_answer)])
 
 
 def decide_alone():
-    """An owner counts one store as a majority."""
-    return all_of([mock.patch.object(quorum_call, "majority", lambda group: 1)])
+    """An owner treats a single store as a majority."""
+    return apply_patches([mock.patch.object(quorum_call, "majority", lambda group: 1)])
 
 
 def read_without_fence():
-    """An owner answers a read without asking whether its ballot still holds."""
+    """An owner answers a read without confirming that its ballot is still the newest."""
 
     def linearizable_state(self):
         return self.state
         yield
 
-    return all_of([mock.patch.object(PartLeader, "linearizable_state", linearizable_state)])
+    return apply_patches([mock.patch.object(PartLeader, "linearizable_state", linearizable_state)])
 
 
 def take_second_founding():
-    """A store that holds a founding confirms another one."""
+    """A store that already has a founding record confirms a different one."""
 
     def change(real, self, body, origin):
         if self.founding is not None:
             return body["founding"]["fleet"]
         return real(self, body, origin)
 
-    return all_of([around("on_found", change)])
+    return apply_patches([patch_handler("on_found", change)])
 
 
 ONE_READ = {"takes": 1, "peeks": 0, "late_answers": 0, "switches": 1, "delays": 0}
@@ -226,7 +228,7 @@
 
 
 def find_bug(name):
-    """Return the bug of this name; UnknownName tells those that there are."""
+    """Return the bug of this name; raise UnknownName, which lists the known names."""
     if name not in BUGS:
         raise UnknownName(bug=name, known=sorted(BUGS))
     return BUGS[name]
--- a/proving/model/choices.py
+++ b/proving/model/choices.py
@@ -1,10 +1,10 @@
-"""What may happen next in a state of the system, and which bound each choice is counted by."""
+"""Lists the choices in a state of the system, and the bound that each choice counts against."""
 
 from typing import NamedTuple
 
 from proving.model.network import ANSWER, REQUEST
 
-COST = {
+BOUND_BY_VERB = {
     "deliver late": "late_answers",
     "hold": "holds",
     "duplicate": "duplicates",
@@ -21,7 +21,7 @@
 
 
 class Choice(NamedTuple):
-    """One thing that may happen next: a message is taken, a process acts or fails."""
+    """One possible next step: a message is handled or lost, a process acts or fails."""
 
     verb: str
     node: str
@@ -29,14 +29,14 @@
 
 
 def bound_of(choice):
-    """Return the name of the bound that counts a choice, or None."""
+    """Return the name of the bound that a choice counts against, or None if it is unlimited."""
     if choice.verb == "crash":
         return "core_crashes" if choice.node.startswith("core") else "crashes"
-    return COST.get(choice.verb)
+    return BOUND_BY_VERB.get(choice.verb)
 
 
-class Menu:
-    """Lists the choices in a state of a system."""
+class ChoiceEnumerator:
+    """Lists the choices in a state of a system without regard to bounds."""
 
     __slots__ = ("system",)
 
@@ -44,17 +44,17 @@
         self.system = system
 
     def choices(self, state):
-        """Return all that may happen next if there were no bounds, in a fixed order."""
-        found = []
+        """Return all choices in a state, ignoring bounds, in a deterministic order."""
+        choices = []
         for number in dict.fromkeys(state.network):
-            found.extend(self._message_choices(number))
+            choices.extend(self._message_choices(number))
         for name in self.system.names:
-            facts = self.system.processes.facts(state.locals[self.system.places[name]])
+            status = self.system.processes.status(state.local_states[self.system.positions[name]])
             if name.startswith("core"):
-                found.extend(self._core_choices(state, name, facts))
+                choices.extend(self._core_choices(state, name, status))
             else:
-                found.extend(self._store_choices(name, facts))
-        return found
+                choices.extend(self._store_choices(name, status))
+        return choices
 
     def _message_choices(self, number):
         message = self.system.messages[number]
@@ -66,34 +66,34 @@
         yield Choice("duplicate", message.target, number)
         yield Choice("lose", message.target, number)
 
-    def _core_choices(self, state, name, facts):
-        busy = facts.busy
+    def _core_choices(self, state, name, status):
+        busy = status.busy
         if not self.system.world.is_founded:
             if "found" not in busy:
                 yield Choice("found", name)
-        elif not facts.is_leader and "take" not in busy:
+        elif not status.is_leader and "take" not in busy:
             yield Choice("take", name)
-        if facts.is_leader:
+        if status.is_leader:
             yield Choice("resign", name)
             if "read" not in busy:
                 yield Choice("read", name)
             yield from self._submit_choices(state, name)
-        if "peek" not in busy and state.memory.log:
+        if "peek" not in busy and state.history.log:
             for group in dict.fromkeys(
-                (self.system.world.founding_group, state.memory.newest_group())
+                (self.system.world.founding_group, state.history.newest_group())
             ):
                 yield Choice("peek", name, group)
-        for label in dict.fromkeys(facts.timers):
+        for label in dict.fromkeys(status.timers):
             yield Choice("timer", name, label)
         yield Choice("crash", name)
 
     def _submit_choices(self, state, name):
-        for operator, place in zip(self.system.operators, state.placed):
-            if place < len(self.system.world.operators[operator]):
-                yield Choice("submit", name, (operator, place))
+        for operator, position in zip(self.system.operators, state.submitted):
+            if position < len(self.system.world.operators[operator]):
+                yield Choice("submit", name, (operator, position))
 
-    def _store_choices(self, name, is_held):
-        if is_held:
+    def _store_choices(self, name, is_sync_held):
+        if is_sync_held:
             yield Choice("sync", name)
         yield Choice("crash", name)
         yield Choice("wipe", name)
--- a/proving/model/core_machine.py
+++ b/proving/model/core_machine.py
@@ -1,8 +1,8 @@
-"""A modelled core: production owners of one part, operators' commands, reads and foundings."""
+"""Model of a core: the production leader of one part, operator commands, reads and foundings."""
 
 from typing import NamedTuple
 
-from proving.model.events import Acknowledged, Established, Founded, ReadBegan, ReadEnded
+from proving.model.events import Acknowledged, Established, Founded, ReadEnded, ReadStarted
 from proving.model.machines import Machine, applied_event, digest_state
 from proving.model.watched_leader import WatchedLeader
 from quillring.kernel.errors import NotLeader, QuillringError
@@ -14,8 +14,8 @@
 CONFIGURATION = {"ask": "layout"}
 
 
-class CoreFacts(NamedTuple):
-    """What decides over the choices at a core."""
+class CoreStatus(NamedTuple):
+    """The facts about a core that determine which choices it has."""
 
     is_leader: bool
     busy: frozenset
@@ -23,46 +23,46 @@
     calls: frozenset
 
 
-class News:
-    """Stands for gossip at one node: what it put there itself."""
+class LocalGossip:
+    """Substitute for gossip: a node sees only the values that it published itself."""
 
     def __init__(self):
         self.known = {}
 
     def get(self, key):
-        """Return the newest value under a key, or None."""
+        """Return the last value published under a key, or None."""
         return self.known.get(key)
 
     def publish(self, key, version, value):
-        """Keep a value."""
+        """Store a value under its key."""
         self.known[key] = value
 
     def subscribe(self, prefix, listener):
-        """Nothing is heard from others."""
+        """Do nothing, since no values arrive from other nodes."""
 
 
 class CoreMachine(Machine):
-    """A core without a disk; a crash leaves nothing but its name."""
+    """A core, which has no disk: after a crash only its name is left."""
 
-    def __init__(self, name, model):
-        super().__init__(name, model)
+    def __init__(self, name, context):
+        super().__init__(name, context)
         self.owner = None
         self.busy = set()
-        self.told = None
+        self.last_reported = None
         self.on_crash()
 
     def on_crash(self, step_input=None):
-        """Start again with nothing."""
+        """Restart with empty memory."""
         self.start()
-        self.node.offer("gossip", News())
+        self.node.offer("gossip", LocalGossip())
         self.node.offer("elector", FoundingVoter(self.node))
-        self.owner, self.busy, self.told = None, set(), None
+        self.owner, self.busy, self.last_reported = None, set(), None
 
     def on_take(self, step_input):
-        """Begin a new term, as ownership does for a part that ranks this core first."""
+        """Run for owner of the part, as ownership does when the part ranks this core first."""
         former = self.owner
-        group = [list(store) for store in self.model.group] if former is None else former.group
-        self.owner = WatchedLeader(self.node, self.model.part, group, former)
+        group = [list(store) for store in self.context.group] if former is None else former.group
+        self.owner = WatchedLeader(self.node, self.context.part, group, former)
         self.busy.add("take")
         self.runtime.spawn(self.owner.run_election(), "take", self._end_take)
 
@@ -73,16 +73,17 @@
             self.runtime.spawn(self.owner.run(), "run")
 
     def on_resign(self, step_input):
-        """Hand the part over, as ownership does when another core ranks first."""
-        self.owner.step_down(NotLeader(part=self.model.part))
+        """Step down as owner, as ownership does when the part ranks another core first."""
+        self.owner.step_down(NotLeader(part=self.context.part))
 
     def on_submit(self, step_input):
-        """Commit an operator's command in the part owned here; `subject` is (operator, place).
+        """Submit an operator's command to the owner; `subject` is (operator, position).
 
-        Several commands of one entry are put before all else, as repair does with a swap.
+        A tuple of commands goes into one entry ahead of the queue, as membership repair submits
+        the swap of a member.
         """
-        operator, place = step_input.subject
-        command, owner = self.model.operators[operator][place], self.owner
+        operator, position = step_input.subject
+        command, owner = self.context.operators[operator][position], self.owner
         if isinstance(command, tuple):
             self._submit_swap(operator, command)
             return
@@ -107,7 +108,7 @@
         self.runtime.spawn(owner.submit_first(list(commands)), f"submit {operator}", on_end)
 
     def on_read(self, step_input):
-        """Read the state under the owner's fence."""
+        """Do a linearizable read: the owner confirms its ballot before it answers."""
         reader = self._begin_read("read")
 
         def on_end(outcome):
@@ -117,7 +118,10 @@
         self.runtime.spawn(self.owner.linearizable_state(), "read", on_end)
 
     def on_peek(self, step_input):
-        """Read the configuration from the stores; `subject` is the group that the node knows."""
+        """Read the configuration from a majority of the stores.
+
+        `subject` is the group that the reader takes for the present one.
+        """
         reader = self._begin_read("peek")
         group = group_from_wire(step_input.subject)
 
@@ -128,13 +132,13 @@
         self.runtime.spawn(self._peek(group), "peek", on_end)
 
     def _peek(self, group):
-        known = yield from read_from_majority(self.node, self.model.part, group, CONFIGURATION)
+        known = yield from read_from_majority(self.node, self.context.part, group, CONFIGURATION)
         return None if known is None else unwrap_answer(known)
 
     def _begin_read(self, kind):
         self.busy.add(kind)
         reader = f"{kind} at {self.name}"
-        self.events.append(ReadBegan(reader))
+        self.events.append(ReadStarted(reader))
         return reader
 
     def _end_read(self, kind, event):
@@ -142,7 +146,7 @@
         self.events.append(event)
 
     def on_found_fleet(self, step_input):
-        """Found the fleet on all stores, as the first start of a core does."""
+        """Found the fleet on all stores, as a core does at its first start."""
         self.busy.add("found")
 
         def on_end(outcome):
@@ -150,36 +154,38 @@
             if isinstance(outcome, dict):
                 self.events.append(Founded(outcome["fleet"]))
 
-        stores = [GroupMember.from_wire(store) for store in self.model.group]
-        choose = self._choose if self.model.seeds else None
+        stores = [GroupMember.from_wire(store) for store in self.context.group]
+        choose = self._choose if self.context.seeds else None
         self.runtime.spawn(found_fleet(self.node, 1, 3, stores, choose), "found", on_end)
 
     def _choose(self, node, founding):
-        """Coroutine: have the seeds agree on a record; what they chose is founded for good."""
+        """Coroutine: have the seeds agree on a founding record; the chosen record is final."""
         chosen = yield from agree_on_founding(node, founding)
         self.events.append(Founded(chosen["fleet"]))
         return chosen
 
-    def observe(self):
-        """Tell the state that this core's owner holds, once for each index."""
+    def collect_events(self):
+        """Emit the committed state of this core's owner, once per ballot and index."""
         owner = self.owner
         if owner is None or owner.state is None:
             return
-        self.events.extend(owner.unasked)
-        owner.unasked.clear()
+        self.events.extend(owner.skipped_prepares)
+        owner.skipped_prepares.clear()
         key = (tuple(owner.ballot), owner.index)
-        if key != self.told:
-            self.told = key
+        if key != self.last_reported:
+            self.last_reported = key
             self.events.insert(0, applied_event(owner.index, owner.state))
 
-    def facts(self):
-        """Return what may be chosen here."""
+    def status(self):
+        """Return the facts that determine the choices at this core."""
         is_leader = self.owner is not None and self.owner.is_leader
         calls = frozenset(self.node.pending_calls)
-        return CoreFacts(is_leader, frozenset(self.busy), self.runtime.timers(), calls)
+        return CoreStatus(is_leader, frozenset(self.busy), self.runtime.timers(), calls)
 
-    def form(self):
-        """Return the digest of the owner, its coroutines and calls under way."""
+    def state_digest(self):
+        """Return the digest of the owner, its coroutines and its pending calls."""
         known = self.node.find("gossip").known
         ballot_number = self.node.find("elector").ballot_number
-        return super().form(self.starts, self.owner, self.busy, known, self.told, ballot_number)
+        return super().state_digest(
+            self.start_count, self.owner, self.busy, known, self.last_reported, ballot_number
+        )
--- a/proving/model/coroutines.py
+++ b/proving/model/coroutines.py
@@ -1,4 +1,4 @@
-"""The runtime of one modelled process: coroutines run until they wait; timers fire by choice."""
+"""Runtime of one modelled process: coroutines run until they wait; timers fire by choice."""
 
 import hashlib
 from collections import deque
@@ -8,11 +8,11 @@
 from quillring.kernel.effects import Sleep, Wait
 from quillring.kernel.errors import QuillringError
 
-NEVER = 3600
+NEVER_FIRES_SECONDS = 3600
 
 
-class FixedChance:
-    """Chance without chance: pauses take their middle length."""
+class MidpointRandom:
+    """Deterministic random source: a randomized pause always has its middle length."""
 
     def random(self):
         """Return the middle of the range."""
@@ -20,7 +20,7 @@
 
 
 class Task:
-    """One coroutine: its label, the effect it waits for, and what to do with its outcome."""
+    """A coroutine with its label, the effect it waits for, and the callback for its outcome."""
 
     __slots__ = ("label", "coroutine", "effect", "on_end")
 
@@ -32,41 +32,41 @@
 
 
 class CoroutineRuntime:
-    """Runs the coroutines of one process; messages that it sends are collected.
+    """Runs the coroutines of one process and collects the messages that it sends.
 
-    Time stands still: a timer fires only when `fire` is called, whatever its length.
+    The clock doesn't advance: a timer fires only when `fire` is called, whatever its length.
     """
 
     def __init__(self, name):
         self.name = name
-        self.random = FixedChance()
+        self.random = MidpointRandom()
         self.tasks = []
         self.ready = deque()
         self.sent = []
-        self.secrets = 0
+        self.secret_count = 0
 
     def now(self):
-        """Return the only time there is."""
+        """Return the constant time 0."""
         return 0.0
 
     def secret(self, count):
-        """Return bytes that differ for each process and each call."""
-        self.secrets += 1
-        return hashlib.sha256(f"{self.name}/{self.secrets}".encode()).digest()[:count]
+        """Return deterministic bytes that differ for each process and each call."""
+        self.secret_count += 1
+        return hashlib.sha256(f"{self.name}/{self.secret_count}".encode()).digest()[:count]
 
     def send(self, target, message):
-        """Collect a message as it would stand on the wire."""
+        """Collect a message in its wire encoding."""
         self.sent.append((target, cbor2.dumps(message)))
         return True
 
     def spawn(self, coroutine, label=None, on_end=None):
-        """Start a coroutine beside the others."""
+        """Schedule a coroutine; `on_end` gets its return value or its QuillringError."""
         task = Task(label or coroutine.__qualname__, coroutine, on_end)
         self.tasks.append(task)
         self.ready.append((task, None))
 
     def run(self):
-        """Run every coroutine until all of them wait."""
+        """Run until every coroutine waits or has ended."""
         while self.ready:
             self._advance(*self.ready.popleft())
 
@@ -84,7 +84,7 @@
         if isinstance(effect, Wait):
             self._await_signal(task, effect)
         elif not isinstance(effect, Sleep):
-            raise TypeError(f"no such effect in a model: {effect!r}")
+            raise TypeError(f"the model doesn't support the effect {effect!r}")
 
     def _await_signal(self, task, effect):
         def wake():
@@ -103,17 +103,24 @@
             task.on_end(outcome)
 
     def timers(self):
-        """Return the labels of the timers that may fire, in the order of their coroutines."""
+        """Return the labels of the timers that may fire, in the order in which coroutines started.
+
+        A wait of NEVER_FIRES_SECONDS or more is treated as one without a timeout.
+        """
         return tuple(
             task.label
             for task in self.tasks
-            if task.effect is not None and task.effect.seconds < NEVER
+            if task.effect is not None and task.effect.seconds < NEVER_FIRES_SECONDS
         )
 
     def fire(self, label):
-        """Let the first timer of this label fire."""
+        """Fire the first timer with this label and run the process."""
         for task in self.tasks:
-            if task.label == label and task.effect is not None and task.effect.seconds < NEVER:
+            if (
+                task.label == label
+                and task.effect is not None
+                and task.effect.seconds < NEVER_FIRES_SECONDS
+            ):
                 value = None if isinstance(task.effect, Sleep) else False
                 task.effect = None
                 self.ready.append((task, value))
--- a/proving/model/events.py
+++ b/proving/model/events.py
@@ -1,10 +1,10 @@
-"""What a process tells about itself after a step; the invariants are decided over these."""
+"""Events that processes report after a step; the invariants are checked on these."""
 
 from typing import NamedTuple
 
 
 class Applied(NamedTuple):
-    """A process holds the state after `index` entries as committed."""
+    """A process knows the state after `index` entries to be committed."""
 
     index: int
     digest: str
@@ -12,21 +12,21 @@
 
 
 class Established(NamedTuple):
-    """A core owns the part under a ballot."""
+    """A core won the election and owns the part under a ballot."""
 
     ballot: tuple
     index: int
 
 
-class ProposedUnasked(NamedTuple):
-    """An owner proposed an entry to a group that phase one had not asked under its ballot."""
+class ProposedWithoutPrepare(NamedTuple):
+    """An owner proposed an entry to a group that had not promised its ballot in phase one."""
 
     ballot: tuple
     index: int
 
 
 class Acknowledged(NamedTuple):
-    """An operator's command was confirmed by the owner of this ballot."""
+    """The owner under this ballot acknowledged an operator's command."""
 
     ballot: tuple
     index: int
@@ -35,28 +35,31 @@
     version: int | None
 
 
-class ReadBegan(NamedTuple):
-    """A reader asked."""
+class ReadStarted(NamedTuple):
+    """A read started."""
 
     reader: str
 
 
 class ReadEnded(NamedTuple):
-    """A reader was answered with a state of this digest, or a configuration of this version."""
+    """A read ended with a state of this digest, or a configuration of this version.
+
+    Both are None if the read failed.
+    """
 
     reader: str
     digest: str | None
     version: int | None
 
 
-class WrongVote(NamedTuple):
-    """A store answered for an identity that is not its own."""
+class AnsweredAsFormerIdentity(NamedTuple):
+    """A store answered a request that was addressed to another identity than its own."""
 
     store: str
     service: str
 
 
 class Founded(NamedTuple):
-    """A founder was told that the fleet is founded under this secret."""
+    """A founder learned that the fleet with this ID is founded."""
 
     fleet: str
--- a/proving/model/freeze.py
+++ b/proving/model/freeze.py
@@ -1,9 +1,9 @@
-"""Canonical forms of running state machines, so that equal states are met only once.
+"""Canonical forms of running state machines, so that equal states are explored only once.
 
-A suspended coroutine is described by its position, its local variables and what it waits for. An
-iterator of a `for` loop is not among the local variables: the loop's own variable and the number of
-calls made so far stand for it. A form that told too little would prune states that differ (it can
-never make a false alarm, as every reported trace is played on the real machines).
+A suspended coroutine is described by its position, its local variables and the coroutine that it
+waits for. The iterator of a `for` loop is not a local variable; the loop variable and the number of
+calls made so far represent it. A form that left out part of the state would prune states that
+differ. It could not cause a false alarm, as every reported trace is run on the real machines.
 """
 
 import hashlib
@@ -14,25 +14,28 @@
 from quillring.kernel.errors import QuillringError
 from quillring.kernel.node import Node
 
-PLAIN_VERSION = 0
-PLAIN = (type(None), bool, int, float, str, bytes)
+MARSHAL_VERSION = 0
+SCALAR_TYPES = (type(None), bool, int, float, str, bytes)
 
 
-class Freezer:
-    """Turns an object graph into nested tuples; an object met again is told by its number."""
+class Canonicalizer:
+    """Turns an object graph into nested tuples; a repeated object is represented by its number.
+
+    Visited objects are retained so that their `id` is not reused.
+    """
 
     def __init__(self, opaque):
         self.opaque = opaque
         self.numbers = {}
-        self.kept = []
+        self.retained_objects = []
 
     def freeze(self, value):
         """Return the canonical form of a value."""
-        if isinstance(value, PLAIN):
+        if isinstance(value, SCALAR_TYPES):
             return value
         if isinstance(value, (list, tuple, dict)):
             try:
-                return marshal.dumps(value, PLAIN_VERSION)
+                return marshal.dumps(value, MARSHAL_VERSION)
             except ValueError:
                 pass
         if isinstance(value, (list, tuple, deque)):
@@ -52,12 +55,12 @@
         if number is not None:
             return ("again", number)
         self.numbers[id(value)] = len(self.numbers)
-        self.kept.append(value)
-        told = self.opaque(value)
-        if told is not None:
-            return told
+        self.retained_objects.append(value)
+        opaque_form = self.opaque(value)
+        if opaque_form is not None:
+            return opaque_form
         if isinstance(value, GeneratorType):
-            return self._freeze_script(value)
+            return self._freeze_coroutine(value)
         if isinstance(value, FunctionType):
             cells = [cell.cell_contents for cell in value.__closure__ or ()]
             return ("function", value.__qualname__, self.freeze(cells))
@@ -76,7 +79,7 @@
             if name not in ("watchers", "__weakref__") and hasattr(value, name):
                 yield name, self.freeze(getattr(value, name))
 
-    def _freeze_script(self, coroutine):
+    def _freeze_coroutine(self, coroutine):
         frame = coroutine.gi_frame
         if frame is None:
             return ("ended", coroutine.__qualname__)
@@ -88,4 +91,4 @@
 
 def digest_of(form):
     """Return a short digest of a canonical form."""
-    return hashlib.blake2b(marshal.dumps(form, PLAIN_VERSION), digest_size=12).digest()
+    return hashlib.blake2b(marshal.dumps(form, MARSHAL_VERSION), digest_size=12).digest()
--- a/proving/model/invariants.py
+++ b/proving/model/invariants.py
@@ -1,4 +1,4 @@
-"""What must hold in every state: rules over the events that processes told so far."""
+"""Invariants that hold in every state, checked on the events that processes reported."""
 
 from typing import NamedTuple
 
@@ -31,7 +31,7 @@
 
 
 class Committed(NamedTuple):
-    """The state after `index` entries, as some process held it."""
+    """The committed state after `index` entries, as reported by some process."""
 
     index: int
     digest: str
@@ -39,140 +39,146 @@
 
 
 class OpenRead(NamedTuple):
-    """A read under way, and what was acknowledged before it began."""
+    """A read in progress, with the index and version acknowledged before it started."""
 
     reader: str
     index: int
     version: int
 
 
-class Memory(NamedTuple):
-    """What an observer of the whole system remembers; a part of the explored state."""
+class History(NamedTuple):
+    """What an observer of the system has seen so far; part of the explored state."""
 
     log: tuple = ()
-    acked: tuple = ()
-    acked_version: int = 0
+    acknowledged: tuple = ()
+    acknowledged_version: int = 0
     confirmed: frozenset = frozenset()
     terms: tuple = ()
     reads: tuple = ()
     fleets: frozenset = frozenset()
 
-    def acked_index(self):
-        """Return the highest index that was acknowledged."""
-        return max((index for _, index in self.acked), default=0)
+    def acknowledged_index(self):
+        """Return the highest acknowledged index, or 0."""
+        return max((index for _, index in self.acknowledged), default=0)
 
     def newest_group(self):
         """Return the group of the newest committed state, or None."""
         return self.log[-1].group if self.log else None
 
 
-def broken(rule, **detail):
-    """Return the error that tells of a broken rule."""
+def invariant_error(rule, **detail):
+    """Return the error for a broken invariant."""
     return BrokenInvariant(invariant=rule, **detail)
 
 
-def note(memory, event):
-    """Return the memory after an event; BrokenInvariant when it may not happen."""
-    return RULES[type(event)](memory, event)
+def record_event(history, event):
+    """Return the history after an event; raise BrokenInvariant if the event is not allowed."""
+    return CHECKS[type(event)](history, event)
 
 
-def note_applied(memory, event):
-    """Compare a committed state with what others hold at the index; look at the groups beside."""
-    for known in memory.log:
+def check_applied(history, event):
+    """Compare a committed state with others at its index, and its group with adjacent ones."""
+    for known in history.log:
         if known.index == event.index:
             if known.digest != event.digest:
-                raise broken(ONE_VALUE, index=event.index)
-            return memory
-    for known in memory.log:
+                raise invariant_error(ONE_VALUE, index=event.index)
+            return history
+    for known in history.log:
         if abs(known.index - event.index) == 1:
             check_groups(known.group, event.group)
-    log = tuple(sorted([*memory.log, Committed(*event)]))
-    return memory._replace(log=log)
+    log = tuple(sorted([*history.log, Committed(*event)]))
+    return history._replace(log=log)
 
 
 def check_groups(group, next_group):
-    """Raise BrokenInvariant when more than one store joined or left in one entry."""
+    """Raise BrokenInvariant if one entry lets more than one store join or leave."""
     if not is_one_swap(group, next_group):
-        raise broken(ONE_SWAP, groups=[list(group), list(next_group)])
+        raise invariant_error(ONE_SWAP, groups=[list(group), list(next_group)])
 
 
-def note_established(memory, event):
-    """A new owner has to hold all that was acknowledged under lower ballots.
+def check_established(history, event):
+    """Check that a new owner has all that was acknowledged under lower ballots.
 
-    One that only learns late of having won may find that a higher ballot was won since; it is
-    fenced at its next step.
+    Entries of higher ballots are not compared: an owner that learns late of its election may
+    have lost its ballot to a higher one, and is fenced at its next step.
     """
-    for ballot, index in memory.acked:
+    for ballot, index in history.acknowledged:
         if ballot < event.ballot and event.index < index:
-            raise broken(NEVER_LOST, index=event.index, acknowledged=index)
-    return memory._replace(terms=tuple(sorted({*memory.terms, event})))
+            raise invariant_error(NEVER_LOST, index=event.index, acknowledged=index)
+    return history._replace(terms=tuple(sorted({*history.terms, event})))
 
 
-def note_acknowledged(memory, event):
-    """A confirmation needs the newest ballot, or an entry that newer owners hold as well."""
-    for term in memory.terms:
+def check_acknowledged(history, event):
+    """Check that the ballot is the newest one, or that all newer owners have the entry too.
+
+    Also checks that no other operator's command on the same base version was confirmed.
+    """
+    for term in history.terms:
         if term.ballot > event.ballot and term.index < event.index:
-            raise broken(FENCED_OUT, ballot=event.ballot, newer=term.ballot)
-    confirmed = memory.confirmed
+            raise invariant_error(FENCED_OUT, ballot=event.ballot, newer=term.ballot)
+    confirmed = history.confirmed
     if event.base_version is not None:
         for base_version, operator in confirmed:
             if base_version == event.base_version and operator != event.operator:
-                raise broken(ONE_CONFIRMED, operators=[operator, event.operator])
+                raise invariant_error(ONE_CONFIRMED, operators=[operator, event.operator])
         confirmed |= {(event.base_version, event.operator)}
-    others = [known for known in memory.acked if known[0] != event.ballot]
-    return memory._replace(
-        acked=tuple(sorted([*others, (event.ballot, event.index)])),
-        acked_version=max(memory.acked_version, event.version or 0),
+    others = [row for row in history.acknowledged if row[0] != event.ballot]
+    return history._replace(
+        acknowledged=tuple(sorted([*others, (event.ballot, event.index)])),
+        acknowledged_version=max(history.acknowledged_version, event.version or 0),
         confirmed=confirmed,
     )
 
 
-def note_read_began(memory, event):
-    """Remember what the read must not be older than."""
-    others = [read for read in memory.reads if read.reader != event.reader]
-    begun = OpenRead(event.reader, memory.acked_index(), memory.acked_version)
-    return memory._replace(reads=tuple(sorted([*others, begun])))
+def record_read_start(history, event):
+    """Record the index and the version that the result of the read must include."""
+    others = [read for read in history.reads if read.reader != event.reader]
+    open_read = OpenRead(event.reader, history.acknowledged_index(), history.acknowledged_version)
+    return history._replace(reads=tuple(sorted([*others, open_read])))
 
 
-def note_read_ended(memory, event):
-    """Compare an answer with what was acknowledged when its read began."""
-    begun = next((read for read in memory.reads if read.reader == event.reader), None)
-    if begun is None:
-        return memory
-    if event.version is not None and event.version < begun.version:
-        raise broken(FRESH_PEEK, version=event.version, acknowledged=begun.version)
+def check_read_result(history, event):
+    """Compare the result of a read with what was acknowledged when it started."""
+    open_read = next((read for read in history.reads if read.reader == event.reader), None)
+    if open_read is None:
+        return history
+    if event.version is not None and event.version < open_read.version:
+        raise invariant_error(FRESH_PEEK, version=event.version, acknowledged=open_read.version)
     if event.digest is not None:
-        indexes = [known.index for known in memory.log if known.digest == event.digest]
-        if max(indexes, default=0) < begun.index:
-            raise broken(FRESH_READ, indexes=indexes, acknowledged=begun.index)
-    return memory._replace(reads=tuple(read for read in memory.reads if read is not begun))
+        indexes = [known.index for known in history.log if known.digest == event.digest]
+        if max(indexes, default=0) < open_read.index:
+            raise invariant_error(FRESH_READ, indexes=indexes, acknowledged=open_read.index)
+    return history._replace(reads=tuple(read for read in history.reads if read is not open_read))
 
 
-def note_wrong_vote(memory, event):
-    """A store answered for the member that it was before its disk was lost."""
-    raise broken(OWN_VOTE, store=event.store, service=event.service)
+def reject_former_identity(history, event):
+    """Reject an answer that a store gave as the member that it was before it lost its disk."""
+    raise invariant_error(OWN_VOTE, store=event.store, service=event.service)
 
 
-def note_unasked(memory, event):
-    """Every group has to be asked for what lower ballots may have left there."""
-    raise broken(PHASE_ONE, ballot=event.ballot, index=event.index)
+def reject_missing_prepare(history, event):
+    """Reject a proposal to a group that phase one did not cover.
+
+    Such a group may hold entries accepted under lower ballots that the owner doesn't know.
+    """
+    raise invariant_error(PHASE_ONE, ballot=event.ballot, index=event.index)
 
 
-def note_founded(memory, event):
-    """All founders have to be told of the same fleet."""
-    fleets = memory.fleets | {event.fleet}
+def check_founded(history, event):
+    """Check that all founders learned of the same fleet."""
+    fleets = history.fleets | {event.fleet}
     if len(fleets) > 1:
-        raise broken(ONE_FOUNDING, fleets=sorted(fleets))
-    return memory._replace(fleets=fleets)
-
-
-RULES = {
-    events.Applied: note_applied,
-    events.Established: note_established,
-    events.Acknowledged: note_acknowledged,
-    events.ReadBegan: note_read_began,
-    events.ReadEnded: note_read_ended,
-    events.WrongVote: note_wrong_vote,
-    events.Founded: note_founded,
-    events.ProposedUnasked: note_unasked,
+        raise invariant_error(ONE_FOUNDING, fleets=sorted(fleets))
+    return history._replace(fleets=fleets)
+
+
+CHECKS = {
+    events.Applied: check_applied,
+    events.Established: check_established,
+    events.Acknowledged: check_acknowledged,
+    events.ReadStarted: record_read_start,
+    events.ReadEnded: check_read_result,
+    events.AnsweredAsFormerIdentity: reject_former_identity,
+    events.Founded: check_founded,
+    events.ProposedWithoutPrepare: reject_missing_prepare,
 }
--- a/proving/model/network.py
+++ b/proving/model/network.py
@@ -1,4 +1,4 @@
-"""The network of a model: every message that was sent and not yet taken, each named by a number."""
+"""Messages of the modelled network: each distinct message is identified by a number."""
 
 from typing import NamedTuple
 
@@ -8,11 +8,11 @@
 
 CALL_MASK = (1 << CALL_NUMBER_BITS) - 1
 REQUEST, CAST, ANSWER = "request", "cast", "answer"
-TOLD_FIELDS = ("ballot", "index", "committed")
+TRACED_FIELDS = ("ballot", "index", "committed")
 
 
 class Message(NamedTuple):
-    """One message: the ends, the bytes, its kind, and how a trace calls it."""
+    """One message: sender, receiver, bytes, kind, call ID and its text in a trace."""
 
     origin: str
     target: str
@@ -22,15 +22,15 @@
     text: str
 
 
-class Messages:
-    """The table of all distinct messages."""
+class MessageTable:
+    """The table of all distinct messages sent so far."""
 
     def __init__(self):
         self.numbers = {}
         self.table = []
 
     def number(self, origin, target, data):
-        """Return the number of a message."""
+        """Return the number of a message, adding it to the table if it is new."""
         key = (origin, target, data)
         number = self.numbers.get(key)
         if number is None:
@@ -43,7 +43,7 @@
 
 
 def read_message(origin, target, data):
-    """Return a message with its kind and its text."""
+    """Decode a message and return it with its kind and its text in a trace."""
     fields = cbor2.loads(data)
     if "r" in fields:
         text = (
@@ -51,12 +51,14 @@
         )
         return Message(origin, target, data, ANSWER, fields["r"], text)
     body = fields["b"] if isinstance(fields["b"], dict) else {}
-    told = " ".join(f"{name}={_told(body[name])}" for name in TOLD_FIELDS if name in body)
+    traced_fields = " ".join(
+        f"{name}={_format_field(body[name])}" for name in TRACED_FIELDS if name in body
+    )
     kind = CAST if fields.get("c") is None else REQUEST
     call = "" if kind == CAST else f" call {fields['c'] & CALL_MASK}"
-    text = f"{origin} > {target} {fields['s']} {told}".rstrip() + call
+    text = f"{origin} > {target} {fields['s']} {traced_fields}".rstrip() + call
     return Message(origin, target, data, kind, fields.get("c"), text)
 
 
-def _told(value):
+def _format_field(value):
     return ".".join(map(str, value)) if isinstance(value, list) else value
--- a/proving/model/patches.py
+++ b/proving/model/patches.py
@@ -1,26 +1,29 @@
-"""Patches of the product's public seams, for the seeded bugs."""
+"""Helpers with which the seeded bugs patch the product."""
 
 from contextlib import contextmanager
 from unittest import mock
 
-from proving.model.store_machine import as_script
+from proving.model.store_machine import as_coroutine
 from proving.sim.disk import InstantLog
 from quillring.quorum import Acceptors
 
 
-def around(name, change):
-    """Patch an acceptor's handler: `change(real, self, body, origin)` is a coroutine."""
+def patch_handler(name, change):
+    """Return a patch that replaces a handler of Acceptors.
+
+    `change(real, self, body, origin)` gets the real handler and returns a value or a coroutine.
+    """
     real = getattr(Acceptors, name)
 
     def handler(self, body, origin):
-        return (yield from as_script(change(real, self, body, origin)))
+        return (yield from as_coroutine(change(real, self, body, origin)))
 
     return mock.patch.object(Acceptors, name, handler)
 
 
 @contextmanager
-def all_of(patches):
-    """Apply several patches together."""
+def apply_patches(patches):
+    """Context manager that applies several patches together."""
     entered = []
     try:
         for patch in patches:
@@ -32,10 +35,10 @@
             patch.stop()
 
 
-def without_sync(real, self, body, origin):
-    """Coroutine: run a handler whose records never reach the disk."""
+def run_without_sync(real, self, body, origin):
+    """Coroutine: run a handler with a log that doesn't write its records to disk."""
     log, self.log = self.log, InstantLog()
     try:
-        return (yield from as_script(real(self, body, origin)))
+        return (yield from as_coroutine(real(self, body, origin)))
     finally:
         self.log = log
--- a/proving/model/phase_bugs.py
+++ b/proving/model/phase_bugs.py
@@ -1,14 +1,14 @@
-"""Seeded bugs: phase one in a group that an entry of the log brought about is left out."""
+"""Seeded bugs: a leader skips phase one in a group that a log entry introduced."""
 
 from unittest import mock
 
-from proving.model.patches import all_of
+from proving.model.patches import apply_patches
 from quillring.quorum.leader.part_leader import PartLeader
 from quillring.quorum.leader.uncommitted import candidate_entries, fetch_batch
 
 
 def stay_in_phase_two():
-    """A new leader that finds a change of the group proposes there without asking it first."""
+    """A new leader that recovers a group change proposes to the new group without phase one."""
 
     def commit_uncommitted(self, promises):
         best = candidate_entries(promises, self.index)
@@ -19,14 +19,16 @@
         yield from self.replicate([])
         return True
 
-    return all_of([mock.patch.object(PartLeader, "_commit_uncommitted", commit_uncommitted)])
+    return apply_patches([mock.patch.object(PartLeader, "_commit_uncommitted", commit_uncommitted)])
 
 
 def skip_promise_again():
-    """A leader whose own entry changed the group doesn't have the new one promise its ballot."""
+    """A leader whose own entry changed the group doesn't run phase one in the new group."""
 
     def prepare_changed_group(self):
         return
         yield
 
-    return all_of([mock.patch.object(PartLeader, "_prepare_changed_group", prepare_changed_group)])
+    return apply_patches(
+        [mock.patch.object(PartLeader, "_prepare_changed_group", prepare_changed_group)]
+    )
--- a/proving/model/process_states.py
+++ b/proving/model/process_states.py
@@ -1,8 +1,9 @@
-"""The states of single processes: each is reached once and named by a number.
+"""States of single processes: each distinct state is identified by a number.
 
-A step of a process depends on nothing but its own state and the input. So the steps are kept in a
-table, and the product of all processes is explored without running it again. Running coroutines
-can't be copied: where a step is new, the process is made again by its inputs since its beginning.
+A step of a process depends only on its state and the input. Steps are therefore cached in a table,
+and the product of all processes is explored without running a step twice. Suspended coroutines
+can't be copied: for a new step from a state whose machine is not cached, the process is rebuilt by
+replaying all its inputs.
 """
 
 from collections import OrderedDict
@@ -12,11 +13,11 @@
 from proving.model.machines import Input
 from proving.model.store_machine import StoreMachine
 
-KEPT_MACHINES = 2000
+MAX_CACHED_MACHINES = 2000
 
 
-class Setting(NamedTuple):
-    """What machines need to know of their world."""
+class WorldContext(NamedTuple):
+    """The parameters of a world that its machines need; `durable_forms` is a shared cache."""
 
     names: tuple
     part: str
@@ -28,16 +29,16 @@
 
 
 class LocalState(NamedTuple):
-    """One state of one process: how it was reached first, and what may be chosen there."""
+    """One state of one process: the first step that led to it, and the status for its choices."""
 
     name: str
     parent: int | None
     step_input: Input | None
-    facts: object
+    status: object
 
 
 class LocalStates:
-    """The table of all states of all processes met so far, and of the steps between them."""
+    """The table of all known states of all processes, and of the steps between them."""
 
     def __init__(self, world):
         group = world.founding_group
@@ -48,42 +49,44 @@
             "size": world.members,
         }
         names = (*world.core_names, *world.store_names)
-        self.setting = Setting(names, world.part, group, founding, world.seeds, world.operators, {})
+        self.world_context = WorldContext(
+            names, world.part, group, founding, world.seeds, world.operators, {}
+        )
         self.numbers = {}
         self.states = []
         self.steps = {}
-        self.machines = OrderedDict()
-        self.replays = 0
+        self.machine_cache = OrderedDict()
+        self.rebuild_count = 0
 
-    def begin(self, name):
-        """Return the number of a process's first state."""
+    def initial_number(self, name):
+        """Return the number of a process's initial state."""
         return self._number(self._make(name), None, None)
 
     def _make(self, name):
         kind = CoreMachine if name.startswith("core") else StoreMachine
-        return kind(name, self.setting)
+        return kind(name, self.world_context)
 
     def _number(self, machine, parent, step_input):
-        key = (machine.name, machine.form())
+        key = (machine.name, machine.state_digest())
         number = self.numbers.get(key)
         if number is None:
             number = self.numbers[key] = len(self.states)
-            self.states.append(LocalState(machine.name, parent, step_input, machine.facts()))
-        self.machines[number] = machine
-        if len(self.machines) > KEPT_MACHINES:
-            self.machines.popitem(last=False)
+            self.states.append(LocalState(machine.name, parent, step_input, machine.status()))
+        self.machine_cache[number] = machine
+        if len(self.machine_cache) > MAX_CACHED_MACHINES:
+            self.machine_cache.popitem(last=False)
         return number
 
     def _machine(self, number):
-        """Return a process that stands in this state, to be moved on."""
-        machine = self.machines.pop(number, None)
+        """Return a machine in this state and remove it from the cache, as a step changes it."""
+        machine = self.machine_cache.pop(number, None)
         if machine is None:
-            self.replays += 1
-            machine = self.make_again(number)
+            self.rebuild_count += 1
+            machine = self.rebuild(number)
         return machine
 
-    def make_again(self, number):
-        """Return a new process that took the inputs which led to a state first."""
+    def rebuild(self, number):
+        """Return a new machine in this state, made by replaying the inputs that first led to it."""
         inputs, state = [], self.states[number]
         while state.parent is not None:
             inputs.append(state.step_input)
@@ -94,15 +97,15 @@
         return machine
 
     def step(self, number, step_input):
-        """Return (next state's number, reaction) of a process that takes an input."""
+        """Return (number of the next state, reaction) for an input in a state."""
         key = (number, step_input)
-        known = self.steps.get(key)
-        if known is None:
+        result = self.steps.get(key)
+        if result is None:
             machine = self._machine(number)
             reaction = machine.react(step_input)
-            known = self.steps[key] = (self._number(machine, number, step_input), reaction)
-        return known
+            result = self.steps[key] = (self._number(machine, number, step_input), reaction)
+        return result
 
-    def facts(self, number):
-        """Return what may be chosen in a state."""
-        return self.states[number].facts
+    def status(self, number):
+        """Return the facts that determine the choices in a state."""
+        return self.states[number].status
--- a/proving/model/scopes.py
+++ b/proving/model/scopes.py
@@ -1,4 +1,4 @@
-"""The small worlds that are explored: who there is, what may be done, and how often."""
+"""The small worlds that are explored: their processes, operator commands and bounds."""
 
 from typing import NamedTuple
 
@@ -9,9 +9,10 @@
 class Bounds(NamedTuple):
     """How often each kind of choice may be taken on one path.
 
-    By default a core goes on until its calls are answered, and its stores take a call in their
-    order. `switches` counts the turns to another core before that, and each message that comes
-    after its turn; `delays` counts how often stores that come first are passed over.
+    In the default schedule a core runs until its calls are answered, and the stores handle its
+    requests in the order of their names. `switches` limits the changes to another core before that
+    and the deliveries of requests that are delayed or no longer pending; `delays` limits the
+    deliveries that overtake requests to earlier stores.
     """
 
     takes: int = 2
@@ -33,10 +34,10 @@
 
 
 class World(NamedTuple):
-    """One small world; operators submit their commands in order, each at any owner.
+    """One small world; operators submit their commands in order, each to any owner.
 
-    Where it is founded, the cores of `owners` took the part one after another and all their
-    messages arrived before the exploration begins. `depth` is the depth to which it is looked at.
+    In a founded world the cores in `owners` win the part one after another, and all their messages
+    are delivered, before the exploration starts. `depth` is the default depth of an exploration.
     """
 
     name: str
@@ -54,7 +55,7 @@
 
     @property
     def store_names(self):
-        """The names of all stores, the first ones being the founding group."""
+        """The names of all stores; the first `members` of them form the founding group."""
         return tuple(f"store-{number + 1}" for number in range(self.stores))
 
     @property
@@ -64,7 +65,7 @@
 
     @property
     def seeds(self):
-        """The nodes that vote on the founding at the first start: the stores, or none."""
+        """The nodes that vote on the founding record at the first start: all stores, or none."""
         return self.store_names if self.has_seeds else ()
 
     @property
@@ -74,12 +75,12 @@
 
     @property
     def founding_group(self):
-        """The group that the part begins with."""
+        """The group of the part at its founding."""
         return self.all_stores[: self.members]
 
 
-def adopt(operator, base_version, store):
-    """Return an operator's partial configuration, made on top of a version."""
+def adopt_command(operator, base_version, store):
+    """Return the command that adopts an operator's configuration change based on a version."""
     return {
         "do": "layout.adopt",
         "id": f"{operator}-{base_version}",
@@ -89,104 +90,108 @@
     }
 
 
-def regroup(*numbers):
-    """Return a change of the part's group to the stores of these numbers."""
+def change_group_command(*numbers):
+    """Return the command that changes the part's group to the stores with these numbers."""
     group = [[f"store-{n}", f"store-{n}.1", f"zone-store-{n}"] for n in numbers]
     return {"do": "group.change", "group": group}
 
 
-def swap(group, joining, leaving):
-    """Return the one entry that puts a store in another's place; both are numbers."""
+def swap_commands(group, joining, leaving):
+    """Return the commands of one entry that replace a store by another; both are numbers."""
     staying = [number for number in group if number != leaving]
-    return (regroup(*group, joining), regroup(*staying, joining))
+    return (change_group_command(*group, joining), change_group_command(*staying, joining))
 
 
-ANN = {"ann": [adopt("ann", 0, "store-8")]}
-TWO_OPERATORS = {**ANN, "bob": [adopt("bob", 0, "store-9")]}
-IN_TURN = {"ann": [adopt("ann", 0, "store-8")], "bob": [adopt("bob", 1, "store-9")]}
-MOVE = {"eve": [regroup(1, 2, 3, 4), regroup(2, 3, 4)], **ANN}
-MOVE_TWICE = {"eve": [*MOVE["eve"], regroup(2, 3, 4, 5), regroup(3, 4, 5)], **ANN}
-SWAP = {"eve": [swap((1, 2, 3), 4, 1)], **ANN}
-SWAP_TWICE = {"eve": [*SWAP["eve"], swap((2, 3, 4), 5, 2)], **ANN}
+ANN = {"ann": [adopt_command("ann", 0, "store-8")]}
+TWO_OPERATORS = {**ANN, "bob": [adopt_command("bob", 0, "store-9")]}
+IN_TURN = {"ann": [adopt_command("ann", 0, "store-8")], "bob": [adopt_command("bob", 1, "store-9")]}
+MOVE = {"eve": [change_group_command(1, 2, 3, 4), change_group_command(2, 3, 4)], **ANN}
+MOVE_TWICE = {
+    "eve": [*MOVE["eve"], change_group_command(2, 3, 4, 5), change_group_command(3, 4, 5)],
+    **ANN,
+}
+SWAP = {"eve": [swap_commands((1, 2, 3), 4, 1)], **ANN}
+SWAP_TWICE = {"eve": [*SWAP["eve"], swap_commands((2, 3, 4), 5, 2)], **ANN}
 
 WORLDS = {
     world.name: world
     for world in (
         World(
             "takeover",
-            "two cores take the part from each other while two operators change one version",
+            "two cores take the part over from each other while two operators change one version",
             3, 3, 2, TWO_OPERATORS, Bounds(takes=2, late_answers=1), 14,
         ),
         World(
             "terms",
-            "one core owns the part, hands it over and takes it again; messages come twice",
+            "one core owns the part, steps down and wins it again; messages are duplicated",
             3, 3, 2, IN_TURN, Bounds(takes=3, resigns=1, duplicates=1), 9,
         ),
         World(
             "power",
-            "stores lose their power, also amid a sync, between two owners",
+            "stores lose power, also during a sync, between two owners",
             3, 3, 2, ANN, Bounds(takes=2, submits=1, crashes=2, holds=1), 11,
         ),
         World(
             "emptied",
-            "a store loses its disk and comes back as a new member",
+            "a store loses its disk and restarts as a new member",
             3, 3, 2, ANN, Bounds(takes=2, submits=1, wipes=1), 17,
         ),
         World(
             "cores",
-            "a core is started again while answers to its former start are under way",
+            "a core restarts while answers to its former incarnation are in flight",
             3, 3, 2, ANN, Bounds(takes=2, submits=1, core_crashes=1, switches=3, delays=0), 26,
         ),
         World(
             "reads",
-            "fenced reads and reads from the stores beside two owners",
+            "linearizable reads and reads from the stores while two owners compete",
             3, 3, 2, IN_TURN, Bounds(takes=1, reads=1, peeks=1, delays=0), 9,
         ),
         World(
             "peeks",
-            "reads from the stores of a part that tells commits without waiting for answers",
+            "reads from the stores of a part that announces commits without waiting for answers",
             3, 3, 2, IN_TURN, Bounds(takes=1, peeks=1), 7, part="part-0",
         ),
         World(
             "silence",
-            "time-outs, repeats of calls and mending beside two owners",
+            "timeouts, retried calls and catch-up while two owners compete",
             3, 3, 2, ANN, Bounds(takes=1, submits=1, timers=3, switches=1, delays=0), 13,
         ),
         World(
             "group",
-            "the group moves by one member after another, an order comes in between",
+            "the group changes one member at a time, with an operator's command in between",
             4, 3, 2, MOVE, Bounds(takes=1, submits=3, peeks=1, switches=1, delays=0), 11,
         ),
         World(
             "leap",
-            "an order asks for another group than one that differs by one member",
-            5, 3, 2, {"eve": [regroup(1, 4, 5)], **ANN}, Bounds(takes=2, switches=1), 40,
+            "a command asks for a group that differs by more than one member",
+            5, 3, 2, {"eve": [change_group_command(1, 4, 5)], **ANN},
+            Bounds(takes=2, switches=1), 40,
         ),
         World(
             "moves",
-            "the group moves by two members; a node that knows the first group reads and takes",
+            "two members are replaced; a node that knows the first group reads and takes over",
             5, 3, 2, MOVE_TWICE, Bounds(takes=1, submits=5, peeks=1, switches=1, delays=0), 9,
         ),
         World(
             "swap",
-            "one entry puts a store in another's place beside two owners and an order",
+            "one entry replaces a store while two owners compete and an operator submits a command",
             4, 3, 2, SWAP, Bounds(takes=1, submits=2, switches=2, delays=2), 60, part="part-0",
         ),
         World(
             "swaps",
-            "two such entries, so that the first group and the last share one store only",
+            "two entries each replace a store; the first and the last group share only one store",
             5, 3, 2, SWAP_TWICE, Bounds(takes=1, submits=3, switches=1, delays=1), 60,
             part="part-0",
         ),
         World(
             "founding",
-            "two cores found the fleet at one moment; a store may lose its power",
+            "two cores found the fleet at the same time; a store may lose power",
             3, 3, 2, {}, Bounds(0, 0, foundings=3, crashes=1, holds=1, timers=2, late_answers=1),
             9, is_founded=False,
         ),
         World(
             "electing",
-            "two cores have a majority of the seeds agree on a founding; a seed may restart",
+            "two cores ask the seeds to agree on a founding record; a seed may restart",
             3, 3, 2, {}, Bounds(0, 0, foundings=3, crashes=1, timers=1, late_answers=1, delays=2),
             11, is_founded=False, has_seeds=True,
         ),
@@ -195,14 +200,14 @@
 
 
 def find_world(name):
-    """Return the world of this name; UnknownName tells those that there are."""
+    """Return the world of this name; raise UnknownName, which lists the known names."""
     if name not in WORLDS:
         raise UnknownName(world=name, known=sorted(WORLDS))
     return WORLDS[name]
 
 
 def with_bounds(world, changes):
-    """Return the world with other bounds; UnknownName for a bound that there is none of."""
+    """Return the world with some bounds replaced; raise UnknownName for an unknown bound."""
     unknown = sorted(set(changes) - set(Bounds._fields))
     if unknown:
         raise UnknownName(bound=unknown[0], known=list(Bounds._fields))
--- a/proving/model/system.py
+++ b/proving/model/system.py
@@ -1,241 +1,258 @@
-"""The whole system as the product of its processes: states, choices and what follows from one."""
+"""The complete system as the product of its processes: states, choices and successor states."""
 
 from bisect import insort
 from typing import NamedTuple
 
 from proving.model import invariants
-from proving.model.choices import Choice, Menu, bound_of
+from proving.model.choices import Choice, ChoiceEnumerator, bound_of
 from proving.model.machines import Input
-from proving.model.network import ANSWER, Messages
+from proving.model.network import ANSWER, MessageTable
 from proving.model.process_states import LocalStates
 from proving.model.scopes import Bounds
 
 
 class State(NamedTuple):
-    """One state of the whole system."""
+    """One state of the complete system.
 
-    locals: tuple
+    `local_states` and `network` hold numbers of process states and of messages. `submitted` counts
+    the commands submitted per operator. `passed_over` holds requests that others overtook.
+    """
+
+    local_states: tuple
     network: tuple
-    memory: invariants.Memory
-    placed: tuple
-    active: str | None
-    aside: frozenset
+    history: invariants.History
+    submitted: tuple
+    active_core: str | None
+    passed_over: frozenset
     spent: Bounds
 
     def situation(self):
-        """Return all but what was spent on the way here."""
+        """Return the state without the bounds that were used up on the way to it."""
         return self[:-1]
 
 
-class Turn(NamedTuple):
-    """How a choice stands to the default order: one core after another, one store after another."""
+class ScheduleDeviation(NamedTuple):
+    """How a choice deviates from the default schedule: one core, then one store, at a time.
+
+    `active_core` is the core that runs after the choice, `overtaken` the messages that the
+    default schedule would have delivered before.
+    """
 
     is_switch: bool
-    active: str | None
-    passed: frozenset
+    active_core: str | None
+    overtaken: frozenset
 
 
-class Draft:
-    """A state that is being made out of another."""
+class SuccessorBuilder:
+    """A mutable copy of a state, from which its successor is made."""
 
-    __slots__ = ("locals", "network", "memory", "has_effect")
+    __slots__ = ("local_states", "network", "history", "has_effect")
 
     def __init__(self, state):
-        self.locals = list(state.locals)
+        self.local_states = list(state.local_states)
         self.network = list(state.network)
-        self.memory = state.memory
+        self.history = state.history
         self.has_effect = False
 
 
 class System:
-    """A world with its tables; `choices` and `follow` span the graph of states."""
+    """A world with its tables; `choices` and `successor` define the graph of states."""
 
     def __init__(self, world):
         self.world = world
         self.names = (*world.core_names, *world.store_names)
-        self.places = {name: place for place, name in enumerate(self.names)}
+        self.positions = {name: position for position, name in enumerate(self.names)}
         self.processes = LocalStates(world)
-        self.messages = Messages()
+        self.messages = MessageTable()
         self.operators = tuple(sorted(world.operators))
-        self.menu = Menu(self)
+        self.enumerator = ChoiceEnumerator(self)
 
-    def first_state(self):
-        """Return the state in which everything begins."""
-        numbers = tuple(self.processes.begin(name) for name in self.names)
+    def initial_state(self):
+        """Return the state in which an exploration starts."""
+        numbers = tuple(self.processes.initial_number(name) for name in self.names)
         spent = Bounds(*[0] * len(Bounds._fields))
         state = State(
-            numbers, (), invariants.Memory(), (0,) * len(self.operators), None, frozenset(), spent
+            numbers, (), invariants.History(), (0,) * len(self.operators), None, frozenset(), spent
         )
         if not self.world.is_founded:
             return state
-        draft = Draft(state)
+        builder = SuccessorBuilder(state)
         for store in self.world.founding_group:
-            self._step(draft, store[0], Input("found"))
-        state = state._replace(locals=tuple(draft.locals), memory=draft.memory)
+            self._step(builder, store[0], Input("found"))
+        state = state._replace(local_states=tuple(builder.local_states), history=builder.history)
         for name in self.world.owners:
-            state = self._settle(self.follow(state, Choice("take", name)))
-        return state._replace(spent=spent, active=None)
+            state = self._deliver_all(self.successor(state, Choice("take", name)))
+        return state._replace(spent=spent, active_core=None)
 
-    def _settle(self, state):
-        """Return the state once every message was delivered, in the default order."""
+    def _deliver_all(self, state):
+        """Return the state after all messages were delivered in the default order."""
         while state.network:
-            number = min(state.network, key=lambda n: self.places[self.messages[n].target])
+            number = min(state.network, key=lambda n: self.positions[self.messages[n].target])
             choice = Choice("deliver", self.messages[number].target, number)
-            left = list(state.network)
-            left.remove(number)
-            state = self.follow(state, choice) or state._replace(network=tuple(left))
+            remaining = list(state.network)
+            remaining.remove(number)
+            state = self.successor(state, choice) or state._replace(network=tuple(remaining))
         return state
 
     def choices(self, state):
-        """Return all that may happen next within the bounds, in a fixed order."""
-        return [c for c in self.menu.choices(state) if self._may_spend(state, c)]
+        """Return all choices within the bounds, in a deterministic order."""
+        return [c for c in self.enumerator.choices(state) if self._may_spend(state, c)]
 
     def _may_spend(self, state, choice):
         bound = bound_of(choice)
         if bound is not None and getattr(state.spent, bound) >= getattr(self.world.bounds, bound):
             return False
-        turn = self._turn(state, choice)
+        deviation = self._schedule_deviation(state, choice)
         return (
-            state.spent.switches + turn.is_switch <= self.world.bounds.switches
-            and state.spent.delays + bool(turn.passed) <= self.world.bounds.delays
+            state.spent.switches + deviation.is_switch <= self.world.bounds.switches
+            and state.spent.delays + bool(deviation.overtaken) <= self.world.bounds.delays
         )
 
-    def _turn(self, state, choice):
-        """Return what a choice means for the order in which things come about by default."""
-        active = state.active
+    def _schedule_deviation(self, state, choice):
+        """Return how a choice deviates from the default schedule."""
+        active_core = state.active_core
         core = choice.node if choice.node.startswith("core") else None
-        passed = frozenset()
+        overtaken = frozenset()
         if isinstance(choice.subject, int):
             message = self.messages[choice.subject]
             if message.kind != ANSWER:
                 core = message.origin
-                if choice.subject in state.aside or message.call not in self._calls(state, core):
-                    return Turn(True, active, passed)
-                passed = self._passed(state, message)
-        if core is None or core == active:
-            return Turn(False, active, passed)
-        return Turn(active is not None and bool(self._calls(state, active)), core, passed)
-
-    def _passed(self, state, message):
-        """Return the messages of the same round that would have come before by default."""
-        place = self.places[message.target]
-        calls = self._calls(state, message.origin)
+                if choice.subject in state.passed_over or message.call not in self._pending_calls(
+                    state, core
+                ):
+                    return ScheduleDeviation(True, active_core, overtaken)
+                overtaken = self._overtaken_messages(state, message)
+        if core is None or core == active_core:
+            return ScheduleDeviation(False, active_core, overtaken)
+        return ScheduleDeviation(
+            active_core is not None and bool(self._pending_calls(state, active_core)),
+            core,
+            overtaken,
+        )
+
+    def _overtaken_messages(self, state, message):
+        """Return the requests to earlier stores that the default schedule delivers first."""
+        position = self.positions[message.target]
+        calls = self._pending_calls(state, message.origin)
         return frozenset(
             number
             for number in state.network
             if self.messages[number].origin == message.origin
             and self.messages[number].call in calls
-            and self.places[self.messages[number].target] < place
-            and number not in state.aside
+            and self.positions[self.messages[number].target] < position
+            and number not in state.passed_over
         )
 
-    def _calls(self, state, core):
-        return self.processes.facts(state.locals[self.places[core]]).calls
+    def _pending_calls(self, state, core):
+        return self.processes.status(state.local_states[self.positions[core]]).calls
 
-    def follow(self, state, choice):
-        """Return the state after a choice, or None where it changes nothing.
+    def successor(self, state, choice):
+        """Return the state after a choice, or None if it changes nothing.
 
-        Raises BrokenInvariant when the choice breaks a rule.
+        Raises BrokenInvariant if the choice breaks an invariant.
         """
-        draft = Draft(state)
+        builder = SuccessorBuilder(state)
         if isinstance(choice.subject, int):
-            self._take_message(draft, choice)
+            self._deliver_message(builder, choice)
         else:
-            self._act(draft, choice)
-        if not draft.has_effect:
+            self._perform_action(builder, choice)
+        if not builder.has_effect:
             return None
         bound = bound_of(choice)
         spent = state.spent
-        turn = self._turn(state, choice)
+        deviation = self._schedule_deviation(state, choice)
         if bound is not None:
             spent = spent._replace(**{bound: getattr(spent, bound) + 1})
         spent = spent._replace(
-            switches=spent.switches + turn.is_switch, delays=spent.delays + bool(turn.passed)
+            switches=spent.switches + deviation.is_switch,
+            delays=spent.delays + bool(deviation.overtaken),
         )
-        placed = state.placed
+        submitted = state.submitted
         if choice.verb == "submit":
-            place = self.operators.index(choice.subject[0])
-            placed = (*placed[:place], placed[place] + 1, *placed[place + 1 :])
-        aside = state.aside | turn.passed
+            position = self.operators.index(choice.subject[0])
+            submitted = (*submitted[:position], submitted[position] + 1, *submitted[position + 1 :])
+        passed_over = state.passed_over | deviation.overtaken
         next_state = State(
-            tuple(draft.locals),
-            tuple(draft.network),
-            draft.memory,
-            placed,
-            turn.active,
-            aside,
+            tuple(builder.local_states),
+            tuple(builder.network),
+            builder.history,
+            submitted,
+            deviation.active_core,
+            passed_over,
             spent,
         )
-        live = self._live(next_state)
-        return next_state._replace(network=live, aside=aside.intersection(live))
+        deliverable = self._deliverable_messages(next_state)
+        return next_state._replace(
+            network=deliverable, passed_over=passed_over.intersection(deliverable)
+        )
 
-    def _live(self, state):
-        """Return the messages that may still bring about anything within the bounds."""
+    def _deliverable_messages(self, state):
+        """Return the messages whose delivery is still possible and useful within the bounds."""
         has_switches = state.spent.switches < self.world.bounds.switches
-        live = []
+        deliverable = []
         for number in state.network:
             message = self.messages[number]
             if message.kind == ANSWER:
-                is_live = self.world.bounds.core_crashes or (
-                    message.call in self._calls(state, message.target)
+                is_deliverable = self.world.bounds.core_crashes or (
+                    message.call in self._pending_calls(state, message.target)
                 )
             else:
-                is_open = message.call in self._calls(state, message.origin)
-                is_live = has_switches or (is_open and number not in state.aside)
-            if is_live:
-                live.append(number)
-        return tuple(live)
+                is_pending = message.call in self._pending_calls(state, message.origin)
+                is_deliverable = has_switches or (is_pending and number not in state.passed_over)
+            if is_deliverable:
+                deliverable.append(number)
+        return tuple(deliverable)
 
-    def _take_message(self, draft, choice):
+    def _deliver_message(self, builder, choice):
         message = self.messages[choice.subject]
         if choice.verb != "duplicate":
-            draft.network.remove(choice.subject)
+            builder.network.remove(choice.subject)
         if choice.verb == "lose":
-            draft.has_effect = True
+            builder.has_effect = True
             return
         verb = "hold" if choice.verb == "hold" else "message"
         step_input = Input(verb, message.origin, message.data)
-        answers = self._step(draft, message.target, step_input)
-        self._hand_on(draft, message.target, answers, choice.verb == "deliver late")
+        answers = self._step(builder, message.target, step_input)
+        self._deliver_answers(builder, message.target, answers, choice.verb == "deliver late")
 
-    def _act(self, draft, choice):
+    def _perform_action(self, builder, choice):
         verb = "found_fleet" if choice.verb == "found" else choice.verb
-        answers = self._step(draft, choice.node, Input(verb, choice.subject))
-        self._hand_on(draft, choice.node, answers, False)
+        answers = self._step(builder, choice.node, Input(verb, choice.subject))
+        self._deliver_answers(builder, choice.node, answers, False)
 
-    def _hand_on(self, draft, origin, answers, is_late):
-        """Deliver answers at once, unless they are to come late."""
+    def _deliver_answers(self, builder, origin, answers, is_late):
+        """Deliver answers at once, or put them on the network if they are late."""
         for number in answers:
             if is_late:
-                insort(draft.network, number)
-                draft.has_effect = True
+                insort(builder.network, number)
+                builder.has_effect = True
             else:
                 message = self.messages[number]
                 step_input = Input("message", origin, message.data)
-                self._step(draft, message.target, step_input)
-
-    def _step(self, draft, name, step_input):
-        """Let a process take an input; return its answers, and put its requests on the network."""
-        place = self.places[name]
-        number, reaction = self.processes.step(draft.locals[place], step_input)
-        former = (draft.locals[place], draft.memory)
-        draft.locals[place] = number
+                self._step(builder, message.target, step_input)
+
+    def _step(self, builder, name, step_input):
+        """Run one step of a process; return its answers and put its requests on the network."""
+        position = self.positions[name]
+        number, reaction = self.processes.step(builder.local_states[position], step_input)
+        former = (builder.local_states[position], builder.history)
+        builder.local_states[position] = number
         for event in reaction.events:
-            draft.memory = invariants.note(draft.memory, event)
-        if former != (number, draft.memory):
-            draft.has_effect = True
+            builder.history = invariants.record_event(builder.history, event)
+        if former != (number, builder.history):
+            builder.has_effect = True
         answers = []
         for target, data in reaction.sent:
             sent = self.messages.number(name, target, data)
             if self.messages[sent].kind == ANSWER:
                 answers.append(sent)
             else:
-                draft.has_effect = True
-                insort(draft.network, sent)
+                builder.has_effect = True
+                insort(builder.network, sent)
         return answers
 
     def describe(self, choice):
-        """Return a choice as a trace tells it: (verb, node, text)."""
+        """Return a choice as it appears in a trace: [verb, node, text]."""
         if isinstance(choice.subject, int):
             return [choice.verb, choice.node, self.messages[choice.subject].text]
         if choice.verb == "peek":
--- a/proving/model/trace.py
+++ b/proving/model/trace.py
@@ -1,4 +1,4 @@
-"""Traces of broken rules: saved as JSON, played again, and made shorter."""
+"""Traces of broken invariants: saved as JSON, replayed and shortened."""
 
 import json
 from contextlib import nullcontext
@@ -11,56 +11,60 @@
 from proving.model.system import System
 
 FIELDS = {"world": str, "bug": (str, type(None)), "bounds": dict, "choices": list}
-BOUNDLESS = Bounds(*[1 << 20] * len(Bounds._fields))._asdict()
+UNLIMITED_BOUNDS = Bounds(*[1 << 20] * len(Bounds._fields))._asdict()
 
 
-class Played(NamedTuple):
-    """What came of a trace: the broken rule or None, and the choices that could be taken."""
+class ReplayResult(NamedTuple):
+    """Result of a replay: the broken invariant or None, and the choices taken and skipped."""
 
     invariant: str | None
     taken: list
     skipped: list
 
 
-def play(world, choices):
-    """Play choices on the real state machines; those that can't be taken are skipped."""
-    system = System(with_bounds(world, BOUNDLESS))
-    state, taken, skipped = system.first_state(), [], []
-    for told in choices:
-        choice = find_choice(system, state, told)
+def replay_choices(world, choices):
+    """Replay choices on the real state machines; choices that aren't possible are skipped."""
+    system = System(with_bounds(world, UNLIMITED_BOUNDS))
+    state, taken, skipped = system.initial_state(), [], []
+    for described in choices:
+        choice = match_choice(system, state, described)
         if choice is None:
-            skipped.append(told)
+            skipped.append(described)
             continue
-        taken.append(told)
+        taken.append(described)
         try:
-            state = system.follow(state, choice) or state
+            state = system.successor(state, choice) or state
         except BrokenInvariant as error:
-            return Played(error.detail["invariant"], taken, skipped)
-    return Played(None, taken, skipped)
+            return ReplayResult(error.detail["invariant"], taken, skipped)
+    return ReplayResult(None, taken, skipped)
 
 
-def find_choice(system, state, told):
-    """Return the choice that a trace tells of, or None where there is none such."""
+def match_choice(system, state, described):
+    """Return the choice that a trace describes, or None if it isn't possible in this state."""
     for choice in system.choices(state):
-        if choice.verb == told[0] and choice.node == told[1] and system.describe(choice) == told:
+        if (
+            choice.verb == described[0]
+            and choice.node == described[1]
+            and system.describe(choice) == described
+        ):
             return choice
     return None
 
 
 def shorten(world, finding):
-    """Return the finding without the choices that it doesn't need."""
-    choices, place = list(finding.choices), 0
-    while place < len(choices):
-        fewer = choices[:place] + choices[place + 1 :]
-        played = play(world, fewer)
-        if played.invariant == finding.invariant:
-            choices = played.taken
+    """Return the finding without the choices that aren't needed to break its invariant."""
+    choices, position = list(finding.choices), 0
+    while position < len(choices):
+        remaining = choices[:position] + choices[position + 1 :]
+        result = replay_choices(world, remaining)
+        if result.invariant == finding.invariant:
+            choices = result.taken
         else:
-            place += 1
+            position += 1
     return Finding(finding.invariant, finding.detail, choices)
 
 
-def save(path, world, bug, finding):
+def save_trace(path, world, bug, finding):
     """Write a finding as a trace file."""
     trace = {
         "world": world.name,
@@ -74,8 +78,8 @@
         trace_file.write("\n")
 
 
-def load(path):
-    """Read a trace file; BadTrace tells what is wrong with it."""
+def load_trace(path):
+    """Read a trace file; raise BadTrace, which gives the reason, if it is malformed."""
     try:
         with open(path, encoding="utf-8") as trace_file:
             trace = json.load(trace_file)
@@ -93,8 +97,8 @@
     return trace
 
 
-def replay(trace, with_bug=True):
-    """Play a loaded trace, with the bug that it was found with or on the product as it is."""
+def replay_trace(trace, with_bug=True):
+    """Replay a loaded trace, with its seeded bug or on the unmodified product."""
     world, bug = find_world(trace["world"]), trace["bug"]
     with find_bug(bug).patch() if bug and with_bug else nullcontext():
-        return play(world, trace["choices"])
+        return replay_choices(world, trace["choices"])
--- a/proving/model/vote_bugs.py
+++ b/proving/model/vote_bugs.py
@@ -1,14 +1,14 @@
-"""Seeded bugs of the seeds' vote on the founding record."""
+"""Seeded bugs in the vote of the seeds on the founding record."""
 
 from unittest import mock
 
-from proving.model.patches import all_of
+from proving.model.patches import apply_patches
 from quillring.quorum.founding.founding_vote import FoundingVoter
 from quillring.quorum.values import NO_BALLOT
 
 
 def vote_in_memory():
-    """A seed's vote is gone with its process, and it votes again."""
+    """A seed keeps its vote only in memory, so that it may vote again after a restart."""
 
     def recall(self):
         return self.vote
@@ -20,7 +20,7 @@
         yield
 
     names = {"_recall": recall, "_keep": keep}
-    return all_of(
+    return apply_patches(
         [mock.patch.object(FoundingVoter, name, coroutine) for name, coroutine in names.items()]
     )
 
@@ -34,15 +34,15 @@
         promised = max(vote.promised, tuple(body["ballot"]))
         return (yield from real(self, {**body, "ballot": list(promised)}, origin))
 
-    return all_of([mock.patch.object(FoundingVoter, "on_accept", on_accept)])
+    return apply_patches([mock.patch.object(FoundingVoter, "on_accept", on_accept)])
 
 
 def tell_no_record():
-    """A seed that promises doesn't tell the record that it accepted."""
+    """A seed leaves the record that it accepted out of its promise."""
     real = FoundingVoter.on_prepare
 
     def on_prepare(self, body, origin):
         yield from real(self, body, origin)
         return [list(NO_BALLOT), None]
 
-    return all_of([mock.patch.object(FoundingVoter, "on_prepare", on_prepare)])
+    return apply_patches([mock.patch.object(FoundingVoter, "on_prepare", on_prepare)])
--- a/tests/test_acceptor_properties.py
+++ b/tests/test_acceptor_properties.py
@@ -20,7 +20,7 @@
 from proving.model.bugs import find_bug
 from proving.model.coroutines import CoroutineRuntime
 from proving.model.machines import make_member
-from proving.model.store_machine import HeldDisk, as_script
+from proving.model.store_machine import HeldDisk, as_coroutine
 from quillring.fleet import open_store
 from quillring.kernel.errors import Fenced, QuillringError
 from quillring.kernel.node import Node
@@ -68,7 +68,7 @@
         handler = getattr(self.acceptors, f"on_{service}")
 
         def coroutine():
-            return (yield from as_script(handler({"identity": "store-1.1", **body}, "core-1")))
+            return (yield from as_coroutine(handler({"identity": "store-1.1", **body}, "core-1")))
 
         self.runtime.spawn(coroutine(), service, outcomes.append)
         self.runtime.run()
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -11,10 +11,10 @@
 from proving.model.machines import Input
 from proving.model.scopes import WORLDS, find_world, with_bounds
 from proving.model.system import System
-from proving.model.trace import load, play, replay, shorten
+from proving.model.trace import load_trace, replay_choices, replay_trace, shorten
 
 TRACES = sorted(Path("tests/traces").glob("model-*.json"))
-SMALL = Budget(states=1500)
+SMALL_BUDGET = Budget(states=1500)
 QUICK_BUGS = {
     "accept-below-vote",
     "answer-for-former-self",
@@ -30,74 +30,74 @@
 
 
 @pytest.mark.parametrize("name", sorted(WORLDS))
-def test_a_world_is_clean_as_far_as_a_small_budget_goes(name):
-    outcome = Explorer(find_world(name), SMALL).run(40)
+def test_world_breaks_no_invariant_within_a_small_budget(name):
+    outcome = Explorer(find_world(name), SMALL_BUDGET).run(40)
     assert outcome.finding is None
-    assert outcome.states >= SMALL.states
+    assert outcome.states >= SMALL_BUDGET.states
 
 
 @pytest.mark.parametrize("name", sorted(WORLDS))
-def test_a_random_walk_through_a_world_is_clean(name):
+def test_random_walk_through_a_world_breaks_no_invariant(name):
     outcome = walk(find_world(name), 60, 7, Budget(states=600))
     assert outcome.finding is None and outcome.states > 50
 
 
-def test_one_world_is_explored_to_its_end():
+def test_small_world_is_explored_completely():
     bounds = {"takes": 1, "submits": 1, "late_answers": 0, "switches": 1, "delays": 0}
     outcome = Explorer(with_bounds(find_world("takeover"), bounds)).run(60)
     assert outcome.is_complete and outcome.finding is None
     assert outcome.states > 100
 
 
-def test_the_same_exploration_sees_the_same_states():
-    first, second = (Explorer(find_world("terms"), SMALL).run(40) for _ in range(2))
+def test_exploration_is_deterministic():
+    first, second = (Explorer(find_world("terms"), SMALL_BUDGET).run(40) for _ in range(2))
     assert first._replace(seconds=0) == second._replace(seconds=0)
 
 
 @pytest.mark.parametrize("name", sorted(QUICK_BUGS))
-def test_a_seeded_bug_is_found_and_only_with_it(name):
+def test_exploration_finds_a_seeded_bug_and_nothing_without_it(name):
     bug = find_bug(name)
     world = with_bounds(find_world(bug.world), bug.bounds)
     with bug.patch():
-        found = Explorer(world, Budget(states=20_000)).run(60)
-    assert found.finding is not None
-    without = Explorer(world, Budget(states=found.states)).run(found.depth)
-    assert without.finding is None
+        patched = Explorer(world, Budget(states=20_000)).run(60)
+    assert patched.finding is not None
+    unpatched = Explorer(world, Budget(states=patched.states)).run(patched.depth)
+    assert unpatched.finding is None
 
 
 def test_every_seeded_bug_has_a_recorded_trace():
-    recorded = {load(path)["bug"] for path in TRACES}
+    recorded = {load_trace(path)["bug"] for path in TRACES}
     assert recorded >= set(BUGS)
 
 
 @pytest.mark.parametrize("path", TRACES, ids=lambda path: path.stem)
-def test_a_recorded_trace_breaks_its_rule_with_the_bug_and_none_without(path):
-    trace = load(path)
+def test_recorded_trace_breaks_its_invariant_with_the_bug_and_none_without(path):
+    trace = load_trace(path)
     assert trace["invariant"] in invariants.ALL
     if trace["bug"] is not None:
-        assert replay(trace).invariant == trace["invariant"]
-    assert replay(trace, with_bug=False).invariant is None
+        assert replay_trace(trace).invariant == trace["invariant"]
+    assert replay_trace(trace, with_bug=False).invariant is None
 
 
-def test_a_broken_walk_is_made_shorter():
+def test_finding_of_a_random_walk_is_shortened():
     bug = find_bug("change-group-at-will")
     world = with_bounds(find_world(bug.world), bug.bounds)
     with bug.patch():
         outcome = walk(world, 60, 3, Budget(states=5000))
         short = shorten(world, outcome.finding)
-        assert play(world, short.choices).invariant == short.invariant
+        assert replay_choices(world, short.choices).invariant == short.invariant
     assert len(short.choices) < len(outcome.finding.choices)
 
 
-def test_a_crash_of_a_store_that_synced_everything_loses_nothing():
+def test_crash_of_a_store_with_everything_synced_loses_nothing():
     system = System(with_bounds(find_world("power"), {"crashes": 1}))
-    processes, state = system.processes, system.first_state()
+    processes, state = system.processes, system.initial_state()
     for name in system.world.store_names:
-        number = state.locals[system.places[name]]
-        held = processes.make_again(number).acceptors.rows()
-        machine = processes.make_again(number)
+        number = state.local_states[system.positions[name]]
+        rows = processes.rebuild(number).acceptors.rows()
+        machine = processes.rebuild(number)
         machine.react(Input("crash"))
-        assert machine.acceptors.rows() == held
+        assert machine.acceptors.rows() == rows
 
 
 @pytest.mark.parametrize(
@@ -115,7 +115,7 @@
         ["--trace", "no-such-file.json"],
     ],
 )
-def test_bad_arguments_are_refused(arguments):
+def test_invalid_arguments_are_rejected(arguments):
     result = CliRunner().invoke(main, arguments)
     assert result.exit_code in (1, 2) and "Error" in result.output
 
@@ -124,14 +124,14 @@
     "content",
     ["", "[]", "{}", '{"world": "takeover", "bug": null, "bounds": {}, "choices": [["take"]]}'],
 )
-def test_a_bad_trace_file_is_refused(content, tmp_path):
+def test_malformed_trace_file_is_rejected(content, tmp_path):
     path = tmp_path / "trace.json"
     path.write_text(content, encoding="utf-8")
     result = CliRunner().invoke(main, ["--trace", str(path)])
     assert result.exit_code == 1 and "model_bad_trace" in result.output
 
 
-def test_a_trace_of_an_unknown_world_is_refused(tmp_path):
+def test_trace_of_an_unknown_world_is_rejected(tmp_path):
     path = tmp_path / "trace.json"
     trace = {"world": "nowhere", "bug": None, "bounds": {}, "choices": []}
     path.write_text(json.dumps(trace), encoding="utf-8")
