--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -1,4 +1,4 @@
-"""Wall clocks that differ by a minute between machines, and step by a minute at any moment."""
+"""Wall clocks that are up to a minute off on each machine and may step at any time."""
 
 import pathlib
 import random
@@ -12,8 +12,8 @@
 from tests.fleet_stage import SelfFounded
 from tests.http_lot_stage import HOST, HttpLotStage, accepted, check_whole
 
-MINUTE = 60
-READERS = {
+SKEW_SECONDS = 60
+FILES_READING_WALL_CLOCK = {
     "quillring/edge/stream_handlers.py",
     "quillring/kernel/gevent_runtime.py",
     "quillring/lots/http_requests/api.py",
@@ -23,31 +23,33 @@
 }
 
 
-def step_clocks(stage, chance, share=1.0):
-    """Set a share of the wall clocks to up to a minute before or after the true time."""
+def step_clocks(stage, rng, share=1.0):
+    """Set a random share of the wall clocks to within a minute of the true time."""
     for node in stage.sim.nodes.values():
-        if chance.random() < share:
-            node.runtime.wall_offset = chance.uniform(-MINUTE, MINUTE)
+        if rng.random() < share:
+            node.runtime.wall_offset = rng.uniform(-SKEW_SECONDS, SKEW_SECONDS)
 
 
-def open_lot(stage, name):
-    """Return what the owner of the lots' part keeps of a lot."""
+def lot_record(stage, name):
+    """Return the lot's record in the item table of its part's owner."""
     item_table = stage.owner(name).find("raw").item_tables[stage.part(name)]
     return item_table.lots[lot_key(HOST, name)]
 
 
-def test_the_wall_clock_is_read_only_where_these_tests_look():
-    found = set()
+def test_wall_clock_is_read_only_in_the_files_covered_here():
+    files = set()
     for path in pathlib.Path("quillring").rglob("*.py"):
         text = path.read_text()
         if re.search(r"\.wall_time\(\)|\btime\.time(_ns)?\(|datetime\.now", text):
-            found.add(str(path))
-    assert found == READERS
+            files.add(str(path))
+    assert files == FILES_READING_WALL_CLOCK
 
 
-@pytest.mark.parametrize("edge_offset", [-MINUTE, 0, MINUTE])
-@pytest.mark.parametrize("core_offset", [-MINUTE, 0, MINUTE])
-def test_a_lot_is_due_by_its_owners_own_clock_whatever_the_walls_tell(edge_offset, core_offset):
+@pytest.mark.parametrize("edge_offset", [-SKEW_SECONDS, 0, SKEW_SECONDS])
+@pytest.mark.parametrize("core_offset", [-SKEW_SECONDS, 0, SKEW_SECONDS])
+def test_lot_deadline_follows_the_owners_monotonic_clock_whatever_the_wall_clocks_show(
+    edge_offset, core_offset
+):
     with HttpLotStage(61) as stage:
         stage.counts = {f"a-{n}": 200 for n in range(4)}
         for node in stage.sim.nodes.values():
@@ -55,36 +57,36 @@
             node.runtime.wall_offset = edge_offset if is_edge else core_offset
         accepted(stage, "a", 4)
         stage.run(0.5)
-        left = open_lot(stage, "a").due_at - stage.owner().now()
-        assert 7.0 < left <= 8.0
+        remaining_seconds = lot_record(stage, "a").due_at - stage.owner().now()
+        assert 7.0 < remaining_seconds <= 8.0
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_lots_come_whole_while_clocks_differ_and_step_and_owners_change(seed):
-    chance = random.Random(seed)
+def test_lots_are_complete_while_clocks_differ_and_step_and_owners_change(seed):
+    rng = random.Random(seed)
     with HttpLotStage(70 + seed) as stage:
-        step_clocks(stage, chance)
+        step_clocks(stage, rng)
         accepted(stage, "a", 8)
-        stage.run(chance.uniform(0, 0.4))
-        step_clocks(stage, chance, 0.5)
+        stage.run(rng.uniform(0, 0.4))
+        step_clocks(stage, rng, 0.5)
         stage.sim.kill(stage.owner().me.name)
         stage.run(5)
         accepted(stage, "b", 8)
-        step_clocks(stage, chance, 0.5)
+        step_clocks(stage, rng, 0.5)
         check_whole(stage, stage.read_all("a"), "a", 8)
         check_whole(stage, stage.read_all("b"), "b", 8)
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_no_item_is_given_up_before_its_time_or_long_after_it(seed):
-    chance = random.Random(seed)
+def test_items_expire_at_the_end_of_their_retention_although_clocks_step(seed):
+    rng = random.Random(seed)
     with HttpLotStage(80 + seed, replicas=0, retain_ms=6000) as stage:
-        step_clocks(stage, chance)
+        step_clocks(stage, rng)
         accepted(stage, "a", 3)
         accepted_at = stage.env.now
         for _ in range(10):
             stage.run(0.5)
-            step_clocks(stage, chance, 0.3)
+            step_clocks(stage, rng, 0.3)
         answer, error = stage.read("a")
         assert error is None and answer["results"] == []
         rows = stage.read_all("a", 8)
@@ -92,22 +94,26 @@
         assert 6 <= stage.env.now - accepted_at < 6 + 3
 
 
-@pytest.mark.parametrize("issuer", [-MINUTE, 0, MINUTE])
-@pytest.mark.parametrize("reader", [-MINUTE, 0, MINUTE])
-def test_a_streams_token_is_taken_for_nine_minutes_and_ends_before_thirteen(issuer, reader):
+@pytest.mark.parametrize("issuer", [-SKEW_SECONDS, 0, SKEW_SECONDS])
+@pytest.mark.parametrize("reader", [-SKEW_SECONDS, 0, SKEW_SECONDS])
+def test_resume_token_is_valid_for_nine_minutes_and_expires_before_thirteen_despite_skew(
+    issuer, reader
+):
     class Stream:
         name, term, client_name = "s", (1, "edge-1"), "ann"
 
     token = make_token(b"secret", Stream, 1000 + issuer)
-    for age in (0, 60, TOKEN_LIFETIME_SECONDS - 2 * MINUTE - 1):
+    for age in (0, 60, TOKEN_LIFETIME_SECONDS - 2 * SKEW_SECONDS - 1):
         assert read_token(b"secret", token, "ann", 1000 + age + reader).stream_name == "s"
     with pytest.raises(BadToken):
-        read_token(b"secret", token, "ann", 1000 + TOKEN_LIFETIME_SECONDS + 2 * MINUTE + 1 + reader)
+        read_token(
+            b"secret", token, "ann", 1000 + TOKEN_LIFETIME_SECONDS + 2 * SKEW_SECONDS + 1 + reader
+        )
 
 
-@pytest.mark.parametrize("step", [-MINUTE, MINUTE])
+@pytest.mark.parametrize("step", [-SKEW_SECONDS, SKEW_SECONDS])
 @pytest.mark.parametrize("role", ["core", "store", "edge"])
-def test_a_node_restarted_with_a_stepped_clock_is_back_soon(role, step):
+def test_node_restarted_with_a_stepped_clock_rejoins_and_accepts_commands(role, step):
     fleet = SelfFounded(91)
     name = fleet.owner() if role == "core" else f"{role}-1"
     fleet.sim.clocks[name] = 100 + step
@@ -115,14 +121,14 @@
     fleet.run(0.3)
     fleet.start(name)
 
-    def is_back():
+    def is_reachable():
         others = [n for n in fleet.sim.nodes.values() if n.me.name != name]
         return all(node.find("nifty").graph.hops(name) == 1 for node in others)
 
-    def takes_orders():
-        order = {"do": "domain.mark", "domain": "north", "emptied": True, "nodes": False}
-        submit = fleet.sim.nodes[name].find("ownership").submit(CONFIG_PART, order, 0.5)
+    def accepts_commands():
+        command = {"do": "domain.mark", "domain": "north", "emptied": True, "nodes": False}
+        submit = fleet.sim.nodes[name].find("ownership").submit(CONFIG_PART, command, 0.5)
         return fleet.ask(name, submit)[1] is None
 
-    assert fleet.wait_for(is_back, 4) is not None
-    assert fleet.wait_for(takes_orders, 4) is not None
+    assert fleet.wait_for(is_reachable, 4) is not None
+    assert fleet.wait_for(accepts_commands, 4) is not None
--- a/tests/test_election_attempts.py
+++ b/tests/test_election_attempts.py
@@ -1,4 +1,4 @@
-"""After a common start few cores try to take a part, and who is winning is left to win."""
+"""After a simultaneous start few cores run for a part, and a running election is not preempted."""
 
 import random
 
@@ -8,45 +8,50 @@
 from tests.fleet_stage import SelfFounded
 
 SIZES = {"sizes": {"edge": 2, "core": 9, "store": 5}}
-MOST_ATTEMPTS = 2
+MAX_ATTEMPTING_CORES = 2
 
 
-def restart_all(stage, seed):
-    """Kill all nodes by power, start them within 0.3 s; return {part: ballots that were tried}."""
-    chance, ballots = random.Random(f"starts {seed}"), {}
+def restart_all_nodes(stage, seed):
+    """Cut the power of all nodes and start them within 0.3 s.
+
+    Returns {part: names of the cores that sent prepare requests for it}, which grows with time.
+    """
+    rng, cores_by_part = random.Random(f"starts {seed}"), {}
     for name in list(stage.sim.nodes):
         stage.sim.kill(name, loses_power=True)
     stage.run(1)
-    for name in chance.sample(sorted(stage.sim.rows), len(stage.sim.rows)):
+    for name in rng.sample(sorted(stage.sim.rows), len(stage.sim.rows)):
         node = stage.start(name)
         if node.me.role == "store":
-            watch_prepares(node, ballots)
-        stage.run(0.3 * chance.random() / len(stage.sim.rows))
-    return ballots
+            record_prepares(node, cores_by_part)
+        stage.run(0.3 * rng.random() / len(stage.sim.rows))
+    return cores_by_part
 
 
-def watch_prepares(node, ballots):
-    answer = node.handlers["quorum.prepare"]
+def record_prepares(node, cores_by_part):
+    real_handler = node.handlers["quorum.prepare"]
 
-    def watched(body, origin):
-        ballots.setdefault(body["part"], set()).add(origin)
-        return answer(body, origin)
+    def recording_handler(body, origin):
+        cores_by_part.setdefault(body["part"], set()).add(origin)
+        return real_handler(body, origin)
 
-    node.handlers["quorum.prepare"] = watched
+    node.handlers["quorum.prepare"] = recording_handler
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4, 5, 6])
-def test_few_cores_try_to_take_a_part_after_a_common_start(seed):
+def test_few_cores_run_for_a_part_after_a_simultaneous_start(seed):
     stage = SelfFounded(seed, SIZES)
-    ballots = restart_all(stage, seed)
-    assert stage.wait_for(lambda: all(stage.owner(part) for part in ballots), 6) is not None
+    cores_by_part = restart_all_nodes(stage, seed)
+    assert stage.wait_for(lambda: all(stage.owner(part) for part in cores_by_part), 6) is not None
     stage.run(4)
-    assert sorted(ballots) == ["config", "part-0", "part-1"]
-    assert all(len(cores) <= MOST_ATTEMPTS for cores in ballots.values()), ballots
+    assert sorted(cores_by_part) == ["config", "part-0", "part-1"]
+    assert all(len(cores) <= MAX_ATTEMPTING_CORES for cores in cores_by_part.values()), (
+        cores_by_part
+    )
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_part_that_is_handed_over_is_owned_again_at_once(seed):
+def test_part_of_a_draining_core_gets_a_new_owner_within_the_propagation_bound(seed):
     stage = SelfFounded(seed, SIZES)
     name = stage.owner("part-0")
     stage.sim.nodes[name].is_draining = True
@@ -55,7 +60,7 @@
     assert moved is not None and moved < stage.sim.bounds.propagation
 
 
-def test_an_owner_that_gave_up_is_not_waited_for():
+def test_part_of_an_owner_that_stepped_down_gets_an_owner_without_delay():
     stage = SelfFounded(7, SIZES)
     name = stage.owner("part-0")
     stage.sim.nodes[name].find("ownership").leaders["part-0"].step_down(NotLeader(part="part-0"))
--- a/tests/test_first_start.py
+++ b/tests/test_first_start.py
@@ -1,17 +1,17 @@
-"""The first start in a cut: whatever the sides do, one fleet exists and nothing is lost."""
+"""A first start during a network partition founds at most one fleet and loses no commands."""
 
 import pytest
 
 from tests.fleet_stage import SelfFounded
 from tests.test_founding_bootstrap import all_parts_are_led
-from tests.test_membership_repair import ordered_zones, zone_order
+from tests.test_membership_repair import mark_zone_command, marked_zones
 
 SIZES = {"sizes": {"edge": 2, "core": 4, "store": 4}}
 LARGE = {"sizes": {"edge": 2, "core": 4, "store": 8}}
 
 
-def cut_from_the_start(seed, sizes, side, **options):
-    """Return a stage whose nodes start in two sides that do not see each other."""
+def partitioned_from_start(seed, sizes, side, **options):
+    """Return a stage whose nodes start on two sides of a network partition."""
     stage = SelfFounded(seed, sizes, ready_at=0.001, **options)
     stage.sim.cut(side, [name for name in stage.sim.nodes if name not in side])
     return stage
@@ -27,21 +27,21 @@
         (LARGE, ["core-1", "core-4", "store-1", "store-2", "store-3", "store-4"]),
     ],
 )
-def test_two_sides_that_start_apart_found_one_fleet(seed, sizes, side):
-    stage = cut_from_the_start(seed, sizes, side)
+def test_two_partitioned_sides_found_one_fleet(seed, sizes, side):
+    stage = partitioned_from_start(seed, sizes, side)
     stage.run(25)
     assert len(stage.fleets()) == 1
     others = [name for name in stage.sim.names("core") if name not in side]
-    assert stage.submit(others[0], zone_order("kept"), seconds=3)[1] is None
+    assert stage.submit(others[0], mark_zone_command("kept"), seconds=3)[1] is None
     stage.sim.heal()
     stage.run(6)
     assert len(stage.fleets()) == 1 and all(a.founding for a in stage.stores().values())
     assert all_parts_are_led(stage)
-    assert "kept" in ordered_zones(stage)
+    assert "kept" in marked_zones(stage)
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_seeds_that_are_all_apart_found_nothing_until_two_meet(seed):
+def test_seeds_that_are_all_isolated_found_nothing_until_the_partition_heals(seed):
     stage = SelfFounded(seed, ready_at=0.001)
     seeds = ["core-1", "core-2", "core-3"]
     for name in seeds:
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
-def test_seeds_that_restart_amid_the_founding_while_the_cut_moves_found_one_fleet(seed):
+def test_seeds_that_restart_during_the_founding_and_changing_partitions_found_one_fleet(seed):
     stage = SelfFounded(seed, ready_at=0.7, has_witnesses=True)
     chance, cores = stage.sim.chance, ["core-1", "core-2", "core-3"]
     for _ in range(24):
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_seed_that_restarted_and_has_no_witness_votes_no_more(seed):
+def test_restarted_seeds_without_a_witness_do_not_vote(seed):
     stage = SelfFounded(seed, ready_at=0.3)
     for name in ("core-1", "core-2"):
         stage.sim.kill(name)
--- a/tests/test_follower_catch_up.py
+++ b/tests/test_follower_catch_up.py
@@ -1,7 +1,7 @@
 import pytest
 
 from tests.fleet_stage import SelfFounded
-from tests.test_membership_repair import is_whole, members, owners, zone_order
+from tests.test_membership_repair import all_parts_replicated, mark_zone_command, members, owners
 
 
 def total_count(stage, name):
@@ -14,18 +14,18 @@
     store = members(stage)[0]
     stage.sim.kill(store)
     for number in range(5):
-        answer, error = stage.submit("core-1", zone_order(f"zone-{number}"))
+        answer, error = stage.submit("core-1", mark_zone_command(f"zone-{number}"))
         assert error is None, answer
     installs = total_count(stage, "installs")
     stage.start(store)
-    assert stage.wait_for(lambda: is_whole(stage), 3) is not None
+    assert stage.wait_for(lambda: all_parts_replicated(stage), 3) is not None
     assert total_count(stage, "catch_ups") >= 1 and total_count(stage, "installs") == installs
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_promises_contain_no_state_and_the_new_leader_has_it_complete(seed):
     stage = SelfFounded(seed)
-    stage.submit("core-1", zone_order("halls"))
+    stage.submit("core-1", mark_zone_command("halls"))
     promised_states = []
     for acceptors in stage.stores().values():
         on_prepare = acceptors.node.handlers["quorum.prepare"]
--- a/tests/test_killed_process.py
+++ b/tests/test_killed_process.py
@@ -1,4 +1,4 @@
-"""A killed process is missed at once: its address refuses connections, before beats are missed."""
+"""A killed process is detected by refused connections, before its heartbeats time out."""
 
 import pytest
 
@@ -7,24 +7,24 @@
 from quillring.quorum.leader.membership_repair import MembershipRepair
 from tests.http_lot_stage import FORWARD, HttpLotStage, accepted, check_whole
 
-AIM = 0.4
+TARGET_SECONDS = 0.4
 
 
-def hand_in_each_moment(stage, count, seconds):
-    """Hand a lot in at every tenth of a second; return [name, its aim was kept, its error]."""
+def submit_every_100_ms(stage, count, seconds):
+    """Submit a lot every 100 ms; return rows of [name, whether it met the target, error]."""
     rows = []
     for number in range(count):
-        name, began = f"k{number}", stage.env.now
+        name, started_at = f"k{number}", stage.env.now
         row = [name, None, None]
         process = stage.begin(
             stage.up("edge"),
             lambda node, name=name: api.submit_lot(node, FORWARD, name, stage.items(name, 3)),
         )
 
-        def note(event, row=row, began=began):
-            row[1], row[2] = stage.env.now - began <= AIM, event.value[1]
+        def on_end(event, row=row, started_at=started_at):
+            row[1], row[2] = stage.env.now - started_at <= TARGET_SECONDS, event.value[1]
 
-        process.callbacks.append(note)
+        process.callbacks.append(on_end)
         rows.append(row)
         stage.run(0.1)
     stage.run(seconds)
@@ -32,10 +32,10 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_lots_are_taken_in_their_aim_though_the_process_of_an_owner_was_killed(seed):
+def test_lots_are_accepted_within_the_target_after_the_owner_process_is_killed(seed):
     with HttpLotStage(500 + seed, most_tokens=100_000, slots=32) as stage:
         stage.sim.kill(stage.owner_of(stage.parts[seed % 2]).me.name)
-        rows = hand_in_each_moment(stage, 20, 3)
+        rows = submit_every_100_ms(stage, 20, 3)
         assert [row for row in rows if row[2] is not None] == []
         assert sum(not row[1] for row in rows) <= 2
         for name, _, _ in rows:
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_an_owner_that_lost_its_power_is_missed_by_its_beats(seed):
+def test_owner_that_lost_power_is_detected_by_missed_heartbeats(seed):
     with HttpLotStage(510 + seed, most_tokens=100_000) as stage:
         victim = stage.owner_of(stage.parts[seed % 2]).me.name
         stage.sim.kill(victim, loses_power=True)
@@ -56,28 +56,28 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_evidence_that_is_wrong_harms_nothing(seed):
+def test_false_refusals_of_a_live_owner_lose_no_items_and_exceed_no_quota(seed):
     with HttpLotStage(520 + seed, most_tokens=300) as stage:
         name = next(f"n{n}" for n in range(50) if stage.part(f"n{n}") != stage.home())
         accepted(stage, name, 20)
-        live = stage.owner(name)
+        owner = stage.owner(name)
         for node in stage.sim.nodes.values():
-            node.find("nifty").on_refused(live.me.address)
-        most, errors = 0, []
+            node.find("nifty").on_refused(owner.me.address)
+        max_waiting_tokens, errors = 0, []
         for number in range(12):
             errors.append(stage.submit(f"x{number}", 7)[1])
-            most = max(most, stage.waiting()[0])
-        assert most <= 300
+            max_waiting_tokens = max(max_waiting_tokens, stage.waiting()[0])
+        assert max_waiting_tokens <= 300
         assert all(error is None or isinstance(error, QuillringError) for error in errors)
         stage.run(2)
-        assert all(node.find("nifty").reaches(live.me.name) for node in stage.sim.nodes.values())
+        assert all(node.find("nifty").reaches(owner.me.name) for node in stage.sim.nodes.values())
         check_whole(stage, stage.read_all(name), name, 20)
         for number, error in enumerate(errors):
             if error is None:
                 check_whole(stage, stage.read_all(f"x{number}"), f"x{number}", 7)
 
 
-def test_a_process_that_starts_again_is_in_touch_at_its_first_beats():
+def test_restarted_process_is_reachable_after_its_first_heartbeats():
     with HttpLotStage(530) as stage:
         victim = stage.owner_of(stage.parts[0]).me.name
         stage.sim.kill(victim)
@@ -88,7 +88,7 @@
         assert stage.up("edge").find("nifty").reaches(victim)
 
 
-def test_a_killed_store_counts_as_lost_for_repair_no_sooner_than_its_beats_are_missed():
+def test_repair_counts_a_killed_store_as_lost_only_after_missed_heartbeats():
     with HttpLotStage(531) as stage:
         core, victim = stage.up("core"), stage.up("store").me.name
         repair = MembershipRepair(core)
@@ -101,7 +101,7 @@
         assert victim in repair.lost_since
 
 
-def test_nobody_is_refused_through_a_cut():
+def test_partitioned_node_gets_no_refused_connections():
     with HttpLotStage(532) as stage:
         victim, edge = stage.owner_of(stage.parts[0]).me.name, stage.up("edge")
         stage.sim.cut([victim], [edge.me.name])
--- a/tests/test_late_retirements.py
+++ b/tests/test_late_retirements.py
@@ -4,7 +4,7 @@
 
 from quillring.rollout.operator_orders import is_retired
 from tests.fleet_stage import SelfFounded
-from tests.test_membership_repair import is_whole, members
+from tests.test_membership_repair import all_parts_replicated, members
 
 LARGE = {"sizes": {"edge": 2, "core": 5, "store": 14}}
 FIVE = {"sizes": {"edge": 1, "core": 4, "store": 5}}
@@ -56,7 +56,7 @@
     assert task.triggered and task.value[1] is None, task.value
     took = stage.wait_for(lambda: finished(stage, retired, role), BOUND)
     assert took is not None
-    assert stage.wait_for(lambda: is_whole(stage), BOUND) is not None
+    assert stage.wait_for(lambda: all_parts_replicated(stage), BOUND) is not None
     assert retired not in members(stage)
 
 
--- a/tests/test_membership_repair.py
+++ b/tests/test_membership_repair.py
@@ -14,24 +14,24 @@
     }
 
 
-def is_whole(stage):
-    """Tell whether every part has three live stores that hold all that is committed."""
-    held = {acceptors.identity: acceptors.parts for acceptors in stage.stores().values()}
-    known = owners(stage)
-    return len(known) == len(PARTS) and all(
+def all_parts_replicated(stage):
+    """Return whether every part has three live stores with all committed entries."""
+    parts_by_store = {acceptors.identity: acceptors.parts for acceptors in stage.stores().values()}
+    leaders = owners(stage)
+    return len(leaders) == len(PARTS) and all(
         len(owner.group) == 3
         and all(
-            identity in held
-            and part in held[identity]
-            and held[identity][part].state is not None
-            and held[identity][part].applied >= owner.index
+            identity in parts_by_store
+            and part in parts_by_store[identity]
+            and parts_by_store[identity][part].state is not None
+            and parts_by_store[identity][part].applied >= owner.index
             for _, identity, _ in owner.group
         )
-        for part, owner in known.items()
+        for part, owner in leaders.items()
     )
 
 
-def zone_order(name):
+def mark_zone_command(name):
     return {"do": "domain.mark", "domain": name, "emptied": True, "nodes": False}
 
 
@@ -39,89 +39,91 @@
     return [store[0] for store in owners(stage)[part].group]
 
 
-def ordered_zones(stage):
+def marked_zones(stage):
     answer, error = stage.read("core-1", {"ask": "edition"}, seconds=3)
     assert error is None
     return set(answer["layout"]["domains"])
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_store_that_came_back_empty_is_refilled_at_once(seed):
+def test_store_that_restarts_empty_is_refilled_within_two_seconds(seed):
     stage = SelfFounded(seed)
     store = members(stage)[0]
     stage.sim.lose_disk(store)
     stage.run(2)
     stage.start(store)
-    assert stage.wait_for(lambda: is_whole(stage), 2) is not None
+    assert stage.wait_for(lambda: all_parts_replicated(stage), 2) is not None
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_store_that_is_gone_is_replaced_within_the_sync_bound(seed):
+def test_lost_store_is_replaced_within_the_resync_bound(seed):
     stage = SelfFounded(seed)
     stage.sim.kill(members(stage)[0])
-    assert stage.wait_for(lambda: is_whole(stage), stage.sim.bounds.resync) is not None
+    assert stage.wait_for(lambda: all_parts_replicated(stage), stage.sim.bounds.resync) is not None
 
 
-def test_a_store_that_is_back_soon_is_not_replaced():
+def test_store_that_restarts_soon_is_not_replaced():
     stage = SelfFounded(4)
     former = members(stage)
     stage.sim.kill(former[0])
     stage.run(3)
     stage.start(former[0])
     stage.run(3)
-    assert members(stage) == former and is_whole(stage)
+    assert members(stage) == former and all_parts_replicated(stage)
 
 
 @pytest.mark.parametrize("seed", range(1, 7))
-def test_nothing_is_lost_when_a_store_is_wiped_after_an_answer_and_another_dies_soon_after(seed):
-    stage, acked = SelfFounded(seed), set()
+def test_acknowledged_commands_survive_a_wiped_store_and_the_loss_of_another_soon_after(seed):
+    stage, acknowledged = SelfFounded(seed), set()
     wiped, killed, _ = members(stage)
     for number in range(10):
-        assert stage.submit("core-1", zone_order(f"d{number}"))[1] is None
-        acked.add(f"d{number}")
+        assert stage.submit("core-1", mark_zone_command(f"d{number}"))[1] is None
+        acknowledged.add(f"d{number}")
     stage.sim.lose_disk(wiped)
     stage.run(2)
     stage.start(wiped)
     stage.run(1)
     stage.sim.kill(killed, loses_power=True)
-    answer, _ = stage.submit("core-2", zone_order("after"))
-    acked |= {"after"} if answer else set()
-    assert stage.wait_for(lambda: stage.submit("core-1", zone_order("last"))[0], 4) is not None
-    assert acked < ordered_zones(stage)
-    assert stage.wait_for(lambda: is_whole(stage), 6) is not None
+    answer, _ = stage.submit("core-2", mark_zone_command("after"))
+    acknowledged |= {"after"} if answer else set()
+    assert (
+        stage.wait_for(lambda: stage.submit("core-1", mark_zone_command("last"))[0], 4) is not None
+    )
+    assert acknowledged < marked_zones(stage)
+    assert stage.wait_for(lambda: all_parts_replicated(stage), 6) is not None
 
 
-def test_a_member_that_missed_entries_is_mended_while_commands_keep_coming():
+def test_member_that_missed_entries_catches_up_while_commands_keep_coming():
     stage = SelfFounded(5)
-    late = members(stage)[2]
-    stage.sim.kill(late)
-    assert stage.submit("core-1", zone_order("missed"))[1] is None
+    lagging = members(stage)[2]
+    stage.sim.kill(lagging)
+    assert stage.submit("core-1", mark_zone_command("missed"))[1] is None
     node = stage.sim.nodes["core-1"]
-    is_over = []
+    stop_requests = []
 
     def keep_writing():
         number = 0
-        while not is_over:
+        while not stop_requests:
             number += 1
-            yield from node.find("ownership").submit("config", zone_order(f"w{number % 50}"))
+            yield from node.find("ownership").submit("config", mark_zone_command(f"w{number % 50}"))
             yield Sleep(0.01)
 
     for _ in range(3):
         node.spawn(keep_writing())
-    stage.start(late)
-    took = stage.wait_for(
+    stage.start(lagging)
+    catch_up_seconds = stage.wait_for(
         lambda: (
             "missed"
-            in ((stage.stores()[late].parts["config"].state["layout"] or {}).get("domains", {}))
+            in ((stage.stores()[lagging].parts["config"].state["layout"] or {}).get("domains", {}))
         ),
         2.5,
     )
-    is_over.append(True)
-    assert took is not None
+    stop_requests.append(True)
+    assert catch_up_seconds is not None
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_store_that_just_died_makes_no_command_wait(seed):
+def test_commands_are_not_delayed_by_a_store_that_just_died(seed):
     stage = SelfFounded(seed)
     stage.sim.kill(members(stage, "part-0")[0])
     for number in range(40):
--- a/tests/test_retirement.py
+++ b/tests/test_retirement.py
@@ -10,7 +10,13 @@
 from quillring.quorum.leader.membership_repair import MembershipRepair
 from quillring.rollout.operator_orders import is_retired
 from tests.fleet_stage import SelfFounded
-from tests.test_membership_repair import PARTS, is_whole, members, owners, zone_order
+from tests.test_membership_repair import (
+    PARTS,
+    all_parts_replicated,
+    mark_zone_command,
+    members,
+    owners,
+)
 
 FIVE = {"sizes": {"edge": 1, "core": 4, "store": 5}}
 
@@ -28,7 +34,7 @@
     number = 0
     while not is_over:
         number += 1
-        yield from node.find("ownership").submit(part, zone_order(f"{part}-{number % 9}"), 5)
+        yield from node.find("ownership").submit(part, mark_zone_command(f"{part}-{number % 9}"), 5)
         yield Sleep(pause)
 
 
@@ -98,7 +104,7 @@
     stage, is_over = SelfFounded(seed, FIVE), []
     store = members(stage)[seed % 3]
     for number in range(6):
-        assert stage.submit("core-1", zone_order(f"d{number}"))[1] is None
+        assert stage.submit("core-1", mark_zone_command(f"d{number}"))[1] is None
     node = stage.sim.nodes["core-1"]
     node.spawn(keep_writing(node, "config", is_over, 0.003))
     retire(stage, store)
@@ -114,7 +120,7 @@
     stage.run(1)
     stage.start(wiped)
     assert stage.wait_for(lambda: len(owners(stage)) == len(PARTS), 6) is not None
-    assert stage.wait_for(lambda: is_whole(stage), 8) is not None
+    assert stage.wait_for(lambda: all_parts_replicated(stage), 8) is not None
     assert {f"d{number}" for number in range(6)} < ordered_zones_at(stage)
 
 
--- a/tests/test_transfer.py
+++ b/tests/test_transfer.py
@@ -21,7 +21,7 @@
 )
 from quillring.quorum.values import GroupMember
 from tests.fleet_stage import SelfFounded
-from tests.test_membership_repair import is_whole, members, owners, zone_order
+from tests.test_membership_repair import all_parts_replicated, mark_zone_command, members, owners
 
 BOUNDS = SimpleNamespace(propagation=2.0, read_timeout=1.0)
 ROSTER = SimpleNamespace(members={})
@@ -118,7 +118,7 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_state_is_fetched_from_and_sent_to_stores_of_the_previous_version_in_one_message(seed):
     stage = SelfFounded(seed)
-    stage.submit("core-1", zone_order("halls"))
+    stage.submit("core-1", mark_zone_command("halls"))
     for node in stage.sim.up_nodes("store"):
         remove_chunk_services(node)
     previous_owner = stage.owner("config")
@@ -130,7 +130,7 @@
     emptied_store = members(stage)[0]
     stage.sim.lose_disk(emptied_store)
     remove_chunk_services(stage.start(emptied_store))
-    assert stage.wait_for(lambda: is_whole(stage), 8) is not None
+    assert stage.wait_for(lambda: all_parts_replicated(stage), 8) is not None
 
 
 def test_catch_up_of_an_unresponsive_member_is_retried_with_growing_backoff():
@@ -145,7 +145,7 @@
     for name in ("quorum.catch_up", "quorum.install_piece", "quorum.install"):
         stage.sim.nodes[store].handlers[name] = unanswered
     stage.sim.nodes[store].handlers["quorum.accept"] = lambda body, origin: 0
-    stage.submit("core-1", zone_order("halls"))
+    stage.submit("core-1", mark_zone_command("halls"))
     stage.run(8)
     delays = [later - earlier for earlier, later in pairwise(call_times)]
     assert leader.is_leader and 3 <= len(call_times) <= 7
