--- a/proving/model/bugs.py
+++ b/proving/model/bugs.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 from unittest import mock
 
-import quillring.quorum.acceptor.state as record_module
+import quillring.quorum.acceptor.state as acceptor_state
 from proving.model.errors import UnknownName
 from proving.model.patches import apply_patches, patch_handler, run_without_sync
 from proving.model.phase_bugs import skip_promise_again, stay_in_phase_two
@@ -37,13 +37,13 @@
 def accept_below_promise():
     """An acceptor accepts an entry under a ballot below the one it promised."""
 
-    def change(real, self, body, origin):
+    def replacement(real, self, body, origin):
         record = self.parts.get(body["part"])
         if record is not None:
             record.promised = min(record.promised, Ballot.from_wire(body["ballot"]))
         return real(self, body, origin)
 
-    return apply_patches([patch_handler("on_accept", change)])
+    return apply_patches([patch_handler("on_accept", replacement)])
 
 
 def confirm_anyone():
@@ -54,11 +54,11 @@
 def answer_for_former_self():
     """An acceptor doesn't check that the identity in a request is its own."""
 
-    def change(real, self, body, origin):
+    def replacement(real, self, body, origin):
         return real(self, {**body, "identity": self.identity}, origin)
 
     names = ("on_prepare", "on_accept", "on_commit", "on_install", "on_catch_up", "on_confirm")
-    return apply_patches([patch_handler(name, change) for name in names])
+    return apply_patches([patch_handler(name, replacement) for name in names])
 
 
 def promise_in_memory():
@@ -74,22 +74,22 @@
 def forget_tail():
     """A new owner doesn't propose again the uncommitted entries that may have been chosen."""
 
-    def change(real, self, body, origin):
+    def replacement(real, self, body, origin):
         fields = yield from as_coroutine(real(self, body, origin))
         fields[3] = []
         return fields
 
-    return apply_patches([patch_handler("on_prepare", change)])
+    return apply_patches([patch_handler("on_prepare", replacement)])
 
 
 def reuse_ballot():
     """A core that becomes the owner of a part again starts over with its first ballot."""
     real = PartLeader.__init__
 
-    def begin(self, node, part, group, former=None):
+    def init(self, node, part, group, former=None):
         real(self, node, part, group)
 
-    return apply_patches([mock.patch.object(PartLeader, "__init__", begin)])
+    return apply_patches([mock.patch.object(PartLeader, "__init__", init)])
 
 
 def learn_any_ballot():
@@ -128,7 +128,7 @@
             answers.extend(answer)
         return state, answers
 
-    modules = (state_machine, record_module)
+    modules = (state_machine, acceptor_state)
     return apply_patches(
         [mock.patch.object(module, "apply_batch", apply_batch) for module in modules]
     )
@@ -184,12 +184,12 @@
 def take_second_founding():
     """A store that already has a founding record confirms a different one."""
 
-    def change(real, self, body, origin):
+    def replacement(real, self, body, origin):
         if self.founding is not None:
             return body["founding"]["fleet"]
         return real(self, body, origin)
 
-    return apply_patches([patch_handler("on_found", change)])
+    return apply_patches([patch_handler("on_found", replacement)])
 
 
 ONE_READ = {"takes": 1, "peeks": 0, "late_answers": 0, "switches": 1, "delays": 0}
--- a/proving/model/choices.py
+++ b/proving/model/choices.py
@@ -67,18 +67,18 @@
         yield Choice("lose", message.target, number)
 
     def _core_choices(self, state, name, status):
-        busy = status.busy
+        in_progress = status.in_progress
         if not self.system.world.is_founded:
-            if "found" not in busy:
+            if "found" not in in_progress:
                 yield Choice("found", name)
-        elif not status.is_leader and "take" not in busy:
+        elif not status.is_leader and "take" not in in_progress:
             yield Choice("take", name)
         if status.is_leader:
             yield Choice("resign", name)
-            if "read" not in busy:
+            if "read" not in in_progress:
                 yield Choice("read", name)
             yield from self._submit_choices(state, name)
-        if "peek" not in busy and state.history.log:
+        if "peek" not in in_progress and state.history.log:
             for group in dict.fromkeys(
                 (self.system.world.founding_group, state.history.newest_group())
             ):
--- a/proving/model/core_machine.py
+++ b/proving/model/core_machine.py
@@ -18,7 +18,7 @@
     """The facts about a core that determine which choices it has."""
 
     is_leader: bool
-    busy: frozenset
+    in_progress: frozenset
     timers: tuple
     calls: frozenset
 
@@ -47,7 +47,7 @@
     def __init__(self, name, context):
         super().__init__(name, context)
         self.owner = None
-        self.busy = set()
+        self.in_progress = set()
         self.last_reported = None
         self.on_crash()
 
@@ -56,18 +56,18 @@
         self.start()
         self.node.offer("gossip", LocalGossip())
         self.node.offer("elector", FoundingVoter(self.node))
-        self.owner, self.busy, self.last_reported = None, set(), None
+        self.owner, self.in_progress, self.last_reported = None, set(), None
 
     def on_take(self, step_input):
         """Run for owner of the part, as ownership does when the part ranks this core first."""
         former = self.owner
         group = [list(store) for store in self.context.group] if former is None else former.group
         self.owner = WatchedLeader(self.node, self.context.part, group, former)
-        self.busy.add("take")
+        self.in_progress.add("take")
         self.runtime.spawn(self.owner.run_election(), "take", self._end_take)
 
     def _end_take(self, outcome):
-        self.busy.discard("take")
+        self.in_progress.discard("take")
         if not isinstance(outcome, QuillringError):
             self.events.append(Established(tuple(self.owner.ballot), self.owner.index))
             self.runtime.spawn(self.owner.run(), "run")
@@ -136,21 +136,21 @@
         return None if known is None else unwrap_answer(known)
 
     def _begin_read(self, kind):
-        self.busy.add(kind)
+        self.in_progress.add(kind)
         reader = f"{kind} at {self.name}"
         self.events.append(ReadStarted(reader))
         return reader
 
     def _end_read(self, kind, event):
-        self.busy.discard(kind)
+        self.in_progress.discard(kind)
         self.events.append(event)
 
     def on_found_fleet(self, step_input):
         """Found the fleet on all stores, as a core does at its first start."""
-        self.busy.add("found")
+        self.in_progress.add("found")
 
         def on_end(outcome):
-            self.busy.discard("found")
+            self.in_progress.discard("found")
             if isinstance(outcome, dict):
                 self.events.append(Founded(outcome["fleet"]))
 
@@ -180,12 +180,12 @@
         """Return the facts that determine the choices at this core."""
         is_leader = self.owner is not None and self.owner.is_leader
         calls = frozenset(self.node.pending_calls)
-        return CoreStatus(is_leader, frozenset(self.busy), self.runtime.timers(), calls)
+        return CoreStatus(is_leader, frozenset(self.in_progress), self.runtime.timers(), calls)
 
     def state_digest(self):
         """Return the digest of the owner, its coroutines and its pending calls."""
         known = self.node.find("gossip").known
         ballot_number = self.node.find("elector").ballot_number
         return super().state_digest(
-            self.start_count, self.owner, self.busy, known, self.last_reported, ballot_number
+            self.start_count, self.owner, self.in_progress, known, self.last_reported, ballot_number
         )
--- a/proving/model/coroutines.py
+++ b/proving/model/coroutines.py
@@ -75,10 +75,10 @@
         try:
             effect = task.coroutine.send(value)
         except StopIteration as stop:
-            self._end(task, stop.value)
+            self._finish(task, stop.value)
             return
         except QuillringError as error:
-            self._end(task, error)
+            self._finish(task, error)
             return
         task.effect = effect
         if isinstance(effect, Wait):
@@ -97,7 +97,7 @@
         else:
             effect.signal.watchers.append(wake)
 
-    def _end(self, task, outcome):
+    def _finish(self, task, outcome):
         self.tasks.remove(task)
         if task.on_end is not None:
             task.on_end(outcome)
--- a/proving/model/events.py
+++ b/proving/model/events.py
@@ -4,7 +4,7 @@
 
 
 class Applied(NamedTuple):
-    """A process knows the state after `index` entries to be committed."""
+    """A process learned that the state after `index` entries is committed."""
 
     index: int
     digest: str
--- a/proving/model/explore.py
+++ b/proving/model/explore.py
@@ -91,15 +91,18 @@
         return None
 
     def _is_unexplored(self, state):
-        """Return whether no earlier path to this situation used at most as much of each bound."""
+        """Return whether no earlier path to this situation used as little or less of each bound.
+
+        If so, the bounds used on this path are recorded for the situation.
+        """
         situation, spent = state.situation(), state.spent
-        known = self.spent_by_situation.get(situation)
-        if known is None:
+        earlier_paths = self.spent_by_situation.get(situation)
+        if earlier_paths is None:
             self.spent_by_situation[situation] = [spent]
             return True
-        if any(all(map(le, former, spent)) for former in known):
+        if any(all(map(le, former, spent)) for former in earlier_paths):
             return False
-        known.append(spent)
+        earlier_paths.append(spent)
         return True
 
     def _path(self, state):
--- a/proving/model/invariants.py
+++ b/proving/model/invariants.py
@@ -47,7 +47,11 @@
 
 
 class History(NamedTuple):
-    """What an observer of the system has seen so far; part of the explored state."""
+    """What an observer of the system has seen so far; part of the explored state.
+
+    `acknowledged` has the last (ballot, index) acknowledged under each ballot, `confirmed` the
+    (base version, operator) of each confirmed configuration change.
+    """
 
     log: tuple = ()
     acknowledged: tuple = ()
@@ -66,9 +70,9 @@
         return self.log[-1].group if self.log else None
 
 
-def invariant_error(rule, **detail):
+def invariant_error(invariant, **detail):
     """Return the error for a broken invariant."""
-    return BrokenInvariant(invariant=rule, **detail)
+    return BrokenInvariant(invariant=invariant, **detail)
 
 
 def record_event(history, event):
@@ -78,14 +82,14 @@
 
 def check_applied(history, event):
     """Compare a committed state with others at its index, and its group with adjacent ones."""
-    for known in history.log:
-        if known.index == event.index:
-            if known.digest != event.digest:
+    for committed in history.log:
+        if committed.index == event.index:
+            if committed.digest != event.digest:
                 raise invariant_error(ONE_VALUE, index=event.index)
             return history
-    for known in history.log:
-        if abs(known.index - event.index) == 1:
-            check_groups(known.group, event.group)
+    for committed in history.log:
+        if abs(committed.index - event.index) == 1:
+            check_groups(committed.group, event.group)
     log = tuple(sorted([*history.log, Committed(*event)]))
     return history._replace(log=log)
 
@@ -145,7 +149,7 @@
     if event.version is not None and event.version < open_read.version:
         raise invariant_error(FRESH_PEEK, version=event.version, acknowledged=open_read.version)
     if event.digest is not None:
-        indexes = [known.index for known in history.log if known.digest == event.digest]
+        indexes = [entry.index for entry in history.log if entry.digest == event.digest]
         if max(indexes, default=0) < open_read.index:
             raise invariant_error(FRESH_READ, indexes=indexes, acknowledged=open_read.index)
     return history._replace(reads=tuple(read for read in history.reads if read is not open_read))
--- a/proving/model/patches.py
+++ b/proving/model/patches.py
@@ -8,15 +8,16 @@
 from quillring.quorum import Acceptors
 
 
-def patch_handler(name, change):
+def patch_handler(name, replacement):
     """Return a patch that replaces a handler of Acceptors.
 
-    `change(real, self, body, origin)` gets the real handler and returns a value or a coroutine.
+    `replacement(real, self, body, origin)` gets the real handler; it returns a value or a
+    coroutine.
     """
     real = getattr(Acceptors, name)
 
     def handler(self, body, origin):
-        return (yield from as_coroutine(change(real, self, body, origin)))
+        return (yield from as_coroutine(replacement(real, self, body, origin)))
 
     return mock.patch.object(Acceptors, name, handler)
 
--- a/proving/model/process_states.py
+++ b/proving/model/process_states.py
@@ -60,13 +60,13 @@
 
     def initial_number(self, name):
         """Return the number of a process's initial state."""
-        return self._number(self._make(name), None, None)
+        return self._state_number(self._create_machine(name), None, None)
 
-    def _make(self, name):
+    def _create_machine(self, name):
         kind = CoreMachine if name.startswith("core") else StoreMachine
         return kind(name, self.world_context)
 
-    def _number(self, machine, parent, step_input):
+    def _state_number(self, machine, parent, step_input):
         key = (machine.name, machine.state_digest())
         number = self.numbers.get(key)
         if number is None:
@@ -77,7 +77,7 @@
             self.machine_cache.popitem(last=False)
         return number
 
-    def _machine(self, number):
+    def _take_machine(self, number):
         """Return a machine in this state and remove it from the cache, as a step changes it."""
         machine = self.machine_cache.pop(number, None)
         if machine is None:
@@ -91,7 +91,7 @@
         while state.parent is not None:
             inputs.append(state.step_input)
             state = self.states[state.parent]
-        machine = self._make(state.name)
+        machine = self._create_machine(state.name)
         for step_input in reversed(inputs):
             machine.react(step_input)
         return machine
@@ -101,9 +101,9 @@
         key = (number, step_input)
         result = self.steps.get(key)
         if result is None:
-            machine = self._machine(number)
+            machine = self._take_machine(number)
             reaction = machine.react(step_input)
-            result = self.steps[key] = (self._number(machine, number, step_input), reaction)
+            result = self.steps[key] = (self._state_number(machine, number, step_input), reaction)
         return result
 
     def status(self, number):
--- a/proving/model/scopes.py
+++ b/proving/model/scopes.py
@@ -102,16 +102,19 @@
     return (change_group_command(*group, joining), change_group_command(*staying, joining))
 
 
-ANN = {"ann": [adopt_command("ann", 0, "store-8")]}
-TWO_OPERATORS = {**ANN, "bob": [adopt_command("bob", 0, "store-9")]}
-IN_TURN = {"ann": [adopt_command("ann", 0, "store-8")], "bob": [adopt_command("bob", 1, "store-9")]}
-MOVE = {"eve": [change_group_command(1, 2, 3, 4), change_group_command(2, 3, 4)], **ANN}
+ONE_OPERATOR = {"ann": [adopt_command("ann", 0, "store-8")]}
+TWO_OPERATORS = {**ONE_OPERATOR, "bob": [adopt_command("bob", 0, "store-9")]}
+OPERATORS_IN_SEQUENCE = {
+    "ann": [adopt_command("ann", 0, "store-8")],
+    "bob": [adopt_command("bob", 1, "store-9")],
+}
+MOVE = {"eve": [change_group_command(1, 2, 3, 4), change_group_command(2, 3, 4)], **ONE_OPERATOR}
 MOVE_TWICE = {
     "eve": [*MOVE["eve"], change_group_command(2, 3, 4, 5), change_group_command(3, 4, 5)],
-    **ANN,
+    **ONE_OPERATOR,
 }
-SWAP = {"eve": [swap_commands((1, 2, 3), 4, 1)], **ANN}
-SWAP_TWICE = {"eve": [*SWAP["eve"], swap_commands((2, 3, 4), 5, 2)], **ANN}
+SWAP = {"eve": [swap_commands((1, 2, 3), 4, 1)], **ONE_OPERATOR}
+SWAP_TWICE = {"eve": [*SWAP["eve"], swap_commands((2, 3, 4), 5, 2)], **ONE_OPERATOR}
 
 WORLDS = {
     world.name: world
@@ -124,37 +127,38 @@
         World(
             "terms",
             "one core owns the part, steps down and wins it again; messages are duplicated",
-            3, 3, 2, IN_TURN, Bounds(takes=3, resigns=1, duplicates=1), 9,
+            3, 3, 2, OPERATORS_IN_SEQUENCE, Bounds(takes=3, resigns=1, duplicates=1), 9,
         ),
         World(
             "power",
             "stores lose power, also during a sync, between two owners",
-            3, 3, 2, ANN, Bounds(takes=2, submits=1, crashes=2, holds=1), 11,
+            3, 3, 2, ONE_OPERATOR, Bounds(takes=2, submits=1, crashes=2, holds=1), 11,
         ),
         World(
             "emptied",
             "a store loses its disk and restarts as a new member",
-            3, 3, 2, ANN, Bounds(takes=2, submits=1, wipes=1), 17,
+            3, 3, 2, ONE_OPERATOR, Bounds(takes=2, submits=1, wipes=1), 17,
         ),
         World(
             "cores",
             "a core restarts while answers to its former incarnation are in flight",
-            3, 3, 2, ANN, Bounds(takes=2, submits=1, core_crashes=1, switches=3, delays=0), 26,
+            3, 3, 2, ONE_OPERATOR,
+            Bounds(takes=2, submits=1, core_crashes=1, switches=3, delays=0), 26,
         ),
         World(
             "reads",
             "linearizable reads and reads from the stores while two owners compete",
-            3, 3, 2, IN_TURN, Bounds(takes=1, reads=1, peeks=1, delays=0), 9,
+            3, 3, 2, OPERATORS_IN_SEQUENCE, Bounds(takes=1, reads=1, peeks=1, delays=0), 9,
         ),
         World(
             "peeks",
             "reads from the stores of a part that announces commits without waiting for answers",
-            3, 3, 2, IN_TURN, Bounds(takes=1, peeks=1), 7, part="part-0",
+            3, 3, 2, OPERATORS_IN_SEQUENCE, Bounds(takes=1, peeks=1), 7, part="part-0",
         ),
         World(
             "silence",
             "timeouts, retried calls and catch-up while two owners compete",
-            3, 3, 2, ANN, Bounds(takes=1, submits=1, timers=3, switches=1, delays=0), 13,
+            3, 3, 2, ONE_OPERATOR, Bounds(takes=1, submits=1, timers=3, switches=1, delays=0), 13,
         ),
         World(
             "group",
@@ -164,7 +168,7 @@
         World(
             "leap",
             "a command asks for a group that differs by more than one member",
-            5, 3, 2, {"eve": [change_group_command(1, 4, 5)], **ANN},
+            5, 3, 2, {"eve": [change_group_command(1, 4, 5)], **ONE_OPERATOR},
             Bounds(takes=2, switches=1), 40,
         ),
         World(
--- a/proving/model/store_machine.py
+++ b/proving/model/store_machine.py
@@ -43,7 +43,7 @@
         self.disk = HeldDisk()
         self.disk_number = 1
         self.acceptors = None
-        self.applied = {}
+        self.reported_indexes = {}
         self.voter = None
         self._open()
 
@@ -58,7 +58,7 @@
                 self.node.handle(name, self._with_identity_check(service, self.node.handlers[name]))
         self.node.spawn(self.acceptors.log.run(SYNC_SECONDS))
         self.runtime.run()
-        self.applied = {}
+        self.reported_indexes = {}
 
     def _join_seeds(self):
         """Set up the vote on the founding if this store is a seed; its own disk is the witness."""
@@ -117,8 +117,8 @@
     def collect_events(self):
         """Emit the states that this store has newly applied as committed."""
         for part, record in self.acceptors.parts.items():
-            if record.state is not None and self.applied.get(part) != record.applied:
-                self.applied[part] = record.applied
+            if record.state is not None and self.reported_indexes.get(part) != record.applied:
+                self.reported_indexes[part] = record.applied
                 if part == self.context.part:
                     self.events.append(applied_event(record.applied, record.state))
 
--- a/proving/model/trace.py
+++ b/proving/model/trace.py
@@ -26,12 +26,12 @@
     """Replay choices on the real state machines; choices that aren't possible are skipped."""
     system = System(with_bounds(world, UNLIMITED_BOUNDS))
     state, taken, skipped = system.initial_state(), [], []
-    for described in choices:
-        choice = match_choice(system, state, described)
+    for description in choices:
+        choice = match_choice(system, state, description)
         if choice is None:
-            skipped.append(described)
+            skipped.append(description)
             continue
-        taken.append(described)
+        taken.append(description)
         try:
             state = system.successor(state, choice) or state
         except BrokenInvariant as error:
@@ -39,13 +39,13 @@
     return ReplayResult(None, taken, skipped)
 
 
-def match_choice(system, state, described):
+def match_choice(system, state, description):
     """Return the choice that a trace describes, or None if it isn't possible in this state."""
     for choice in system.choices(state):
         if (
-            choice.verb == described[0]
-            and choice.node == described[1]
-            and system.describe(choice) == described
+            choice.verb == description[0]
+            and choice.node == description[1]
+            and system.describe(choice) == description
         ):
             return choice
     return None
--- a/tests/test_first_start.py
+++ b/tests/test_first_start.py
@@ -60,8 +60,8 @@
     chance, cores = stage.sim.chance, ["core-1", "core-2", "core-3"]
     for _ in range(24):
         stage.sim.heal()
-        alone = chance.randrange(3) + 1
-        side = [f"core-{alone}", f"store-{alone}", *chance.sample(["store-4", "core-4"], 1)]
+        isolated = chance.randrange(3) + 1
+        side = [f"core-{isolated}", f"store-{isolated}", *chance.sample(["store-4", "core-4"], 1)]
         stage.sim.cut(side, [name for name in stage.sim.nodes if name not in side])
         stage.run(chance.uniform(0.2, 1.5))
         for name in chance.sample(cores, chance.randrange(3)):
