--- a/proving/histories/__init__.py
+++ b/proving/histories/__init__.py
@@ -1,1 +1,1 @@
-"""Histories of operators' and clients' calls, checked for linearizability."""
+"""Records the calls of operators and clients under faults and checks them for linearizability."""
--- a/proving/histories/bugs.py
+++ b/proving/histories/bugs.py
@@ -1,4 +1,8 @@
-"""Seeded bugs: guards of the product taken out one at a time, to see that histories miss each."""
+"""Seeded bugs: each replaces one guard of the product, to test that recorded histories detect it.
+
+A guard is a function or method that prevents violations. A seeded bug counts as found if a run with
+the guard replaced has a violation and the run of the same seed with the guard has none.
+"""
 
 import contextlib
 import gc
@@ -7,7 +11,7 @@
 from typing import NamedTuple
 from unittest import mock
 
-from proving.histories.run import PROGRAM, run_seed
+from proving.histories.run import PROGRAM_TARGET, run_seed
 from quillring.kernel.effects import Signal
 from quillring.kernel.errors import Conflict, Refused
 from quillring.lots.http_requests import lot_table, state_machine
@@ -22,39 +26,45 @@
 from quillring.rollout.snapshot import ConfigurationSnapshot
 from quillring.store.checkpointed_log import CheckpointedLog, PendingCommit
 
-MOST_SEEDS_A_BUG = 40
-SHOWN_TEXT = 60
+MAX_SEEDS_PER_BUG = 40
+MAX_SHOWN_CHARACTERS = 60
 
 
 class Bug(NamedTuple):
-    """A guard and what stands in for it: (object, attribute, stand-in), or a command's name."""
+    """A seeded bug: `attribute` of `target` is replaced by `replacement`.
+
+    If `target` is COMMANDS, `attribute` is the name of a command.
+    """
 
     name: str
     guard: str
     target: object
     attribute: str
-    stand_in: object
+    replacement: object
 
     def patch(self):
-        """Return a context in which the guard is taken out."""
+        """Return a context manager that replaces the guard while it is active."""
         if self.target is COMMANDS:
-            return mock.patch.dict(COMMANDS.entries, {self.attribute: self.stand_in})
-        return mock.patch.object(self.target, self.attribute, self.stand_in)
+            return mock.patch.dict(COMMANDS.entries, {self.attribute: self.replacement})
+        return mock.patch.object(self.target, self.attribute, self.replacement)
+
 
+class BugSearchResult(NamedTuple):
+    """Result of the search for the seeded bug BUGS[number].
 
-class Row(NamedTuple):
-    """What came of the seeded bug of this number; `seed` is None where no seed showed it."""
+    `seed` is the first seed that found it, or None. `found` is the first finding of that seed.
+    """
 
     number: int
     seed: int | None
-    tried: int
+    run_count: int
     operations: int
     seconds: float
     found: str
 
 
-def adopt_on_any_base(state, command):
-    """Stand-in: a configuration made on another version is adopted all the same."""
+def adopt_ignoring_base(state, command):
+    """Adopt a configuration even if it is based on another version than the current one."""
     try:
         return configuration_versions.adopt_version(state, command)
     except Conflict as error:
@@ -62,124 +72,134 @@
         return configuration_versions.adopt_version(state, {**command, "base_edition": base})
 
 
-def adopt_without_memory(state, command):
-    """Stand-in: what was adopted before is not known again."""
+def adopt_ignoring_earlier_versions(state, command):
+    """Adopt a configuration without recognizing a repeat of an earlier adoption."""
     return configuration_versions.adopt_version({**state, "editions": {}}, command)
 
 
-def local_state(self):
-    """Stand-in: a read is answered from the owner's memory alone."""
+def read_local_state(self):
+    """Answer a read from the leader's memory, without confirming that it still leads."""
     return self.state
     yield
 
 
-def place_unfenced(state, section, name, order, seen_version):
-    """Stand-in: an order about a zone or store counts however old it is."""
+def place_order_unfenced(state, section, name, order, seen_version):
+    """Apply an order about a zone or store without the fence against delayed orders."""
     return place_order(state, section, name, order, None)
 
 
-def no_check(*words):
-    """Stand-in for a check."""
+def skip_check(*args):
+    """Replace a check that raises on a violation by one that accepts everything."""
 
 
-def no_faults(*words):
-    """Stand-in for a check that lists faults."""
+def report_no_faults(*args):
+    """Replace a check that returns a list of faults by one that finds none."""
     return []
 
 
-def check_without_ballot(self, request):
-    """Stand-in: an acceptor takes what a leader of an older term sends."""
+def accept_any_ballot(self, request):
+    """Accept a request from a leader with a lower ballot than the acceptor has promised."""
     state = self.parts.get(request.part) or AcceptorState()
     state.promised = min(state.promised, request.ballot)
     return state
 
 
 def commit_without_sync(self, records):
-    """Stand-in: a store answers before its disk has the records."""
+    """Return before the records are synced to disk."""
     self.pending.append(PendingCommit(records, Signal()))
     self.dirty_signal.set()
     return
     yield
 
 
-def accept_anew(state, command):
-    """Stand-in: a lot that is handed in again starts afresh."""
+def accept_lot_again(state, command):
+    """Accept a lot that was submitted before as if it were new, dropping its results."""
     lots = {n: lot for n, lot in lot_table.lot_records(state).items() if n != command["lot"]}
     return state_machine.accept_lot({**state, "raw": lots}, command)
 
 
-def end_nothing(state, command):
-    """Stand-in: an end is acknowledged, and the lot goes on."""
+def acknowledge_end_without_effect(state, command):
+    """Acknowledge the end of a lot without ending it."""
     lot_table.find_lot(state, command["lot"])
     return state, {"ended": True}
 
 
-def list_in_front(lot, rows, list_items=state_machine.list_items):
-    """Stand-in: a result goes to the first position."""
+def insert_results_first(lot, rows, list_items=state_machine.list_items):
+    """Insert new results before the earlier ones instead of appending them."""
     listed = list_items(lot, rows)
     return {**listed, "results": [*listed["results"][-len(rows) :], *lot["results"]]}
 
 
-def take_any_news(self, body, origin):
-    """Stand-in: a node takes whatever configuration it is told last."""
-    _, news = body
-    self.index, self.version, self.configuration = news[:3]
+def adopt_any_announcement(self, body, origin):
+    """Replace the snapshot by any announced configuration, even an older one."""
+    _, record = body
+    self.index, self.version, self.configuration = record[:3]
 
 
-def told_as_refused(part):
-    """Stand-in: an order that may have run is told as refused."""
+def report_unknown_as_refused(part):
+    """Report an order with an unknown outcome as refused, although it may have taken effect."""
     return Refused(part=part, reason="not known")
 
 
-def newest_of_any(replies, group, query):
-    """Stand-in: what may be chosen beyond the applied state is not looked at."""
+def newest_applied_answer(replies, group, query):
+    """Return the answer of highest applied index, ignoring accepted entries that may be chosen."""
     return max(replies, key=lambda reply: reply.applied).answer if replies else None
 
 
-def wait_for_nothing(self, lot=None):
-    """Stand-in: a read does not wait for what its owner has in flight."""
+def skip_wait(self, lot=None):
+    """Let a read proceed without waiting for the leader's entries in flight."""
     return
     yield
 
 
 def always_fresh(self):
-    """Stand-in: a node counts as fresh however long it heard of no majority."""
+    """Report a node with a configuration as fresh, however old its last majority confirmation."""
     return self.node.find("layout").configuration is not None
 
 
 BUGS = (
-    Bug("base not compared", "edition.adopt: base", COMMANDS, "edition.adopt", adopt_on_any_base),
+    Bug("base not compared", "edition.adopt: base", COMMANDS, "edition.adopt", adopt_ignoring_base),
     Bug(
-        "repeats unknown", "edition.adopt: digests", COMMANDS, "edition.adopt", adopt_without_memory
+        "repeats unknown",
+        "edition.adopt: digests",
+        COMMANDS,
+        "edition.adopt",
+        adopt_ignoring_earlier_versions,
     ),
     Bug(
         "number not compared",
         "configuration_versions.number_faults",
         configuration_versions,
         "number_faults",
-        no_faults,
+        report_no_faults,
     ),
     Bug(
         "local read",
         "PartLeader.linearizable_state",
         part_leader.PartLeader,
         "linearizable_state",
-        local_state,
+        read_local_state,
+    ),
+    Bug(
+        "unfenced orders",
+        "orders.place_order",
+        operator_orders,
+        "place_order",
+        place_order_unfenced,
     ),
-    Bug("unfenced orders", "orders.place_order", operator_orders, "place_order", place_unfenced),
     Bug(
         "any retirement",
         "operator_orders.check_remaining",
         operator_orders,
         "check_remaining",
-        no_check,
+        skip_check,
     ),
     Bug(
         "terms not compared",
         "Acceptors.check_ballot",
         Acceptors,
         "check_ballot",
-        check_without_ballot,
+        accept_any_ballot,
     ),
     Bug(
         "answer before sync",
@@ -188,69 +208,84 @@
         "commit",
         commit_without_sync,
     ),
-    Bug("lot accepted anew", "raw.accept: digest", COMMANDS, "raw.accept", accept_anew),
-    Bug("end not kept", "raw.end", COMMANDS, "raw.end", end_nothing),
-    Bug("results move", "state_machine.list_items", state_machine, "list_items", list_in_front),
+    Bug("lot accepted anew", "raw.accept: digest", COMMANDS, "raw.accept", accept_lot_again),
+    Bug("end not kept", "raw.end", COMMANDS, "raw.end", acknowledge_end_without_effect),
+    Bug(
+        "results move",
+        "state_machine.list_items",
+        state_machine,
+        "list_items",
+        insert_results_first,
+    ),
     Bug(
         "snapshot goes back",
         "ConfigurationSnapshot.on_announcement",
         ConfigurationSnapshot,
         "on_announcement",
-        take_any_news,
+        adopt_any_announcement,
     ),
     Bug(
         "unknown told as refused",
         "part_client.outcome_unknown",
         part_client,
         "outcome_unknown",
-        told_as_refused,
+        report_unknown_as_refused,
     ),
     Bug(
         "reads past the log",
         "follower_read.find_answer",
         follower_read,
         "find_answer",
-        newest_of_any,
+        newest_applied_answer,
     ),
-    Bug("entry in flight", "InFlight.wait", InFlight, "wait", wait_for_nothing),
+    Bug("entry in flight", "InFlight.wait", InFlight, "wait", skip_wait),
     Bug("always fresh", "Freshness.is_fresh", Freshness, "is_fresh", always_fresh),
 )
 
 
-def find_bug(job):
-    """Play seeds with one guard taken out until a history shows it that is clean with the guard."""
-    number, first, most = job
+def find_bug(task):
+    """Run seeds with one guard replaced until one finds a violation that the guard prevents.
+
+    Findings about PROGRAM_TARGET (an exception in the product) do not count. `task` is (number of
+    the bug, first seed, maximum number of seeds).
+    """
+    number, first_seed, max_seeds = task
     bug, start_time, operations = BUGS[number], time.perf_counter(), 0
-    for seed in range(first, first + most):
+    for seed in range(first_seed, first_seed + max_seeds):
         gc.disable()
         with bug.patch():
             result = run_seed(seed)
         gc.enable()
         operations += result.operations
-        findings = [finding for finding in result.findings if finding.target != PROGRAM]
+        findings = [finding for finding in result.findings if finding.target != PROGRAM_TARGET]
         if findings and not run_seed(seed).findings:
             finding = findings[0]
-            found = f"{finding.target}: {finding.text[:SHOWN_TEXT]}"
+            found = f"{finding.target}: {finding.text[:MAX_SHOWN_CHARACTERS]}"
             seconds = time.perf_counter() - start_time
-            return Row(number, seed, seed - first + 1, operations, seconds, found)
-    return Row(number, None, most, operations, time.perf_counter() - start_time, "")
+            return BugSearchResult(number, seed, seed - first_seed + 1, operations, seconds, found)
+    return BugSearchResult(
+        number, None, max_seeds, operations, time.perf_counter() - start_time, ""
+    )
 
 
-def find_all_bugs(first, jobs, echo, most=MOST_SEEDS_A_BUG):
+def find_all_bugs(first_seed, jobs, echo, max_seeds=MAX_SEEDS_PER_BUG):
     """Print a table of all seeded bugs; return whether one was not found."""
-    work, missed = [(number, first, most) for number in range(len(BUGS))], 0
+    tasks, missed = [(number, first_seed, max_seeds) for number in range(len(BUGS))], 0
     echo(f"{'seeded bug':<24} {'guard taken out':<24} {'seed':>5} {'runs':>5} {'s':>5}  found by")
     with contextlib.ExitStack() as stack:
-        rows = map(find_bug, work)
+        results = map(find_bug, tasks)
         if jobs > 1:
-            rows = stack.enter_context(multiprocessing.Pool(jobs)).imap(find_bug, work, 1)
-        for row in rows:
-            missed += row.seed is None
-            bug = BUGS[row.number]
-            seed = "-" if row.seed is None else row.seed
+            results = stack.enter_context(multiprocessing.Pool(jobs)).imap(find_bug, tasks, 1)
+        for result in results:
+            missed += result.seed is None
+            bug = BUGS[result.number]
+            seed = "-" if result.seed is None else result.seed
             echo(
-                f"{bug.name:<24} {bug.guard:<24} {seed:>5} {row.tried:>5} "
-                f"{row.seconds:>5.0f}  {row.found}"
+                f"{bug.name:<24} {bug.guard:<24} {seed:>5} {result.run_count:>5} "
+                f"{result.seconds:>5.0f}  {result.found}"
             )
-    echo(f"{len(BUGS) - missed} of {len(BUGS)} found, at most {most} seeds each from {first}")
+    echo(
+        f"{len(BUGS) - missed} of {len(BUGS)} found, "
+        f"at most {max_seeds} seeds each from {first_seed}"
+    )
     return bool(missed)
--- a/proving/histories/calls.py
+++ b/proving/histories/calls.py
@@ -1,4 +1,4 @@
-"""From an order to a call of the product, and from the call's outcome to an answer."""
+"""Converts orders of a history to calls of the product, and outcomes of calls to answers."""
 
 import hashlib
 
@@ -36,7 +36,7 @@
 from quillring.rollout.operator_orders import retire_store
 from quillring.rollout.orders import StaleOrder, submit_order
 
-TRY_SECONDS = 0.8
+ATTEMPT_SECONDS = 0.8
 HOST, FORWARD = "lots.example", "bulk"
 ZONES = ("north", "east", "south", "west")
 LOT_FORWARD = {
@@ -54,8 +54,8 @@
 UNKNOWN_SERVICE = "nowhere"
 
 
-def forward_of(name, value, service=SERVICE):
-    """Return a route whose time bound carries the value of an item."""
+def forward_for_item(name, value, service=SERVICE):
+    """Return a route whose `hold_ms` is the value of a configuration item."""
     return {
         "host": "items.example",
         "prefix": f"/{name}/",
@@ -65,11 +65,14 @@
     }
 
 
-def command_of(order, command_id):
-    """Return the product's command for an order to adopt a configuration."""
-    forwards = {name: forward_of(name, value) for name, value in order.items}
+def adoption_command(order, command_id):
+    """Return the product's command for an Adopt order.
+
+    If the content is to be invalid, it includes a route to a service that does not exist.
+    """
+    forwards = {name: forward_for_item(name, value) for name, value in order.items}
     if not order.is_valid:
-        forwards["bad"] = forward_of("bad", 1, UNKNOWN_SERVICE)
+        forwards["bad"] = forward_for_item("bad", 1, UNKNOWN_SERVICE)
     return {
         "do": "edition.adopt",
         "id": command_id,
@@ -84,22 +87,25 @@
     }
 
 
-def make_script(stage, node, target, order, seconds=TRY_SECONDS):
-    """Return the coroutine that sends an order at a node, which tries it for so many seconds."""
+def make_call(stage, node, target, order, attempt_seconds=ATTEMPT_SECONDS):
+    """Return the coroutine that executes an order at a node.
+
+    The node retries for `attempt_seconds`; calls about lots use the timeouts of the product's API.
+    """
     ownership, name = node.find("ownership"), target.partition("/")[2]
     match order:
         case Adopt():
-            command = command_of(order, f"{node.runtime.random.getrandbits(96):024x}")
-            return ownership.submit(CONFIG_PART, command, seconds)
+            command = adoption_command(order, f"{node.runtime.random.getrandbits(96):024x}")
+            return ownership.submit(CONFIG_PART, command, attempt_seconds)
         case FetchConfiguration():
-            return ownership.read(CONFIG_PART, {"ask": "edition"}, seconds)
+            return ownership.read(CONFIG_PART, {"ask": "edition"}, attempt_seconds)
         case MarkZone():
             zone_order = OrderZone(name, order.is_emptied, includes_nodes=False)
-            return submit_order(node, zone_order, seconds)
+            return submit_order(node, zone_order, attempt_seconds)
         case RetireStore():
-            return retire_store(node, order.store, seconds)
+            return retire_store(node, order.store, attempt_seconds)
         case RestoreStore():
-            return submit_order(node, OrderStore(order.store, is_retired=False), seconds)
+            return submit_order(node, OrderStore(order.store, is_retired=False), attempt_seconds)
         case AcceptLot():
             items = stage.items(name, order.digest, order.count)
             return api.submit_lot(node, FORWARD, name, items)
@@ -107,30 +113,33 @@
             return api.read_results(node, HOST, name, order.start)
         case EndLot():
             return api.end_lot(node, HOST, name)
-    raise ValueError(f"no call for {order}")
+    raise ValueError(f"no call is defined for the order {order}")
 
 
-def answer_of(order, value, error):
-    """Return the answer to an order, given its call's value or error."""
+def answer_for_outcome(order, value, error):
+    """Return the answer to an order, given the value or the error of its call.
+
+    An error that does not prove that the order had no effect makes the answer Unknown.
+    """
     match error:
         case None if value is None and not isinstance(order, RetireStore):
             return Unknown()
         case None:
-            return results_seen(value) if isinstance(order, ReadResults) else Done()
+            return answer_for_results(value) if isinstance(order, ReadResults) else Done()
         case Conflict():
             return Conflicting(error.detail.get("winning_edition"))
         case BadConfiguration():
             return Invalid()
         case NotFound():
-            is_handed_in = isinstance(order, AcceptLot)
-            return NotTaken("no such route") if is_handed_in else Missing()
+            is_submission = isinstance(order, AcceptLot)
+            return NotTaken("no such route") if is_submission else Missing()
         case Refused() | QuotaExceeded() | HeldTooMuch() | StaleOrder():
             return NotTaken(str(error))
     return Unknown()
 
 
-def results_seen(value):
-    """Return the answer to a read of results; texts count by their digests."""
+def answer_for_results(value):
+    """Return the answer to a read of results, with a digest in place of each result's text."""
     rows = tuple(
         (item, state, hashlib.sha256(text).hexdigest()[:12])
         for item, state, text in value["results"]
@@ -138,15 +147,18 @@
     return ResultsSeen(value["items"], rows)
 
 
-def parts_of_fetch(value, error, zones=ZONES):
-    """Return [(object, order, answer)] that one read of the configuration part tells."""
+def split_fetch(value, error, zones=ZONES):
+    """Return [(object, order, answer)] for the reads that one read of the config part combines.
+
+    It reads the configuration, the retired stores and each of the zones.
+    """
     orders = [
         (CONFIGURATION, FetchConfiguration()),
         (STORES, ReadStores()),
         *((f"zone/{zone}", ReadZone()) for zone in zones),
     ]
     if error is not None or value is None:
-        answer = answer_of(FetchConfiguration(), value, error)
+        answer = answer_for_outcome(FetchConfiguration(), value, error)
         return [(*row, answer) for row in orders]
     configuration = value["layout"]
     forwards, store_orders = configuration.get("forwards") or {}, configuration.get("stores") or {}
--- a/proving/histories/models.py
+++ b/proving/histories/models.py
@@ -1,4 +1,7 @@
-"""The sequential specifications: what each order may answer in which state, and what follows."""
+"""The sequential specifications: the answers allowed in each state, and the states that follow.
+
+An order with an unknown answer is allowed in every state; the checker leaves out reads with one.
+"""
 
 from typing import NamedTuple
 
@@ -24,25 +27,25 @@
 from quillring.quorum.parts import can_survive_zone_loss
 
 IMPOSSIBLE = ()
-EFFECTLESS = (NotTaken, Conflicting, ZoneSeen, StoresSeen)
+ANSWERS_WITHOUT_EFFECT = (NotTaken, Conflicting, ZoneSeen, StoresSeen)
 
 
-def is_without_effect(operation):
-    """Tell whether an operation about a zone or a store changes nothing in any state."""
-    return isinstance(operation.answer, EFFECTLESS)
+def is_always_no_op(operation):
+    """Return whether the answer proves that an operation on a zone or store changes no state."""
+    return isinstance(operation.answer, ANSWERS_WITHOUT_EFFECT)
 
 
-def is_taken_for_good(operation):
-    """Tell that an order that was taken once has no further effect, whatever follows.
+def every_no_op_is_permanent(operation):
+    """Return True: an operation that has no effect now has none in any later state.
 
-    So it is with configurations and lots: repeats are known as such, an end stays, and reads only
-    add to what is known.
+    This holds for configurations and lots: repeated orders are recognized, the end of a lot is
+    final, and reads only add to the known results.
     """
     return True
 
 
 class ConfigurationState(NamedTuple):
-    """The current configuration, and the order that was taken under each number."""
+    """The current configuration, and in `taken` the pairs (number, order) that were adopted."""
 
     number: int
     items: tuple
@@ -50,10 +53,10 @@
 
 
 class ConfigurationModel:
-    """The configuration: a register that is changed by compare and set on its number."""
+    """The configuration: a register that is changed by compare-and-set on its number."""
 
-    first_state = ConfigurationState(0, (), ())
-    is_lasting = staticmethod(is_taken_for_good)
+    initial_state = ConfigurationState(0, (), ())
+    stays_no_op = staticmethod(every_no_op_is_permanent)
 
     def step(self, state, order, answer):
         """Return the states that may follow."""
@@ -64,8 +67,8 @@
             return (state,) if is_seen else IMPOSSIBLE
         is_repeat = dict(state.taken).get(order.number) == order
         if isinstance(answer, Conflicting):
-            is_lost = not is_repeat and order.base != state.number
-            return (state,) if is_lost and answer.winning == state.number else IMPOSSIBLE
+            is_stale = not is_repeat and order.base != state.number
+            return (state,) if is_stale and answer.winning == state.number else IMPOSSIBLE
         is_bad = not order.is_valid or order.number <= state.number
         if isinstance(answer, Invalid):
             return (state,) if is_bad and not is_repeat else IMPOSSIBLE
@@ -73,21 +76,21 @@
             return (state,)
         if is_bad or order.base != state.number:
             return (state,) if isinstance(answer, Unknown) else IMPOSSIBLE
-        return (self.adopted(state, order),)
+        return (self.state_after_adoption(state, order),)
 
-    def adopted(self, state, order):
-        """Return the state after an order that is taken."""
-        former = {} if order.is_whole else dict(state.items)
-        kept = {name: value for name, value in former.items() if name not in order.removed}
-        items = tuple(sorted({**kept, **dict(order.items)}.items()))
+    def state_after_adoption(self, state, order):
+        """Return the state after an order is adopted."""
+        previous = {} if order.is_whole else dict(state.items)
+        remaining = {name: value for name, value in previous.items() if name not in order.removed}
+        items = tuple(sorted({**remaining, **dict(order.items)}.items()))
         return ConfigurationState(order.number, items, (*state.taken, (order.number, order)))
 
 
 class ZoneModel:
-    """A zone that is emptied or not: a register; repeats change nothing."""
+    """Whether a zone is drained: a register with a Boolean value."""
 
-    first_state = False
-    is_lasting = staticmethod(is_without_effect)
+    initial_state = False
+    stays_no_op = staticmethod(is_always_no_op)
 
     def step(self, state, order, answer):
         """Return the states that may follow."""
@@ -99,17 +102,24 @@
 
 
 class StoresModel:
-    """The set of retired stores; enough others must remain whenever one is added."""
+    """The set of retired stores.
+
+    A retirement succeeds only if the remaining stores can survive the loss of a zone.
+    """
 
-    first_state = frozenset()
-    is_lasting = staticmethod(is_without_effect)
+    initial_state = frozenset()
+    stays_no_op = staticmethod(is_always_no_op)
 
     def __init__(self, zones, group_size):
         self.zones = dict(zones)
         self.group_size = group_size
 
     def step(self, state, order, answer):
-        """Return the states that may follow; a conflict may also rest on who is in reach."""
+        """Return the states that may follow.
+
+        A conflict is allowed in every state, as the product also refuses a retirement when too few
+        of the remaining stores are reachable.
+        """
         if isinstance(answer, (NotTaken, Conflicting)):
             return (state,)
         if isinstance(order, RestoreStore):
@@ -126,7 +136,17 @@
 
 
 class LotState(NamedTuple):
-    """What is known of a lot's results: rows by position, and bounds on how many there are."""
+    """The known part of a lot's results.
+
+    Attributes
+    ----------
+    digest : digest of the accepted content, None before the lot is accepted
+    count : number of items of the lot
+    is_ended : whether the lot was ended
+    rows : results by position, None at positions that no read has returned
+    least : lower bound on the number of listed results
+    most : upper bound on that number, None while the lot is open
+    """
 
     digest: str | None = None
     count: int = 0
@@ -137,14 +157,15 @@
 
 
 class LotModel:
-    """A lot: accepted once, results only appended, nothing listed after its end.
+    """A lot: it is accepted once, results are only appended, and none are listed after its end.
 
-    The listing of results is no client's operation. A read learns how many there are: a later one
-    may show more while the lot is open, and must show as many once it has ended.
+    Results are listed by the product and not by an operation of a client, so their number is known
+    only from reads. A later read may return more results while the lot is open, and must return
+    the same number once it has ended.
     """
 
-    first_state = LotState()
-    is_lasting = staticmethod(is_taken_for_good)
+    initial_state = LotState()
+    stays_no_op = staticmethod(every_no_op_is_permanent)
 
     def step(self, state, order, answer):
         """Return the states that may follow."""
@@ -163,42 +184,45 @@
         return self.read(state, order, answer)
 
     def accept(self, state, order, answer):
-        """Return what follows an order to accept a lot."""
-        is_other = state.digest not in (None, order.digest)
+        """Return the states that may follow an order to accept a lot."""
+        is_different = state.digest not in (None, order.digest)
         if isinstance(answer, Conflicting):
-            return (state,) if is_other else IMPOSSIBLE
-        if is_other:
+            return (state,) if is_different else IMPOSSIBLE
+        if is_different:
             return (state,) if isinstance(answer, Unknown) else IMPOSSIBLE
         if state.digest is not None:
             return (state,)
         return (state._replace(digest=order.digest, count=order.count),)
 
     def read(self, state, order, answer):
-        """Return what follows a read of results, if it fits all that was read before."""
-        shown = order.start + len(answer.rows)
-        is_whole = bool(answer.rows) or order.start <= state.least
-        least = shown if is_whole else state.least
-        if answer.count != state.count or shown < state.least or shown > state.count:
+        """Return the states that may follow a read of results.
+
+        There are none if the results contradict earlier reads.
+        """
+        end = order.start + len(answer.rows)
+        is_end_certain = bool(answer.rows) or order.start <= state.least
+        least = end if is_end_certain else state.least
+        if answer.count != state.count or end < state.least or end > state.count:
             return IMPOSSIBLE
         if state.most is not None and least > state.most:
             return IMPOSSIBLE
-        rows = list(state.rows) + [None] * (shown - len(state.rows))
-        for place, row in enumerate(answer.rows, order.start):
-            if rows[place] not in (None, row):
+        rows = list(state.rows) + [None] * (end - len(state.rows))
+        for position, row in enumerate(answer.rows, order.start):
+            if rows[position] not in (None, row):
                 return IMPOSSIBLE
-            rows[place] = row
+            rows[position] = row
         names = [row[0] for row in rows if row is not None]
         if len(set(names)) < len(names):
             return IMPOSSIBLE
         while rows and rows[-1] is None:
             rows.pop()
-        most = min(shown, state.count if state.most is None else state.most)
+        most = min(end, state.count if state.most is None else state.most)
         most = most if state.is_ended else None
         return (state._replace(rows=tuple(rows), least=least, most=most),)
 
 
-def model_of(target, history):
-    """Return the model of an object of a history, by the object's name."""
+def model_for_target(target, history):
+    """Return a model for the object with this name in a history."""
     if target == CONFIGURATION:
         return ConfigurationModel()
     if target == STORES:
--- a/proving/histories/operations.py
+++ b/proving/histories/operations.py
@@ -1,7 +1,8 @@
-"""What a history is made of: orders, answers, and operations with their begin and end.
+"""Histories: operations with an order, an answer, a begin and an end, stored as JSON.
 
-All times are simulated seconds. An operation without an end has an unknown outcome: it may take
-effect at any time after its begin, or never.
+An order is the invocation of an operation and an answer its response. All times are simulated
+seconds. An operation without an end has an unknown outcome: it may take effect at any time after
+its begin, or never.
 """
 
 import pathlib
@@ -15,17 +16,18 @@
 
 
 class BadHistory(QuillringError):
-    """A file that holds no history."""
+    """A file cannot be read as a history."""
 
     kind = "bad_history"
     status = 400
 
 
 class Adopt(msgspec.Struct, frozen=True, tag=True):
-    """Adopt a configuration, whole or as an amendment, on top of the version `base`.
+    """Adopt a configuration under `number`, provided that the current number is `base`.
 
-    `items` are (name, value) pairs that are set and `removed` names that go; `is_valid` is False
-    for a configuration that must be refused for its content.
+    It replaces the current configuration if `is_whole`, and otherwise amends it: `items` are the
+    (name, value) pairs to set and `removed` the names to delete. `is_valid` is False for a
+    configuration whose content must be refused.
     """
 
     number: int
@@ -41,23 +43,23 @@
 
 
 class MarkZone(msgspec.Struct, frozen=True, tag=True):
-    """Empty a zone, or restore it."""
+    """Drain a zone, or restore it."""
 
     is_emptied: bool
 
 
 class ReadZone(msgspec.Struct, frozen=True, tag=True):
-    """Read whether a zone is emptied."""
+    """Read whether a zone is drained."""
 
 
 class RetireStore(msgspec.Struct, frozen=True, tag=True):
-    """Retire a store; refused when too few would remain."""
+    """Retire a store; refused if too few would remain."""
 
     store: str
 
 
 class RestoreStore(msgspec.Struct, frozen=True, tag=True):
-    """Take the retirement of a store back."""
+    """Restore a retired store."""
 
     store: str
 
@@ -67,24 +69,24 @@
 
 
 class AcceptLot(msgspec.Struct, frozen=True, tag=True):
-    """Hand a lot in; two lots of one name with different content have different digests."""
+    """Submit a lot of `count` items; `digest` identifies its content."""
 
     digest: str
     count: int
 
 
 class ReadResults(msgspec.Struct, frozen=True, tag=True):
-    """Read the results of a lot from a position on."""
+    """Read the results of a lot from position `start`."""
 
     start: int
 
 
 class EndLot(msgspec.Struct, frozen=True, tag=True):
-    """End a lot: nothing is listed afterwards."""
+    """End a lot: no results are listed afterwards."""
 
 
 class ItemRan(msgspec.Struct, frozen=True, tag=True):
-    """Seen at a replica: an item of the lot was sent there."""
+    """A replica received an item of the lot; recorded by the replica and not by a client."""
 
 
 Order = (
@@ -104,31 +106,37 @@
 
 
 class Done(msgspec.Struct, frozen=True, tag=True):
-    """The order took effect, now or in an earlier sending of the same order."""
+    """The order took effect, now or when the same order was sent before."""
 
 
 class Conflicting(msgspec.Struct, frozen=True, tag=True):
-    """The order lost against the version `winning`; it has no effect."""
+    """The order conflicts with the current state and has no effect.
+
+    `winning` is the number of the current configuration, None for other objects.
+    """
 
     winning: int | None = None
 
 
 class Invalid(msgspec.Struct, frozen=True, tag=True):
-    """The order's content was refused; it has no effect."""
+    """The order was refused for its content and has no effect."""
 
 
 class Missing(msgspec.Struct, frozen=True, tag=True):
-    """What the order names does not exist."""
+    """The object of the order does not exist."""
 
 
 class NotTaken(msgspec.Struct, frozen=True, tag=True):
-    """The order was refused for want of a majority, room or quota; it never takes effect."""
+    """The order was refused and never takes effect.
+
+    Reasons are a missing majority, capacity, quota, route, or an order that came too late.
+    """
 
     reason: str = ""
 
 
 class Unknown(msgspec.Struct, frozen=True, tag=True):
-    """Nobody told what became of the order."""
+    """The outcome of the order is unknown."""
 
 
 class ConfigurationSeen(msgspec.Struct, frozen=True, tag=True):
@@ -139,19 +147,22 @@
 
 
 class ZoneSeen(msgspec.Struct, frozen=True, tag=True):
-    """Whether a zone was emptied when it was read."""
+    """Whether the zone was drained."""
 
     is_emptied: bool
 
 
 class StoresSeen(msgspec.Struct, frozen=True, tag=True):
-    """The stores that were retired when they were read."""
+    """The names of the retired stores."""
 
     retired: tuple[str, ...]
 
 
 class ResultsSeen(msgspec.Struct, frozen=True, tag=True):
-    """How many items a lot has, and [item, state, digest of the text] from the start asked for."""
+    """The number of items of a lot, and its results from the requested position.
+
+    Each row is (item, state, digest of the text).
+    """
 
     count: int
     rows: tuple[tuple[str, str, str], ...]
@@ -172,7 +183,10 @@
 
 
 class Operation(msgspec.Struct, frozen=True):
-    """One call: who sent it where, about which object, when it began and how it ended."""
+    """One call by a client to a node, about the object `target`.
+
+    `end` is None if the outcome is unknown.
+    """
 
     client: str
     node: str
@@ -184,7 +198,11 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """The configuration that one life of a node's process held at a moment."""
+    """The configuration in the memory of a node at one time.
+
+    `incarnation` identifies the process of the node, `index` the log entry that the configuration
+    is from, and `number` is 0 if there is none.
+    """
 
     node: str
     incarnation: int
@@ -195,7 +213,11 @@
 
 
 class History(msgspec.Struct):
-    """All operations and snapshots of one run."""
+    """All operations and snapshots of one run.
+
+    `stores` are (name, zone) pairs, `group_size` is the number of stores that hold each part, and
+    `steps` are the notes of the simulator about faults.
+    """
 
     seed: int
     operations: list[Operation] = []
@@ -204,12 +226,12 @@
     group_size: int = 3
     steps: list[str] = []
 
-    def by_target(self):
-        """Return {object: its operations}; each object is checked by itself."""
-        parted = {}
+    def operations_by_target(self):
+        """Return {object: its operations}; the objects are checked separately."""
+        operations_by_target = {}
         for operation in self.operations:
-            parted.setdefault(operation.target, []).append(operation)
-        return parted
+            operations_by_target.setdefault(operation.target, []).append(operation)
+        return operations_by_target
 
 
 def save_history(history, path):
@@ -219,7 +241,7 @@
 
 
 def load_history(path):
-    """Read a history; raises BadHistory for a file that holds none."""
+    """Read a history; raises BadHistory if the file cannot be read as one."""
     try:
         return msgspec.json.decode(pathlib.Path(path).read_bytes(), type=History)
     except (OSError, msgspec.MsgspecError) as error:
--- a/tests/history_rows.py
+++ b/tests/history_rows.py
@@ -5,8 +5,8 @@
 from proving.histories.checker import check_operations
 from proving.histories.operations import Adopt, ConfigurationSeen, Operation
 
-PROFILE = settings(max_examples=60, derandomize=True, deadline=None, database=None)
-ZONES = [("store-1", "north"), ("store-2", "east"), ("store-3", "south"), ("store-4", "west")]
+HYPOTHESIS_SETTINGS = settings(max_examples=60, derandomize=True, deadline=None, database=None)
+STORE_ZONES = [("store-1", "north"), ("store-2", "east"), ("store-3", "south"), ("store-4", "west")]
 
 
 def operation(order, answer, begin, end=None):
@@ -29,11 +29,11 @@
     return ConfigurationSeen(number, (("a", value),) if number else ())
 
 
-def overlapping(rows, chance, width):
+def overlapping(rows, rng, width):
     """Return operations that take effect in this order, each within its own interval."""
     operations = [
-        operation(order, answer, turn - chance.uniform(0, width), turn + chance.uniform(0, width))
+        operation(order, answer, turn - rng.uniform(0, width), turn + rng.uniform(0, width))
         for turn, (order, answer) in enumerate(rows)
     ]
-    chance.shuffle(operations)
+    rng.shuffle(operations)
     return operations
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -16,16 +16,23 @@
     NotTaken,
     Unknown,
 )
-from tests.history_rows import PROFILE, adopt, is_linearizable, operation, overlapping, seen
+from tests.history_rows import (
+    HYPOTHESIS_SETTINGS,
+    adopt,
+    is_linearizable,
+    operation,
+    overlapping,
+    seen,
+)
 
 
-def sequential_register(chance, count):
+def sequential_register(rng, count):
     """Return (order, answer) of a sequential history of the configuration register."""
     number, value, taken, rows = 0, 0, {}, []
     for turn in range(count):
-        kind = chance.choice(["read", "adopt", "adopt", "repeat", "lose", "invalid"])
+        kind = rng.choice(["read", "adopt", "adopt", "repeat", "lose", "invalid"])
         if kind == "repeat" and taken:
-            rows.append((chance.choice(list(taken.values())), Done()))
+            rows.append((rng.choice(list(taken.values())), Done()))
         elif kind == "adopt":
             number, value = number + 1, turn + 1
             taken[number] = adopt(number, number - 1, value)
@@ -39,46 +46,45 @@
     return rows
 
 
-@PROFILE
+@HYPOTHESIS_SETTINGS
 @given(st.integers(0, 1 << 30), st.integers(1, 60), st.floats(0, 6))
 def test_sequential_histories_shuffled_within_overlap_are_accepted(seed, count, width):
-    chance = random.Random(seed)
-    operations = overlapping(sequential_register(chance, count), chance, width)
+    rng = random.Random(seed)
+    operations = overlapping(sequential_register(rng, count), rng, width)
     assert check_operations(ConfigurationModel(), operations).is_linearizable
 
 
-@PROFILE
+@HYPOTHESIS_SETTINGS
 @given(st.integers(0, 1 << 30), st.integers(5, 60), st.floats(0, 6))
 def test_a_mutated_read_is_rejected(seed, count, width):
-    chance = random.Random(seed)
-    rows = [*sequential_register(chance, count), (FetchConfiguration(), seen(0, 0))]
+    rng = random.Random(seed)
+    rows = [*sequential_register(rng, count), (FetchConfiguration(), seen(0, 0))]
     reads = [n for n, (order, _) in enumerate(rows) if isinstance(order, FetchConfiguration)]
-    place = chance.choice(reads)
+    place = rng.choice(reads)
     rows[place] = (FetchConfiguration(), seen(7, -7))
-    verdict = check_operations(ConfigurationModel(), overlapping(rows, chance, width))
-    assert verdict.is_linearizable is False and verdict.stuck
+    verdict = check_operations(ConfigurationModel(), overlapping(rows, rng, width))
+    assert verdict.is_linearizable is False and verdict.blocked
 
 
-@PROFILE
+@HYPOTHESIS_SETTINGS
 @given(st.integers(0, 1 << 30), st.integers(5, 40))
 def test_without_overlap_a_read_of_an_older_configuration_is_rejected(seed, count):
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     rows = [(adopt(1, 0, 1), Done()), (adopt(2, 1, 2), Done())]
     rows.extend((FetchConfiguration(), seen(2, 2)) for _ in range(count))
-    rows.insert(chance.randrange(2, len(rows) + 1), (FetchConfiguration(), seen(1, 1)))
+    rows.insert(rng.randrange(2, len(rows) + 1), (FetchConfiguration(), seen(1, 1)))
     assert (
-        check_operations(ConfigurationModel(), overlapping(rows, chance, 0)).is_linearizable
-        is False
+        check_operations(ConfigurationModel(), overlapping(rows, rng, 0)).is_linearizable is False
     )
 
 
-@PROFILE
+@HYPOTHESIS_SETTINGS
 @given(st.integers(0, 1 << 30), st.integers(1, 40), st.floats(0, 5))
 def test_lost_answers_keep_a_linearizable_history_so(seed, count, width):
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     operations = [
-        operation(o.order, Unknown(), o.begin) if chance.random() < 0.3 else o
-        for o in overlapping(sequential_register(chance, count), chance, width)
+        operation(o.order, Unknown(), o.begin) if rng.random() < 0.3 else o
+        for o in overlapping(sequential_register(rng, count), rng, width)
     ]
     assert check_operations(ConfigurationModel(), operations).is_linearizable
 
@@ -119,20 +125,20 @@
 
 def test_histories_of_hundreds_of_operations_with_lost_answers_need_few_configurations():
     for seed in range(10):
-        chance = random.Random(seed)
+        rng = random.Random(seed)
         operations = [
-            operation(o.order, Unknown(), o.begin) if chance.random() < 0.15 else o
-            for o in overlapping(sequential_register(chance, 400), chance, 4)
+            operation(o.order, Unknown(), o.begin) if rng.random() < 0.15 else o
+            for o in overlapping(sequential_register(rng, 400), rng, 4)
         ]
         verdict = check_operations(ConfigurationModel(), operations, 50_000)
         assert verdict.is_linearizable
 
 
 def test_lost_orders_about_one_zone_do_not_blow_the_search_up():
-    chance, rows = random.Random(3), []
+    rng, rows = random.Random(3), []
     for turn in range(300):
-        is_lost = chance.random() < 0.4
-        order = MarkZone(chance.random() < 0.5)
+        is_lost = rng.random() < 0.4
+        order = MarkZone(rng.random() < 0.5)
         rows.append((order, Unknown(), turn) if is_lost else (order, Done(), turn, turn + 3))
     verdict = check_operations(ZoneModel(), [operation(*row) for row in rows], 50_000)
     assert verdict.is_linearizable
--- a/tests/test_histories_models.py
+++ b/tests/test_histories_models.py
@@ -26,7 +26,13 @@
     Unknown,
     ZoneSeen,
 )
-from tests.history_rows import PROFILE, ZONES, is_linearizable, operation, overlapping
+from tests.history_rows import (
+    HYPOTHESIS_SETTINGS,
+    STORE_ZONES,
+    is_linearizable,
+    operation,
+    overlapping,
+)
 
 
 def test_an_acknowledged_order_takes_effect_once():
@@ -37,7 +43,7 @@
 
 
 def test_two_retirements_that_leave_too_few_stores_are_not_both_taken():
-    model = StoresModel(ZONES, 3)
+    model = StoresModel(STORE_ZONES, 3)
     first, second = RetireStore("store-1"), RetireStore("store-2")
     assert is_linearizable(model, (first, Done(), 0, 5), (second, Conflicting(), 0, 5))
     assert not is_linearizable(model, (first, Done(), 0, 5), (second, Done(), 0, 5))
@@ -86,24 +92,24 @@
     assert not is_linearizable(LotModel(), LOT, (ReadResults(0), Missing(), 2, 3))
 
 
-def sequential_zone(chance, count):
+def sequential_zone(rng, count):
     """Return (order, answer) of a sequential history of one zone."""
     is_emptied, rows = False, []
     for _ in range(count):
-        if chance.random() < 0.5:
+        if rng.random() < 0.5:
             rows.append((ReadZone(), ZoneSeen(is_emptied)))
         else:
-            is_emptied = chance.random() < 0.5
+            is_emptied = rng.random() < 0.5
             rows.append((MarkZone(is_emptied), Done()))
     return rows
 
 
-def sequential_stores(chance, count):
+def sequential_stores(rng, count):
     """Return (order, answer) of a sequential history of the stores."""
     retired, rows = set(), []
     for _ in range(count):
-        store = chance.choice(ZONES)[0]
-        kind = chance.choice(["retire", "restore", "read"])
+        store = rng.choice(STORE_ZONES)[0]
+        kind = rng.choice(["retire", "restore", "read"])
         if kind == "read":
             rows.append((ReadStores(), StoresSeen(tuple(sorted(retired)))))
         elif kind == "restore":
@@ -117,15 +123,15 @@
     return rows
 
 
-def sequential_lot(chance, count):
+def sequential_lot(rng, count):
     """Return (order, answer) of a sequential history of one lot."""
-    total, listed, is_ended = chance.randrange(1, 9), [], False
+    total, listed, is_ended = rng.randrange(1, 9), [], False
     rows = [(AcceptLot("d", total), Done())]
     for _ in range(count):
-        kind = chance.choice(["read", "read", "accept", "end"] if len(rows) > 6 else ["read"])
-        if not is_ended and len(listed) < total and chance.random() < 0.5:
+        kind = rng.choice(["read", "read", "accept", "end"] if len(rows) > 6 else ["read"])
+        if not is_ended and len(listed) < total and rng.random() < 0.5:
             listed.append((f"i{len(listed)}", "finished", "t"))
-        start = chance.randrange(total + 1)
+        start = rng.randrange(total + 1)
         answer = ResultsSeen(total, tuple(listed[start:]))
         is_ended = is_ended or kind == "end"
         rows.append(
@@ -140,22 +146,22 @@
 
 MODELS = {
     "zone": (ZoneModel(), sequential_zone),
-    "stores": (StoresModel(ZONES, 3), sequential_stores),
+    "stores": (StoresModel(STORE_ZONES, 3), sequential_stores),
     "lot": (LotModel(), sequential_lot),
 }
 
 
-@settings(PROFILE, max_examples=300)
+@settings(HYPOTHESIS_SETTINGS, max_examples=300)
 @given(
     st.sampled_from(sorted(MODELS)), st.integers(0, 1 << 30), st.integers(1, 40), st.floats(0, 5)
 )
 def test_sequential_histories_of_each_object_are_accepted(name, seed, count, width):
     """Orders about zones count again after a contrary one: the search once took them too early."""
     model, make = MODELS[name]
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     operations = [
-        operation(o.order, Unknown(), o.begin) if chance.random() < 0.15 else o
-        for o in overlapping(make(chance, count), chance, width)
+        operation(o.order, Unknown(), o.begin) if rng.random() < 0.15 else o
+        for o in overlapping(make(rng, count), rng, width)
     ]
     assert check_operations(model, operations).is_linearizable
 
@@ -169,13 +175,13 @@
     )
 
 
-@PROFILE
+@HYPOTHESIS_SETTINGS
 @given(st.integers(0, 1 << 30), st.integers(4, 30))
 def test_a_mutated_read_of_a_zone_without_overlap_is_rejected(seed, count):
-    chance = random.Random(seed)
-    rows = [*sequential_zone(chance, count), (ReadZone(), ZoneSeen(False))]
+    rng = random.Random(seed)
+    rows = [*sequential_zone(rng, count), (ReadZone(), ZoneSeen(False))]
     rows[-1] = (ReadZone(), ZoneSeen(last_order(rows) is False))
-    assert check_operations(ZoneModel(), overlapping(rows, chance, 0)).is_linearizable is False
+    assert check_operations(ZoneModel(), overlapping(rows, rng, 0)).is_linearizable is False
 
 
 def last_order(rows):
--- a/tests/test_histories_moments.py
+++ b/tests/test_histories_moments.py
@@ -4,7 +4,7 @@
 import simpy
 
 from proving.histories.bugs import BUGS
-from proving.histories.moments import MOMENTS
+from proving.histories.moments import MOMENT_NAMES
 from proving.histories.run import run_seed
 from proving.sim.network import SimNet
 
@@ -20,7 +20,7 @@
 
 
 def test_each_moment_is_made_for_a_seeded_bug():
-    assert sorted(SHOWN_BY.values()) == sorted(MOMENTS)
+    assert sorted(SHOWN_BY.values()) == sorted(MOMENT_NAMES)
     assert set(SHOWN_BY) <= {bug.name for bug in BUGS}
 
 
--- a/tests/test_histories_runs.py
+++ b/tests/test_histories_runs.py
@@ -16,9 +16,9 @@
     load_history,
     save_history,
 )
-from proving.histories.run import judge, run_seed
+from proving.histories.run import check_history, run_seed
 from proving.histories.snapshots import check_snapshots
-from tests.history_rows import ZONES, adopt, seen
+from tests.history_rows import STORE_ZONES, adopt, seen
 
 
 def snapshot(at, index, number, incarnation=1, is_fresh=True):
@@ -40,11 +40,11 @@
         Operation("c", "n", CONFIGURATION, adopt(1, 0, 1), 0.0, 1.0, Done()),
         Operation("c", "n", CONFIGURATION, FetchConfiguration(), 2.0, 3.0, seen(0, 0)),
     ]
-    history = History(5, rows, [snapshot(1, 1, 1)], tuple(ZONES))
+    history = History(5, rows, [snapshot(1, 1, 1)], tuple(STORE_ZONES))
     path = tmp_path / "history.json"
     save_history(history, path)
     assert load_history(path) == history
-    findings, undecided, _ = judge(load_history(path))
+    findings, undecided, _ = check_history(load_history(path))
     assert [finding.target for finding in findings] == [CONFIGURATION] and undecided == []
     result = CliRunner().invoke(main, ["--replay", str(path)])
     assert result.exit_code == 1 and "not linearizable" in result.output
