--- a/tests/history_rows.py
+++ b/tests/history_rows.py
@@ -1,4 +1,4 @@
-"""Operations of made-up histories, for the tests of the checker."""
+"""Builds the operations of synthetic histories for the tests of the checker and the models."""
 
 from hypothesis import settings
 
@@ -10,27 +10,30 @@
 
 
 def operation(order, answer, begin, end=None):
-    """Return an operation of some client."""
+    """Return an operation; its client, node and object do not matter to the checker."""
     return Operation("c", "n", "object", order, begin, end, answer)
 
 
 def is_linearizable(model, *rows):
-    """Check rows of (order, answer, begin, end)."""
+    """Return whether rows of (order, answer, begin[, end]) are linearizable under a model."""
     return check_operations(model, [operation(*row) for row in rows]).is_linearizable
 
 
 def adopt(number, base, value, **fields):
-    """Return an order for a whole configuration of one item."""
+    """Return an order that replaces the configuration by one with a single item."""
     return Adopt(number, base, True, (("a", value),), **fields)
 
 
 def seen(number, value):
-    """Return what a read of a configuration of one item tells."""
+    """Return the answer to a read of a configuration with a single item; number 0 has none."""
     return ConfigurationSeen(number, (("a", value),) if number else ())
 
 
 def overlapping(rows, rng, width):
-    """Return operations that take effect in this order, each within its own interval."""
+    """Return operations in random order whose intervals overlap but allow the order of the rows.
+
+    Row n takes effect at time n; its operation begins and ends up to `width` before and after.
+    """
     operations = [
         operation(order, answer, turn - rng.uniform(0, width), turn + rng.uniform(0, width))
         for turn, (order, answer) in enumerate(rows)
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -1,4 +1,4 @@
-"""The checker of histories: what it accepts, what it rejects, and how long that takes."""
+"""Tests the linearizability checker: accepted and rejected histories, and search effort."""
 
 import random
 
@@ -27,16 +27,16 @@
 
 
 def sequential_register(rng, count):
-    """Return (order, answer) of a sequential history of the configuration register."""
-    number, value, taken, rows = 0, 0, {}, []
+    """Return the rows (order, answer) of a random sequential history of the configuration."""
+    number, value, adopted, rows = 0, 0, {}, []
     for turn in range(count):
         kind = rng.choice(["read", "adopt", "adopt", "repeat", "lose", "invalid"])
-        if kind == "repeat" and taken:
-            rows.append((rng.choice(list(taken.values())), Done()))
+        if kind == "repeat" and adopted:
+            rows.append((rng.choice(list(adopted.values())), Done()))
         elif kind == "adopt":
             number, value = number + 1, turn + 1
-            taken[number] = adopt(number, number - 1, value)
-            rows.append((taken[number], Done()))
+            adopted[number] = adopt(number, number - 1, value)
+            rows.append((adopted[number], Done()))
         elif kind == "lose" and number:
             rows.append((adopt(number + 1, number - 1, -turn - 1), Conflicting(number)))
         elif kind == "invalid":
@@ -48,7 +48,7 @@
 
 @HYPOTHESIS_SETTINGS
 @given(st.integers(0, 1 << 30), st.integers(1, 60), st.floats(0, 6))
-def test_sequential_histories_shuffled_within_overlap_are_accepted(seed, count, width):
+def test_concurrent_operations_with_a_valid_sequential_order_are_accepted(seed, count, width):
     rng = random.Random(seed)
     operations = overlapping(sequential_register(rng, count), rng, width)
     assert check_operations(ConfigurationModel(), operations).is_linearizable
@@ -56,12 +56,12 @@
 
 @HYPOTHESIS_SETTINGS
 @given(st.integers(0, 1 << 30), st.integers(5, 60), st.floats(0, 6))
-def test_a_mutated_read_is_rejected(seed, count, width):
+def test_a_read_of_a_configuration_that_never_existed_is_rejected(seed, count, width):
     rng = random.Random(seed)
     rows = [*sequential_register(rng, count), (FetchConfiguration(), seen(0, 0))]
     reads = [n for n, (order, _) in enumerate(rows) if isinstance(order, FetchConfiguration)]
-    place = rng.choice(reads)
-    rows[place] = (FetchConfiguration(), seen(7, -7))
+    position = rng.choice(reads)
+    rows[position] = (FetchConfiguration(), seen(7, -7))
     verdict = check_operations(ConfigurationModel(), overlapping(rows, rng, width))
     assert verdict.is_linearizable is False and verdict.blocked
 
@@ -80,7 +80,7 @@
 
 @HYPOTHESIS_SETTINGS
 @given(st.integers(0, 1 << 30), st.integers(1, 40), st.floats(0, 5))
-def test_lost_answers_keep_a_linearizable_history_so(seed, count, width):
+def test_a_linearizable_history_stays_linearizable_when_answers_are_lost(seed, count, width):
     rng = random.Random(seed)
     operations = [
         operation(o.order, Unknown(), o.begin) if rng.random() < 0.3 else o
@@ -89,7 +89,7 @@
     assert check_operations(ConfigurationModel(), operations).is_linearizable
 
 
-def test_two_orders_under_one_number_are_never_both_taken():
+def test_two_configurations_under_one_number_are_never_both_adopted():
     first, second = adopt(1, 0, 1), adopt(1, 0, 2)
     assert is_linearizable(
         ConfigurationModel(), (first, Done(), 0, 5), (second, Conflicting(1), 0, 5)
@@ -97,12 +97,12 @@
     assert not is_linearizable(ConfigurationModel(), (first, Done(), 0, 5), (second, Done(), 0, 5))
 
 
-def test_a_repeat_is_acknowledged_and_never_refused():
+def test_a_repeated_adoption_is_acknowledged_and_never_refused():
     order, newer = adopt(1, 0, 1), adopt(2, 1, 2)
-    taken = (order, Done(), 0, 1), (newer, Done(), 2, 3)
-    assert is_linearizable(ConfigurationModel(), *taken, (order, Done(), 4, 5))
-    assert not is_linearizable(ConfigurationModel(), *taken, (order, Conflicting(2), 4, 5))
-    assert not is_linearizable(ConfigurationModel(), *taken, (order, Invalid(), 4, 5))
+    adoptions = (order, Done(), 0, 1), (newer, Done(), 2, 3)
+    assert is_linearizable(ConfigurationModel(), *adoptions, (order, Done(), 4, 5))
+    assert not is_linearizable(ConfigurationModel(), *adoptions, (order, Conflicting(2), 4, 5))
+    assert not is_linearizable(ConfigurationModel(), *adoptions, (order, Invalid(), 4, 5))
 
 
 def test_a_refused_order_never_takes_effect():
@@ -113,14 +113,16 @@
         assert not is_linearizable(ConfigurationModel(), (order, answer, 0, 1), read)
 
 
-def test_an_unknown_order_takes_effect_late_or_never_but_not_before_it_began():
-    order, seen_it = adopt(1, 0, 1), (FetchConfiguration(), seen(1, 1), 90, 91)
-    not_yet = (FetchConfiguration(), seen(0, 0), 80, 81)
-    assert is_linearizable(ConfigurationModel(), (order, Unknown(), 0), not_yet)
-    assert is_linearizable(ConfigurationModel(), (order, Unknown(), 0), not_yet, seen_it)
-    assert not is_linearizable(ConfigurationModel(), (order, Unknown(), 92), seen_it)
-    gone_again = (FetchConfiguration(), seen(0, 0), 95, 96)
-    assert not is_linearizable(ConfigurationModel(), (order, Unknown(), 0), seen_it, gone_again)
+def test_an_order_with_unknown_outcome_takes_effect_late_or_never_but_not_before_its_begin():
+    order, read_after = adopt(1, 0, 1), (FetchConfiguration(), seen(1, 1), 90, 91)
+    read_before = (FetchConfiguration(), seen(0, 0), 80, 81)
+    assert is_linearizable(ConfigurationModel(), (order, Unknown(), 0), read_before)
+    assert is_linearizable(ConfigurationModel(), (order, Unknown(), 0), read_before, read_after)
+    assert not is_linearizable(ConfigurationModel(), (order, Unknown(), 92), read_after)
+    read_reverted = (FetchConfiguration(), seen(0, 0), 95, 96)
+    assert not is_linearizable(
+        ConfigurationModel(), (order, Unknown(), 0), read_after, read_reverted
+    )
 
 
 def test_histories_of_hundreds_of_operations_with_lost_answers_need_few_configurations():
@@ -134,7 +136,7 @@
         assert verdict.is_linearizable
 
 
-def test_lost_orders_about_one_zone_do_not_blow_the_search_up():
+def test_many_orders_with_unknown_outcome_about_one_zone_do_not_exceed_the_search_limit():
     rng, rows = random.Random(3), []
     for turn in range(300):
         is_lost = rng.random() < 0.4
@@ -144,6 +146,6 @@
     assert verdict.is_linearizable
 
 
-def test_a_search_that_is_given_up_says_so():
+def test_a_search_that_exceeds_its_limit_returns_an_undecided_verdict():
     rows = [operation(adopt(1, 0, n), Done(), 0, 100) for n in range(12)]
     assert check_operations(ConfigurationModel(), rows, 3).is_linearizable is None
--- a/tests/test_histories_found.py
+++ b/tests/test_histories_found.py
@@ -1,4 +1,4 @@
-"""Faults that recorded histories showed, each made small."""
+"""Regression tests for faults of the product that recorded histories revealed."""
 
 from quillring.kernel.errors import Conflict
 from quillring.lots.http_requests import api
@@ -21,13 +21,13 @@
 
 
 def submit(stage, name, count):
-    """Hand in a lot under one name; another count makes another lot."""
+    """Submit a lot under a name; lots with different counts have different content."""
     items = stage.items("x", count)
     return stage.do(stage.up("edge"), lambda node: api.submit_lot(node, FORWARD, name, items))
 
 
-def test_a_lot_that_is_handed_in_again_is_acknowledged_after_another_of_its_name_was_refused():
-    """Seed 1015: the loser's reservation stood in the way of the accepted lot's repeat."""
+def test_a_resubmitted_lot_is_acknowledged_after_another_lot_of_its_name_was_refused():
+    """Seed 1015: the reservation of the refused lot blocked the repeat of the accepted lot."""
     with HttpLotStage(7, most_tokens=MOST_TOKENS) as stage:
         first, error = submit(stage, "a", 3)
         assert error is None and first["items"] == 3
@@ -41,8 +41,11 @@
         assert isinstance(error, Conflict)
 
 
-def test_a_lot_loses_only_against_one_that_was_accepted():
-    """Seed 1018: a reservation whose lot never arrived told another lot of its name to lose."""
+def test_a_lot_conflicts_only_with_a_lot_that_was_accepted():
+    """Seed 1018: a reservation whose lot never arrived caused a conflict for another lot.
+
+    The edge that submits the first lot is killed at different times after the submission.
+    """
     with HttpLotStage(8, most_tokens=MOST_TOKENS) as stage:
         for turn in range(1, 13):
             items = stage.items("x", 3)
@@ -70,12 +73,12 @@
 
 
 def cut_answers_to(stage, owner):
-    """Let nothing that stores send reach an owner; what it sends them arrives."""
+    """Drop all messages from stores to an owner; messages from the owner to stores arrive."""
     stage.sim.cut(stage.sim.names("store"), [owner.me.name], both_ways=False)
 
 
-def peek_at_edge(stage, part, query):
-    """Read a part from a majority of its stores, as an edge does without an owner."""
+def read_from_stores(stage, part, query):
+    """Read a part from a majority of its stores, as an edge does if the owner does not answer."""
     group = stage.up("edge").find("ownership").group(part)
     known, error = stage.do(
         stage.up("edge"), lambda node: read_from_majority(node, part, group, query)
@@ -84,25 +87,25 @@
     return unwrap_answer(known)
 
 
-def test_an_owner_shows_no_older_configuration_than_its_stores_told():
-    """An entry that the stores have accepted is chosen, though its owner has no answer yet."""
+def test_a_read_at_the_owner_is_not_older_than_an_earlier_read_of_the_configuration_at_stores():
+    """An entry that a majority of stores accepted is chosen before its owner has their answers."""
     with HttpLotStage(9) as stage:
         owner = stage.sim.nodes[stage.up("edge").find("gossip").get("owner/config")["owner"]]
-        former = peek_at_edge(stage, CONFIG_PART, {"ask": "edition"})["edition"]
+        previous = read_from_stores(stage, CONFIG_PART, {"ask": "edition"})["edition"]
         cut_answers_to(stage, owner)
-        command = {**EMPTY_CHANGE, "edition": former + 1, "base_edition": former}
+        command = {**EMPTY_CHANGE, "edition": previous + 1, "base_edition": previous}
         stage.begin(owner, lambda node: node.find("ownership").submit(CONFIG_PART, command, 2))
         stage.run(0.05)
-        assert peek_at_edge(stage, CONFIG_PART, {"ask": "edition"})["edition"] == former + 1
+        assert read_from_stores(stage, CONFIG_PART, {"ask": "edition"})["edition"] == previous + 1
         stage.sim.net.heal()
         known, error = stage.do(
             owner, lambda node: node.find("ownership").read(CONFIG_PART, {"ask": "edition"}, 2)
         )
-        assert error is None and known["edition"] == former + 1
+        assert error is None and known["edition"] == previous + 1
 
 
-def test_an_owner_shows_no_fewer_results_than_its_stores_told():
-    """Seeds 39, 53 and 56: a read at the stores showed a result, the next one at the owner not."""
+def test_a_read_at_the_owner_shows_every_result_of_an_earlier_read_at_stores():
+    """Seeds 39, 53, 56: a read at the stores showed a result that the next at the owner missed."""
     with HttpLotStage(10) as stage:
         for replica in stage.replicas.values():
             replica.is_silent = True
@@ -117,7 +120,7 @@
         command.update(text=b"x", run="r")
         stage.begin(owner, lambda node: node.find("ownership").submit(place.own, command, 2))
         stage.run(0.05)
-        assert len(peek_at_edge(stage, place.own, query)["results"]) == 1
+        assert len(read_from_stores(stage, place.own, query)["results"]) == 1
         stage.sim.net.heal()
         known, error = stage.read("a", node=owner)
         assert error is None and len(known["results"]) == 1
--- a/tests/test_histories_models.py
+++ b/tests/test_histories_models.py
@@ -1,4 +1,4 @@
-"""The sequential specifications of zones, stores and lots."""
+"""Tests the sequential specifications of zones, stores and lots."""
 
 import random
 
@@ -37,12 +37,12 @@
 
 def test_an_acknowledged_order_takes_effect_once():
     orders = (MarkZone(True), Done(), 0, 1), (MarkZone(False), Done(), 2, 3)
-    emptied_again = (ReadZone(), ZoneSeen(True), 20, 21)
-    assert not is_linearizable(ZoneModel(), *orders, emptied_again)
-    assert is_linearizable(ZoneModel(), *orders, (MarkZone(True), Unknown(), 0), emptied_again)
+    drained_again = (ReadZone(), ZoneSeen(True), 20, 21)
+    assert not is_linearizable(ZoneModel(), *orders, drained_again)
+    assert is_linearizable(ZoneModel(), *orders, (MarkZone(True), Unknown(), 0), drained_again)
 
 
-def test_two_retirements_that_leave_too_few_stores_are_not_both_taken():
+def test_two_retirements_that_leave_too_few_stores_do_not_both_succeed():
     model = StoresModel(STORE_ZONES, 3)
     first, second = RetireStore("store-1"), RetireStore("store-2")
     assert is_linearizable(model, (first, Done(), 0, 5), (second, Conflicting(), 0, 5))
@@ -52,7 +52,7 @@
 
 
 def rows_of(*names):
-    """Return finished rows of results."""
+    """Return the rows of finished results for items with these names."""
     return tuple((name, "finished", name) for name in names)
 
 
@@ -60,11 +60,11 @@
 
 
 def read(begin, *names, start=0):
-    """Return a read of results."""
+    """Return the row of a read that returns results for items with these names."""
     return (ReadResults(start), ResultsSeen(3, rows_of(*names)), begin, begin + 1)
 
 
-def test_results_are_only_appended_and_a_read_never_goes_back():
+def test_results_are_only_appended_and_later_reads_keep_earlier_results():
     model = LotModel()
     assert is_linearizable(model, LOT, read(2, "x"), read(4, "x", "y"), read(6, "y", start=1))
     assert not is_linearizable(model, LOT, read(2, "x", "y"), read(4, "x"))
@@ -75,7 +75,7 @@
     assert not is_linearizable(model, LOT, read(2, "x", "y", "z", "u"))
 
 
-def test_an_end_is_final():
+def test_no_results_are_listed_after_the_end_of_a_lot():
     end = (EndLot(), Done(), 4, 5)
     assert is_linearizable(LotModel(), LOT, read(2, "x"), end, read(6, "x", "y"), read(8, "x", "y"))
     assert not is_linearizable(LotModel(), LOT, end, read(6, "x"), read(8, "x", "y"))
@@ -93,7 +93,7 @@
 
 
 def sequential_zone(rng, count):
-    """Return (order, answer) of a sequential history of one zone."""
+    """Return the rows (order, answer) of a random sequential history of one zone."""
     is_emptied, rows = False, []
     for _ in range(count):
         if rng.random() < 0.5:
@@ -105,7 +105,7 @@
 
 
 def sequential_stores(rng, count):
-    """Return (order, answer) of a sequential history of the stores."""
+    """Return the rows (order, answer) of a random sequential history of the stores."""
     retired, rows = set(), []
     for _ in range(count):
         store = rng.choice(STORE_ZONES)[0]
@@ -124,7 +124,7 @@
 
 
 def sequential_lot(rng, count):
-    """Return (order, answer) of a sequential history of one lot."""
+    """Return the rows (order, answer) of a random sequential history of one lot."""
     total, listed, is_ended = rng.randrange(1, 9), [], False
     rows = [(AcceptLot("d", total), Done())]
     for _ in range(count):
@@ -156,7 +156,10 @@
     st.sampled_from(sorted(MODELS)), st.integers(0, 1 << 30), st.integers(1, 40), st.floats(0, 5)
 )
 def test_sequential_histories_of_each_object_are_accepted(name, seed, count, width):
-    """Orders about zones count again after a contrary one: the search once took them too early."""
+    """A repeated order about a zone has an effect again after one that asks for the opposite.
+
+    The search must not place it early just because it has no effect in the present state.
+    """
     model, make = MODELS[name]
     rng = random.Random(seed)
     operations = [
@@ -166,7 +169,7 @@
     assert check_operations(model, operations).is_linearizable
 
 
-def test_a_repeat_of_an_order_counts_after_a_contrary_one():
+def test_an_order_without_effect_at_its_begin_may_take_effect_after_an_opposite_order():
     assert is_linearizable(
         ZoneModel(),
         (MarkZone(True), Done(), 0.0, 3.0),
@@ -177,13 +180,15 @@
 
 @HYPOTHESIS_SETTINGS
 @given(st.integers(0, 1 << 30), st.integers(4, 30))
-def test_a_mutated_read_of_a_zone_without_overlap_is_rejected(seed, count):
+def test_without_overlap_a_read_that_contradicts_the_last_order_about_a_zone_is_rejected(
+    seed, count
+):
     rng = random.Random(seed)
     rows = [*sequential_zone(rng, count), (ReadZone(), ZoneSeen(False))]
-    rows[-1] = (ReadZone(), ZoneSeen(last_order(rows) is False))
+    rows[-1] = (ReadZone(), ZoneSeen(is_drained_at_end(rows) is False))
     assert check_operations(ZoneModel(), overlapping(rows, rng, 0)).is_linearizable is False
 
 
-def last_order(rows):
-    """Return what the last order about a zone asked for."""
+def is_drained_at_end(rows):
+    """Return whether the last order about the zone drains it; False if there is no order."""
     return next((o.is_emptied for o, _ in reversed(rows) if isinstance(o, MarkZone)), False)
--- a/tests/test_histories_moments.py
+++ b/tests/test_histories_moments.py
@@ -1,4 +1,4 @@
-"""Rare moments of recorded runs: each shows the guard that it was made for, and nothing else."""
+"""Tests the moments of recorded runs: each reveals its seeded bug and is clean without it."""
 
 import pytest
 import simpy
@@ -8,58 +8,58 @@
 from proving.histories.run import run_seed
 from proving.sim.network import SimNet
 
-SHOWN_BY = {
+MOMENT_BY_BUG = {
     "answer before sync": "power_after_answer",
     "unfenced orders": "order_after_its_end",
     "local read": "read_at_waking",
     "lot accepted anew": "lot_again",
     "entry in flight": "read_in_flight",
 }
-SEED, NO_FAULTS = 1, 0
-OTHER_SEEDS = {"local read": 2}
+DEFAULT_SEED, FAULT_COUNT = 1, 0
+SEED_BY_BUG = {"local read": 2}
 
 
-def test_each_moment_is_made_for_a_seeded_bug():
-    assert sorted(SHOWN_BY.values()) == sorted(MOMENT_NAMES)
-    assert set(SHOWN_BY) <= {bug.name for bug in BUGS}
+def test_each_moment_is_designed_for_one_seeded_bug():
+    assert sorted(MOMENT_BY_BUG.values()) == sorted(MOMENT_NAMES)
+    assert set(MOMENT_BY_BUG) <= {bug.name for bug in BUGS}
 
 
-@pytest.mark.parametrize("name", sorted(SHOWN_BY))
-def test_a_moment_shows_its_bug_and_is_clean_with_the_guard(name):
-    moments, seed = (SHOWN_BY[name],), OTHER_SEEDS.get(name, SEED)
+@pytest.mark.parametrize("name", sorted(MOMENT_BY_BUG))
+def test_a_moment_reveals_its_seeded_bug_and_has_no_findings_with_the_guard(name):
+    moments, seed = (MOMENT_BY_BUG[name],), SEED_BY_BUG.get(name, DEFAULT_SEED)
     bug = next(bug for bug in BUGS if bug.name == name)
     with bug.patch():
-        assert run_seed(seed, NO_FAULTS, moments).findings
-    clean = run_seed(seed, NO_FAULTS, moments)
+        assert run_seed(seed, FAULT_COUNT, moments).findings
+    clean = run_seed(seed, FAULT_COUNT, moments)
     assert (clean.findings, clean.undecided) == ((), ())
 
 
-class Always:
-    """Chance that draws the middle of a range and no rare thing."""
+class MidpointRandom:
+    """A random generator without rare events, which draws the middle of each range."""
 
     def random(self):
-        """Return a number that no share reaches."""
+        """Return a number above every probability of a fault."""
         return 0.99
 
     def uniform(self, low, high):
-        """Return the middle."""
+        """Return the middle of the range."""
         return (low + high) / 2
 
 
-class Receiver:
-    """Keeps what arrives at an address."""
+class RecordingReceiver:
+    """Records the packets that arrive at an address."""
 
     def __init__(self):
-        self.got = []
+        self.packets = []
 
     def receive(self, kind, data):
-        """Take a packet."""
-        self.got.append((kind, data))
+        """Record a packet."""
+        self.packets.append((kind, data))
 
 
-def test_a_held_way_holds_frames_of_its_time_only_until_the_event():
+def test_a_hold_delays_only_frames_of_its_period_and_path_until_the_release_event():
     env = simpy.Environment()
-    net, receiver, released = SimNet(env, Always()), Receiver(), env.event()
+    net, receiver, released = SimNet(env, MidpointRandom()), RecordingReceiver(), env.event()
     net.attach("b", receiver)
     net.hold_way("a", "b", 1.0, released)
     net.carry("a", "b", b"held", "frame")
@@ -68,11 +68,11 @@
     env.run(until=2.0)
     net.carry("a", "b", b"later", "frame")
     env.run(until=3.0)
-    assert receiver.got == [
+    assert receiver.packets == [
         ("datagram", b"told"),
         ("frame", b"other way"),
         ("frame", b"later"),
     ]
     released.succeed()
     env.run(until=4.0)
-    assert receiver.got[3:] == [("frame", b"held")]
+    assert receiver.packets[3:] == [("frame", b"held")]
--- a/tests/test_histories_runs.py
+++ b/tests/test_histories_runs.py
@@ -1,4 +1,4 @@
-"""Recorded runs, saved histories and the command."""
+"""Tests recorded runs, checks of snapshots, saved histories and the command line."""
 
 import pytest
 from click.testing import CliRunner
@@ -22,20 +22,20 @@
 
 
 def snapshot(at, index, number, incarnation=1, is_fresh=True):
-    """Return a snapshot of one edge."""
+    """Return a snapshot of edge-1."""
     return Snapshot("edge-1", incarnation, at, index, number, is_fresh)
 
 
-def test_snapshots_never_go_back_within_one_life_and_fresh_ones_are_not_behind():
+def test_a_process_never_goes_back_to_an_older_configuration_and_fresh_nodes_are_current():
     done = Operation("c", "n", CONFIGURATION, adopt(2, 1, 1), 0.0, 1.0, Done())
-    good = [snapshot(0, 3, 1), snapshot(2, 5, 2), snapshot(9, 0, 0, 2, False)]
-    assert check_snapshots(History(1, [done], good)) == []
+    valid = [snapshot(0, 3, 1), snapshot(2, 5, 2), snapshot(9, 0, 0, 2, False)]
+    assert check_snapshots(History(1, [done], valid)) == []
     assert check_snapshots(History(1, [done], [snapshot(2, 5, 2), snapshot(3, 4, 1)]))
     assert check_snapshots(History(1, [done], [snapshot(4, 3, 1)]))
     assert check_snapshots(History(1, [done], [snapshot(4, 3, 1, is_fresh=False)])) == []
 
 
-def test_a_saved_history_is_judged_as_it_was(tmp_path):
+def test_a_saved_history_is_loaded_and_checked_unchanged(tmp_path):
     rows = [
         Operation("c", "n", CONFIGURATION, adopt(1, 0, 1), 0.0, 1.0, Done()),
         Operation("c", "n", CONFIGURATION, FetchConfiguration(), 2.0, 3.0, seen(0, 0)),
@@ -50,7 +50,7 @@
     assert result.exit_code == 1 and "not linearizable" in result.output
 
 
-def test_bad_arguments_and_files_are_told(tmp_path):
+def test_invalid_arguments_and_files_are_reported(tmp_path):
     path = tmp_path / "none.json"
     for text in (None, "{}", "[", '{"seed": 1, "operations": [{"client": 1}]}'):
         if text is not None:
@@ -59,7 +59,7 @@
             load_history(path)
         result = CliRunner().invoke(main, ["--replay", str(path)])
         assert result.exit_code == 1 and "bad_history" in result.output
-    for words in (
+    for arguments in (
         ["--seeds", "0"],
         ["--jobs", "0"],
         ["--first", "-1"],
@@ -67,10 +67,10 @@
         ["--seeds", "2", "--bugs"],
         ["--replay", "1", "--bugs"],
     ):
-        assert CliRunner().invoke(main, words).exit_code == 2
+        assert CliRunner().invoke(main, arguments).exit_code == 2
 
 
-def test_a_recorded_run_under_faults_is_linearizable_and_the_same_each_time():
+def test_a_recorded_run_under_faults_is_linearizable_and_deterministic():
     result, again = run_seed(3), run_seed(3)
     assert result.findings == () and result.undecided == ()
     assert result.operations > 200
@@ -88,7 +88,7 @@
     assert row.seed == 1 and row.found.startswith("lot/")
 
 
-def test_each_guard_that_seeded_bugs_take_out_is_there():
+def test_the_guard_of_each_seeded_bug_exists():
     for bug in BUGS:
         with bug.patch():
             assert bug.guard
--- a/tests/test_loud_cut_runs.py
+++ b/tests/test_loud_cut_runs.py
@@ -1,4 +1,7 @@
-"""Loud cuts in the sweep's and the histories' runs: drawn apart, over by the end, clean."""
+"""Simulated and recorded runs with loud cuts (partitions that refuse or reset connections).
+
+Loud cuts are drawn by a separate random generator, end with the faults, and cause no violation.
+"""
 
 import pytest
 
@@ -8,11 +11,11 @@
 from proving.sim.seeded_run import SMALL, run_seed
 from tests.fleet_stage import SIZES
 
-END_TIME = 6.0
+END_SECONDS = 6.0
 
 
 @pytest.mark.parametrize("deployment, seed", [("ferrowa", 21), ("kilele", 22)])
-def test_a_fixed_seed_with_loud_cuts_has_no_violation(deployment, seed):
+def test_a_simulated_run_with_loud_cuts_has_no_violation(deployment, seed):
     sim, _ = run_seed(deployment, seed, 10, SMALL, loud_cuts=8)
     assert sim.history.violations == []
     assert sim.net.refused_frames > 0 and sim.net.reset_frames > 0
@@ -26,22 +29,22 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_loud_cuts_are_over_by_the_end_and_take_nothing_from_the_other_chances(seed):
+def test_loud_cuts_end_in_time_and_draw_nothing_from_the_other_random_generators(seed):
     sim = SimFleet("ferrowa", seed, SIZES)
     for name in sim.rows:
         sim.start(name)
-    former_states = sim.chance.getstate(), sim.net.chance.getstate()
+    initial_states = sim.chance.getstate(), sim.net.chance.getstate()
     for node in sim.nodes.values():
         node.runtime.kill()
-    sim.env.process(DrawnConnectionResets(sim).run(0, END_TIME, 20))
-    sim.env.run(until=END_TIME - 0.1)
+    sim.env.process(DrawnConnectionResets(sim).run(0, END_SECONDS, 20))
+    sim.env.run(until=END_SECONDS - 0.1)
     assert sim.net.cuts and {*sim.net.cuts} <= {*sim.net.loud_cuts}
-    sim.env.run(until=END_TIME + 0.1)
+    sim.env.run(until=END_SECONDS + 0.1)
     assert not sim.net.cuts
-    assert (sim.chance.getstate(), sim.net.chance.getstate()) == former_states
+    assert (sim.chance.getstate(), sim.net.chance.getstate()) == initial_states
 
 
-def test_loud_cuts_of_one_seed_are_the_same_each_time():
+def test_loud_cuts_are_deterministic_for_a_seed():
     steps = [record_seed(23, 2, loud_cuts=5).history.steps for _ in range(2)]
     assert steps[0] == steps[1]
     assert any("refusing cut" in step for step in steps[0])
