--- a/proving/histories/calls.py
+++ b/proving/histories/calls.py
@@ -37,10 +37,10 @@
 from quillring.rollout.orders import StaleOrder, submit_order
 
 ATTEMPT_SECONDS = 0.8
-HOST, FORWARD = "lots.example", "bulk"
+LOT_HOST, LOT_ROUTE_NAME = "lots.example", "bulk"
 ZONES = ("north", "east", "south", "west")
-LOT_FORWARD = {
-    "host": HOST,
+LOT_ROUTE = {
+    "host": LOT_HOST,
     "prefix": "/bulk/",
     "kind": "lot",
     "split": [[SERVICE, 1]],
@@ -50,11 +50,11 @@
     "retain_ms": 3_600_000,
     "most_tokens": 400,
 }
-SERVICE_ITEM = {"kind": "raw", "warm_rate": 10, "warm_up_ms": 0, "engine": {"slots": 8}}
+SERVICE_SETTINGS = {"kind": "raw", "warm_rate": 10, "warm_up_ms": 0, "engine": {"slots": 8}}
 UNKNOWN_SERVICE = "nowhere"
 
 
-def forward_for_item(name, value, service=SERVICE):
+def route_for_item(name, value, service=SERVICE):
     """Return a route whose `hold_ms` is the value of a configuration item."""
     return {
         "host": "items.example",
@@ -70,17 +70,17 @@
 
     If the content is to be invalid, it includes a route to a service that does not exist.
     """
-    forwards = {name: forward_for_item(name, value) for name, value in order.items}
+    routes = {name: route_for_item(name, value) for name, value in order.items}
     if not order.is_valid:
-        forwards["bad"] = forward_for_item("bad", 1, UNKNOWN_SERVICE)
+        routes["bad"] = route_for_item("bad", 1, UNKNOWN_SERVICE)
     return {
         "do": "edition.adopt",
         "id": command_id,
         "edition": order.number,
         "base_edition": order.base,
         "whole": order.is_whole,
-        "services": {SERVICE: SERVICE_ITEM},
-        "forwards": {FORWARD: LOT_FORWARD, **forwards},
+        "services": {SERVICE: SERVICE_SETTINGS},
+        "forwards": {LOT_ROUTE_NAME: LOT_ROUTE, **routes},
         "limits": None,
         "removed": {"forwards": list(order.removed)} if order.removed else None,
         "extras": None,
@@ -108,11 +108,11 @@
             return submit_order(node, OrderStore(order.store, is_retired=False), attempt_seconds)
         case AcceptLot():
             items = stage.items(name, order.digest, order.count)
-            return api.submit_lot(node, FORWARD, name, items)
+            return api.submit_lot(node, LOT_ROUTE_NAME, name, items)
         case ReadResults():
-            return api.read_results(node, HOST, name, order.start)
+            return api.read_results(node, LOT_HOST, name, order.start)
         case EndLot():
-            return api.end_lot(node, HOST, name)
+            return api.end_lot(node, LOT_HOST, name)
     raise ValueError(f"no call is defined for the order {order}")
 
 
@@ -161,8 +161,10 @@
         answer = answer_for_outcome(FetchConfiguration(), value, error)
         return [(*row, answer) for row in orders]
     configuration = value["layout"]
-    forwards, store_orders = configuration.get("forwards") or {}, configuration.get("stores") or {}
-    items = tuple(sorted((n, f["hold_ms"]) for n, f in forwards.items() if n != FORWARD))
+    routes, store_orders = configuration.get("forwards") or {}, configuration.get("stores") or {}
+    items = tuple(
+        sorted((item, route["hold_ms"]) for item, route in routes.items() if item != LOT_ROUTE_NAME)
+    )
     retired = tuple(sorted(name for name, order in store_orders.items() if order.get("retired")))
     ordered_zones = configuration.get("domains") or {}
     answers = [
--- a/proving/histories/checker.py
+++ b/proving/histories/checker.py
@@ -61,11 +61,11 @@
             if not (isinstance(operation.answer, Unknown) and isinstance(operation.order, READS))
         ]
         self.operations = sorted(relevant, key=lambda operation: operation.begin)
-        self.ends = [
+        self.end_times = [
             math.inf if isinstance(o.answer, Unknown) or o.end is None else o.end
             for o in self.operations
         ]
-        self.completed = sum(1 << n for n, end in enumerate(self.ends) if end < math.inf)
+        self.completed_mask = sum(1 << n for n, end in enumerate(self.end_times) if end < math.inf)
 
     def candidates(self, placed):
         """Return the indices of the operations that may come next after those placed.
@@ -78,8 +78,8 @@
                 continue
             if operation.begin > first_end:
                 break
-            first_end = min(first_end, self.ends[number])
-            if self.ends[number] == math.inf:
+            first_end = min(first_end, self.end_times[number])
+            if self.end_times[number] == math.inf:
                 if operation.order in unknown_orders:
                     continue
                 unknown_orders.add(operation.order)
@@ -90,7 +90,7 @@
         """Return the configurations that may follow; only one if the choice does not matter."""
         found = []
         for number in self.candidates(placed):
-            operation, is_unknown = self.operations[number], self.ends[number] == math.inf
+            operation, is_unknown = self.operations[number], self.end_times[number] == math.inf
             next_states = self.model.step(state, operation.order, operation.answer)
             is_no_op = state in next_states
             if is_no_op and not is_unknown and self.model.stays_no_op(operation):
@@ -116,7 +116,7 @@
     best = (0, model.initial_state)
     while stack:
         placed, state = stack.pop()
-        if placed & search.completed == search.completed:
+        if placed & search.completed_mask == search.completed_mask:
             return Verdict(True, len(tried), placed.bit_count(), (), state)
         if placed.bit_count() > best[0].bit_count():
             best = (placed, state)
@@ -129,6 +129,6 @@
     blocked = tuple(
         search.operations[number]
         for number in search.candidates(best[0])
-        if search.ends[number] < math.inf
+        if search.end_times[number] < math.inf
     )
     return Verdict(False, len(tried), best[0].bit_count(), blocked, best[1])
--- a/proving/histories/clients.py
+++ b/proving/histories/clients.py
@@ -163,7 +163,7 @@
         self.update_known_number(order, (yield from self.send_with_resends(CONFIGURATION, order)))
 
     def update_known_number(self, order, answer):
-        """Set the known configuration number to the one that an answer contains."""
+        """Set the known number to that of an acknowledged order or of the answer."""
         if isinstance(answer, Done):
             self.known_number = order.number
         elif isinstance(answer, Conflicting) and answer.winning is not None:
--- a/proving/histories/faults.py
+++ b/proving/histories/faults.py
@@ -97,7 +97,7 @@
         self.sim.net.cuts -= added
 
     def restart_after(self, name, seconds):
-        """Process: restart a killed node after `seconds`."""
+        """Process: restart a killed node after `seconds`, and retry at that interval on failure."""
         yield from self._back(name, seconds)
 
     def restart_owner(self):
--- a/proving/histories/run.py
+++ b/proving/histories/run.py
@@ -36,7 +36,7 @@
 
 
 class Finding(NamedTuple):
-    """One violation found in a run: the name of the object, and a description."""
+    """One violation found in a run: its description, and the object or the check it is about."""
 
     target: str
     text: str
--- a/proving/histories/stage.py
+++ b/proving/histories/stage.py
@@ -37,7 +37,7 @@
     """A small fleet that records the operations of its clients and snapshots of its nodes.
 
     The raw replicas append to `arrivals` and `whole_runs`; `counts` may override the number of
-    tokens that they return for an item.
+    events that they return for an item.
     """
 
     def __init__(self, seed):
--- a/tests/test_histories_found.py
+++ b/tests/test_histories_found.py
@@ -7,7 +7,7 @@
 from quillring.quorum.parts import CONFIG_PART
 from tests.http_lot_stage import FORWARD, HOST, HttpLotStage
 
-MOST_TOKENS = 400
+MAX_TOKENS = 400
 EMPTY_CHANGE = {
     "do": "edition.adopt",
     "id": "change",
@@ -28,7 +28,7 @@
 
 def test_a_resubmitted_lot_is_acknowledged_after_another_lot_of_its_name_was_refused():
     """Seed 1015: the reservation of the refused lot blocked the repeat of the accepted lot."""
-    with HttpLotStage(7, most_tokens=MOST_TOKENS) as stage:
+    with HttpLotStage(7, most_tokens=MAX_TOKENS) as stage:
         first, error = submit(stage, "a", 3)
         assert error is None and first["items"] == 3
         stage.read_all("a")
@@ -46,28 +46,28 @@
 
     The edge that submits the first lot is killed at different times after the submission.
     """
-    with HttpLotStage(8, most_tokens=MOST_TOKENS) as stage:
-        for turn in range(1, 13):
+    with HttpLotStage(8, most_tokens=MAX_TOKENS) as stage:
+        for delay_steps in range(1, 13):
             items = stage.items("x", 3)
             edge, other = stage.sim.up_nodes("edge")[:2]
             stage.begin(
                 edge,
-                lambda node, items=items, turn=turn: api.submit_lot(
-                    node, FORWARD, f"a{turn}", items
+                lambda node, items=items, delay_steps=delay_steps: api.submit_lot(
+                    node, FORWARD, f"a{delay_steps}", items
                 ),
             )
-            stage.run(0.003 * turn)
+            stage.run(0.003 * delay_steps)
             stage.sim.kill(edge.me.name)
             _, error = stage.do(
                 other,
-                lambda node, turn=turn: api.submit_lot(
-                    node, FORWARD, f"a{turn}", stage.items("x", 4)
+                lambda node, delay_steps=delay_steps: api.submit_lot(
+                    node, FORWARD, f"a{delay_steps}", stage.items("x", 4)
                 ),
             )
             stage.run(1)
             if isinstance(error, Conflict):
-                known, reading_error = stage.read(f"a{turn}", node=other)
-                assert reading_error is None and known["items"] == 3, turn
+                reply, reading_error = stage.read(f"a{delay_steps}", node=other)
+                assert reading_error is None and reply["items"] == 3, delay_steps
             stage.sim.start(edge.me.name)
             stage.run(3)
 
@@ -80,11 +80,11 @@
 def read_from_stores(stage, part, query):
     """Read a part from a majority of its stores, as an edge does if the owner does not answer."""
     group = stage.up("edge").find("ownership").group(part)
-    known, error = stage.do(
+    reply, error = stage.do(
         stage.up("edge"), lambda node: read_from_majority(node, part, group, query)
     )
-    assert error is None and known is not None
-    return unwrap_answer(known)
+    assert error is None and reply is not None
+    return unwrap_answer(reply)
 
 
 def test_a_read_at_the_owner_is_not_older_than_an_earlier_read_of_the_configuration_at_stores():
@@ -98,10 +98,10 @@
         stage.run(0.05)
         assert read_from_stores(stage, CONFIG_PART, {"ask": "edition"})["edition"] == previous + 1
         stage.sim.net.heal()
-        known, error = stage.do(
+        reply, error = stage.do(
             owner, lambda node: node.find("ownership").read(CONFIG_PART, {"ask": "edition"}, 2)
         )
-        assert error is None and known["edition"] == previous + 1
+        assert error is None and reply["edition"] == previous + 1
 
 
 def test_a_read_at_the_owner_shows_every_result_of_an_earlier_read_at_stores():
@@ -122,5 +122,5 @@
         stage.run(0.05)
         assert len(read_from_stores(stage, place.own, query)["results"]) == 1
         stage.sim.net.heal()
-        known, error = stage.read("a", node=owner)
-        assert error is None and len(known["results"]) == 1
+        reply, error = stage.read("a", node=owner)
+        assert error is None and len(reply["results"]) == 1
