--- a/proving/drawn/__init__.py
+++ b/proving/drawn/__init__.py
@@ -1,1 +1,1 @@
-"""Days of faults drawn by seed over the traffic of a site file."""
+"""Days of random faults, drawn from a seed, over the traffic of a site file."""
--- a/proving/drawn/draw.py
+++ b/proving/drawn/draw.py
@@ -1,69 +1,76 @@
-"""Drawing one day: entries of faults and planned work at chosen moments."""
+"""Draws one day: faults and planned work at random times."""
 
 from proving.drawn.kinds import CLOSINGS, CONTROL_FAULTS, FLAG_SHARE, PLANNED, REPLICA_FAULTS
 
-FIRST_AT = 2.0
+FIRST_AT_SECONDS = 2.0
 LAST_SHARE = 0.85
 CLUSTER_SHARE = 0.5
-CLUSTER_WIDTH_S = 2.0
+CLUSTER_WIDTH_SECONDS = 2.0
 CLOSING_SHARE = 0.6
 MANY_CHANGES_SHARE = 0.15
-MANY_CHANGES = 100
-LOAD = (0.5, 0.9)
+MANY_CHANGES_COUNT = 100
+LOAD_RANGE = (0.5, 0.9)
 
 
 def draw_entry(chance, kind, at):
-    """Return one entry of this kind at a time in seconds from the start of traffic."""
+    """Return a random entry of a kind at a time in seconds since the start of traffic."""
     entry = {"at": round(at, 2), "kind": kind.name}
-    for field, (least, most) in kind.ranges.items():
-        is_whole = isinstance(least, int) and isinstance(most, int)
+    for field, (low, high) in kind.ranges.items():
+        is_integer = isinstance(low, int) and isinstance(high, int)
         entry[field] = (
-            chance.randint(least, most) if is_whole else round(chance.uniform(least, most), 2)
+            chance.randint(low, high) if is_integer else round(chance.uniform(low, high), 2)
         )
-    on = chance.choice(kind.on) if kind.on else ""
-    if on:
-        entry["on"] = on
-    words = [chance.choice(kind.hows)]
-    words += [flag for flag in kind.flags if chance.random() < FLAG_SHARE]
-    how = " ".join(word for word in words if word)
+    machine_class = chance.choice(kind.machine_classes) if kind.machine_classes else ""
+    if machine_class:
+        entry["on"] = machine_class
+    modifiers = [chance.choice(kind.variants)]
+    modifiers += [flag for flag in kind.flags if chance.random() < FLAG_SHARE]
+    how = " ".join(modifier for modifier in modifiers if modifier)
     if how:
         entry["how"] = how
     return entry
 
 
 def draw_times(chance, count, length):
-    """Return moments of a day of some seconds; half of them stand close to another one."""
-    times = [chance.uniform(FIRST_AT, length * LAST_SHARE) for _ in range(count)]
-    for place in range(1, count):
+    """Return sorted times in a day of `length` seconds, about half of them close to another one."""
+    times = [chance.uniform(FIRST_AT_SECONDS, length * LAST_SHARE) for _ in range(count)]
+    for index in range(1, count):
         if chance.random() < CLUSTER_SHARE:
-            near = times[place - 1] + chance.uniform(0, CLUSTER_WIDTH_S)
-            times[place] = min(near, length * LAST_SHARE)
+            near_time = times[index - 1] + chance.uniform(0, CLUSTER_WIDTH_SECONDS)
+            times[index] = min(near_time, length * LAST_SHARE)
     return sorted(times)
 
 
 def draw_day(chance, site, name, seed):
-    """Return a day as the site file writes one, over the site's own traffic and goals."""
+    """Return a day in the format of the site file, with the site's traffic at a random load."""
     length = site["length_s"]
-    control = draw_times(chance, chance.randint(2, 5), length)
-    others = draw_times(chance, chance.randint(1, 3), length)
-    planned = draw_times(chance, chance.randint(2, 5), length)
-    faults = [draw_entry(chance, chance.choice(CONTROL_FAULTS), at) for at in control]
-    faults += [draw_entry(chance, chance.choice(REPLICA_FAULTS), at) for at in others]
-    plan = [draw_entry(chance, chance.choice(PLANNED), at) for at in planned]
+    control_fault_times = draw_times(chance, chance.randint(2, 5), length)
+    replica_fault_times = draw_times(chance, chance.randint(1, 3), length)
+    planned_times = draw_times(chance, chance.randint(2, 5), length)
+    faults = [draw_entry(chance, chance.choice(CONTROL_FAULTS), at) for at in control_fault_times]
+    faults += [draw_entry(chance, chance.choice(REPLICA_FAULTS), at) for at in replica_fault_times]
+    plan = [draw_entry(chance, chance.choice(PLANNED), at) for at in planned_times]
     if chance.random() < MANY_CHANGES_SHARE:
-        gap = round((length - 2 * FIRST_AT) / MANY_CHANGES, 3)
-        plan.append({"at": FIRST_AT, "kind": "config_race", "count": MANY_CHANGES, "gap_s": gap})
-    model = site["day"][0]
-    load = chance.uniform(*LOAD)
+        gap = round((length - 2 * FIRST_AT_SECONDS) / MANY_CHANGES_COUNT, 3)
+        plan.append(
+            {
+                "at": FIRST_AT_SECONDS,
+                "kind": "config_race",
+                "count": MANY_CHANGES_COUNT,
+                "gap_s": gap,
+            }
+        )
+    template = site["day"][0]
+    load = chance.uniform(*LOAD_RANGE)
     day = {
         "name": name,
         "slot": "trouble",
         "seed": seed,
-        "one": model["one"],
-        "zero": model["zero"],
+        "one": template["one"],
+        "zero": template["zero"],
         "goal": {"floor": 0.2},
         "labels": [],
-        "wall": model["wall"],
+        "wall": template["wall"],
         "light": False,
         "plan": sorted(plan, key=lambda entry: entry["at"]),
         "faults": sorted(faults, key=lambda entry: entry["at"]),
--- a/proving/drawn/kinds.py
+++ b/proving/drawn/kinds.py
@@ -1,4 +1,4 @@
-"""Which faults and planned work a drawn day may hold, with the ranges of their fields."""
+"""The kinds of faults and planned work in a drawn day, with the ranges of their fields."""
 
 from typing import NamedTuple
 
@@ -8,16 +8,16 @@
 class Kind(NamedTuple):
     """One kind of entry.
 
-    `ranges` gives (least, most) of each number, whole where both are whole; `hows` the variants,
-    of which one is drawn; `flags` words that may stand after the variant; `on` the machine
-    classes that it may strike.
+    `ranges` maps each numeric field to (lowest, highest), which is drawn as an integer if both are
+    integers. One of `variants` is drawn, and each of `flags` may be added to it. `machine_classes`
+    are the classes of machines that the entry may affect; an empty one leaves the field out.
     """
 
     name: str
     ranges: dict = {}
-    hows: tuple = ("",)
+    variants: tuple = ("",)
     flags: tuple = ()
-    on: tuple = ()
+    machine_classes: tuple = ()
 
 
 RETURN_FLAGS = ("meet", "race", "hard", "drain")
--- a/tests/test_drawn_days.py
+++ b/tests/test_drawn_days.py
@@ -1,3 +1,5 @@
+"""Drawn days of faults: equal for equal seeds, sorted, and only from a valid site file."""
+
 import random
 import tomllib
 
@@ -26,14 +28,14 @@
     return path
 
 
-def call(*words):
-    return CliRunner().invoke(main, [str(word) for word in words])
+def run_command(*arguments):
+    return CliRunner().invoke(main, [str(argument) for argument in arguments])
 
 
-def test_days_are_written_and_the_same_seed_gives_the_same_day(site_path, tmp_path):
+def test_days_are_written_and_equal_seeds_give_equal_days(site_path, tmp_path):
     texts = []
     for folder in ("one", "two"):
-        result = call(site_path, "--first", 3, "--count", 2, "--output", tmp_path / folder)
+        result = run_command(site_path, "--first", 3, "--count", 2, "--output", tmp_path / folder)
         assert result.exit_code == 0, result.output
         paths = [line for line in result.output.split() if line]
         assert len(paths) == 2
@@ -42,7 +44,7 @@
 
 
 @pytest.mark.parametrize("seed", range(200))
-def test_every_entry_lies_inside_the_day_and_in_order(seed):
+def test_all_entries_are_within_the_day_and_sorted_by_time(seed):
     site = tomllib.loads(SITE)
     day = draw_day(random.Random(seed), site, "d", seed)
     for section in ("plan", "faults"):
@@ -53,16 +55,16 @@
 
 
 @pytest.mark.parametrize(
-    "content, said",
+    "content, message",
     [("", "no name"), ("name = [", "Invalid"), ('name = "x"\nlength_s = 3.0', "no traffic, day")],
 )
-def test_a_file_that_is_no_site_is_told_and_nothing_written(tmp_path, content, said):
+def test_an_invalid_site_file_is_reported_and_no_day_is_written(tmp_path, content, message):
     path = tmp_path / "bad.toml"
     path.write_text(content)
-    result = call(path, "--output", tmp_path / "out")
-    assert result.exit_code == 2 and said.lower() in result.output.lower()
+    result = run_command(path, "--output", tmp_path / "out")
+    assert result.exit_code == 2 and message.lower() in result.output.lower()
     assert not (tmp_path / "out").exists()
 
 
-def test_a_count_out_of_range_is_told(site_path, tmp_path):
-    assert call(site_path, "--count", 0, "--output", tmp_path / "out").exit_code == 2
+def test_a_count_out_of_range_is_a_usage_error(site_path, tmp_path):
+    assert run_command(site_path, "--count", 0, "--output", tmp_path / "out").exit_code == 2
