--- a/proving/sim/sweep.py
+++ b/proving/sim/sweep.py
@@ -1,4 +1,4 @@
-"""The sweep: many simulator seeds, on all cores; failing seeds print their replay command."""
+"""Runs many simulator seeds in parallel and prints a replay command for each that fails."""
 
 import gc
 import json
@@ -13,7 +13,7 @@
 
 
 def run_one(job):
-    """Run one seed in a worker."""
+    """Run one seed in a worker process, with garbage collection off; return its result."""
     gc.disable()
     deployment, seed, faults, small, loud_cuts = job
     start_time = time.perf_counter()
@@ -24,8 +24,8 @@
         outcomes = {f"{k}/{o}": n for (k, o), n in callers.record.outcomes.items()}
         counts = sim.history.counts
     except Exception as error:
-        place = traceback.format_exc().splitlines()[-12:]
-        violations, notes, outcomes, counts = [f"failure: {error!r}", *place], [], {}, {}
+        trace_lines = traceback.format_exc().splitlines()[-12:]
+        violations, notes, outcomes, counts = [f"failure: {error!r}", *trace_lines], [], {}, {}
     gc.enable()
     gc.collect()
     return {
@@ -40,7 +40,7 @@
 
 
 def replay_command(result, faults, small, loud_cuts):
-    """Return the command that replays a seed."""
+    """Return the command line that replays a seed."""
     flags = f" --loud-cuts {loud_cuts}" if loud_cuts else ""
     flags += " --small" if small else ""
     return (
@@ -52,14 +52,16 @@
 @click.command()
 @click.option("--deployment", "deployments", multiple=True, default=("ferrowa", "kilele"))
 @click.option("--first", default=1, show_default=True, help="First seed.")
-@click.option("--count", default=20, show_default=True, help="Seeds a deployment.")
-@click.option("--faults", default=10, show_default=True, help="Faults a run.")
-@click.option("--loud-cuts", default=0, show_default=True, help="Resetting or refusing cuts a run.")
+@click.option("--count", default=20, show_default=True, help="Seeds per deployment.")
+@click.option("--faults", default=10, show_default=True, help="Faults per run.")
+@click.option(
+    "--loud-cuts", default=0, show_default=True, help="Resetting or refusing cuts per run."
+)
 @click.option("--small", is_flag=True, help="Fewer edges and cores.")
 @click.option("--workers", default=8, show_default=True)
 @click.option("--verbose", is_flag=True, help="Print the steps of every run.")
 def main(deployments, first, count, faults, loud_cuts, small, workers, verbose):
-    """Run many seeds; exit 1 when any has a violation."""
+    """Run many seeds; exit with 1 if any has a violation."""
     seeds = range(first, first + count)
     jobs = [(d, seed, faults, small, loud_cuts) for seed in seeds for d in deployments]
     outcomes, counts, failed = {}, {}, 0
--- a/proving/sim/traces.py
+++ b/proving/sim/traces.py
@@ -1,4 +1,4 @@
-"""Recorded traces: what one store or node took in during a run, to be played again without it."""
+"""Recorded traces: the input of one store or node during a run, replayed without the run."""
 
 import hashlib
 import zlib
@@ -16,17 +16,17 @@
 from quillring.quorum import Acceptors
 
 FOLDER = "tests/traces"
-VERBS = ("found", "prepare", "accept", "commit", "install", "confirm")
-LIMIT = 1500
+RECORDED_VERBS = ("found", "prepare", "accept", "commit", "install", "confirm")
+MAX_CALLS = 1500
 
 
 def digest(value):
-    """Return a short digest of a value."""
+    """Return the first 16 hex digits of the SHA-256 of a value's canonical CBOR."""
     return hashlib.sha256(cbor2.dumps(value, canonical=True)).hexdigest()[:16]
 
 
 def part_digests(acceptors):
-    """Return what a store holds of each part, in short."""
+    """Return {part: [promised ballot, applied index, committed index, digest of the state]}."""
     return {
         part: [list(record.promised), record.applied, record.committed, digest(record.state)]
         for part, record in sorted(acceptors.parts.items())
@@ -34,21 +34,21 @@
 
 
 def record_store(seed, name):
-    """Run a fuzz seed of the quorum; return the calls one store took in and what it then held."""
+    """Run a quorum fuzz seed; return the calls that a store received and its resulting state."""
     fuzz, calls = Fuzz(seed), []
     real_attach = Acceptors.attach
 
     def attach(self, node):
         real_attach(self, node)
         if node.me.name == name and not calls:
-            for verb in VERBS:
-                node.handlers[f"quorum.{verb}"] = watch(self, verb)
+            for verb in RECORDED_VERBS:
+                node.handlers[f"quorum.{verb}"] = recording_handler(self, verb)
 
-    def watch(acceptors, verb):
+    def recording_handler(acceptors, verb):
         handler = getattr(acceptors, f"on_{verb}")
 
         def on_call(body, origin):
-            if len(calls) < LIMIT and not fuzz.sim.nodes[name].runtime.is_dead:
+            if len(calls) < MAX_CALLS and not fuzz.sim.nodes[name].runtime.is_dead:
                 calls.append([verb, cbor2.loads(cbor2.dumps(body)), part_digests(acceptors)])
             return handler(body, origin)
 
@@ -59,18 +59,18 @@
         fuzz.run()
     finally:
         Acceptors.attach = real_attach
-    *played, (_, _, held) = calls
+    *replayed_calls, (_, _, final_digests) = calls
     return {
         "seed": seed,
         "store": name,
-        "calls": [call[:2] for call in played],
-        "held": held,
-        "identity": played[0][1]["identity"],
+        "calls": [call[:2] for call in replayed_calls],
+        "held": final_digests,
+        "identity": replayed_calls[0][1]["identity"],
     }
 
 
-def play_store(trace):
-    """Play the calls against a fresh store's state machine; return what it holds."""
+def replay_store(trace):
+    """Replay the calls against a new acceptor; return the digests of its parts."""
     acceptors = Acceptors()
     acceptors.identity, acceptors.log = trace["identity"], InstantLog()
     node = Node(Member(trace["store"], 1, "store", "x", "127.0.0.1", 1, 2, ""), None)
@@ -85,25 +85,28 @@
 
 
 def record_node(seed, name):
-    """Record the heartbeats a node took in while links were cut, one way too, and healed."""
-    stage, taken = Stage(seed), []
+    """Record the heartbeats that a node received while links were cut, also one way, and healed.
+
+    An entry without data marks the node's own heartbeat round.
+    """
+    stage, received = Stage(seed), []
     node = stage.node(name)
     nifty, runtime = node.find("nifty"), node.runtime
-    start = runtime.now()
+    start_time = runtime.now()
 
     def view():
         return [sorted(nifty.graph.links.get(name, ())), list(nifty.bridge_nodes())]
 
-    before = [m.to_list() for m in nifty.roster.members.values()]
+    members_before = [m.to_list() for m in nifty.roster.members.values()]
     real_datagram, real_send_heartbeats = runtime.on_datagram, Nifty.send_heartbeats
 
     def on_datagram(data):
-        taken.append([runtime.now() - start, data])
+        received.append([runtime.now() - start_time, data])
         real_datagram(data)
 
     def send_heartbeats(self):
         if self is nifty:
-            taken.append([runtime.now() - start, None])
+            received.append([runtime.now() - start_time, None])
         real_send_heartbeats(self)
 
     runtime.on_datagram, Nifty.send_heartbeats = on_datagram, send_heartbeats
@@ -122,34 +125,34 @@
         Nifty.send_heartbeats = real_send_heartbeats
     return {
         "me": node.me.to_list(),
-        "members": before,
+        "members": members_before,
         "sequence": sequence,
-        "taken": taken,
+        "taken": received,
         "view": view(),
     }
 
 
 class TraceRuntime:
-    """A runtime in which only the trace's time passes and nothing is sent."""
+    """A runtime whose clock is the trace's time and which sends nothing."""
 
     def __init__(self):
         self.time = 0.0
 
     def now(self):
-        """Return the time of the trace."""
+        """Return the time within the trace in seconds."""
         return self.time
 
     def datagram(self, address, data):
-        """Send nothing."""
+        """Drop the data."""
 
     frame = datagram
 
     def reset(self, address):
-        """There is no connection to begin afresh."""
+        """Do nothing: there are no connections."""
 
 
-def play_node(trace):
-    """Play the heartbeats against a fresh peer layer; return its views whenever they changed."""
+def replay_node(trace):
+    """Replay the heartbeats against a new peer layer; return each changed view with its time."""
     runtime = TraceRuntime()
     node = Node(Member.from_list(trace["me"]), runtime)
     nifty = node.offer("nifty", Nifty(node, []))
@@ -163,9 +166,9 @@
             nifty.refresh()
         else:
             nifty.on_datagram(data)
-        seen = [sorted(nifty.graph.links.get(node.me.name, ())), list(nifty.bridge_nodes())]
-        if not views or views[-1][1] != seen:
-            views.append([at, seen])
+        view = [sorted(nifty.graph.links.get(node.me.name, ())), list(nifty.bridge_nodes())]
+        if not views or views[-1][1] != view:
+            views.append([at, view])
     return views
 
 
@@ -183,7 +186,7 @@
 
 @click.command()
 def main():
-    """Record all traces anew."""
+    """Record all traces again."""
     for seed in (12, 19):
         save(f"store-fuzz-{seed}", record_store(seed, "store-1"))
     save("edge-cuts", record_node(3, "edge-1"))
--- a/tests/test_seeds.py
+++ b/tests/test_seeds.py
@@ -1,9 +1,11 @@
+"""Simulated runs of fixed seeds have no violation, and a seed always gives the same run."""
+
 import pytest
 
 from proving.sim.seeded_run import SMALL, run_seed
 
 SEEDS = [("ferrowa", 1), ("ferrowa", 2), ("kilele", 1), ("kilele", 2)]
-ONCE_FAILED = [
+REGRESSION_SEEDS = [
     ("kilele", 112, 18),
     ("ferrowa", 2001, 24),
     ("kilele", 2031, 24),
@@ -17,13 +19,13 @@
     assert sim.history.violations == []
 
 
-@pytest.mark.parametrize("deployment, seed, faults", ONCE_FAILED)
-def test_a_seed_that_failed_once_stays_good(deployment, seed, faults):
+@pytest.mark.parametrize("deployment, seed, faults", REGRESSION_SEEDS)
+def test_a_seed_that_once_failed_has_no_violation(deployment, seed, faults):
     sim, _ = run_seed(deployment, seed, faults)
     assert sim.history.violations == []
 
 
-def test_a_seed_replays_to_the_same_history():
+def test_a_seed_gives_the_same_notes_and_outcomes_in_every_run():
     runs = [run_seed("ferrowa", 7, 6, SMALL) for _ in range(2)]
     notes = [sim.history.notes for sim, _ in runs]
     outcomes = [callers.record.outcomes for _, callers in runs]
