--- a/proving/sim/measure.py
+++ b/proving/sim/measure.py
@@ -1,4 +1,4 @@
-"""Measurements in simulated time, each against what the design promises; prints one JSON line."""
+"""Measurements in simulated time of figures that the design promises; prints one JSON line each."""
 
 import json
 import statistics
@@ -8,16 +8,16 @@
 from proving.points.configuration import adopt
 from proving.points.scenario_fleet import Stage
 
-WIDE = {"replicas": [("words", 6, 8), ("map", 4, 8)]}
+MANY_REPLICAS = {"replicas": [("words", 6, 8), ("map", 4, 8)]}
 
 
 def sizes(edges, cores=4, stores=4):
-    """Return a fleet of so many nodes."""
-    return {"sizes": {"edge": edges, "core": cores, "store": stores}, **WIDE}
+    """Return the options of a fleet with these numbers of nodes."""
+    return {"sizes": {"edge": edges, "core": cores, "store": stores}, **MANY_REPLICAS}
 
 
 def beats_by_nodes(seed):
-    """Heartbeat bytes and packets a second and node, and graph work, against node count."""
+    """Heartbeats and heartbeat bytes per second and node, and graph changes, by node count."""
     rows = {}
     for count in (16, 28, 64, 128):
         stage = Stage(seed, sizes=sizes(count - 8), ready_at=10)
@@ -42,8 +42,8 @@
     return rows
 
 
-def until(stage, is_done, seconds=20, step=0.01):
-    """Return the seconds until a condition holds."""
+def run_until(stage, is_done, seconds=20, step=0.01):
+    """Run until a condition holds, at most `seconds`; return the simulated seconds it took."""
     start_time = stage.env.now
     while not is_done() and stage.env.now - start_time < seconds:
         stage.run(step)
@@ -51,20 +51,20 @@
 
 
 def detection(seed):
-    """Time from a cut to the broken link and to the relayed route, in heartbeat periods."""
+    """Time until a cut is detected, rerouted and found healed, in heartbeat periods of 0.5 s."""
     found, rerouted, healed = [], [], []
     for number in range(8):
         stage = Stage(seed + number)
         stage.run(0.5 + number * 0.07)
         node = stage.node("edge-1")
         stage.sim.cut(["edge-1"], ["store-1"])
-        found.append(until(stage, lambda n=node: n.find("nifty").graph.hops("store-1") != 1))
+        found.append(run_until(stage, lambda n=node: n.find("nifty").graph.hops("store-1") != 1))
         rerouted.append(
-            found[-1] + until(stage, lambda n=node: n.find("nifty").graph.hops("store-1") == 2)
+            found[-1] + run_until(stage, lambda n=node: n.find("nifty").graph.hops("store-1") == 2)
         )
         stage.run(2)
         stage.sim.heal()
-        healed.append(until(stage, lambda n=node: n.find("nifty").graph.hops("store-1") == 1))
+        healed.append(run_until(stage, lambda n=node: n.find("nifty").graph.hops("store-1") == 1))
     return {
         name: {"median": round(statistics.median(v) / 0.5, 2), "most": round(max(v) / 0.5, 2)}
         for name, v in (("broken", found), ("rerouted", rerouted), ("healed", healed))
@@ -72,13 +72,13 @@
 
 
 def propagation(seed):
-    """Time from acceptance of a layout to the last live node."""
+    """Time from the acceptance of a configuration until the last live node has it."""
     times = []
     for number in range(6):
         stage = Stage(seed + number, sizes=sizes(20))
         adopt(stage, "core-1", {"entries": {"extra": {"service": "words", "class": "traveller"}}})
         times.append(
-            until(
+            run_until(
                 stage,
                 lambda s=stage: all(
                     n.find("layout").version == 2
@@ -91,7 +91,7 @@
 
 
 def takeover(seed):
-    """Time from the death of a part's owner to the first commit under the next one."""
+    """Time from the crash of a part's owner to the first commit under the next owner."""
     times = []
     for number in range(8):
         stage = Stage(seed + number)
@@ -101,13 +101,13 @@
         start_time = stage.env.now
         before = stage.sim.history.counts.get("accepted_lots", 0)
         stage.start(stage.callers.lot("gate-notices", 1, 0.0))
-        until(stage, lambda s=stage, b=before: s.sim.history.counts.get("accepted_lots", 0) > b)
+        run_until(stage, lambda s=stage, b=before: s.sim.history.counts.get("accepted_lots", 0) > b)
         times.append(round(stage.env.now - start_time, 3))
     return {"median_s": statistics.median(times), "most_s": max(times)}
 
 
 def fsyncs(seed):
-    """Store syncs an accepted lot, one at a time and forty at once."""
+    """Store syncs per accepted lot, for one lot and for forty submitted at once."""
     rows = {}
     for label, count in (("one", 1), ("forty at once", 40)):
         stage = Stage(seed)
@@ -116,12 +116,14 @@
             replica.is_dark = True
         stage.run(2.5)
         before = sum(d.syncs for d in stage.sim.disks.values())
-        quiet = stage.sim.history.counts.get("accepted_lots", 0)
+        lots_before = stage.sim.history.counts.get("accepted_lots", 0)
         for _ in range(count):
             stage.start(stage.callers.lot("gate-notices", 5, 0.0))
-        until(
+        run_until(
             stage,
-            lambda s=stage, q=quiet, c=count: s.sim.history.counts.get("accepted_lots", 0) >= q + c,
+            lambda s=stage, q=lots_before, c=count: (
+                s.sim.history.counts.get("accepted_lots", 0) >= q + c
+            ),
         )
         spent = sum(d.syncs for d in stage.sim.disks.values()) - before
         rows[label] = round(spent / count, 2)
@@ -129,7 +131,7 @@
 
 
 def cache_hits(seed):
-    """Share of model inquiries that found their prefix in the replica's cache."""
+    """Share of model inquiries whose prefix was in the replica's cache."""
     rows = {}
     for label, prefixes in (("two prefixes", 2), ("forty prefixes", 40)):
         stage = Stage(seed, sizes=sizes(7))
@@ -142,10 +144,10 @@
         chance = stage.sim.chance
         stage.callers.stop_at = stage.env.now + 30
 
-        def pick(stage=stage, chance=chance, prefixes=prefixes):
+        def stream_random_prefix(stage=stage, chance=chance, prefixes=prefixes):
             yield from stage.callers.stream(f"p-{chance.randrange(prefixes)}", "short", 8)
 
-        stage.start(stage.callers.generate(20, pick))
+        stage.start(stage.callers.generate(20, stream_random_prefix))
         stage.run(32)
         logics = [r.logic for r in stage.sim.replicas.values() if r.row["service"] == "words"]
         hits, misses = sum(x.hits for x in logics), sum(x.misses for x in logics)
@@ -154,10 +156,10 @@
 
 
 def relay_weight(seed):
-    """Messages relayed a second by each bridge, with one to four bridges."""
+    """Messages per second that each bridge relays, with one to three bridges."""
     rows = {}
     for count in (1, 2, 3):
-        stage = Stage(seed, sizes={"sizes": {"edge": 4, "core": 3, "store": 4}, **WIDE})
+        stage = Stage(seed, sizes={"sizes": {"edge": 4, "core": 3, "store": 4}, **MANY_REPLICAS})
         cores = stage.sim.names("core")
         stage.sim.cut([*stage.sim.names("edge"), *cores[count:]], [*stage.sim.names("store")])
         stage.run(4)
@@ -175,7 +177,7 @@
 
 @click.command()
 @click.option("--seed", default=1, show_default=True)
-@click.option("--only", default="", help="Only the measurement of this name.")
+@click.option("--only", default="", help="Run only measurements whose name contains this.")
 def main(seed, only):
     """Run the measurements."""
     for measure in MEASURES:
--- a/proving/sim/monitor.py
+++ b/proving/sim/monitor.py
@@ -1,4 +1,4 @@
-"""Invariants checked over the whole fleet ten times a second: configurations, parts, queues."""
+"""Invariants over the whole fleet, checked ten times per second: configurations, parts, queues."""
 
 import hashlib
 
@@ -6,11 +6,11 @@
 
 
 class Monitor:
-    """Checks the invariants that no single caller can see; violations go to the history.
+    """Checks invariants that no single caller can observe and records violations in the history.
 
-    An edge with a fresh configuration serves an accepted version within 2 s, never an older one
-    again; a version has one content; replicas of a part agree at each index; no queue grows beyond
-    bounds.
+    An edge with a fresh configuration serves an accepted version within 2 s and never returns to
+    an older one. A version has one content. Replicas of a part agree at each index. No dispatch
+    queue exceeds 2000 entries.
     """
 
     def __init__(self, sim):
@@ -22,11 +22,11 @@
         sim.env.process(self.run())
 
     def accept(self, version):
-        """An operator was told that this version is accepted."""
+        """Record that an operator received the acceptance of this version."""
         self.accepted.append((self.sim.env.now, version))
 
     def run(self):
-        """Process: check everything ten times a second."""
+        """Process: check all invariants ten times per second of simulated time."""
         while True:
             yield self.sim.env.timeout(0.1)
             for name, node in self.sim.nodes.items():
@@ -34,7 +34,7 @@
                     self._check_configuration(name, node)
                     if node.me.role == "store":
                         self._check_parts(name, node.find("acceptors"))
-                    self._check_room(name, node)
+                    self._check_queue(name, node)
 
     def _check_configuration(self, name, node):
         snapshot, now = node.find("layout"), self.sim.env.now
@@ -49,7 +49,7 @@
         if snapshot.version < due_version:
             self.sim.history.violate(f"{name} serves layout {snapshot.version}, due {due_version}")
         if snapshot.version < self.served_versions.get(name, 0):
-            self.sim.history.violate(f"{name} fell back to layout {snapshot.version}")
+            self.sim.history.violate(f"{name} returned to older layout {snapshot.version}")
         self.served_versions[name] = snapshot.version
 
     def _check_parts(self, name, acceptors):
@@ -64,7 +64,7 @@
             if self.snapshots.setdefault(key, digest) != digest:
                 self.sim.history.violate(f"{name}: {part} differs at {record.applied}")
 
-    def _check_room(self, name, node):
+    def _check_queue(self, name, node):
         dispatch = node.find("dispatch")
         if dispatch is not None and len(dispatch.queue) > 2000:
-            self.sim.history.violate(f"{name}: {len(dispatch.queue)} wait")
+            self.sim.history.violate(f"{name}: {len(dispatch.queue)} inquiries are queued")
