--- a/proving/sim/callers.py
+++ b/proving/sim/callers.py
@@ -25,10 +25,10 @@
         sim.env.process(self._run(coroutine))
 
     def _run(self, coroutine):
-        self.outcome = yield from self.sim.run_coroutine(self.node, coroutine, self._receive_line)
+        self.outcome = yield from self.sim.run_coroutine(self.node, coroutine, self._take)
         self.signal.set()
 
-    def _receive_line(self, line):
+    def _take(self, line):
         if self.is_open:
             self.lines.append(line)
             self.signal.set()
