--- a/proving/histories/clients.py
+++ b/proving/histories/clients.py
@@ -74,7 +74,7 @@
         """
         node, begin = node or self.pick_node(), self.env.now
         coroutine = make_call(self.stage, node, target, order, attempt_seconds)
-        process = self.env.process(self.stage.sim.run_script(node, coroutine))
+        process = self.env.process(self.stage.sim.run_coroutine(node, coroutine))
         yield process | self.env.timeout(self.rng.uniform(*wait_seconds))
         outcome = self.outcome_of(process, node)
         if isinstance(order, FetchConfiguration):
--- a/proving/histories/faults.py
+++ b/proving/histories/faults.py
@@ -18,7 +18,7 @@
 
     def __init__(self, sim):
         super().__init__(sim, None)
-        self.kinds = [
+        self.fault_kinds = [
             self.kill_edge,
             self.kill_core,
             self.kill_core,
@@ -98,7 +98,7 @@
 
     def restart_after(self, name, seconds):
         """Process: restart a killed node after `seconds`, and retry at that interval on failure."""
-        yield from self._back(name, seconds)
+        yield from self._restart_after(name, seconds)
 
     def restart_owner(self):
         """The owner of the config part is killed and restarts within a second.
@@ -108,12 +108,12 @@
         name = self.owner_name()
         if self.sim.is_up(self.sim.nodes[name]):
             self.sim.kill(name)
-            yield from self._back(name, self.sim.chance.uniform(0.1, 1.0))
+            yield from self._restart_after(name, self.sim.chance.uniform(0.1, 1.0))
         yield self.sim.env.timeout(0)
 
     def freeze_any(self):
         """A process freezes and thaws."""
-        name = self._pick(self.sim.chance.choice(["edge", "core", "store"]))
+        name = self._pick_node(self.sim.chance.choice(["edge", "core", "store"]))
         if name is not None:
             self.sim.freeze(name, self.sim.chance.uniform(*FREEZE_SECONDS))
         yield self.sim.env.timeout(0)
--- a/proving/histories/moments.py
+++ b/proving/histories/moments.py
@@ -114,7 +114,7 @@
             return
         source, destination = node.me.address, owner.me.address
         released = self.env.event()
-        self.sim.net.hold_way(source, destination, self.env.now + HELD_CALL_SECONDS, released)
+        self.sim.net.hold_frames(source, destination, self.env.now + HELD_CALL_SECONDS, released)
         operator, zone = self.operator("held"), self.annex()
         wait_seconds = (LONG_ORDER_SECONDS, LONG_ORDER_SECONDS)
         yield from operator.send(zone, MarkZone(True), node, wait_seconds, LONG_ORDER_SECONDS)
@@ -175,7 +175,7 @@
             return
         net, destination, now = self.sim.net, owner.me.address, self.env.now
         released = self.env.timeout(STORE_READ_DELAY_SECONDS * 2)
-        net.hold_way(first_node.me.address, destination, now + HELD_CALL_SECONDS, released)
+        net.hold_frames(first_node.me.address, destination, now + HELD_CALL_SECONDS, released)
         reader = self.operator("in flight")
         read = self.env.process(
             reader.send(CONFIGURATION, FetchConfiguration(), first_node, (2.0, 2.0))
@@ -186,7 +186,7 @@
             self.env.timeout(ANSWERS_HELD_SECONDS),
         )
         for name in self.sim.names("store"):
-            net.hold_way(self.sim.nodes[name].me.address, destination, end_time, released)
+            net.hold_frames(self.sim.nodes[name].me.address, destination, end_time, released)
         writer = self.operator("in flight too")
         self.env.process(writer.send(self.annex(), MarkZone(True), second_node))
         yield read
--- a/proving/histories/run.py
+++ b/proving/histories/run.py
@@ -21,7 +21,7 @@
 from proving.histories.snapshots import check_snapshots
 from proving.histories.stage import HistoryStage
 from proving.sim.connection_resets import DrawnConnectionResets
-from proving.sim.runtime import ScriptFailure
+from proving.sim.runtime import CoroutineFailure
 
 PROGRAM_TARGET = "program"
 OPERATOR_COUNT, LOT_CLIENT_COUNT = 5, 2
@@ -110,7 +110,7 @@
         sim, history = self.stage.sim, self.stage.history
         try:
             self._simulate()
-        except ScriptFailure as error:
+        except CoroutineFailure as error:
             self.findings.append(Finding(PROGRAM_TARGET, f"{error} at {self.stage.env.now:.3f}"))
         self._record_item_runs()
         history.steps = [*sim.history.notes]
--- a/proving/histories/stage.py
+++ b/proving/histories/stage.py
@@ -36,7 +36,7 @@
 class HistoryStage:
     """A small fleet that records the operations of its clients and snapshots of its nodes.
 
-    The raw replicas append to `arrivals` and `whole_runs`; `counts` may override the number of
+    The raw replicas append to `arrivals` and `completed_runs`; `counts` may override the number of
     events that they return for an item.
     """
 
@@ -45,7 +45,7 @@
         self.sim.configuration = EMPTY_CONFIGURATION
         self.env, self.chance = self.sim.env, self.sim.chance
         self.replicas, self.counts = {}, {}
-        self.arrivals, self.whole_runs = [], []
+        self.arrivals, self.completed_runs = [], []
         self.zones = [*ZONES]
         self.sim.backends.raw = RawBackends(self)
         self.history = History(seed)
--- a/proving/points/configuration.py
+++ b/proving/points/configuration.py
@@ -24,7 +24,7 @@
         "change": change,
     }
     coroutine = node.find("ownership").submit(CONFIG_PART, command)
-    answer, error = fleet.finish(fleet.start(fleet.sim.run_script(node, coroutine)), seconds)
+    answer, error = fleet.finish(fleet.start(fleet.sim.run_coroutine(node, coroutine)), seconds)
     if answer:
         fleet.monitor.accept(answer["version"])
     return answer, error
@@ -95,7 +95,7 @@
             "change": {"entries": {f"race-{number}": route}},
         }
         coroutine = node.find("ownership").submit(CONFIG_PART, command)
-        tasks.append(fleet.start(fleet.sim.run_script(node, coroutine)))
+        tasks.append(fleet.start(fleet.sim.run_coroutine(node, coroutine)))
     outcomes = [fleet.finish(task) for task in tasks]
     fleet.run(3)
     won_versions = [answer["version"] for answer, _ in outcomes if answer]
--- a/proving/points/early_refusals.py
+++ b/proving/points/early_refusals.py
@@ -27,7 +27,7 @@
             return True
 
         request = Request("POST", {}, {}, body, f"{client_name}-{number}")
-        _, error = yield from fleet.sim.run_script(node, make_coroutine(node, request), sink)
+        _, error = yield from fleet.sim.run_coroutine(node, make_coroutine(node, request), sink)
         (refusals if error else served).append((first_at or [env.now])[0] - start_time)
 
     for number, body in enumerate(bodies):
--- a/proving/points/failures.py
+++ b/proving/points/failures.py
@@ -35,7 +35,7 @@
         sim.freeze(name, frozen_seconds)
         if role == "edge":
             sim.env.timeout(frozen_seconds - 0.001).callbacks.append(
-                lambda _: fleet.node(name).runtime.held.clear()
+                lambda _: fleet.node(name).runtime.packets_while_frozen.clear()
             )
         else:
             for other in {owner_name, "edge-1"} - {name}:
@@ -145,7 +145,7 @@
         fleet.start(fleet.callers.lot("gate-notices", 4, 0.0))
         while sim.history.counts.get("accepted_lots", 0) == before:
             fleet.env.step()
-        fleet.node(slow_name).runtime.held.clear()
+        fleet.node(slow_name).runtime.packets_while_frozen.clear()
         names += sim.names("core")
         for name in names:
             sim.kill(name, loses_power=True)
--- a/proving/points/isolated_cores_and_slow_disks.py
+++ b/proving/points/isolated_cores_and_slow_disks.py
@@ -53,7 +53,7 @@
         coroutine = node.find("ownership").read(
             CONFIG_PART, {"ask": "layout"}, ATTEMPT_TIMEOUT_SECONDS
         )
-        answer, error = yield from self.fleet.sim.run_script(node, coroutine)
+        answer, error = yield from self.fleet.sim.run_coroutine(node, coroutine)
         self.record_outcome("read", started_at, error)
         if answer is not None and answer["version"] < acknowledged_version:
             text = (
@@ -74,7 +74,7 @@
             "change": {"entries": {name: {"service": "words", "class": "traveller"}}},
         }
         coroutine = node.find("ownership").submit(CONFIG_PART, command, ATTEMPT_TIMEOUT_SECONDS)
-        answer, error = yield from self.fleet.sim.run_script(node, coroutine)
+        answer, error = yield from self.fleet.sim.run_coroutine(node, coroutine)
         self.record_outcome("change", started_at, error)
         if answer is not None:
             self.confirmed.append((name, answer["version"]))
@@ -132,7 +132,7 @@
         coroutine = node.find("ownership").read(
             CONFIG_PART, {"ask": "layout"}, ATTEMPT_TIMEOUT_SECONDS
         )
-        answer, _ = fleet.finish(fleet.start(fleet.sim.run_script(node, coroutine)))
+        answer, _ = fleet.finish(fleet.start(fleet.sim.run_coroutine(node, coroutine)))
         if answer is not None:
             return round(fleet.env.now - healed_at, 2)
         fleet.run(0.05)
--- a/proving/points/lots.py
+++ b/proving/points/lots.py
@@ -59,7 +59,7 @@
     fleet.sim.disks[lost_store].lose_all()
     for node in fleet.sim.nodes.values():
         if node.me.name in slow_stores:
-            node.runtime.held.clear()
+            node.runtime.packets_while_frozen.clear()
     fleet.run(40)
     outcomes = fleet.outcomes()
     if outcomes.get("lot/ended") != 4:
@@ -116,7 +116,7 @@
             command = {"do": "lot.result", "lot": name, "n": 0, "result": {"text": "late"}}
             coroutine = core.find("ownership").submit(name.partition(".")[0], command)
             if known["seen"]:
-                fleet.start(fleet.sim.run_script(core, coroutine))
+                fleet.start(fleet.sim.run_coroutine(core, coroutine))
                 known["phase"] = "open"
     return fleet.sim.history.violations, {"results": len(first_results)}
 
@@ -195,7 +195,7 @@
     fleet.run(0.5)
     body = {"part": CONFIG_PART, "ballot": [99, "core-9"], "identity": identity}
     call = fleet.node("core-1").call("store-1", "quorum.prepare", body)
-    _, error = fleet.finish(fleet.start(fleet.sim.run_script(fleet.node("core-1"), call)))
+    _, error = fleet.finish(fleet.start(fleet.sim.run_coroutine(fleet.node("core-1"), call)))
     if not isinstance(error, WrongIdentity):
         fleet.sim.history.violate(f"the emptied store voted under its old identity: {error}")
     fleet.run(20)
--- a/proving/points/membership.py
+++ b/proving/points/membership.py
@@ -88,7 +88,7 @@
 
     def ask():
         while not retired_answers:
-            answer, _ = yield from sim.run_script(node, is_retired(node, retired_store, 2))
+            answer, _ = yield from sim.run_coroutine(node, is_retired(node, retired_store, 2))
             retired_answers.extend([True] if answer else [])
             yield fleet.env.timeout(0.005)
 
--- a/proving/points/orders.py
+++ b/proving/points/orders.py
@@ -21,7 +21,7 @@
     """Order a zone emptied or filled again, through one node; return (answer, error)."""
     node, order = fleet.node(node_name), OrderZone(zone, is_emptied, includes_nodes=False)
     coroutine = submit_order(node, order, ATTEMPT_TIMEOUT_SECONDS)
-    return fleet.finish(fleet.start(fleet.sim.run_script(node, coroutine)))
+    return fleet.finish(fleet.start(fleet.sim.run_coroutine(node, coroutine)))
 
 
 def order_until_acknowledged(fleet, zone, is_emptied, names):
@@ -108,7 +108,7 @@
         for core, store in zip(("core-1", "core-2"), stores, strict=True):
             node = fleet.node(core)
             coroutine = retire_store(node, store, ATTEMPT_TIMEOUT_SECONDS)
-            tasks[store] = fleet.start(fleet.sim.run_script(node, coroutine))
+            tasks[store] = fleet.start(fleet.sim.run_coroutine(node, coroutine))
         for store, task in tasks.items():
             outcomes.setdefault(store, []).append(fleet.finish(task)[1])
     acknowledged = [store for store, errors in outcomes.items() if None in errors]
@@ -168,7 +168,7 @@
     """Read the version and send an order at a node; return (version, answer, slowest seconds)."""
     node, start_time = fleet.node(name), fleet.env.now
     coroutine = node.find("ownership").read("config", {"ask": "version"}, ATTEMPT_TIMEOUT_SECONDS)
-    read, _ = fleet.finish(fleet.start(fleet.sim.run_script(node, coroutine)))
+    read, _ = fleet.finish(fleet.start(fleet.sim.run_coroutine(node, coroutine)))
     read_seconds, start_time = fleet.env.now - start_time, fleet.env.now
     ordered, _ = order_zone(fleet, name, "north", True)
     seconds = max(read_seconds, fleet.env.now - start_time)
--- a/proving/points/serving.py
+++ b/proving/points/serving.py
@@ -34,8 +34,8 @@
     for _ in range(3):
         caller_processes.append(fleet.start(fleet.callers.stream("once", "once", 8, True)))
     fleet.run(0.3)
-    for prompt in list(fleet.sim.history.single):
-        fleet.sim.history.refused(prompt)
+    for prompt in list(fleet.sim.history.at_most_once):
+        fleet.sim.history.note_refusal(prompt)
     fleet.sim.freeze("edge-1", 3)
     for replica in fleet.sim.replicas.values():
         replica.logic.busy = 0
--- a/proving/points/starts.py
+++ b/proving/points/starts.py
@@ -17,7 +17,7 @@
     names = [fleet.sim.chance.choice(fleet.sim.names(role)) for role in ("edge", "core", "store")]
     for name in names:
         fleet.sim.kill(name)
-        fleet.sim.clocks[name] = 0
+        fleet.sim.incarnation_bases[name] = 0
         fleet.sim.start(name)
     fleet.run(6)
     unreached_names = sorted(
--- a/proving/points/stream_resumption.py
+++ b/proving/points/stream_resumption.py
@@ -56,7 +56,7 @@
     """
     fleet, error_kinds = ScenarioFleet(seed), []
     violate = fleet.sim.history.violate
-    fleet.sim.history.single.add("once ann")
+    fleet.sim.history.at_most_once.add("once ann")
     running, head = open_stream(fleet, "edge-1", "once", "ann")
     other, line = resume(fleet, "edge-2", head["resume"], "ann")
     error_kinds.append(error_kind(other))
@@ -65,7 +65,7 @@
         violate(f"the running stream was interrupted: {rest[-1:]}")
     ended, line = resume(fleet, "edge-3", head["resume"], "ann")
     error_kinds.append(error_kind(ended))
-    fleet.sim.history.single.add("once bob")
+    fleet.sim.history.at_most_once.add("once bob")
     broken, head = open_stream(fleet, "edge-1", "once", "bob")
     fleet.sim.kill("edge-1")
     fleet.run(3)
--- a/tests/http_lot_random_days.py
+++ b/tests/http_lot_random_days.py
@@ -32,7 +32,7 @@
         with self.stage as stage:
             self.end_time = stage.env.now + self.seconds
             for replica in stage.replicas.values():
-                replica.way = self.choose_failure_mode
+                replica.failure = self.choose_failure_mode
             for number in range(self.lot_count):
                 stage.env.process(self.run_client(f"lot{number}"))
             for _ in range(self.fault_count):
@@ -74,7 +74,7 @@
         The error is QuillringError if the edge died before the coroutine ended.
         """
         node = self.pick_edge()
-        value = yield from self.stage.sim.run_script(node, make(node))
+        value = yield from self.stage.sim.run_coroutine(node, make(node))
         self.is_edge_undisturbed = self.is_undisturbed(node.me.name, self.stage.env.now)
         return (None, QuillringError(reason="node died")) if value == (None, None) else value
 
@@ -174,9 +174,9 @@
             yield env.timeout(seconds)
             self.record_disturbance(node.me.name)
         elif kind == "net":
-            sim.net.loss_share, sim.net.double_share, sim.net.reorder_share = 0.03, 0.05, 0.05
+            sim.net.loss_share, sim.net.duplicate_share, sim.net.reorder_share = 0.03, 0.05, 0.05
             yield env.timeout(seconds)
-            sim.net.loss_share = sim.net.double_share = sim.net.reorder_share = 0.0
+            sim.net.loss_share = sim.net.duplicate_share = sim.net.reorder_share = 0.0
         elif kind == "replica":
             replica = chance.choice(list(self.stage.replicas.values())[:2])
             replica.leave() if chance.random() < 0.5 else setattr(replica, "is_dead", True)
--- a/tests/http_lot_stage.py
+++ b/tests/http_lot_stage.py
@@ -35,15 +35,15 @@
     """A small fleet with a forward for lots, set up and run until second 8 of simulated time.
 
     `counts` sets the number of events per item (default 6). `arrivals` records each request that
-    reached a replica as (time, item, replica, last event id, request), `whole_runs` the items whose
-    stream was sent to its end. Further keyword arguments replace settings of the forward.
+    reached a replica as (time, item, replica, last event id, request), `completed_runs` the items
+    whose stream was sent to its end. Further keyword arguments replace settings of the forward.
     """
 
     def __init__(self, seed, slots=8, replicas=3, versions=SUPPORTED_VERSIONS, **fields):
         with mock.patch.object(sim_fleet, "SimRuntime", RawRuntime):
             self.sim = SimFleet("ferrowa", seed, SIZES)
         self.env, self.replicas, self.counts = self.sim.env, {}, {}
-        self.arrivals, self.whole_runs = [], []
+        self.arrivals, self.completed_runs = [], []
         self.sim.backends.raw = RawBackends(self)
         self.configuration_version, self.patch = (
             0,
@@ -114,7 +114,7 @@
 
     def start_on_node(self, node, make):
         """Start a coroutine on a node; return its process."""
-        return self.env.process(self.sim.run_script(node, make(node)))
+        return self.env.process(self.sim.run_coroutine(node, make(node)))
 
     def run_on_node(self, node, make, seconds=20):
         """Run a coroutine on a node to its end; return (its value, None) or (None, its error)."""
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -116,7 +116,7 @@
 def test_node_restarted_with_a_stepped_clock_rejoins_and_accepts_commands(role, step):
     fleet = SelfFounded(91)
     name = fleet.owner() if role == "core" else f"{role}-1"
-    fleet.sim.clocks[name] = 100 + step
+    fleet.sim.incarnation_bases[name] = 100 + step
     fleet.sim.kill(name)
     fleet.run(0.3)
     fleet.start(name)
--- a/tests/test_histories_moments.py
+++ b/tests/test_histories_moments.py
@@ -61,7 +61,7 @@
     env = simpy.Environment()
     net, receiver, released = SimNet(env, MidpointRandom()), RecordingReceiver(), env.event()
     net.attach("b", receiver)
-    net.hold_way("a", "b", 1.0, released)
+    net.hold_frames("a", "b", 1.0, released)
     net.carry("a", "b", b"held", "frame")
     net.carry("a", "b", b"told", "datagram")
     net.carry("c", "b", b"other way", "frame")
--- a/tests/test_http_lot_attempts.py
+++ b/tests/test_http_lot_attempts.py
@@ -12,12 +12,12 @@
 HOLD_SECONDS, MARGIN_SECONDS = 0.5, 0.5
 
 
-@pytest.mark.parametrize("way", [500, 422])
+@pytest.mark.parametrize("failure", [500, 422])
 @pytest.mark.parametrize("seed", range(3))
-def test_an_item_that_always_fails_is_errored_and_not_resent_after_owner_changes(seed, way):
+def test_an_item_that_always_fails_is_errored_and_not_resent_after_owner_changes(seed, failure):
     with HttpLotStage(300 + seed) as stage:
         for replica in stage.replicas.values():
-            replica.way = lambda replica, item_id, last: way
+            replica.failure = lambda replica, item_id, last: failure
         submit_accepted(stage, "a", ITEMS)
         for _ in range(3):
             stage.run(stage.sim.chance.uniform(0.02, 0.3))
@@ -32,7 +32,7 @@
         count = len(stage.arrivals)
         stage.run(10)
         assert len(stage.arrivals) == count
-        max_runs = ATTEMPTS * 3 if way == 500 else MAX_RUNS_AFTER_422
+        max_runs = ATTEMPTS * 3 if failure == 500 else MAX_RUNS_AFTER_422
         assert max(Counter(row[1] for row in stage.arrivals).values()) <= max_runs
 
 
@@ -50,7 +50,7 @@
 def test_items_refused_until_retention_ends_are_listed_as_errored():
     with HttpLotStage(311, retain_ms=5000) as stage:
         for replica in stage.replicas.values():
-            replica.way = lambda replica, item_id, last: "full"
+            replica.failure = lambda replica, item_id, last: "full"
         submit_accepted(stage, "a", 4)
         rows = stage.read_all("a", 15)
         assert {tuple(row[1:]) for row in rows} == {("errored", b"")}
@@ -77,7 +77,7 @@
 def test_items_answered_without_body_framing_run_once():
     with HttpLotStage(320) as stage:
         for replica in stage.replicas.values():
-            replica.way = lambda replica, item_id, last: "unframed"
+            replica.failure = lambda replica, item_id, last: "unframed"
         submit_accepted(stage, "a", 12)
         check_complete_results(stage, stage.read_all("a"), "a", 12)
         assert len(stage.arrivals) == 12
@@ -103,7 +103,7 @@
 def test_a_run_stopped_before_its_response_head_is_abandoned():
     with HttpLotStage(322, replicas=1) as stage:
         for replica in stage.replicas.values():
-            replica.way = lambda replica, item_id, last: "late head"
+            replica.failure = lambda replica, item_id, last: "late head"
         stage.counts = {f"a-{n}": 200 for n in range(4)}
         submit_accepted(stage, "a", 4)
         stage.run(0.3)
--- a/tests/test_http_lot_placement.py
+++ b/tests/test_http_lot_placement.py
@@ -62,7 +62,7 @@
         submit_accepted(stage, own, 60)
         submit_accepted(stage, other, 60)
         stage.run(2.5)
-        assert {replica.most_active for replica in stage.replicas.values()} == {6}
+        assert {replica.max_active for replica in stage.replicas.values()} == {6}
         for name in (own, other):
             check_complete_results(stage, stage.read_all(name), name, 60)
 
@@ -81,7 +81,7 @@
         rows = stage.read_all(name)
         check_complete_results(stage, rows, name, 12)
         assert submit_accepted(stage, name, 12)["repeated"]
-        assert Counter(stage.whole_runs).most_common(1)[0][1] == 1
+        assert Counter(stage.completed_runs).most_common(1)[0][1] == 1
         assert lot_key(HOST, name) not in lot_records(stage.state_of(stage.part(name)))
 
 
--- a/tests/test_http_lot_scheduler.py
+++ b/tests/test_http_lot_scheduler.py
@@ -17,7 +17,7 @@
         for node in stage.sim.up_nodes("edge"):
             answer, error = stage.read("a", node=node)
             assert error is None and answer["results"] == rows
-        assert Counter(stage.whole_runs).most_common(1)[0][1] == 1
+        assert Counter(stage.completed_runs).most_common(1)[0][1] == 1
         request = stage.arrivals[0][4]
         assert request["host"] == HOST and request["x-inquiry"] == stage.arrivals[0][1]
         assert request[""] == (f"POST /bulk/{stage.arrivals[0][1][2:]}?q=1 HTTP/1.1", b"body")
@@ -30,7 +30,7 @@
         assert [answer.get("repeated", False) for answer in answers] == [False, True, True, True]
         check_complete_results(stage, stage.read_all("a"), "a", 6)
         assert submit_accepted(stage, "a", 6)["repeated"]
-        assert len(stage.whole_runs) == 6
+        assert len(stage.completed_runs) == 6
 
 
 def test_a_long_poll_returns_with_the_next_result_and_an_unknown_lot_fails_immediately():
@@ -65,14 +65,14 @@
     with HttpLotStage(50) as stage:
         interrupted = set()
 
-        def way(replica, item_id, last):
+        def failure(replica, item_id, last):
             if item_id in interrupted:
                 return None
             interrupted.add(item_id)
             return "break"
 
         for replica in stage.replicas.values():
-            replica.way = way
+            replica.failure = failure
         submit_accepted(stage, "a", 10)
         check_complete_results(stage, stage.read_all("a"), "a", 10)
         lasts = Counter(last for _, _, _, last, _ in stage.arrivals)
@@ -84,7 +84,7 @@
     with HttpLotStage(51) as stage:
         interrupted, misresumed = set(), set()
 
-        def way(replica, item_id, last):
+        def failure(replica, item_id, last):
             if item_id not in interrupted:
                 interrupted.add(item_id)
                 return "break"
@@ -94,7 +94,7 @@
             return None
 
         for replica in stage.replicas.values():
-            replica.way = way
+            replica.failure = failure
         submit_accepted(stage, "a", 8)
         check_complete_results(stage, stage.read_all("a"), "a", 8)
         assert len(misresumed) == 8
@@ -104,7 +104,7 @@
     with HttpLotStage(52) as stage:
         ways = {"a-0": 422, "a-1": 500}
         for replica in stage.replicas.values():
-            replica.way = lambda replica, item_id, last: ways.get(item_id)
+            replica.failure = lambda replica, item_id, last: ways.get(item_id)
         submit_accepted(stage, "a", 4)
         rows = {row[0]: (row[1], row[2]) for row in stage.read_all("a")}
         assert rows["a-0"] == rows["a-1"] == ("errored", b"")
@@ -115,7 +115,7 @@
 
 def test_a_full_replica_uses_no_attempt_and_items_go_to_another():
     with HttpLotStage(53) as stage:
-        stage.replicas["i-0"].way = stage.replicas["i-1"].way = lambda *arguments: "full"
+        stage.replicas["i-0"].failure = stage.replicas["i-1"].failure = lambda *arguments: "full"
         submit_accepted(stage, "a", 12)
         check_complete_results(stage, stage.read_all("a"), "a", 12)
         assert {name for _, _, name, _, _ in stage.arrivals} == {"i-2"}
@@ -125,13 +125,13 @@
     with HttpLotStage(59, slots=8) as stage:
         submit_accepted(stage, "a", 40)
         stage.run(0.9)
-        assert {replica.most_active for replica in stage.replicas.values()} == {6}
+        assert {replica.max_active for replica in stage.replicas.values()} == {6}
         check_complete_results(stage, stage.read_all("a"), "a", 40)
         assert stage.counter_total("raw_runs_lost") == 0
     with HttpLotStage(59, slots=8, due_ms=1500) as stage:
         submit_accepted(stage, "a", 40)
         stage.run(0.9)
-        assert {replica.most_active for replica in stage.replicas.values()} == {7}
+        assert {replica.max_active for replica in stage.replicas.values()} == {7}
 
 
 def test_a_cold_replica_gets_requests_at_most_at_its_warm_up_rate():
--- a/tests/test_second_loss.py
+++ b/tests/test_second_loss.py
@@ -82,7 +82,7 @@
 
 
 def test_each_part_is_sent_once_when_a_nearer_store_restarts_empty_during_the_repair():
-    with mock.patch.object(catch_up, "cut_chunk", repair_time.cut_small_piece):
+    with mock.patch.object(catch_up, "cut_chunk", repair_time.cut_small_chunk):
         run = repair_time.RepairRun(1, 4, 5, 3, 16)
         run.sim.net.link_bytes_per_second = 15e6 / 8 / repair_time.SCALE
         assert run.lose(1.0)["left_short"] == 0
