--- a/proving/points/borrowed_capacity.py
+++ b/proving/points/borrowed_capacity.py
@@ -21,14 +21,14 @@
             stage.start(stage.callers.stream("tagging", "long", 200))
         stage.run(2)
         used = sum(r.logic.busy for r in stage.sim.replicas.values())
-        stage.callers.record.first_pieces.clear()
+        stage.callers.record.first_piece_seconds.clear()
         lost_cores = stage.sim.names("core") if kills_cores else ()
         for name in lost_cores:
             stage.sim.kill(name)
         for _ in range(8):
             stage.start(stage.callers.stream("wayfinding", "short", 10))
         stage.run(2)
-        firsts = sorted(stage.callers.record.first_pieces)
+        firsts = sorted(stage.callers.record.first_piece_seconds)
         for name in lost_cores:
             stage.sim.start(name)
         stage.run(70)
--- a/proving/points/callers.py
+++ b/proving/points/callers.py
@@ -3,7 +3,7 @@
 import random
 
 from proving.sim.scripted_runtime import BREAK, SILENT, STALE, ScriptedAnswer, ScriptedRuntime
-from proving.tools.scripted_connection import END, RESET, FakeWire
+from proving.tools.scripted_connection import END, RESET, FakeConnections
 from quillring.fleet import make_node
 from quillring.forward import Request
 from quillring.forward.request_handler import forward_request
@@ -24,7 +24,7 @@
 
 def surplus_answers(seed):
     """Replicas send late copies, foreign answers and cut ones on kept connections."""
-    chance, wire = random.Random(seed), FakeWire()
+    chance, wire = random.Random(seed), FakeConnections()
     wire.start()
     try:
         return _exchange_all(chance, wire)
@@ -65,7 +65,7 @@
         sock.put(b"HTTP/1.1 100 Continue\r\n\r\n" + answer_bytes("foreign", b"of another"), cuts)
     if chance.random() < 0.1:
         sock.put(answer[: chance.randrange(len(answer))])
-        sock.arrived.append(chance.choice([END, RESET]))
+        sock.incoming.append(chance.choice([END, RESET]))
         return
     sock.put(answer, cuts)
 
--- a/proving/points/fleet.py
+++ b/proving/points/fleet.py
@@ -88,11 +88,11 @@
     for _ in range(300):
         stage.start(stage.callers.lot("gate-notices", 3, 0.0))
     stage.run(1)
-    stage.callers.record.first_pieces.clear()
+    stage.callers.record.first_piece_seconds.clear()
     for _ in range(20):
         stage.start(stage.callers.stream("wayfinding", "urgent", 8, drop_after=1 << 30))
         stage.run(0.25)
-    firsts = sorted(stage.callers.record.first_pieces)
+    firsts = sorted(stage.callers.record.first_piece_seconds)
     stage.run(90)
     outcomes = stage.outcomes()
     accepted = stage.sim.history.counts.get("accepted_lots", 0)
--- a/proving/points/streams.py
+++ b/proving/points/streams.py
@@ -104,15 +104,15 @@
         replica.is_noisy = replica.row["service"] == "words"
     stage.callers.record.violate = lambda text: None
     answers = []
-    real_take = Answer.take
+    real_take = Answer.add_line
 
-    def take(answer, line, record):
+    def add_line(answer, line, record):
         if answer not in answers:
             answers.append(answer)
         return real_take(answer, line, record)
 
     with (
-        mock.patch.object(Answer, "take", take),
+        mock.patch.object(Answer, "add_line", add_line),
         mock.patch.object(callers.Connection, "_take", half_open_take),
     ):
         stage.only_edge("edge-1")
--- a/proving/sim/backends.py
+++ b/proving/sim/backends.py
@@ -2,7 +2,13 @@
 
 from urllib.parse import parse_qsl
 
-from proving.tools.fake_replica_logic import StandIn, piece_count, piece_text, seat_word, tile_word
+from proving.tools.fake_replica_logic import (
+    FakeReplica,
+    piece_count,
+    piece_text,
+    seat_confirmation,
+    tile_content,
+)
 from quillring.kernel.effects import Signal
 from quillring.kernel.errors import BackendError, NotSent, QuillringError
 
@@ -37,7 +43,7 @@
         self.row = row
         host, port = row["address"].rsplit(":", 1)
         self.address = (host, int(port))
-        self.logic = StandIn(row["name"], row["slots"], row.get("warm", 3.0), sim.env.now)
+        self.logic = FakeReplica(row["name"], row["slots"], row.get("warm", 3.0), sim.env.now)
         self.logic.incarnation = incarnation
         self.is_dead = False
         self.is_dark = False
@@ -53,7 +59,7 @@
         chance = self.sim.chance
         while not self.is_dead:
             if not self.is_frozen:
-                self.logic.bearable(self.sim.env.now)
+                self.logic.update_concurrency_limit(self.sim.env.now)
                 self.send_beat()
             yield self.sim.env.timeout(0.4 * chance.uniform(0.9, 1.1))
 
@@ -62,7 +68,7 @@
         if self.is_dark or self.is_dead:
             return
         self.sequence += 1
-        body = self.logic.beat(
+        body = self.logic.heartbeat_body(
             self.row["service"],
             self.row["domain"],
             self.row["address"],
@@ -144,8 +150,8 @@
             yield self.sim.env.timeout(0 if replica.is_dead else max(0, effect.seconds))
             raise BackendError(reason="broken off")
         if effect.body:
-            return 200, {"inquiry": name, "confirmed": seat_word(work, effect.body["seat"])}
-        return 200, {"inquiry": name, "tile": tile_word(path)}
+            return 200, {"inquiry": name, "confirmed": seat_confirmation(work, effect.body["seat"])}
+        return 200, {"inquiry": name, "tile": tile_content(path)}
 
     def open(self, runtime, effect):
         """Open a generation."""
--- a/proving/sim/callers.py
+++ b/proving/sim/callers.py
@@ -1,7 +1,12 @@
 """Simulated callers: they check every piece, resume cut streams, follow their lots."""
 
 from proving.tools.callers import Answer, Record
-from proving.tools.fake_replica_logic import piece_count, piece_text, seat_word, tile_word
+from proving.tools.fake_replica_logic import (
+    piece_count,
+    piece_text,
+    seat_confirmation,
+    tile_content,
+)
 from quillring.edge.short_requests import serve_idempotent_read, serve_keyed_write
 from quillring.edge.stream_handlers import resume_stream, serve_model
 from quillring.kernel.effects import Signal
@@ -134,9 +139,9 @@
             if line is None:
                 break
             had_pieces = len(answer.pieces)
-            is_over = answer.take(line, self.record)
+            is_over = answer.add_line(line, self.record)
             if not had_pieces and answer.pieces:
-                self.record.first_pieces.append(self.sim.env.now - start_time)
+                self.record.first_piece_seconds.append(self.sim.env.now - start_time)
             if is_over or (drop_after is not None and len(answer.pieces) >= drop_after):
                 break
         connection.is_open = False
@@ -160,7 +165,7 @@
         words = {"entry": route, "zoom": "12", "column": str(self.number), "row": "7"}
         self.number += 1
         answer, error = yield from self.ask(serve_idempotent_read, words=words)
-        if answer and answer["tile"] != tile_word(f"/v1/tiles/12/{words['column']}/7"):
+        if answer and answer["tile"] != tile_content(f"/v1/tiles/12/{words['column']}/7"):
             self.history.violate("wrong tile")
         self.record.note("tile", error.kind if error else "complete")
 
@@ -171,7 +176,7 @@
         for _ in range(4):
             answer, error = yield from self.ask(serve_keyed_write, "POST", body=body)
             if answer:
-                if answer["confirmed"] != seat_word(key, "4a"):
+                if answer["confirmed"] != seat_confirmation(key, "4a"):
                     self.history.violate(f"wrong confirmation of {key}")
                 break
             yield self.sim.env.timeout(0.3)
--- a/proving/sim/chaos.py
+++ b/proving/sim/chaos.py
@@ -54,7 +54,7 @@
             if node.runtime.is_dead:
                 self.sim.start(name)
         for name, replica in list(self.sim.replicas.items()):
-            if replica.is_dead or replica.logic.left_at is not None:
+            if replica.is_dead or replica.logic.leaving_since is not None:
                 self.sim.start_replica(name)
             replica.is_dark = False
 
--- a/proving/tools/__init__.py
+++ b/proving/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Plain processes on one machine: a fleet, its callers and back ends, days and storms."""
+"""Tools that run a fleet as processes on one machine, with its callers, replicas and faults."""
--- a/proving/tools/closing_fault.py
+++ b/proving/tools/closing_fault.py
@@ -1,4 +1,4 @@
-"""The closing fault of a day on a local fleet, and how long service takes to return."""
+"""The last fault of a run on a local fleet, and how long the service takes to recover from it."""
 
 import json
 import random
@@ -8,18 +8,18 @@
 
 from proving.tools import callers
 
-RETURN_SECONDS = 12
+MAX_RECOVERY_SECONDS = 12
 
 
-def probe(fleet):
-    """Tell whether every edge serves a stream and takes a lot now."""
+def all_edges_serve(fleet):
+    """Return whether every edge serves a stream and accepts a lot now."""
     probe_record = callers.Record()
     entries = json.loads((fleet.example / "layout.json").read_text())["entries"]
     short = next(e for e in ("wayfinding", "price-hints") if e in entries)
     lots = next(e for e in ("gate-notices", "fraud-reports") if e in entries)
     for name in fleet.names("edge"):
-        edge, chance = [fleet.http(name)], random.Random(name)
-        callers.stream_call(edge, chance, probe_record, time.monotonic, short, "probe", 3, 0.0)
+        edge, rng = [fleet.http(name)], random.Random(name)
+        callers.stream_call(edge, rng, probe_record, time.monotonic, short, "probe", 3, 0.0)
         body = {"entry": lots, "items": ["one"], "key": f"probe-{time.monotonic_ns()}"}
         status, _ = callers.ask(edge[0], "POST", "/v1/lots", body, "probe")
         probe_record.note("probe", "complete" if status == 200 else "refused")
@@ -27,7 +27,7 @@
 
 
 def closing_fault(fleet, record, note):
-    """Kill a core and a store, cut two more nodes, then heal; measure the return."""
+    """Kill a core and a store, cut three links, then undo it all; measure the time to recover."""
     fleet.kill("core-1")
     fleet.kill("store-2")
     fleet.cut(("core-3", "store-3"), ("edge-2", "core-3"), ("edge-2", "store-1"))
@@ -35,10 +35,10 @@
     fleet.cut()
     fleet.start("core-1")
     fleet.start("store-2")
-    healed_at, good_in_arow = time.monotonic(), 0
-    while good_in_arow < 3 and time.monotonic() - healed_at < 60:
-        good_in_arow = good_in_arow + 1 if probe(fleet) else 0
+    healed_at, consecutive_good_rounds = time.monotonic(), 0
+    while consecutive_good_rounds < 3 and time.monotonic() - healed_at < 60:
+        consecutive_good_rounds = consecutive_good_rounds + 1 if all_edges_serve(fleet) else 0
     back_after = round(time.monotonic() - healed_at, 2)
-    note(f"three good rounds at every edge {back_after} s after the closing fault")
-    if back_after > RETURN_SECONDS:
+    note(f"every edge served three rounds, {back_after} s after the closing fault")
+    if back_after > MAX_RECOVERY_SECONDS:
         record.violate(f"service took {back_after} s to return")
--- a/proving/tools/day.py
+++ b/proving/tools/day.py
@@ -1,4 +1,4 @@
-"""Runs a deployment's mixed traffic over a local fleet while things fail; prints a summary."""
+"""Runs a deployment's mixed traffic on a local fleet under faults and prints a summary."""
 
 import json
 import random
@@ -42,23 +42,23 @@
 
 
 def run_traffic(fleet, mix, seconds, seed, record, scale=1.0):
-    """Send the mix at its rates; return once every call has its outcome."""
+    """Send each kind of call at its rate; return when every call has an outcome."""
     edges = [fleet.http(name) for name in fleet.names("edge")]
     calls = []
 
     def send_kind(number, rate, call):
-        chance = random.Random(f"{seed}/{number}")
+        rng = random.Random(f"{seed}/{number}")
         end_time = time.monotonic() + seconds
         while time.monotonic() < end_time:
-            calls.append(gevent.spawn(call, edges, random.Random(chance.random()), record))
-            gevent.sleep(chance.expovariate(rate * scale))
+            calls.append(gevent.spawn(call, edges, random.Random(rng.random()), record))
+            gevent.sleep(rng.expovariate(rate * scale))
 
     gevent.joinall([gevent.spawn(send_kind, n, rate, call) for n, (rate, call) in enumerate(mix)])
     gevent.joinall(calls, timeout=120, raise_error=True)
 
 
-def break_things(fleet, seconds, log):
-    """Kill one core, one store and one replica, and cut one pair, spread over the time."""
+def inject_faults(fleet, seconds, steps_log):
+    """Kill a core, a store and a replica and cut one link, then undo it, spread over the run."""
     steps = [
         ("kill core-2", lambda: fleet.kill("core-2")),
         ("cut edge-1 from core-1", lambda: fleet.cut(("edge-1", "core-1"))),
@@ -72,12 +72,12 @@
     start_time = time.monotonic()
     for text, step in steps:
         gevent.sleep(seconds / (len(steps) + 2))
-        log.append([round(time.monotonic() - start_time, 1), text])
+        steps_log.append([round(time.monotonic() - start_time, 1), text])
         step()
 
 
 def summary(report):
-    """Return the report as a short table for a person; its last line is the verdict."""
+    """Return the report as a short table for people; its last line is the verdict."""
     outcomes = report["outcomes"]
     rows = [("call", "outcome", "count")]
     rows += [(*key.rsplit("/", 1), str(count)) for key, count in outcomes.items()]
@@ -104,31 +104,31 @@
 @click.argument("name", type=click.Choice(sorted(MIXES)))
 @click.option("--run-folder", default="run/fleet", show_default=True)
 @click.option("--seconds", default=60.0, show_default=True)
-@click.option("--scale", default=1.0, show_default=True, help="Traffic against today's sizes.")
+@click.option("--scale", default=1.0, show_default=True, help="Factor for the call rates.")
 @click.option("--seed", default=1, show_default=True)
-@click.option("--calm", is_flag=True, help="Let nothing fail.")
-@click.option("--json", "as_json", is_flag=True, help="Print the whole report as JSON.")
+@click.option("--calm", is_flag=True, help="Inject no faults.")
+@click.option("--json", "as_json", is_flag=True, help="Print the full report as JSON.")
 def main(name, run_folder, seconds, scale, seed, calm, as_json):
     """Run NAME's traffic on a full local fleet and report what callers saw.
 
-    The whole report is also written to report.json in the run folder. Exit code 1 means a
-    violation.
+    The full report is also written to report.json in the run folder. The exit code is 1 if there
+    was a violation.
     """
     fleet = LocalFleet(f"examples/{name}", run_folder)
-    record, log = callers.Record(), []
+    record, steps_log = callers.Record(), []
     try:
         fleet.start_all()
         fleet.found()
         tasks = [gevent.spawn(run_traffic, fleet, MIXES[name], seconds, seed, record, scale)]
         if not calm:
-            tasks.append(gevent.spawn(break_things, fleet, seconds, log))
+            tasks.append(gevent.spawn(inject_faults, fleet, seconds, steps_log))
         gevent.joinall(tasks, raise_error=True)
         states = {}
         for replica in fleet.replicas.values():
             _, states[replica["name"]] = callers.ask(replica["address"], "GET", "/state")
         report = {
             **record.to_json(),
-            "steps": log,
+            "steps": steps_log,
             "replicas": {
                 n: {k: s.get(k) for k in ("ran", "hits", "misses", "overloads", "late_starts")}
                 for n, s in states.items()
--- a/proving/tools/deployments.py
+++ b/proving/tools/deployments.py
@@ -1,4 +1,4 @@
-"""The two example deployments: writes their settings, replicas and layouts under examples/."""
+"""The two example deployments; as a program, writes their files under examples/."""
 
 import json
 import pathlib
@@ -8,7 +8,7 @@
 
 
 def promise(first, left, urgency, share, queue=64, **more):
-    """Return a class of service."""
+    """Return a service class; `first` and `left` are in milliseconds."""
     return {
         "first_piece_ms": first,
         "time_left_ms": left,
@@ -20,7 +20,7 @@
 
 
 def route(service, class_name, prefix=None):
-    """Return an entry."""
+    """Return a layout entry."""
     return {"service": service, "class": class_name, **({"prefix": prefix} if prefix else {})}
 
 
@@ -77,7 +77,7 @@
 
 
 def settings_of(deployment):
-    """Yield the settings of every process; each machine has a loopback address of its own."""
+    """Yield the settings of every node; each node has its own loopback address."""
     net, number, seeds = deployment["net"], 0, []
     for role in ("core", "store", "edge"):
         for i in range(deployment["sizes"][role]):
@@ -100,7 +100,7 @@
 
 
 def replicas_of(deployment):
-    """Yield the replicas."""
+    """Yield the name, service, domain, address and slots of every replica."""
     number = 100
     for service, count, slots in deployment["replicas"]:
         for i in range(count):
@@ -115,7 +115,7 @@
 
 
 def configuration_of(deployment):
-    """Return the example layout."""
+    """Return the layout of a deployment, with its domains."""
     return {**deployment["layout"], "domains": {name: {"emptied": False} for name in ZONES}}
 
 
--- a/proving/tools/example_day.py
+++ b/proving/tools/example_day.py
@@ -1,4 +1,4 @@
-"""An example day as processes: crowds, rolling restart, plans, a closing fault; one report."""
+"""A deployment's day on a local fleet: traffic with a peak, plans, a rolling restart, a fault."""
 
 import json
 import random
@@ -14,7 +14,7 @@
 
 
 class Day:
-    """The operator and the platform of one day."""
+    """Acts as the operator and the platform during one day."""
 
     def __init__(self, fleet, name, seed):
         self.fleet = fleet
@@ -25,16 +25,16 @@
         self.record = callers.Record()
 
     def note(self, text):
-        """Note a step with its time."""
+        """Record a step with the seconds since the start."""
         self.steps.append([round(time.monotonic() - self.start_time, 1), text])
 
     def ask(self, method, path, body=None):
-        """Ask some core as an operator."""
+        """Send an operator's request to a random running core; return (status, JSON body)."""
         cores = [n for n in self.fleet.names("core") if n in self.fleet.processes]
         return callers.ask(self.fleet.http(random.choice(cores)), method, path, body)
 
     def wait_for(self, what, is_done, seconds=120):
-        """Wait without blocking the callers."""
+        """Wait until `is_done()`, without blocking the callers; TimeoutError names `what`."""
         end_time = time.monotonic() + seconds
         while not is_done():
             if time.monotonic() > end_time:
@@ -42,25 +42,25 @@
             gevent.sleep(0.2)
 
     def is_ready(self, name):
-        """Tell whether a node is ready by its own word."""
+        """Return whether a node reports itself ready."""
         return callers.ask(self.fleet.http(name), "GET", "/v1/ready")[0] == 200
 
     def restart_all(self):
-        """Restart every process as planned, one after another, each ready before the next."""
+        """Restart the nodes one by one with SIGTERM; each is ready before the next one stops."""
         edges = self.fleet.names("edge")
         for name in [*self.fleet.names("store"), *self.fleet.names("core"), *edges]:
             if name in edges:
-                self.record.leaving.add(self.fleet.http(name))
+                self.record.stopping_edges.add(self.fleet.http(name))
             process = self.fleet.processes.pop(name)
             process.terminate()
             self.wait_for(f"{name} ends", lambda p=process: p.poll() is not None)
             self.fleet.start(name)
             self.wait_for(f"{name} ready", lambda n=name: self.is_ready(n))
-            self.record.leaving.discard(self.fleet.http(name))
+            self.record.stopping_edges.discard(self.fleet.http(name))
         self.note("every node was restarted")
 
     def run_plan(self, kind, target, accept=()):
-        """Propose, confirm and follow a plan to its end."""
+        """Propose and confirm a plan, and wait until it is done."""
         status, plan = self.ask("POST", "/v1/plans", {"kind": kind, "target": target})
         if status != 200:
             raise RuntimeError(f"{kind} {target}: {plan}")
@@ -74,9 +74,9 @@
         self.note(f"plan {kind} {target} is done")
 
     def run(self, seconds):
-        """Run the steps while the mix is called; a crowd comes in the middle."""
+        """Run the steps during the traffic; an 8-second peak begins after a third of the time."""
         calls = gevent.spawn(run_traffic, self.fleet, self.mix, seconds, self.seed, self.record)
-        crowd = gevent.spawn_later(
+        peak = gevent.spawn_later(
             seconds / 3, run_traffic, self.fleet, self.mix[:2], 8, self.seed + 1, self.record, 4.0
         )
         gevent.sleep(3)
@@ -85,7 +85,7 @@
         self.run_plan("retire_store", "store-1")
         self.run_plan("restore_store", "store-1")
         self.restart_all()
-        gevent.joinall([calls, crowd], raise_error=True)
+        gevent.joinall([calls, peak], raise_error=True)
         self.note("the traffic ended")
         closing_fault(self.fleet, self.record, self.note)
 
@@ -96,7 +96,7 @@
 @click.option("--seconds", default=90.0, show_default=True)
 @click.option("--seed", default=1, show_default=True)
 def main(name, run_folder, seconds, seed):
-    """Run NAME's example day on a full local fleet and report what was seen."""
+    """Run NAME's example day on a full local fleet and report what callers saw."""
     fleet = LocalFleet(f"examples/{name}", run_folder)
     try:
         fleet.start_all()
--- a/proving/tools/fake_replica_logic.py
+++ b/proving/tools/fake_replica_logic.py
@@ -1,4 +1,4 @@
-"""What the stand-ins of back ends do, without any network: the simulator plays the same."""
+"""The behaviour of fake replicas without a network, shared by processes and the simulator."""
 
 import hashlib
 from collections import OrderedDict
@@ -7,39 +7,39 @@
 
 
 def piece_text(prompt, number):
-    """Return piece `number` (from 1) of the only right answer to a prompt."""
+    """Return piece `number` (from 1) of the answer to a prompt; it depends on nothing else."""
     digest = hashlib.sha256(f"{prompt}\0{number}".encode()).digest()
     return f"{WORDS[digest[0] % len(WORDS)]}-{digest[1]:02x} "
 
 
 def piece_count(prompt, max_pieces):
-    """Return how many pieces the right answer has."""
+    """Return the number of pieces in the answer to a prompt."""
     if max_pieces >= 100:
         return max_pieces - hashlib.sha256(prompt.encode()).digest()[0] % 30
     return min(max_pieces, 3 + hashlib.sha256(prompt.encode()).digest()[0] % 30)
 
 
-def seat_word(key, seat):
-    """Return the confirmation word of a seat under a key."""
+def seat_confirmation(key, seat):
+    """Return the confirmation of a seat booked with an idempotency key."""
     return hashlib.sha256(f"{key}\0{seat}".encode()).hexdigest()[:12]
 
 
-def tile_word(path):
-    """Return the only right content of a tile."""
+def tile_content(path):
+    """Return the content of the tile at a path."""
     return hashlib.sha256(path.encode()).hexdigest()[:24]
 
 
-class StandIn:
-    """A replica's room, warmth, prefix cache and a record of what ran."""
+class FakeReplica:
+    """A replica's slots, warm-up, prefix cache, and a record of the requests that it ran."""
 
-    def __init__(self, name, slots, warm_seconds, now, cache_room=8):
+    def __init__(self, name, slots, warm_seconds, now, cache_capacity=8):
         self.name = name
         self.slots = slots
         self.warm_seconds = warm_seconds
-        self.born_at = now
+        self.started_at = now
         self.incarnation = 0
         self.cache = OrderedDict()
-        self.cache_room = cache_room
+        self.cache_capacity = cache_capacity
         self.busy = 0
         self.state = "cold"
         self.ran = []
@@ -47,11 +47,11 @@
         self.misses = 0
         self.overloads = 0
         self.late_starts = 0
-        self.left_at = None
+        self.leaving_since = None
 
-    def bearable(self, now):
-        """Return how many inquiries it can bear at once, fewer while cold."""
-        age = now - self.born_at
+    def update_concurrency_limit(self, now):
+        """Return how many requests may run at once, fewer during warm-up; update the state."""
+        age = now - self.started_at
         if age >= self.warm_seconds:
             if self.state == "cold":
                 self.state = "ready"
@@ -59,12 +59,12 @@
         return max(1, int(self.slots * age / self.warm_seconds))
 
     def begin(self, request_name, prefix, now):
-        """Take an inquiry; return the seconds of its prefill, or None when it is too much."""
-        if self.left_at is not None and now - self.left_at > 2.0:
+        """Start a request; return the seconds of its prefill, or None if no slot is free."""
+        if self.leaving_since is not None and now - self.leaving_since > 2.0:
             self.late_starts += 1
         if self.busy >= self.slots:
             return None
-        if self.busy >= self.bearable(now):
+        if self.busy >= self.update_concurrency_limit(now):
             self.overloads += 1
             return None
         self.busy += 1
@@ -73,21 +73,21 @@
         self.hits, self.misses = self.hits + is_hit, self.misses + (not is_hit)
         self.cache[prefix] = True
         self.cache.move_to_end(prefix)
-        while len(self.cache) > self.cache_room:
+        while len(self.cache) > self.cache_capacity:
             self.cache.popitem(last=False)
         return 0.005 if is_hit else 0.06
 
     def finish(self):
-        """Free the room of one inquiry."""
+        """Free the slot of one request."""
         self.busy -= 1
 
     def leave(self, now):
-        """Begin to leave: nothing new is welcome."""
+        """Enter the state `leaving`; requests that start over two seconds later count as late."""
         self.state = "leaving"
-        self.left_at = now
+        self.leaving_since = now
 
-    def beat(self, service, zone, address, sequence):
-        """Return the body of a beat."""
+    def heartbeat_body(self, service, zone, address, sequence):
+        """Return the body of a heartbeat."""
         return {
             "name": self.name,
             "service": service,
--- a/proving/tools/fault_injection.py
+++ b/proving/tools/fault_injection.py
@@ -1,4 +1,7 @@
-"""Runs the quillring program with a network whose pairs can be cut by a file; a test aid."""
+"""Runs the quillring program with links that can be cut and disks that can be full.
+
+The files named by PROVING_CUTS and PROVING_FULL control these faults; for tests only.
+"""
 
 import json
 import os
@@ -9,52 +12,52 @@
 from quillring.verbs import cli, process, program
 
 CUTS_FILE = os.environ.get("PROVING_CUTS", "")
-FULL_FILE = os.environ.get("PROVING_FULL", "")
+FULL_DISKS_FILE = os.environ.get("PROVING_FULL", "")
 
 
 class FaultyRuntime(GeventRuntime):
-    """Drops what would cross a cut; the file lists [from address, to address] pairs."""
+    """Drops packets on cut links; the file lists them as [from address, to address]."""
 
     def __init__(self, *fields):
         super().__init__(*fields)
-        self.cuts, self.stamp, self.home = frozenset(), None, None
+        self.cuts, self.cuts_mtime_ns, self.own_address = frozenset(), None, None
 
     def listen(self, host, port, on_datagram, on_frame):
-        """Listen, and remember the own address."""
-        self.home = f"{host}:{port}"
+        """Listen, and record the node's own address."""
+        self.own_address = f"{host}:{port}"
         return super().listen(host, port, on_datagram, on_frame)
 
-    def is_cut(self, address):
-        """Tell whether the way to the address is cut now."""
+    def is_link_cut(self, address):
+        """Return whether the link to the address is cut; read the file again if it changed."""
         try:
-            stamp = os.stat(CUTS_FILE).st_mtime_ns
+            cuts_mtime_ns = os.stat(CUTS_FILE).st_mtime_ns
         except OSError:
             return False
-        if stamp != self.stamp:
+        if cuts_mtime_ns != self.cuts_mtime_ns:
             with open(CUTS_FILE, encoding="utf-8") as cuts_file:
                 self.cuts = frozenset(tuple(pair) for pair in json.load(cuts_file))
-            self.stamp = stamp
-        return (self.home, f"{address[0]}:{address[1]}") in self.cuts
+            self.cuts_mtime_ns = cuts_mtime_ns
+        return (self.own_address, f"{address[0]}:{address[1]}") in self.cuts
 
     def datagram(self, address, data):
-        """Send unless cut."""
-        if not self.is_cut(address):
+        """Send unless the link is cut."""
+        if not self.is_link_cut(address):
             super().datagram(address, data)
 
     def frame(self, address, data):
-        """Send unless cut."""
-        if not self.is_cut(address):
+        """Send unless the link is cut."""
+        if not self.is_link_cut(address):
             super().frame(address, data)
 
 
-class FullDisk(FolderDisk):
-    """A data folder with no room left while a file lists it."""
+class FillableDisk(FolderDisk):
+    """A data folder whose writes fail as if the disk were full while the file lists the folder."""
 
     __slots__ = ()
 
-    def _check_room(self, name):
+    def _check_space(self, name):
         try:
-            with open(FULL_FILE, encoding="utf-8") as full_file:
+            with open(FULL_DISKS_FILE, encoding="utf-8") as full_file:
                 is_full = self.folder in json.load(full_file)
         except (OSError, ValueError):
             is_full = False
@@ -62,20 +65,20 @@
             raise DiskError(file=name, reason="no space left")
 
     def write(self, name, data):
-        """Write unless full."""
-        self._check_room(name)
+        """Write a file; DiskError if the disk is full."""
+        self._check_space(name)
         super().write(name, data)
 
     def append(self, name, data):
-        """Append unless full."""
-        self._check_room(name)
+        """Append to a file; DiskError if the disk is full."""
+        self._check_space(name)
         super().append(name, data)
 
 
 def main():
-    """Run the program on the faulty runtime."""
+    """Run the program with fault injection."""
     real_run = process.run_process
-    process.FolderDisk = FullDisk
+    process.FolderDisk = FillableDisk
     cli.run_process = lambda settings, reread: real_run(settings, reread, FaultyRuntime)
     program.main()
 
--- a/proving/tools/fuzz.py
+++ b/proving/tools/fuzz.py
@@ -1,4 +1,4 @@
-"""Bad input from a seed: HTTP inquiries, layouts, settings, datagrams, frames."""
+"""Seeded generators of invalid input: HTTP requests, JSON documents, datagrams and frames."""
 
 import json
 import socket
@@ -8,7 +8,7 @@
 from quillring.kernel.settings import split_address
 from quillring.nifty.wire import MAGIC
 
-BODIES = {
+VALID_BODIES = {
     "/v1/inquiries": {"entry": "wayfinding", "prompt": "p", "max_pieces": 3, "time_left_ms": 900},
     "/v1/lots": {"entry": "gate-notices", "items": ["a"], "key": "k"},
     "/v1/seats": {"entry": "tiles", "key": "k", "seat": "4a"},
@@ -27,7 +27,7 @@
     "/v1/found": {"parts": 2},
     "/v1/layout": {"base_version": 0, "layout": {"entries": {}}, "whole": False, "id": "x"},
 }
-STRANGE = (
+INVALID_VALUES = (
     None,
     True,
     False,
@@ -50,7 +50,7 @@
     "\u00b2",
     2.0,
 )
-RAW = (
+INVALID_BODIES = (
     b"NaN",
     b'{"entry": NaN}',
     b"[" * 5000,
@@ -67,7 +67,7 @@
     b"true",
     b'"text"',
 )
-PATHS = (
+INVALID_PATHS = (
     "/v1/tiles/tiles/%b2/1/1",
     "/v1/tiles/tiles/1/1/-1",
     "/v1/tiles/%00/1/1/1",
@@ -96,46 +96,46 @@
 METHODS = ("GET", "POST", "PUT", "DELETE", "PATCH", "HEAD", "OPTIONS", "QUERY")
 
 
-def mutate(chance, value):
-    """Return a JSON value with one or two places made strange."""
-    if not isinstance(value, dict) or not value or chance.random() < 0.15:
-        return chance.choice(STRANGE)
-    changed = dict(value)
-    for _ in range(chance.randrange(1, 3)):
-        name = chance.choice(sorted(value))
-        kind = chance.randrange(4)
+def mutate(rng, value):
+    """Return a copy of a JSON object with invalid fields, or an invalid value in its place."""
+    if not isinstance(value, dict) or not value or rng.random() < 0.15:
+        return rng.choice(INVALID_VALUES)
+    mutated = dict(value)
+    for _ in range(rng.randrange(1, 3)):
+        name = rng.choice(sorted(value))
+        kind = rng.randrange(4)
         if kind == 0:
-            changed.pop(name, None)
+            mutated.pop(name, None)
         elif kind == 1:
-            changed[chance.choice(("extra", "", "__class__", "entry\u0000"))] = 1
+            mutated[rng.choice(("extra", "", "__class__", "entry\u0000"))] = 1
         elif kind == 2:
-            changed[name] = mutate(chance, value[name])
+            mutated[name] = mutate(rng, value[name])
         else:
-            changed[name] = chance.choice(STRANGE)
-    return changed
+            mutated[name] = rng.choice(INVALID_VALUES)
+    return mutated
 
 
-def http_case(chance):
-    """Return (method, path, body bytes, body length told) of one bad inquiry."""
-    kind = chance.randrange(5)
-    path = chance.choice(sorted(BODIES))
+def http_case(rng):
+    """Return (method, path, body, Content-Length) of one invalid request."""
+    kind = rng.randrange(5)
+    path = rng.choice(sorted(VALID_BODIES))
     method = "PUT" if path == "/v1/layout" else "POST"
-    body = json.dumps(mutate(chance, BODIES[path])).encode()
+    body = json.dumps(mutate(rng, VALID_BODIES[path])).encode()
     if kind == 0:
-        return chance.choice(METHODS), chance.choice(PATHS), b"", 0
+        return rng.choice(METHODS), rng.choice(INVALID_PATHS), b"", 0
     if kind == 1:
-        method = chance.choice([m for m in METHODS if m not in (method, "GET")])
+        method = rng.choice([m for m in METHODS if m not in (method, "GET")])
     if kind == 2:
-        body = chance.choice(RAW)
+        body = rng.choice(INVALID_BODIES)
     if kind == 3 and body:
         return method, path, body[: len(body) // 2], len(body)
     if kind == 4:
-        path += chance.choice(("?x=1", "?", "?entry=%ff", "/", "//", "/%00"))
+        path += rng.choice(("?x=1", "?", "?entry=%ff", "/", "//", "/%00"))
     return method, path, body, len(body)
 
 
 def exchange(address, case, client_name="fuzz"):
-    """Send one inquiry over a socket of its own; return (status, JSON answer or None)."""
+    """Send one request over a new socket; return (status, JSON body, its first bytes, or None)."""
     method, path, body, length = case
     head = (
         f"{method} {path} HTTP/1.1\r\nHost: x\r\nX-Sender: {client_name}\r\nConnection: close\r\n"
@@ -144,20 +144,20 @@
     with socket.create_connection(split_address(address), 20) as conn:
         conn.sendall(head.encode("utf-8") + body)
         conn.shutdown(socket.SHUT_WR)
-        answer = conn.makefile("rb").read()
-    top, _, rest = answer.partition(b"\r\n\r\n")
-    status = int(top.split()[1]) if top else 0
+        response = conn.makefile("rb").read()
+    head_bytes, _, response_body = response.partition(b"\r\n\r\n")
+    status = int(head_bytes.split()[1]) if head_bytes else 0
     try:
-        return status, json.loads(rest) if rest and method != "HEAD" else None
+        return status, json.loads(response_body) if response_body and method != "HEAD" else None
     except ValueError:
-        return status, rest[:200]
+        return status, response_body[:200]
 
 
-def random_value(chance, depth=0):
-    """Return a random cbor-able value."""
-    kind = chance.randrange(9 if depth < 4 else 6)
+def random_value(rng, depth=0):
+    """Return a random value that CBOR can encode."""
+    kind = rng.randrange(9 if depth < 4 else 6)
     if kind < 6:
-        return chance.choice(
+        return rng.choice(
             (
                 None,
                 True,
@@ -171,28 +171,28 @@
                 "x" * 50,
                 b"",
                 b"\xff" * 9,
-                chance.randrange(1 << 40),
+                rng.randrange(1 << 40),
             )
         )
     if kind < 8:
-        return [random_value(chance, depth + 1) for _ in range(chance.randrange(8))]
+        return [random_value(rng, depth + 1) for _ in range(rng.randrange(8))]
     keys = ("s", "b", "r", "c", "part", "ballot", "round", "stream", "pieces", "from")
-    return {chance.choice(keys): random_value(chance, depth + 1) for _ in range(4)}
+    return {rng.choice(keys): random_value(rng, depth + 1) for _ in range(4)}
 
 
-def datagram_case(chance, sound):
-    """Return garbage made of a sound datagram or frame, or of nothing."""
-    kind = chance.randrange(5)
+def datagram_case(rng, valid_packet):
+    """Return random bytes, or a truncated or altered copy of a valid datagram or frame."""
+    kind = rng.randrange(5)
     if kind == 0:
-        return chance.randbytes(chance.randrange(200))
+        return rng.randbytes(rng.randrange(200))
     if kind == 1:
-        return MAGIC + bytes([chance.randrange(5)]) + cbor2.dumps(random_value(chance))
+        return MAGIC + bytes([rng.randrange(5)]) + cbor2.dumps(random_value(rng))
     if kind == 2:
-        return sound[: chance.randrange(len(sound))]
-    fields = cbor2.loads(sound[3:])
+        return valid_packet[: rng.randrange(len(valid_packet))]
+    fields = cbor2.loads(valid_packet[3:])
     if kind == 3:
-        fields[chance.randrange(len(fields))] = random_value(chance)
-        return sound[:3] + cbor2.dumps(fields)
-    flipped = bytearray(sound)
-    flipped[chance.randrange(3, len(sound))] ^= 1 << chance.randrange(8)
+        fields[rng.randrange(len(fields))] = random_value(rng)
+        return valid_packet[:3] + cbor2.dumps(fields)
+    flipped = bytearray(valid_packet)
+    flipped[rng.randrange(3, len(valid_packet))] ^= 1 << rng.randrange(8)
     return bytes(flipped)
--- a/proving/tools/local_fleet.py
+++ b/proving/tools/local_fleet.py
@@ -1,4 +1,4 @@
-"""The local fleet: starts and stops every process of a deployment on loopback; a test aid."""
+"""Starts and stops the processes of a deployment on loopback addresses; for tests."""
 
 import json
 import os
@@ -12,21 +12,23 @@
 from proving.tools.callers import ask
 from proving.tools.reserved_ports import ReservedPorts
 
-LAST_WORDS = 2000
-LONGEST_ANSWER = 2000
+OUTPUT_TAIL_CHARACTERS = 2000
+MAX_ANSWER_CHARACTERS = 2000
 
 
-class ProcessEnded(Exception):
-    """A process of the fleet ended though nobody here stopped it."""
+class ProcessExited(Exception):
+    """A process of the fleet exited without being stopped or killed by the fleet."""
 
-    def __init__(self, name, code, last_words):
-        super().__init__(f"{name} ended by itself, exit code {code}; its last words:\n{last_words}")
+    def __init__(self, name, code, output_tail):
+        super().__init__(
+            f"{name} exited unexpectedly with code {code}; last output:\n{output_tail}"
+        )
         self.name = name
         self.code = code
 
 
 class LocalFleet:
-    """The processes of one deployment, each started, stopped, frozen or killed by name."""
+    """The processes of one deployment, each controlled by its name."""
 
     def __init__(self, example, run_folder, free_ports=False, only=None):
         self.example = pathlib.Path(example)
@@ -35,8 +37,8 @@
         self.run_folder.mkdir(parents=True, exist_ok=True)
         self.cuts_file = self.run_folder / "cuts.json"
         self.cuts_file.write_text("[]")
-        self.full_file = self.run_folder / "full.json"
-        self.full_file.write_text("[]")
+        self.full_disks_file = self.run_folder / "full.json"
+        self.full_disks_file.write_text("[]")
         self.processes = {}
         self.ports = ReservedPorts()
         self.answers = {}
@@ -45,23 +47,23 @@
         replica_rows = json.loads((self.example / "replicas.json").read_text())
         self.replicas = {r["name"]: r for r in replica_rows if only is None or r["name"] in only}
         if free_ports:
-            self._move_ports()
+            self._assign_free_ports()
         for row in self.settings.values():
             row["log_file"] = str(self.run_folder / f"{row['name']}.log")
             if "folder" in row:
                 row["folder"] = str(self.run_folder / "data" / row["name"])
 
-    def _move_ports(self):
-        moved = {}
+    def _assign_free_ports(self):
+        new_addresses = {}
         for row in [*self.settings.values(), *self.replicas.values()]:
             for field in ("address", "http_address"):
                 if field in row:
-                    moved[row[field]] = self.ports.take(row[field].rsplit(":", 1)[0])
-                    row[field] = moved[row[field]]
+                    new_addresses[row[field]] = self.ports.reserve(row[field].rsplit(":", 1)[0])
+                    row[field] = new_addresses[row[field]]
         for row in self.settings.values():
-            row["seeds"] = [moved[seed] for seed in row["seeds"] if seed in moved] or [
-                row["address"]
-            ]
+            row["seeds"] = [
+                new_addresses[seed] for seed in row["seeds"] if seed in new_addresses
+            ] or [row["address"]]
 
     def names(self, role):
         """Return the names of the nodes of a role."""
@@ -72,31 +74,37 @@
         return self.settings[name]["http_address"]
 
     def start(self, name):
-        """Start one process."""
+        """Start the process of a node or replica."""
         out_file = open(self.run_folder / f"{name}.out", "ab")
         if name in self.settings:
             row = self.settings[name]
             path = self.run_folder / f"{name}.json"
             path.write_text(json.dumps(row))
-            words = ["-m", "proving.tools.fault_injection", row["role"], "--settings", str(path)]
+            arguments = [
+                "-m",
+                "proving.tools.fault_injection",
+                row["role"],
+                "--settings",
+                str(path),
+            ]
         else:
             row = self.replicas[name]
             nodes = [self.http(n) for n in self.settings if not n.startswith("store")]
-            turn = sorted(self.replicas).index(name) % len(nodes)
-            words = ["-m", "proving.tools.standin"]
+            first_node_index = sorted(self.replicas).index(name) % len(nodes)
+            arguments = ["-m", "proving.tools.standin"]
             for field in ("name", "service", "domain", "address", "slots"):
-                words += [f"--{field}", str(row[field])]
-            for node in nodes[turn:] + nodes[:turn]:
-                words += ["--node", node]
+                arguments += [f"--{field}", str(row[field])]
+            for node in nodes[first_node_index:] + nodes[:first_node_index]:
+                arguments += ["--node", node]
         self.processes[name] = subprocess.Popen(
-            [sys.executable, *words],
+            [sys.executable, *arguments],
             stdout=out_file,
             stderr=out_file,
             start_new_session=True,
             env={
                 **os.environ,
                 "PROVING_CUTS": str(self.cuts_file),
-                "PROVING_FULL": str(self.full_file),
+                "PROVING_FULL": str(self.full_disks_file),
             },
         )
 
@@ -106,43 +114,43 @@
             self.start(name)
 
     def signal(self, name, number):
-        """Send a signal to one of the processes started here."""
+        """Send a signal to a running process."""
         self.processes[name].send_signal(number)
 
-    def keep_running(self):
-        """Start every process anew that ended as planned, as a platform does; return the names."""
-        ended_names = [name for name, p in self.processes.items() if p.poll() is not None]
-        for name in ended_names:
+    def restart_exited_processes(self):
+        """Restart every process that exited, as a platform does; return their names."""
+        exited_names = [name for name, p in self.processes.items() if p.poll() is not None]
+        for name in exited_names:
             self.start(name)
-        return ended_names
+        return exited_names
 
     def kill(self, name):
-        """Kill a process as a power cut would."""
+        """Kill a process with SIGKILL, so that it cannot clean up, as in a power loss."""
         process = self.processes.pop(name)
         process.kill()
         process.wait()
 
     def stop(self, name, seconds=60):
-        """Stop a process as planned; return its exit code."""
+        """Stop a process with SIGTERM; return its exit code."""
         process = self.processes.pop(name)
         process.send_signal(signal.SIGTERM)
         return process.wait(seconds)
 
     def cut(self, *pairs):
-        """Cut the pairs of nodes both ways; no pairs heals all."""
+        """Cut exactly these pairs of nodes, in both directions; no pairs heals all cuts."""
         addresses = [[self.settings[n]["address"] for n in pair] for pair in pairs]
-        fresh_file = self.cuts_file.with_suffix(".new")
-        fresh_file.write_text(json.dumps([*addresses, *(pair[::-1] for pair in addresses)]))
-        fresh_file.replace(self.cuts_file)
+        new_file = self.cuts_file.with_suffix(".new")
+        new_file.write_text(json.dumps([*addresses, *(pair[::-1] for pair in addresses)]))
+        new_file.replace(self.cuts_file)
 
-    def fill(self, names):
-        """Let the disks of these stores be full, and all others have room."""
-        fresh_file = self.full_file.with_suffix(".new")
-        fresh_file.write_text(json.dumps([self.settings[name]["folder"] for name in names]))
-        fresh_file.replace(self.full_file)
+    def set_full_disks(self, names):
+        """Make the disks of exactly these stores behave as full."""
+        new_file = self.full_disks_file.with_suffix(".new")
+        new_file.write_text(json.dumps([self.settings[name]["folder"] for name in names]))
+        new_file.replace(self.full_disks_file)
 
     def stop_all(self):
-        """End everything that still runs, and let go of the ports."""
+        """Kill all running processes and release the ports."""
         for process in self.processes.values():
             process.kill()
         for process in self.processes.values():
@@ -151,24 +159,27 @@
         self.ports.close()
 
     def ask(self, name, method, path, body=None):
-        """Ask a node, and remember its answer for the report of a wait that was in vain."""
+        """Send a request to a node; record the response, which a timed-out wait reports."""
         status, answer = ask(self.http(name), method, path, body)
         self.answers[f"{name} {method} {path}"] = (status, answer)
         return status, answer
 
     def check_running(self):
-        """Raise ProcessEnded if a process ended that was neither stopped nor killed from here."""
+        """Raise ProcessExited if a process exited that the fleet neither stopped nor killed."""
         for name, process in self.processes.items():
             if process.poll() is not None:
-                raise ProcessEnded(name, process.returncode, self._last_words(name))
+                raise ProcessExited(name, process.returncode, self._output_tail(name))
 
-    def _last_words(self, name):
+    def _output_tail(self, name):
         paths = [self.run_folder / f"{name}{ending}" for ending in (".log", ".out")]
         texts = [path.read_text(errors="replace") for path in paths if path.exists()]
-        return "\n".join(text[-LAST_WORDS:] for text in texts)
+        return "\n".join(text[-OUTPUT_TAIL_CHARACTERS:] for text in texts)
 
     def wait_for(self, what, is_done, seconds=90):
-        """Wait until the condition holds; a generous limit, no assertion on how long."""
+        """Wait until `is_done()`; TimeoutError with the last responses after `seconds`.
+
+        The limit is generous, since it is no check of speed. ProcessExited if a process exits.
+        """
         self.answers = {}
         end_time = time.monotonic() + seconds
         while not is_done():
@@ -178,11 +189,13 @@
             time.sleep(0.1)
 
     def _last_answers(self):
-        lines = [f"{asked}: {status} {answer}" for asked, (status, answer) in self.answers.items()]
-        return "".join(f"\n{line[:LONGEST_ANSWER]}" for line in lines)
+        lines = [
+            f"{request}: {status} {answer}" for request, (status, answer) in self.answers.items()
+        ]
+        return "".join(f"\n{line[:MAX_ANSWER_CHARACTERS]}" for line in lines)
 
     def found(self):
-        """Found the fleet and apply the example layout; wait until every edge is ready."""
+        """Found the fleet, apply the example layout and wait until every edge is ready."""
         cores = self.names("core")
         store_count = len(self.names("store"))
 
@@ -200,8 +213,8 @@
         self.wait_for("layout", lambda: self.ask(cores[0], "PUT", "/v1/layout", body)[0] == 200)
         self.wait_ready()
 
-    def wait_whole(self):
-        """Wait until every part has three stores that hold everything."""
+    def wait_fully_replicated(self):
+        """Wait until every part has three stores that hold all of its data."""
         edge = self.names("edge")[0]
         self.wait_for("whole", lambda: self.ask(edge, "GET", "/v1/whole")[1].get("is_whole"))
 
--- a/proving/tools/overhead.py
+++ b/proving/tools/overhead.py
@@ -1,4 +1,4 @@
-"""What the edge adds to a call against asking the stand-in directly, on loopback."""
+"""Measures what an edge adds to a call, compared with calling the replica directly."""
 
 import json
 import os
@@ -15,8 +15,8 @@
 from quillring.kernel.settings import split_address
 
 
-def timed(call, count):
-    """Return the median milliseconds of a call."""
+def median_milliseconds(call, count):
+    """Return the median milliseconds of a call over `count` calls."""
     times = []
     for _ in range(count):
         start_time = time.perf_counter()
@@ -25,25 +25,32 @@
     return round(statistics.median(times), 2)
 
 
-def kept_calls(fleet, incarnation, count):
-    """Return medians over kept connections, and the edge's share of a core."""
+def measure_reused_connections(fleet, incarnation, count):
+    """Measure tile calls over reused connections.
+
+    Return the median milliseconds directly and through the edge, and the share of a core that the
+    edge uses at 100 calls a second.
+    """
     replica, edge = fleet.replicas["map-1"]["address"], fleet.http("edge-1")
     paths = {
         replica: f"/v1/tiles/1/1/1?inquiry=x&incarnation={incarnation}",
         edge: "/v1/tiles/tiles/1/1/1",
     }
-    medians, used = {}, {}
+    medians, core_shares_and_seconds = {}, {}
     for address, path in paths.items():
         client = HTTPClient(*split_address(address), concurrency=1)
         before, start_time = cpu_seconds(fleet.processes["edge-1"].pid), time.perf_counter()
-        medians[address] = timed(
+        medians[address] = median_milliseconds(
             lambda c=client, p=path: json.loads(c.request("GET", p).read()), count * 4
         )
         spent = cpu_seconds(fleet.processes["edge-1"].pid) - before
-        used[address] = spent / (time.perf_counter() - start_time), spent / (count * 4)
+        core_shares_and_seconds[address] = (
+            spent / (time.perf_counter() - start_time),
+            spent / (count * 4),
+        )
         client.close()
-    idle_share = used[replica][0]
-    busy_seconds = used[edge][1] - idle_share * medians[edge] / 1000
+    idle_share = core_shares_and_seconds[replica][0]
+    busy_seconds = core_shares_and_seconds[edge][1] - idle_share * medians[edge] / 1000
     return medians[replica], medians[edge], round(busy_seconds * 100, 3)
 
 
@@ -57,7 +64,7 @@
 @click.option("--run-folder", default="run/fleet", show_default=True)
 @click.option("--count", default=200, show_default=True)
 def main(run_folder, count):
-    """Measure tiles and streams, directly and through an edge."""
+    """Measure tile calls directly and through an edge, and streams through an edge."""
     names = {
         "core-1",
         "core-2",
@@ -75,9 +82,9 @@
         fleet.found()
         edge, replica = fleet.http("edge-1"), fleet.replicas["map-1"]["address"]
         _, beats = callers.ask(edge, "GET", "/v1/replicas")
-        chance, record = random.Random(1), callers.Record()
+        rng, record = random.Random(1), callers.Record()
         incarnation = next(r["incarnation"] for r in beats["replicas"] if r["name"] == "map-1")
-        direct = timed(
+        direct = median_milliseconds(
             lambda: (
                 callers.ask(replica, "GET", f"/v1/tiles/1/1/1?inquiry=x&incarnation={incarnation}")[
                     0
@@ -86,29 +93,29 @@
             ),
             count,
         )
-        through = timed(lambda: callers.ask(edge, "GET", "/v1/tiles/tiles/1/1/1")[0] == 200, count)
+        through = median_milliseconds(
+            lambda: callers.ask(edge, "GET", "/v1/tiles/tiles/1/1/1")[0] == 200, count
+        )
 
-        kept_direct, kept_through, share = kept_calls(fleet, incarnation, count)
+        reused_direct, reused_through, share = measure_reused_connections(fleet, incarnation, count)
 
         def stream():
-            callers.stream_call(
-                [edge], chance, record, time.monotonic, "wayfinding", "short", 20, 0.0
-            )
+            callers.stream_call([edge], rng, record, time.monotonic, "wayfinding", "short", 20, 0.0)
             return True
 
-        timed(stream, count // 4)
-        firsts = statistics.median(record.first_pieces) * 1000
+        median_milliseconds(stream, count // 4)
+        first_piece_median_ms = statistics.median(record.first_piece_seconds) * 1000
         click.echo(
             json.dumps(
                 {
                     "tile_direct_ms": direct,
                     "tile_through_edge_ms": through,
                     "ratio": round(through / direct, 2),
-                    "kept_direct_ms": kept_direct,
-                    "kept_through_edge_ms": kept_through,
-                    "kept_ratio": round(kept_through / kept_direct, 2),
+                    "kept_direct_ms": reused_direct,
+                    "kept_through_edge_ms": reused_through,
+                    "kept_ratio": round(reused_through / reused_direct, 2),
                     "core_share_per_100_tiles_a_second": share,
-                    "first_piece_ms": round(firsts, 2),
+                    "first_piece_ms": round(first_piece_median_ms, 2),
                     "stand_in_first_piece_ms": 9,
                 }
             )
--- a/proving/tools/reference.py
+++ b/proving/tools/reference.py
@@ -1,4 +1,4 @@
-"""Writes docs/settings.md from the schemas; a test checks that it is up to date."""
+"""Writes docs/settings.md from the schemas; a test checks that the page is up to date."""
 
 from quillring.kernel.bounds import ATTRIBUTE_OF_SETTING, Bounds
 from quillring.kernel.settings import SCHEMA as SETTINGS
@@ -17,7 +17,7 @@
 
 
 def type_of(schema):
-    """Return a short text of a schema's type."""
+    """Return a short description of a schema's type and limits."""
     if "enum" in schema:
         return ", ".join(f"`{value}`" for value in schema["enum"])
     if "const" in schema:
@@ -32,7 +32,7 @@
 
 
 def rows_of(schema):
-    """Return [(what a section holds, schema of an item)]; none where it is a single value."""
+    """Return [(description, schema of an item)] of a section; empty if it is a single value."""
     inner = schema.get("additionalProperties")
     if "patternProperties" in schema:
         return [("by name", row) for row in schema["patternProperties"].values()]
@@ -44,7 +44,7 @@
 
 
 def reference():
-    """Return the text of the reference."""
+    """Return the text of the page."""
     lines = [
         "# Settings and layout",
         "",
--- a/proving/tools/reserved_ports.py
+++ b/proving/tools/reserved_ports.py
@@ -1,14 +1,15 @@
-"""Free ports that stay a local fleet's own from the choice to its end; a test aid."""
+"""Free ports, reserved for a local fleet until it ends; for tests."""
 
 import socket
 
 
 class ReservedPorts:
-    """The ports of one fleet, each held by a socket that is bound and never listens.
+    """The ports of one fleet, each reserved by a socket that is bound but never listens.
 
-    The system gives a held port to nobody else. A process of the fleet can still listen at it, as
-    its servers allow the reuse of an address that nobody listens at. A node's datagrams go by the
-    port of its frames, so that they need no hold of their own.
+    The kernel assigns a reserved port to no other socket. A process of the fleet can still listen
+    on it: its servers set SO_REUSEADDR, which allows this as long as no other socket listens. A
+    node uses one port number for frames (TCP) and datagrams (UDP); the UDP port needs no
+    reservation.
     """
 
     __slots__ = ("sockets",)
@@ -16,15 +17,15 @@
     def __init__(self):
         self.sockets = []
 
-    def take(self, host):
-        """Return the host with a port that is free, and held from now on."""
-        holder = socket.socket()
-        holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        holder.bind((host, 0))
-        self.sockets.append(holder)
-        return f"{host}:{holder.getsockname()[1]}"
+    def reserve(self, host):
+        """Reserve a free port on the host; return `host:port`."""
+        reservation = socket.socket()
+        reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        reservation.bind((host, 0))
+        self.sockets.append(reservation)
+        return f"{host}:{reservation.getsockname()[1]}"
 
     def close(self):
-        """Let go of all ports."""
+        """Release all ports."""
         while self.sockets:
             self.sockets.pop().close()
--- a/proving/tools/scripted_connection.py
+++ b/proving/tools/scripted_connection.py
@@ -1,4 +1,4 @@
-"""Connections to a scripted replica without sockets or time, for property tests and scenarios."""
+"""Fake connections to a replica, without sockets or time, for property tests and scenarios."""
 
 from itertools import pairwise
 
@@ -10,50 +10,53 @@
 
 
 class FakeSocket:
-    """What the replica puts into `arrived` is received piece by piece, cut at any place."""
+    """A fake socket: each `recv` returns the next piece of `incoming`, which the test fills."""
 
     def __init__(self):
         self.written = []
-        self.arrived = []
+        self.incoming = []
         self.is_closed = False
 
     def send(self, data):
-        """Note what was written, all at once; ConnectionResetError on a broken connection."""
-        if self.is_closed or RESET in self.arrived:
+        """Record the data, all of which is sent; ConnectionResetError on a broken connection."""
+        if self.is_closed or RESET in self.incoming:
             raise ConnectionResetError
         self.written.append(bytes(data))
         return len(data)
 
     def recv(self, size):
-        """Return the next piece; nothing there is a stall, the end is b"" or a reset."""
+        """Return the next piece, or b"" at the end; ConnectionResetError on a reset.
+
+        An empty `incoming` acts as a timeout: BackendError with the reason `stall`.
+        """
         if self.is_closed:
             raise OSError
-        if not self.arrived:
+        if not self.incoming:
             raise BackendError(reason="stall")
-        if self.arrived[0] in (END, RESET):
-            if self.arrived[0] == RESET:
+        if self.incoming[0] in (END, RESET):
+            if self.incoming[0] == RESET:
                 raise ConnectionResetError
             return b""
-        return self.arrived.pop(0)
+        return self.incoming.pop(0)
 
     def put(self, data, cuts=()):
-        """Let bytes arrive, cut at the places given."""
-        places = [0, *sorted({cut % (len(data) + 1) for cut in cuts}), len(data)]
-        pieces = [data[a:b] for a, b in pairwise(places)]
-        self.arrived.extend(piece for piece in pieces if piece)
+        """Add bytes to be received, split at the offsets `cuts` (modulo the length)."""
+        offsets = [0, *sorted({cut % (len(data) + 1) for cut in cuts}), len(data)]
+        pieces = [data[a:b] for a, b in pairwise(offsets)]
+        self.incoming.extend(piece for piece in pieces if piece)
 
     def close(self):
-        """Close this side."""
+        """Close the socket."""
         self.is_closed = True
 
 
-class FakeWire:
-    """Stands in for `connect` and the pool; `sockets` holds every connection made."""
+class FakeConnections:
+    """Replaces `connect` and the connection pool; `sockets` lists every socket that was opened."""
 
     def __init__(self):
         self.sockets = []
         self.pool = ConnectionPool()
-        self.old = {}
+        self.replaced = {}
 
     def connect(self, address, seconds):
         """Return a new connection over a fake socket."""
@@ -61,17 +64,17 @@
         return ReplicaConnection(tuple(address), self.sockets[-1])
 
     def start(self):
-        """Take the place of the real connections."""
-        self.old = {
+        """Install the replacements in the modules that open connections."""
+        self.replaced = {
             (http_client, "connect"): self.connect,
             (http_client, "POOL"): self.pool,
-            (connection_pool, "is_readable"): lambda sock: bool(sock.arrived),
+            (connection_pool, "is_readable"): lambda sock: bool(sock.incoming),
         }
-        for (module, name), stand_in in list(self.old.items()):
-            self.old[module, name] = getattr(module, name)
-            setattr(module, name, stand_in)
+        for (module, name), replacement in list(self.replaced.items()):
+            self.replaced[module, name] = getattr(module, name)
+            setattr(module, name, replacement)
 
     def stop(self):
-        """Put the real ones back."""
-        for (module, name), real in self.old.items():
+        """Restore the originals."""
+        for (module, name), real in self.replaced.items():
             setattr(module, name, real)
--- a/proving/tools/standin.py
+++ b/proving/tools/standin.py
@@ -1,4 +1,4 @@
-"""A stand-in back end as a process: model, map or checkout replica over HTTP/1.1 + JSON."""
+"""A fake replica as a process: model, map or checkout service over HTTP/1.1 and JSON."""
 
 import json
 import signal
@@ -9,7 +9,13 @@
 import gevent
 import gevent.event
 
-from proving.tools.fake_replica_logic import StandIn, piece_count, piece_text, seat_word, tile_word
+from proving.tools.fake_replica_logic import (
+    FakeReplica,
+    piece_count,
+    piece_text,
+    seat_confirmation,
+    tile_content,
+)
 from quillring.kernel import backend
 from quillring.kernel.effects import FetchJson
 from quillring.kernel.errors import QuillringError
@@ -17,11 +23,11 @@
 from quillring.kernel.wsgi_server import start_wsgi_server
 
 PIECE_SECONDS = 0.004
-BEAT_SECONDS = 0.4
+HEARTBEAT_SECONDS = 0.4
 
 
 def answer(start_response, body, status="200 OK"):
-    """Send one JSON body."""
+    """Start a JSON response and return its body."""
     data = json.dumps(body).encode()
     start_response(
         status, [("Content-Type", "application/json"), ("Content-Length", str(len(data)))]
@@ -30,34 +36,34 @@
 
 
 class Server:
-    """The HTTP side of a stand-in."""
+    """The HTTP interface of a fake replica."""
 
-    def __init__(self, stand_in):
-        self.stand_in = stand_in
-        self.stopped = set()
+    def __init__(self, fake_replica):
+        self.fake_replica = fake_replica
+        self.stopped_prefixes = set()
 
     def app(self, environ, start_response):
-        """Serve one inquiry of the tier."""
+        """Serve one request of a node (WSGI)."""
         path, query = environ["PATH_INFO"], environ.get("QUERY_STRING", "")
         body = environ["wsgi.input"].read()
         if path == "/state":
-            kept = ("busy", "state", "hits", "misses", "overloads", "late_starts")
+            reported_names = ("busy", "state", "hits", "misses", "overloads", "late_starts")
             return answer(
                 start_response,
                 {
-                    **{name: getattr(self.stand_in, name) for name in kept},
-                    "ran": len(self.stand_in.ran),
+                    **{name: getattr(self.fake_replica, name) for name in reported_names},
+                    "ran": len(self.fake_replica.ran),
                 },
             )
         fields = json.loads(body) if body else {}
-        words = dict(parse_qsl(query))
-        name = fields.get("inquiry") or words.get("inquiry", "")
-        if words.get("incarnation") != str(self.stand_in.incarnation):
+        query_fields = dict(parse_qsl(query))
+        name = fields.get("inquiry") or query_fields.get("inquiry", "")
+        if query_fields.get("incarnation") != str(self.fake_replica.incarnation):
             return answer(start_response, {"trouble": "former_start"}, "503 Service Unavailable")
         if path == "/v1/stop":
-            self.stopped.add(fields["inquiries_of"])
+            self.stopped_prefixes.add(fields["inquiries_of"])
             return answer(start_response, {"stopped": True})
-        seconds = self.stand_in.begin(name, fields.get("prefix", ""), time.monotonic())
+        seconds = self.fake_replica.begin(name, fields.get("prefix", ""), time.monotonic())
         if seconds is None:
             return answer(start_response, {"trouble": "busy"}, "503 Service Unavailable")
         if path == "/v1/generate":
@@ -66,20 +72,20 @@
         try:
             gevent.sleep(0.003)
             if path == "/v1/seats":
-                word = seat_word(fields["key"], fields["seat"])
+                word = seat_confirmation(fields["key"], fields["seat"])
                 return answer(start_response, {"inquiry": name, "confirmed": word})
-            return answer(start_response, {"inquiry": name, "tile": tile_word(path)})
+            return answer(start_response, {"inquiry": name, "tile": tile_content(path)})
         finally:
-            self.stand_in.finish()
+            self.fake_replica.finish()
 
     def generate(self, fields, seconds):
-        """Yield the numbered pieces of the answer."""
+        """Yield the numbered pieces of the answer, from the requested one, and the end line."""
         try:
             gevent.sleep(seconds)
             count = piece_count(fields["prompt"], fields["max_pieces"])
             for number in range(fields["from"] + 1, count + 1):
                 gevent.sleep(PIECE_SECONDS)
-                if any(fields["inquiry"].startswith(prefix) for prefix in self.stopped):
+                if any(fields["inquiry"].startswith(prefix) for prefix in self.stopped_prefixes):
                     return
                 yield (
                     json.dumps(
@@ -96,7 +102,7 @@
                 + b"\n"
             )
         finally:
-            self.stand_in.finish()
+            self.fake_replica.finish()
 
 
 @click.command()
@@ -108,24 +114,24 @@
 @click.option("--slots", default=8)
 @click.option("--warm-seconds", default=2.0)
 def main(name, service, domain, address, nodes, slots, warm_seconds):
-    """Run a stand-in replica that beats to whichever node takes it."""
-    stand_in = StandIn(name, slots, warm_seconds, time.monotonic())
-    stand_in.incarnation = time.time_ns() // 1000
-    server = start_wsgi_server(split_address(address), Server(stand_in).app)
+    """Run a fake replica that sends its heartbeats to one node, and to the next if that fails."""
+    fake_replica = FakeReplica(name, slots, warm_seconds, time.monotonic())
+    fake_replica.incarnation = time.time_ns() // 1000
+    server = start_wsgi_server(split_address(address), Server(fake_replica).app)
     stop_event = gevent.event.Event()
     gevent.signal_handler(signal.SIGTERM, stop_event.set)
-    sequence, turn = 0, hash(name)
+    sequence, node_index = 0, hash(name)
 
-    def beat():
-        nonlocal sequence, turn
+    def send_heartbeat():
+        nonlocal sequence, node_index
         sequence += 1
-        stand_in.bearable(time.monotonic())
-        body = stand_in.beat(service, domain, address, sequence)
+        fake_replica.update_concurrency_limit(time.monotonic())
+        body = fake_replica.heartbeat_body(service, domain, address, sequence)
         for _ in range(len(nodes)):
             try:
                 backend.fetch(
                     FetchJson(
-                        split_address(nodes[turn % len(nodes)]),
+                        split_address(nodes[node_index % len(nodes)]),
                         "POST",
                         "/v1/replicas/beats",
                         body,
@@ -135,19 +141,19 @@
                 )
                 return
             except QuillringError:
-                turn += 1
+                node_index += 1
 
     while not stop_event.is_set():
-        beat()
-        stop_event.wait(BEAT_SECONDS)
-    stand_in.leave(time.monotonic())
-    beat()
+        send_heartbeat()
+        stop_event.wait(HEARTBEAT_SECONDS)
+    fake_replica.leave(time.monotonic())
+    send_heartbeat()
     deadline = time.monotonic() + 30
-    while stand_in.busy and time.monotonic() < deadline:
-        beat()
-        gevent.sleep(BEAT_SECONDS)
-    stand_in.state = "gone"
-    beat()
+    while fake_replica.busy and time.monotonic() < deadline:
+        send_heartbeat()
+        gevent.sleep(HEARTBEAT_SECONDS)
+    fake_replica.state = "gone"
+    send_heartbeat()
     server.stop()
 
 
--- a/tests/test_connection_machine.py
+++ b/tests/test_connection_machine.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
-from proving.tools.scripted_connection import END, RESET, FakeWire
+from proving.tools.scripted_connection import END, RESET, FakeConnections
 from quillring.kernel import http_client
 from quillring.kernel.connection_pool import ConnectionPool
 from quillring.kernel.effects import SendRequest
@@ -50,7 +50,7 @@
 
     def __init__(self):
         super().__init__()
-        self.wire = FakeWire()
+        self.wire = FakeConnections()
         self.wire.start()
         self.exchanges = []
 
@@ -90,7 +90,7 @@
             head, _, body = exchange.answer().partition(b"\r\n\r\n")
             lines = [line for line in head.split(b"\r\n") if not line.startswith(b"Content-")]
             exchange.sock.put(b"\r\n".join(lines) + b"\r\n\r\n" + body, cuts)
-            exchange.sock.arrived.append(END)
+            exchange.sock.incoming.append(END)
 
     @rule(number=NUMBER, former=NUMBER, cuts=CUTS)
     def send_surplus(self, number, former, cuts):
@@ -116,7 +116,7 @@
         """A part of the answer due, and then the connection's end."""
         if exchange := self.pick(number):
             exchange.sock.put(exchange.answer()[: min(length, len(exchange.answer()) - 1)])
-            exchange.sock.arrived.append(how)
+            exchange.sock.incoming.append(how)
 
     @rule(number=NUMBER)
     def read(self, number):
@@ -141,7 +141,7 @@
         self.send(name, True)
         exchange = self.exchanges[-1]
         exchange.sock.put(exchange.answer(), cuts)
-        while not exchange.is_over and exchange.sock.arrived:
+        while not exchange.is_over and exchange.sock.incoming:
             self.read(self.open_ones().index(exchange))
         for _ in range(copies):
             exchange.sock.put(exchange.answer(), late)
--- a/tests/test_day_summary.py
+++ b/tests/test_day_summary.py
@@ -27,7 +27,7 @@
         def traffic(fleet, mix, seconds, seed, record, scale):
             for kind, outcome in (("short", "complete"), ("short", "complete"), ("lot", "ended")):
                 record.note(kind, outcome)
-            record.first_pieces.append(0.0125)
+            record.first_piece_seconds.append(0.0125)
             for text in violations:
                 record.violate(text)
 
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -57,7 +57,7 @@
     assert faulty > 250
 
 
-@pytest.mark.parametrize("raw", fuzz.RAW)
+@pytest.mark.parametrize("raw", fuzz.INVALID_BODIES)
 def test_what_is_no_sound_json_is_a_value_error_or_plain(raw):
     try:
         value = parse_json(raw)
--- a/tests/test_local_fleet.py
+++ b/tests/test_local_fleet.py
@@ -5,7 +5,7 @@
 import pytest
 
 from proving.tools.callers import ask
-from proving.tools.local_fleet import LocalFleet, ProcessEnded
+from proving.tools.local_fleet import LocalFleet, ProcessExited
 from quillring.kernel.settings import split_address
 
 
@@ -40,7 +40,7 @@
         row = edge.settings["edge-2"]
         row["http_address"] = "{}:{}".format(*other.getsockname())
         edge.start("edge-2")
-        with pytest.raises(ProcessEnded) as told:
+        with pytest.raises(ProcessExited) as told:
             edge.wait_for("never", lambda: False)
     assert told.value.name == "edge-2" and told.value.code == 3
     assert "Address already in use" in str(told.value)
@@ -49,7 +49,7 @@
 def test_a_process_that_ended_is_told_even_if_others_are_waited_for(edge):
     edge.start("edge-2")
     edge.signal("edge-2", signal.SIGKILL)
-    with pytest.raises(ProcessEnded, match="edge-2 ended by itself, exit code -9"):
+    with pytest.raises(ProcessExited, match="edge-2 exited unexpectedly with code -9"):
         edge.wait_ready()
 
 
--- a/tests/test_mixed_processes.py
+++ b/tests/test_mixed_processes.py
@@ -61,7 +61,7 @@
             self.stop(name)
         self.landed_names ^= {name}
         self.start(name)
-        self.wait_whole()
+        self.wait_fully_replicated()
         self.wait_ready()
 
 
@@ -75,7 +75,7 @@
     try:
         made.start_all()
         made.found()
-        made.wait_whole()
+        made.wait_fully_replicated()
         yield made
     finally:
         made.stop_all()
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -68,7 +68,7 @@
 
     def platform():
         while not is_over.is_set():
-            restarted.extend(fleet.keep_running())
+            restarted.extend(fleet.restart_exited_processes())
             gevent.sleep(0.05)
 
     def traffic(number):
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -151,7 +151,7 @@
         )
         for n in range(6)
     ]
-    while len(record.first_pieces) < 6:
+    while len(record.first_piece_seconds) < 6:
         gevent.sleep(0.01)
     stopped = gevent.spawn(fleet.stop, "edge-1")
     gevent.joinall(calls, raise_error=True)
--- a/tests/test_unframed.py
+++ b/tests/test_unframed.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from proving.tools.scripted_connection import RESET, FakeWire
+from proving.tools.scripted_connection import RESET, FakeConnections
 from quillring.kernel.effects import SendRequest
 from quillring.kernel.errors import BackendError
 from quillring.kernel.http_client import send_request
@@ -19,13 +19,13 @@
 
 @pytest.mark.parametrize("length", range(len(UNFRAMED) - len(b"the body"), len(UNFRAMED) + 1))
 def test_a_body_without_a_length_is_not_whole_where_its_connection_was_reset(length):
-    wire = FakeWire()
+    wire = FakeConnections()
     wire.start()
     try:
         effect = SendRequest(("10.0.0.1", 1), request(b"a"), 5, False, (ID_HEADER, "a"))
         handle = send_request(effect)
         wire.sockets[0].put(UNFRAMED[:length])
-        wire.sockets[0].arrived.append(RESET)
+        wire.sockets[0].incoming.append(RESET)
         with pytest.raises(BackendError):
             read_body(handle)
     finally:
