--- a/proving/__init__.py
+++ b/proving/__init__.py
@@ -1,1 +1,1 @@
-"""Proofs: stand-ins, simulator, scenarios of failure and measurements."""
+"""Verification: fake callers and replicas, a simulator, failure scenarios and measurements."""
--- a/proving/ablation.py
+++ b/proving/ablation.py
@@ -1,7 +1,7 @@
-"""`python -m proving.ablation`: what each mechanism of placement is worth on the emulator.
+"""`python -m proving.ablation`: the effect of each load balancing mechanism in the emulator.
 
-Each mechanism is switched off by itself, or with `--sensitivity` each constant is halved and
-doubled, and the medians over seeds are compared with those of the policy as it is.
+It disables one mechanism at a time or, with `--sensitivity`, halves and doubles one constant at a
+time, and compares the medians over seeds with those of the default policy.
 """
 
 from concurrent.futures import ProcessPoolExecutor
@@ -9,7 +9,7 @@
 
 import click
 
-from proving.placement.__main__ import play
+from proving.placement.__main__ import simulate
 from proving.placement.shapes import shape_names
 from quillring.forward.policy import DEFAULT_POLICY
 
@@ -39,7 +39,7 @@
 
 
 def sensitivity_changes():
-    """Return each constant at half and at double its value, as changes of the policy."""
+    """Return {label: policy change} with each constant halved and doubled."""
     changes = {"nothing (as it is)": "default"}
     for name in CONSTANTS:
         for factor in FACTORS:
@@ -47,8 +47,8 @@
     return changes
 
 
-def row_of(results):
-    """Return what is compared, as medians over the seeds."""
+def medians_of(results):
+    """Return the compared figures as medians over the seeds."""
     return {
         "in time": median(r.in_time for r in results),
         "worst group": median(r.worst_group for r in results),
@@ -58,16 +58,20 @@
 
 
 @click.command()
-@click.option("--shape", "shapes", multiple=True, help="A shape; all without this option.")
+@click.option("--shape", "shapes", multiple=True, help="Name of a shape; default: all.")
 @click.option("--seeds", default=20, show_default=True)
-@click.option("--jobs", default=4, show_default=True, help="Processes at once.")
-@click.option("--sensitivity", is_flag=True, help="Halve and double the constants instead.")
+@click.option("--jobs", default=4, show_default=True, help="Number of worker processes.")
+@click.option(
+    "--sensitivity",
+    is_flag=True,
+    help="Halve and double constants instead of disabling mechanisms.",
+)
 def main(shapes, seeds, jobs, sensitivity):
     """Print a Markdown table for each shape."""
     changes = sensitivity_changes() if sensitivity else MECHANISMS
     with ProcessPoolExecutor(jobs) as pool:
         runs = {
-            (shape, name): [pool.submit(play, shape, change, seed) for seed in range(seeds)]
+            (shape, name): [pool.submit(simulate, shape, change, seed) for seed in range(seeds)]
             for shape in shapes or shape_names()
             for name, change in changes.items()
         }
@@ -76,7 +80,7 @@
             click.echo("| without | in time | worst group | MB between zones | read again |")
             click.echo("|---|---|---|---|---|")
             for name in changes:
-                row = row_of([future.result() for future in runs[shape, name]])
+                row = medians_of([future.result() for future in runs[shape, name]])
                 click.echo(
                     f"| {name} | {row['in time']:.3f} | {row['worst group']:.3f} "
                     f"| {row['MB']:.1f} | {row['read again']:.2f} |"
--- a/proving/drawn_days.py
+++ b/proving/drawn_days.py
@@ -1,4 +1,4 @@
-"""Write days of one's own over a site file: `python -m proving.drawn_days SITE ...`."""
+"""`python -m proving.drawn_days SITE ...`: write randomly drawn days for a site file."""
 
 import random
 import tomllib
@@ -9,17 +9,17 @@
 
 from proving.drawn.draw import draw_day
 
-NEEDED = ("name", "length_s", "traffic", "day")
-MOST_DAYS = 1000
+REQUIRED_FIELDS = ("name", "length_s", "traffic", "day")
+MAX_DAYS = 1000
 
 
 def read_site(path):
-    """Return a site file's content; raises click.BadParameter when it is none."""
+    """Return the content of a site file; raises click.BadParameter if it is invalid."""
     try:
         site = tomllib.loads(Path(path).read_text())
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
         raise click.BadParameter(f"{path}: {error}", param_hint="SITE") from error
-    missing = [field for field in NEEDED if not site.get(field)]
+    missing = [field for field in REQUIRED_FIELDS if not site.get(field)]
     if missing:
         raise click.BadParameter(f"{path}: no {', '.join(missing)}", param_hint="SITE")
     return site
@@ -28,10 +28,10 @@
 @click.command()
 @click.argument("site_path", metavar="SITE", type=click.Path(dir_okay=False))
 @click.option("--first", type=click.IntRange(min=0), default=1, help="First seed.")
-@click.option("--count", type=click.IntRange(1, MOST_DAYS), default=10, help="How many days.")
-@click.option("--output", type=click.Path(file_okay=False), required=True, help="Folder.")
+@click.option("--count", type=click.IntRange(1, MAX_DAYS), default=10, help="Number of days.")
+@click.option("--output", type=click.Path(file_okay=False), required=True, help="Output folder.")
 def main(site_path, first, count, output):
-    """Draw days that mix every kind of fault, one file a day, and print their paths."""
+    """Draw days with a mix of every kind of fault, write one file per day, and print the paths."""
     site = read_site(site_path)
     folder = Path(output)
     folder.mkdir(parents=True, exist_ok=True)
--- a/proving/placement/__init__.py
+++ b/proving/placement/__init__.py
@@ -1,6 +1,6 @@
-"""An emulator of replicas and of the nodes that choose between them, to compare policies.
+"""An emulator of load balancing, to compare policies of replica placement.
 
-It runs the product's own load balancer on simulated edges (`quillring.forward`) before replicas
-that process prompts as batch engines do, and answers within seconds. `python -m proving.placement`
-compares policies over seeds; `python -m proving.ablation` switches mechanisms off one by one.
+It runs the production load balancer (`quillring.forward`) on simulated edges, in front of replicas
+that process prompts as batch engines do. A run takes seconds. `python -m proving.placement`
+compares policies over seeds; `python -m proving.ablation` disables mechanisms one at a time.
 """
--- a/proving/placement/__main__.py
+++ b/proving/placement/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m proving.placement`: compare policies of placement over shapes and seeds."""
+"""`python -m proving.placement`: compare load balancing policies over shapes and seeds."""
 
 import json
 from concurrent.futures import ProcessPoolExecutor
@@ -6,31 +6,34 @@
 
 import click
 
-from proving.placement.run import Run
+from proving.placement.run import Emulation
 from proving.placement.shapes import load_shape, shape_names
 from quillring.forward.policy import DEFAULT_POLICY
 
 
 def parse_change(text):
-    """Return the policy with `field=value` changes, separated by commas; `default` has none."""
+    """Return the default policy with changes, given as `default` or `field=value,...`.
+
+    Raises click.BadParameter for an unknown field.
+    """
     if text == "default":
         return DEFAULT_POLICY
     fields = {}
-    for word in text.split(","):
-        name, _, value = word.partition("=")
+    for assignment in text.split(","):
+        name, _, value = assignment.partition("=")
         if name not in DEFAULT_POLICY._fields:
-            raise click.BadParameter(f"{name}: no field of the policy")
+            raise click.BadParameter(f"{name}: unknown policy field")
         fields[name] = json.loads(value)
     return DEFAULT_POLICY._replace(**fields)
 
 
-def play(shape, change, seed):
-    """Return the result of one run."""
-    return Run(load_shape(shape), parse_change(change), seed).play()
+def simulate(shape, change, seed):
+    """Run one emulation and return its result."""
+    return Emulation(load_shape(shape), parse_change(change), seed).simulate()
 
 
 def summarize(results):
-    """Return the medians over the seeds, and the range of the worst group."""
+    """Return the medians over the seeds, and the range of the worst group's share in time."""
     worst = [result.worst_group for result in results]
     return {
         "in_time": median(r.in_time for r in results),
@@ -38,8 +41,8 @@
         "worst_range": (min(worst), max(worst)),
         "reread": median(r.reread_share for r in results),
         "MB": median(r.megabytes_between_zones for r in results),
-        "away": median(r.turned_away for r in results),
-        "error": median(r.belief_error for r in results),
+        "away": median(r.rejected_count for r in results),
+        "error": median(r.mean_estimate_error for r in results),
         "messages": median(r.messages for r in results),
         "p99": {n: median(r.p99[n] for r in results if n in r.p99) for n in results[0].p99},
     }
@@ -58,17 +61,17 @@
 
 
 @click.command()
-@click.option("--shape", "shapes", multiple=True, help="A shape; all without this option.")
+@click.option("--shape", "shapes", multiple=True, help="Name of a shape; default: all.")
 @click.option("--policy", "changes", multiple=True, default=("default",), help="field=value,...")
 @click.option("--seeds", default=3, show_default=True)
-@click.option("--jobs", default=4, show_default=True, help="Processes at once.")
+@click.option("--jobs", default=4, show_default=True, help="Number of worker processes.")
 @click.option("--json", "as_json", is_flag=True)
 def main(shapes, changes, seeds, jobs, as_json):
-    """Print late shares, times, bytes and beliefs of each policy on each shape."""
+    """Print goals met, times, bytes and load estimate errors of each policy on each shape."""
     shapes = shapes or shape_names()
     with ProcessPoolExecutor(jobs) as pool:
         runs = {
-            (shape, change): [pool.submit(play, shape, change, seed) for seed in range(seeds)]
+            (shape, change): [pool.submit(simulate, shape, change, seed) for seed in range(seeds)]
             for shape in shapes
             for change in changes
         }
--- a/proving/placement/nodes.py
+++ b/proving/placement/nodes.py
@@ -1,4 +1,4 @@
-"""Emulated nodes: the product's services over simulated time and a network of fixed delays."""
+"""Emulated nodes: production services on simulated time and a network with fixed delays."""
 
 import random
 from typing import NamedTuple
@@ -11,14 +11,15 @@
 from quillring.kernel.effects import Sleep, Wait
 from quillring.kernel.member import Member
 
-LOCAL_SECONDS = 0.0003
-"""One way between two nodes of a zone, the time to handle a message included."""
+LOCAL_DELAY_SECONDS = 0.0003
+"""One-way delay between two nodes of a zone, including the time to handle a message."""
 HEADER_BYTES = 60
-EPOCH = 1000.0
+"""Overhead of each message on the network."""
+START_TIME_SECONDS = 1000.0
 
 
 class EmulatedRequest(NamedTuple):
-    """What the load balancer reads of a request."""
+    """The fields of a request that the load balancer reads."""
 
     prompt_parts: tuple
     prompt_tokens: int
@@ -26,7 +27,7 @@
 
 
 class Graph(NamedTuple):
-    """A graph in which all nodes reach each other."""
+    """A full mesh: the direct routes of one node."""
 
     routes: dict
 
@@ -38,22 +39,22 @@
 
 
 class StaticNetwork:
-    """The peer layer of one emulated node: every member is reached, with a delay by zone."""
+    """The peer layer of one emulated node, connected to every member with a delay by zone."""
 
     def __init__(self, fleet, name):
         self.fleet, self.name = fleet, name
         self.graph, self.roster = fleet.graphs[name], fleet.roster
 
     def reaches(self, name):
-        """Return whether a member is there."""
+        """Return whether a member exists and is not lost."""
         return name in self.fleet.members and name not in self.fleet.lost_names
 
     def member_count(self):
-        """Return how many members there are."""
+        """Return the number of members."""
         return len(self.fleet.members)
 
     def find_member(self, name):
-        """Return a member."""
+        """Return the member with a name, or None."""
         return self.fleet.members.get(name)
 
     def send(self, target, message):
@@ -62,17 +63,17 @@
 
 
 class EmulatedRuntime:
-    """Drives the coroutines of one node in simulated time."""
+    """Runs the coroutines of one node in simulated time; supports the effects Sleep and Wait."""
 
     def __init__(self, env, seed):
         self.env, self.random = env, random.Random(seed)
 
     def now(self):
-        """Return simulated seconds."""
-        return EPOCH + self.env.now
+        """Return the simulated time in seconds."""
+        return START_TIME_SECONDS + self.env.now
 
     def spawn(self, coroutine):
-        """Run a coroutine."""
+        """Start a coroutine as a simpy process."""
         return self.env.process(self._drive(coroutine))
 
     def _drive(self, coroutine):
@@ -89,7 +90,7 @@
 
 
 class EmulatedFleet:
-    """All nodes of a shape, each with a load balancer of its own under one policy."""
+    """All nodes of a shape, each with its own load balancer, all with the same policy."""
 
     def __init__(self, env, shape, policy, seed):
         self.env, self.shape = env, shape
@@ -128,7 +129,7 @@
         return node
 
     def announce(self, name, zone):
-        """Make a replica known to all nodes."""
+        """Publish a replica to all nodes."""
         fields = {
             "name": name,
             "service": "s",
@@ -143,17 +144,17 @@
             node.find("gossip").publish(f"replica/{name}", [0, 1], fields)
 
     def heartbeat(self, names, sequence):
-        """Let all nodes know that replicas live."""
+        """Record a heartbeat of the named replicas at all nodes."""
         for node in self.nodes.values():
             for name in names:
                 node.find("replicas").record_heartbeat(name, 0, sequence)
 
     def delay(self, zone, other_zone):
-        """Return the seconds one way between two zones."""
-        return LOCAL_SECONDS + (self.shape.zone_seconds if zone != other_zone else 0)
+        """Return the one-way delay between two zones, in seconds."""
+        return LOCAL_DELAY_SECONDS + (self.shape.zone_seconds if zone != other_zone else 0)
 
     def deliver(self, origin, target, message):
-        """Send a message between two nodes."""
+        """Deliver a message after the delay; drop it without an error if a node is lost."""
         if target in self.lost_names or origin in self.lost_names:
             return True
         zone, other_zone = self.members[origin].zone, self.members[target].zone
--- a/proving/placement/shapes.py
+++ b/proving/placement/shapes.py
@@ -1,35 +1,35 @@
-"""Shapes of deployments for the emulator, read from TOML files."""
+"""Descriptions of deployments and traffic for the emulator, read from TOML files."""
 
 import tomllib
 from pathlib import Path
 from typing import NamedTuple
 
-FOLDER = Path(__file__).parent / "shapes"
+SHAPES_FOLDER = Path(__file__).parent / "shapes"
 
 
 class Sizes(NamedTuple):
-    """A log-normal distribution of sizes: mean, sigma of the logarithm, and the largest size."""
+    """A log-normal size distribution: mean, standard deviation of the logarithm, and maximum."""
 
     mean: float
-    spread: float
-    largest: float
+    sigma: float
+    maximum: float
 
     def draw(self, random):
-        """Return a size of at least 1."""
-        mu = self.spread**2 / 2
-        size = self.mean * random.lognormvariate(-mu, self.spread)
-        return max(1, int(min(self.largest, size)))
+        """Return a random size between 1 and the maximum."""
+        mu = self.sigma**2 / 2
+        size = self.mean * random.lognormvariate(-mu, self.sigma)
+        return max(1, int(min(self.maximum, size)))
 
 
 class TrafficClass(NamedTuple):
-    """One kind of request.
+    """One class of requests.
 
     Parameters
     ----------
     shared_prefixes
-        Number of distinct prefixes; 0 for requests that share nothing.
+        Number of distinct prompt prefixes; 0 if requests share no prefix.
     is_batch
-        Items of batch jobs, sent by the cores, without a latency goal.
+        Whether these are items of batch jobs, sent by cores and without a goal for gaps.
     """
 
     name: str
@@ -44,7 +44,15 @@
 
 
 class EngineShape(NamedTuple):
-    """How a replica works; see `proving.placement.engine`."""
+    """Parameters of the replicas' engines; see `proving.placement.engine`.
+
+    Parameters
+    ----------
+    quadratic_seconds_per_million
+        Seconds for a million pairs of prompt tokens: the quadratic cost of attention.
+    speeds
+        Factors on the step time, assigned to the replicas of a zone in turn; 1.3 is slower.
+    """
 
     slots: int
     kv_tokens: int
@@ -56,7 +64,11 @@
 
 
 class Fault(NamedTuple):
-    """A fault: replicas `crash` or turn `slow`, edges are lost (`edge_loss`), or a `burst`."""
+    """A fault from `at` for `seconds`.
+
+    Its kind is `crash` or `slow` (a share of the replicas), `edge_loss` (a share of the edges) or
+    `burst` (the request rate). `factor` slows replicas or increases the rate.
+    """
 
     kind: str
     at: float
@@ -81,13 +93,13 @@
 
 
 def load_shape(name):
-    """Return the shape of a name; raises FileNotFoundError or KeyError for a bad one."""
-    fields = tomllib.loads((FOLDER / f"{name}.toml").read_text())
+    """Load a shape; raises FileNotFoundError for an unknown name, KeyError for a missing field."""
+    fields = tomllib.loads((SHAPES_FOLDER / f"{name}.toml").read_text())
     engine = EngineShape(**{**fields["engine"], "speeds": tuple(fields["engine"]["speeds"])})
     classes = tuple(_traffic_class(row) for row in fields["classes"])
     faults = tuple(Fault(**row) for row in fields.get("faults", ()))
-    rest = {k: v for k, v in fields.items() if k not in ("engine", "classes", "faults")}
-    return Shape(name=name, engine=engine, classes=classes, faults=faults, **rest)
+    other_fields = {k: v for k, v in fields.items() if k not in ("engine", "classes", "faults")}
+    return Shape(name=name, engine=engine, classes=classes, faults=faults, **other_fields)
 
 
 def _traffic_class(row):
@@ -97,4 +109,4 @@
 
 def shape_names():
     """Return the names of all shapes."""
-    return sorted(path.stem for path in FOLDER.glob("*.toml"))
+    return sorted(path.stem for path in SHAPES_FOLDER.glob("*.toml"))
