--- a/proving/scale/__init__.py
+++ b/proving/scale/__init__.py
@@ -1,1 +1,1 @@
-"""What a node costs against the number of members."""
+"""Measures the cost of a node as a function of the number of members."""
--- a/proving/scale/__main__.py
+++ b/proving/scale/__main__.py
@@ -1,4 +1,4 @@
-"""The scale run: what a node costs against members, replicas and entries; slopes and a plot."""
+"""Measures the cost of a node against members, replicas and entries; fits and plots its growth."""
 
 import json
 import multiprocessing
@@ -10,34 +10,43 @@
 from proving.scale.fit import fit, plot
 from proving.scale.runs import SCENARIOS, run_size
 
-NAMES = [scenario.__name__ for scenario in SCENARIOS]
+SCENARIO_NAMES = [scenario.__name__ for scenario in SCENARIOS]
 
 
-def timed(job):
-    """Run one job in a process of its own."""
+def run_timed(job):
+    """Run one job in a worker process; add the seconds that it took."""
     start_time = time.monotonic()
     return {**run_size(**job), "wall_s": round(time.monotonic() - start_time, 1)}
 
 
-def numbers(text):
-    """Return the whole numbers of a comma-separated list."""
-    return [int(word) for word in text.split(",") if word]
+def parse_counts(text):
+    """Return the integers of a comma-separated list."""
+    return [int(item) for item in text.split(",") if item]
 
 
 @click.command()
-@click.option("--sizes", default="16,32,64,128", show_default=True, help="Members.")
-@click.option("--replicas", default="", help="Replicas, each at 16 members.")
-@click.option("--entries", default="", help="Layout entries, each at 16 members.")
-@click.option("--only", default="", help=f"Of {', '.join(NAMES)}; a start is always run.")
-@click.option("--seconds", type=float, help="Simulated seconds a scenario; default 8 beats.")
-@click.option("--news", default=2.0, show_default=True, help="The news bound of the settings.")
-@click.option("--warm", is_flag=True, help="Every node knows all members from the first.")
+@click.option("--sizes", default="16,32,64,128", show_default=True, help="Numbers of members.")
+@click.option("--replicas", default="", help="Numbers of replicas, with 16 members.")
+@click.option("--entries", default="", help="Numbers of layout entries, with 16 members.")
+@click.option(
+    "--only", default="", help=f"Scenarios, besides the start: {', '.join(SCENARIO_NAMES)}."
+)
+@click.option(
+    "--seconds", type=float, help="Simulated seconds per scenario; default: 8 heartbeat intervals."
+)
+@click.option("--news", default=2.0, show_default=True, help="The bound `news` of the settings.")
+@click.option("--warm", is_flag=True, help="Start with every node knowing all members.")
 @click.option("--seed", default=1, show_default=True)
-@click.option("--workers", default=2, show_default=True, help="Processes at once.")
-@click.option("--limit", default=1500, show_default=True, help="Seconds after which sizes stop.")
-@click.option("--output", help="Path without suffix for the JSON and the plot.")
+@click.option("--workers", default=2, show_default=True, help="Number of worker processes.")
+@click.option(
+    "--limit",
+    default=1500,
+    show_default=True,
+    help="Seconds after which unfinished jobs are stopped.",
+)
+@click.option("--output", help="Path of the JSON report and the plot, without suffix.")
 def main(sizes, replicas, entries, only, seconds, news, warm, seed, workers, limit, output):
-    """Run hollow nodes in memory and print what one of them spent."""
+    """Run fleets of hollow nodes in memory and print the mean cost of a node."""
     common = {
         "only": [w for w in only.split(",") if w],
         "seconds": seconds,
@@ -46,13 +55,13 @@
         "seed": seed,
     }
     jobs = [
-        *({"size": size, **common} for size in numbers(sizes)),
-        *({"size": 16, "replicas": count, **common} for count in numbers(replicas)),
-        *({"size": 16, "entries": count, **common} for count in numbers(entries)),
+        *({"size": size, **common} for size in parse_counts(sizes)),
+        *({"size": 16, "replicas": count, **common} for count in parse_counts(replicas)),
+        *({"size": 16, "entries": count, **common} for count in parse_counts(entries)),
     ]
     end_time, results = time.monotonic() + limit, []
     with multiprocessing.get_context("spawn").Pool(workers, maxtasksperchild=1) as pool:
-        pending = [pool.apply_async(timed, (job,)) for job in jobs]
+        pending = [pool.apply_async(run_timed, (job,)) for job in jobs]
         for job, answer in zip(jobs, pending, strict=True):
             try:
                 results.append(answer.get(max(0.1, end_time - time.monotonic())))
--- a/proving/scale/fit.py
+++ b/proving/scale/fit.py
@@ -1,4 +1,4 @@
-"""Slopes of the scale run, and their plot."""
+"""Fits and plots the cost of a node over the size of the fleet."""
 
 import matplotlib
 import numpy
@@ -6,53 +6,53 @@
 matplotlib.use("Agg")
 from matplotlib import pyplot
 
-FIGURES = ("makings", "beats_sent", "beat_bytes", "frames", "frame_bytes", "cpu_ms")
-AXES = ("size", "replicas", "entries")
+METRICS = ("makings", "beats_sent", "beat_bytes", "frames", "frame_bytes", "cpu_ms")
+AXIS_NAMES = ("size", "replicas", "entries")
 
 
 def axis_rows(runs, axis):
-    """Return the runs along one axis, the others at their least, in order."""
-    others = [other for other in AXES if other != axis]
-    least = {other: min(run[other] for run in runs) for other in others if other != "size"}
+    """Return the runs along one axis, sorted; the values on the other axes are the smallest."""
+    other_axes = [other for other in AXIS_NAMES if other != axis]
+    smallest = {other: min(run[other] for run in runs) for other in other_axes if other != "size"}
     if axis != "size":
-        least["size"] = 16
-    rows = [run for run in runs if all(run[o] == least[o] for o in others)]
+        smallest["size"] = 16
+    rows = [run for run in runs if all(run[o] == smallest[o] for o in other_axes)]
     return sorted(rows, key=lambda run: run[axis])
 
 
 def fit(runs):
-    """Return {axis: {scenario: {figure: power and line}}} for axes with two points or more."""
+    """Return {axis: {scenario: {metric: fit}}} for the axes with at least two points."""
     return {
-        axis: found
-        for axis in AXES
-        if runs and len(rows := axis_rows(runs, axis)) > 1 and (found := fit_axis(rows, axis))
+        axis: slopes
+        for axis in AXIS_NAMES
+        if runs and len(rows := axis_rows(runs, axis)) > 1 and (slopes := fit_axis(rows, axis))
     }
 
 
 def fit_axis(rows, axis):
-    """Return {scenario: {figure: {power, slope, base}}} along one axis."""
+    """Return {scenario: {metric: fit}} along one axis; metrics are per node and second."""
     scenarios = [name for name in rows[0]["rows"] if name != "memory"]
-    found = {
+    slopes = {
         name: {
-            figure: line(
+            figure: fit_line(
                 [run[axis] for run in rows],
                 [run["rows"][name][figure] / run["rows"][name]["seconds"] for run in rows],
             )
-            for figure in FIGURES
+            for figure in METRICS
         }
         for name in scenarios
         if all(name in run["rows"] for run in rows)
     }
-    found["memory"] = {
-        "bytes": line(
+    slopes["memory"] = {
+        "bytes": fit_line(
             [run[axis] for run in rows], [run["rows"]["memory"]["bytes_a_node"] for run in rows]
         )
     }
-    return found
+    return slopes
 
 
-def line(xs, ys):
-    """Return the power of growth, and slope and base of the straight line."""
+def fit_line(xs, ys):
+    """Fit the values; return the exponent of a power law, and slope and intercept of a line."""
     xs, ys = numpy.array(xs, float), numpy.array(ys, float)
     slope, base = numpy.polyfit(xs, ys, 1)
     mask = (xs > 0) & (ys > 0)
@@ -67,16 +67,16 @@
 
 
 def plot(report, path):
-    """Draw processor time, bytes, makings and memory a node against the members."""
+    """Plot processor time, bytes, graph computations and memory of a node over the members."""
     rows = axis_rows(report["runs"], "size")
     figure, panels = pyplot.subplots(2, 2, figsize=(11, 8))
-    drawn = (
-        ("cpu_ms", "processor ms a second"),
-        ("beat_bytes", "heartbeat bytes a second"),
-        ("makings", "graph makings a second"),
+    plotted_metrics = (
+        ("cpu_ms", "processor ms per second"),
+        ("beat_bytes", "heartbeat bytes per second"),
+        ("makings", "graph computations per second"),
     )
     xs = [run["size"] for run in rows]
-    for panel, (name, label) in zip(panels.flat, drawn):
+    for panel, (name, label) in zip(panels.flat, plotted_metrics):
         for scenario in [n for n in rows[0]["rows"] if n != "memory"]:
             points = [
                 (run["size"], run["rows"][scenario][name] / run["rows"][scenario]["seconds"])
@@ -84,12 +84,12 @@
                 if scenario in run["rows"]
             ]
             panel.plot(*zip(*points), marker="o", label=scenario)
-        panel.set(xlabel="members", ylabel=f"{label}, a node", xscale="log", yscale="symlog")
+        panel.set(xlabel="members", ylabel=f"{label}, per node", xscale="log", yscale="symlog")
         panel.set_ylim(bottom=0)
         panel.legend(fontsize=7)
     panels.flat[3].plot(
         xs, [run["rows"]["memory"]["bytes_a_node"] / 1e6 for run in rows], marker="o"
     )
-    panels.flat[3].set(xlabel="members", ylabel="MB a hollow node", xscale="log", yscale="log")
+    panels.flat[3].set(xlabel="members", ylabel="MB per hollow node", xscale="log", yscale="log")
     figure.tight_layout()
     figure.savefig(path, dpi=80)
--- a/proving/scale/loopback.py
+++ b/proving/scale/loopback.py
@@ -1,4 +1,4 @@
-"""A few real processes beside many hollow nodes, over loopback UDP: what a real node spends."""
+"""Measures real processes in a fleet of many hollow nodes, connected over loopback UDP."""
 
 import json
 import random
@@ -9,7 +9,7 @@
 import click
 import gevent
 
-from proving.scale.fleet import FIRST_START
+from proving.scale.fleet import FIRST_INCARNATION
 from proving.scale.runs import process_bytes
 from proving.tools.callers import ask
 from proving.tools.local_fleet import LocalFleet
@@ -20,22 +20,22 @@
 from quillring.kernel.settings import split_address
 from quillring.nifty import Member
 
-REAL = ("core-1", "edge-1")
+REAL_NODE_NAMES = ("core-1", "edge-1")
 PROGRAM = "from quillring.verbs.program import main; main()"
 ZONES = ("north", "east", "south", "west")
 
 
-class PlainFleet(LocalFleet):
-    """Real processes without the aid that brings cuts about."""
+class FaultFreeFleet(LocalFleet):
+    """A local fleet that runs the program without fault injection."""
 
     def start(self, name):
         """Start one process."""
         path = self.run_folder / f"{name}.json"
         path.write_text(json.dumps(self.settings[name]))
         out_file = open(self.run_folder / f"{name}.out", "ab")
-        words = ["-c", PROGRAM, self.settings[name]["role"]]
+        arguments = ["-c", PROGRAM, self.settings[name]["role"]]
         self.processes[name] = subprocess.Popen(
-            [sys.executable, *words, "--settings", str(path)],
+            [sys.executable, *arguments, "--settings", str(path)],
             stdout=out_file,
             stderr=out_file,
             start_new_session=True,
@@ -43,34 +43,40 @@
 
 
 def start_hollow(number, seeds, faults):
-    """Start a hollow node on loopback; return it."""
+    """Start a hollow node on a loopback address of its own; return it."""
     address = (f"127.0.{44 + number // 250}.{number % 250 + 1}", 7400)
     me = Member(
-        f"edge-h{number:04d}", FIRST_START + number, "edge", ZONES[number % 4], *address, 8400, ""
+        f"edge-h{number:04d}",
+        FIRST_INCARNATION + number,
+        "edge",
+        ZONES[number % 4],
+        *address,
+        8400,
+        "",
     )
     runtime = GeventRuntime(faults.append, 1.0)
     node = make_node(me, runtime, seeds, Bounds())
     nifty = node.find("nifty")
     runtime.listen(*address, nifty.on_datagram, nifty.on_frame)
-    gevent.spawn_later(random.uniform(0, 0.05), start_scripts, node)
+    gevent.spawn_later(random.uniform(0, 0.05), start_services, node)
     return node
 
 
-def start_scripts(node):
-    """Start the coroutines of a hollow node."""
+def start_services(node):
+    """Start the services of a hollow node."""
     for name in ("nifty", "gossip"):
         node.spawn(node.find(name).run())
 
 
 def measure(fleet, seconds):
-    """Return the share of a core and the memory of each real process over some seconds."""
-    before = {name: cpu_seconds(fleet.processes[name].pid) for name in REAL}
+    """Return the share of a processor core and the memory in MB of each real process."""
+    before = {name: cpu_seconds(fleet.processes[name].pid) for name in REAL_NODE_NAMES}
     start_time = time.monotonic()
     gevent.sleep(seconds)
-    spent = time.monotonic() - start_time
+    elapsed_seconds = time.monotonic() - start_time
     return {
         name: {
-            "core_share": round((cpu_seconds(process.pid) - before[name]) / spent, 4),
+            "core_share": round((cpu_seconds(process.pid) - before[name]) / elapsed_seconds, 4),
             "rss_mb": round(process_bytes(process.pid) / 1e6, 1),
         }
         for name, process in fleet.processes.items()
@@ -78,16 +84,22 @@
 
 
 @click.command()
-@click.option("--hollow", default=93, show_default=True, help="Hollow nodes in this process.")
+@click.option(
+    "--hollow", default=93, show_default=True, help="Number of hollow nodes in this process."
+)
 @click.option("--seconds", default=10.0, show_default=True, help="Seconds of each measurement.")
 @click.option("--run-folder", default="run/scale", show_default=True)
 def main(hollow, seconds, run_folder):
-    """Measure two real nodes alone, while many join at once, then steady among them."""
-    fleet, faults, rows = PlainFleet("examples/ferrowa", run_folder, True, set(REAL)), [], {}
+    """Measure two real nodes alone, while hollow nodes join, and in the steady state."""
+    fleet, faults, rows = (
+        FaultFreeFleet("examples/ferrowa", run_folder, True, set(REAL_NODE_NAMES)),
+        [],
+        {},
+    )
     try:
-        for name in REAL:
+        for name in REAL_NODE_NAMES:
             fleet.start(name)
-        seeds = [split_address(fleet.settings[name]["address"]) for name in REAL]
+        seeds = [split_address(fleet.settings[name]["address"]) for name in REAL_NODE_NAMES]
         gevent.sleep(3)
         rows["alone"] = measure(fleet, seconds)
         nodes = [start_hollow(number, seeds, faults) for number in range(hollow)]
--- a/proving/scale/members.py
+++ b/proving/scale/members.py
@@ -1,4 +1,4 @@
-"""The members and configuration of a fleet of hollow nodes."""
+"""The members and the layout of a fleet of hollow nodes."""
 
 import random
 import time
@@ -12,10 +12,10 @@
 
 
 def hollow_members(size):
-    """Yield the members of a fleet: 53 control machines of 1,100, of which a third are cores."""
-    control = max(6, round(size * 53 / 1100))
+    """Yield the members: 53 in 1,100 (at least 6) are cores and stores, a third of them cores."""
+    control_count = max(6, round(size * 53 / 1100))
     for number in range(size):
-        role = "edge" if number >= control else "core" if number % 3 == 0 else "store"
+        role = "edge" if number >= control_count else "core" if number % 3 == 0 else "store"
         name = f"{role}-{number:04d}"
         yield Member(
             name,
@@ -30,7 +30,7 @@
 
 
 def hollow_configuration(entries, number):
-    """Return a layout with so many entries; each number gives another one."""
+    """Return a layout with a number of entries; each `number` gives a different layout."""
     return {
         "classes": {
             "chat": {
@@ -57,14 +57,14 @@
     }
 
 
-def carry_seconds(known=[]):  # noqa: B006
-    """Return the processor time the simulated network itself takes to carry one packet."""
-    if not known:
+def packet_cpu_seconds(cached_result=[]):  # noqa: B006
+    """Return the processor seconds that the simulated network needs per packet, measured once."""
+    if not cached_result:
         env = simpy.Environment()
         net = SimNet(env, random.Random(1))
         start_time = time.process_time()
         for _ in range(20_000):
             net.carry(("a", 1), ("b", 1), b"", "datagram")
         env.run()
-        known.append((time.process_time() - start_time) / 20_000)
-    return known[0]
+        cached_result.append((time.process_time() - start_time) / 20_000)
+    return cached_result[0]
--- a/proving/scale/one_node.py
+++ b/proving/scale/one_node.py
@@ -1,7 +1,7 @@
-"""One real node of each role among scripted peers over loopback: its processor time and memory.
+"""Measures processor time and memory of one real node of each role among scripted peers.
 
-The peers are one coroutine, so that a busy machine slows figures less than many hollow nodes
-do: they send sound heartbeats, spread over the period, and read the node's own.
+The peers send valid heartbeats over loopback, spread over the interval, and read those of the node.
+They share one loop, so load on the machine distorts the figures less than with many hollow nodes.
 """
 
 import json
@@ -25,11 +25,11 @@
 
 PROGRAM = "from quillring.verbs.program import main; main()"
 PORT, HOST, NODE_HOST, NODE_PORT = 7413, "127.0.46.{}", "127.0.45.1", 7415
-NEWS, RETURN, WARM_SECONDS, FULL_ROUNDS = 2.5, 15, 6, 6
+PROPAGATION_SECONDS, RECOVERY_SECONDS, WARM_UP_SECONDS, FULL_CONTENT_ROUNDS = 2.5, 15, 6, 6
 
 
 class Peers:
-    """The scripted members, all behind one socket."""
+    """The scripted members, which share one socket."""
 
     def __init__(self, count, role):
         self.members = [
@@ -41,15 +41,17 @@
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.socket.bind(("0.0.0.0", PORT))
         self.socket.setblocking(False)
-        self.node_state, self.sequence, self.taken = None, 0, 0
-        self.period = HeartbeatTiming(Bounds(propagation=NEWS, recovery=RETURN), count + 1).interval
+        self.node_state, self.sequence, self.received_count = None, 0, 0
+        self.period = HeartbeatTiming(
+            Bounds(propagation=PROPAGATION_SECONDS, recovery=RECOVERY_SECONDS), count + 1
+        ).interval
 
     def read(self):
-        """Read what the node sent; one heartbeat of a round speaks for all its copies."""
+        """Read the datagrams from the node; its state as a peer is the same for all members."""
         try:
             while True:
                 heartbeat = Heartbeat.from_wire(self.socket.recv(65535), SUPPORTED_VERSIONS)
-                self.taken += 1
+                self.received_count += 1
                 self.node_state = self.node_state or PeerState(heartbeat)
                 self.node_state.sequence = max(self.node_state.sequence, heartbeat.sequence)
                 self.node_state.heard_at, self.node_state.reads_terse = (
@@ -63,11 +65,11 @@
             return
 
     def run(self, seconds):
-        """Beat for some seconds, each member at its own moment of the period."""
+        """Send heartbeats for some seconds; those of the members are spread over the interval."""
         end_time, period = time.monotonic() + seconds, self.period
         while time.monotonic() < end_time:
             round_start, self.sequence = time.monotonic(), self.sequence + 1
-            told = max(1, min(self.sequence, FULL_ROUNDS))
+            content_sequence = max(1, min(self.sequence, FULL_CONTENT_ROUNDS))
             for number, member in enumerate(self.members):
                 wait = round_start + period * (number + 1) / len(self.members) - time.monotonic()
                 time.sleep(max(0, wait))
@@ -75,7 +77,7 @@
                 heartbeat_round = HeartbeatRound(
                     member,
                     self.sequence,
-                    told,
+                    content_sequence,
                     self.roster.digest,
                     self.bitmap,
                     None,
@@ -87,14 +89,14 @@
                 )
 
 
-def spent_seconds(pid):
-    """Return the processor seconds of a process, to the microsecond."""
+def cpu_seconds(pid):
+    """Return the processor seconds of a process, from its scheduler statistics in nanoseconds."""
     threads = pathlib.Path(f"/proc/{pid}/task").glob("*/schedstat")
     return sum(int(thread.read_text().split()[0]) for thread in threads) / 1e9
 
 
 def measure(role, count, seconds, folder):
-    """Return what a node of a role spends among so many peers."""
+    """Start a node of a role among `count` peers; return its processor share and memory."""
     settings = {
         "name": f"{role}-one",
         "role": role,
@@ -102,7 +104,7 @@
         "address": f"{NODE_HOST}:{NODE_PORT}",
         "http_address": f"{NODE_HOST}:{NODE_PORT + 1}",
         "seeds": [f"{HOST.format(1)}:{PORT}"],
-        "bounds": {"news": NEWS, "return_": RETURN},
+        "bounds": {"news": PROPAGATION_SECONDS, "return_": RECOVERY_SECONDS},
         **({"folder": f"{folder}/data"} if role == "store" else {}),
     }
     path = pathlib.Path(folder) / f"{role}.json"
@@ -110,15 +112,21 @@
     peers = Peers(count, role)
     process = subprocess.Popen([sys.executable, "-c", PROGRAM, role, "--settings", str(path)])
     try:
-        peers.run(WARM_SECONDS)
-        start_cost, before, taken = spent_seconds(process.pid), time.monotonic(), peers.taken
+        peers.run(WARM_UP_SECONDS)
+        start_cpu_seconds, before, received_count = (
+            cpu_seconds(process.pid),
+            time.monotonic(),
+            peers.received_count,
+        )
         peers.run(seconds)
-        span = time.monotonic() - before
+        elapsed_seconds = time.monotonic() - before
         return {
-            "core_share": round((spent_seconds(process.pid) - start_cost) / span, 5),
-            "first_s": round(start_cost, 3),
+            "core_share": round(
+                (cpu_seconds(process.pid) - start_cpu_seconds) / elapsed_seconds, 5
+            ),
+            "first_s": round(start_cpu_seconds, 3),
             "mb": round(process_bytes(process.pid) / 1e6, 1),
-            "beats_taken": round((peers.taken - taken) / span, 1),
+            "beats_taken": round((peers.received_count - received_count) / elapsed_seconds, 1),
             "acked": peers.node_state is not None and peers.node_state.acknowledged_sequence > 0,
         }
     finally:
@@ -132,7 +140,7 @@
 @click.option("--roles", default="edge,core,store", show_default=True)
 @click.option("--seconds", default=10.0, show_default=True, help="Seconds of each measurement.")
 def main(peers, roles, seconds):
-    """Measure an idle node of each role among peers that all hear each other."""
+    """Measure an idle node of each role among peers that all reach each other."""
     for role in roles.split(","):
         for count in map(int, peers.split(",")):
             with tempfile.TemporaryDirectory() as folder:
