--- a/examples/embed/nifty_trio.py
+++ b/examples/embed/nifty_trio.py
@@ -1,4 +1,4 @@
-"""Three nodes of the peer layer alone, in one process, on loopback: who reaches whom?"""
+"""Runs three nodes with only the peer layer and gossip, in one process, on loopback."""
 
 import gevent
 
@@ -11,7 +11,7 @@
 
 
 def start(number):
-    """Start one node with nifty and gossip; it knows the first address only."""
+    """Start one node with the peer layer and gossip; its only seed is the first address."""
     host, port = ADDRESSES[number]
     me = Member(f"node-{number}", number + 1, "core", "here", host, port, 1, "")
     runtime = GeventRuntime(print, 1.0)
@@ -19,13 +19,13 @@
     nifty = node.offer("nifty", Nifty(node, ADDRESSES[:1]))
     gossip = node.offer("gossip", Gossip(node))
 
-    def put_member(member):
+    def publish_member(member):
         gossip.publish(f"member/{member.name}", [member.incarnation], member.to_list())
 
-    nifty.on_member = put_member
+    nifty.on_member = publish_member
     nifty.on_unknown_roster = gossip.start_anti_entropy
     gossip.subscribe("member/", lambda key, fields: nifty.learn(Member.from_list(fields)))
-    put_member(me)
+    publish_member(me)
     node.handle("greet", lambda body, origin: f"{me.name} greets {origin}")
     runtime.listen(host, port, nifty.on_datagram, nifty.on_frame)
     node.spawn(nifty.run())
@@ -34,7 +34,7 @@
 
 
 def main():
-    """Wait until all reach all, then call a service by name and pass news on."""
+    """Wait until all nodes are connected, then call a node by name and publish a value."""
     nodes = [start(number) for number in range(3)]
     with gevent.Timeout(30):
         graphs = [node.find("nifty").graph for node in nodes]
--- a/examples/embed/quorum_counter.py
+++ b/examples/embed/quorum_counter.py
@@ -1,4 +1,4 @@
-"""A replicated counter of your own: commands by registry, three stores, an owner by ballot."""
+"""A replicated counter: registered commands, three stores, and an elected owner of the part."""
 
 import tempfile
 
@@ -18,7 +18,7 @@
 
 @COMMANDS.entry("counter.add")
 def add(state, command):
-    """Add to the counter, once for each command id."""
+    """Add an amount to the counter; idempotent by command id."""
     counter = state.get("counter", {})
     new_counter = {**counter, command["id"]: command["amount"]}
     return {**state, "counter": new_counter}, sum(new_counter.values())
@@ -26,12 +26,12 @@
 
 @QUERIES.entry("counter")
 def show(state, query):
-    """Return the counter."""
+    """Return the value of the counter."""
     return sum(state.get("counter", {}).values())
 
 
 def start(number, role, zone, folder=None):
-    """Start one node in this process."""
+    """Start one node in this process; with a data folder, it is a store."""
     name, address = f"{role}-{number}", (f"127.0.44.{number}", 7601)
     acceptors = open_store(FolderDisk(folder), name, lambda: f"{number:04x}") if folder else None
     identity = acceptors.identity if acceptors else ""
@@ -44,7 +44,7 @@
 
 
 def main():
-    """Found three stores, add from two nodes, read the sum from whoever owns the part."""
+    """Found a fleet with three stores, add from two nodes, and read the sum from the owner."""
     with tempfile.TemporaryDirectory() as folder, gevent.Timeout(60):
         core = start(1, "core", "north")
         other = start(5, "core", "east")
--- a/tests/test_day_summary.py
+++ b/tests/test_day_summary.py
@@ -7,8 +7,8 @@
 from proving.tools.callers import Record
 
 
-class CalmFleet:
-    """A local fleet that starts nothing and has no replicas."""
+class EmptyFleet:
+    """A local fleet that starts no processes and has no replicas."""
 
     def __init__(self, example, run_folder):
         self.run_folder, self.replicas = run_folder, {}
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def run_day(monkeypatch, tmp_path):
-    """Run the command over traffic that leaves the given record; return its result."""
+    """Return a function that runs the command with fake traffic and the given violations."""
 
     def run(violations, *options):
         def traffic(fleet, mix, seconds, seed, record, scale):
@@ -31,14 +31,16 @@
             for text in violations:
                 record.violate(text)
 
-        monkeypatch.setattr(day, "LocalFleet", lambda *words: CalmFleet(words[0], tmp_path))
+        monkeypatch.setattr(
+            day, "LocalFleet", lambda *arguments: EmptyFleet(arguments[0], tmp_path)
+        )
         monkeypatch.setattr(day, "run_traffic", traffic)
         return CliRunner().invoke(day.main, ["ferrowa", "--calm", *options])
 
     return run
 
 
-def test_a_day_ends_with_its_verdict_on_the_last_line(run_day):
+def test_the_last_line_of_the_output_is_the_verdict(run_day):
     result = run_day([])
     lines = result.output.splitlines()
     assert result.exit_code == 0 and lines[-1] == "OK: no violation in 3 calls"
@@ -46,7 +48,7 @@
     assert len(lines) < 25
 
 
-def test_a_day_with_violations_tells_each_and_fails(run_day):
+def test_a_day_with_violations_lists_them_and_exits_with_1(run_day):
     result = run_day(["piece 3 after 1", "a lot was lost"])
     lines = result.output.splitlines()
     assert result.exit_code == 1 and lines[-1] == "FAILED: 2 violations in 3 calls"
@@ -54,9 +56,7 @@
 
 
 @pytest.mark.parametrize("violations", [[], ["a lot was lost"]])
-def test_the_json_form_is_the_whole_report_as_it_is_written_to_its_file(
-    run_day, tmp_path, violations
-):
+def test_json_output_is_the_full_report_that_is_written_to_the_file(run_day, tmp_path, violations):
     result = run_day(violations, "--json")
     report = json.loads(result.output)
     assert result.exit_code == len(violations)
@@ -65,7 +65,7 @@
     assert (tmp_path / "report.json").read_text() == result.output.rstrip("\n")
 
 
-def test_the_summary_names_the_faults_and_when_they_came():
+def test_the_summary_lists_the_faults_with_their_times():
     record = Record()
     steps = [[6.0, "kill core-2"], [12.1, "heal the cut"]]
     lines = day.summary({**record.to_json(), "steps": steps, "replicas": {}}).splitlines()
--- a/tests/test_local_fleet.py
+++ b/tests/test_local_fleet.py
@@ -10,54 +10,62 @@
 
 
 @pytest.fixture
-def edge(tmp_path):
-    made = LocalFleet("examples/ferrowa", tmp_path, True, {"edge-2"})
-    yield made
-    made.stop_all()
+def edge_fleet(tmp_path):
+    fleet = LocalFleet("examples/ferrowa", tmp_path, True, {"edge-2"})
+    yield fleet
+    fleet.stop_all()
 
 
 @pytest.mark.parametrize("field", ["address", "http_address"])
-def test_a_port_of_a_fleet_goes_to_nobody_else_before_its_process_starts(edge, field):
-    address = split_address(edge.settings["edge-2"][field])
-    with socket.socket() as other, pytest.raises(OSError) as refused:
-        other.bind(address)
+def test_no_other_socket_can_bind_a_reserved_port_before_the_process_starts(edge_fleet, field):
+    address = split_address(edge_fleet.settings["edge-2"][field])
+    with socket.socket() as other_socket, pytest.raises(OSError) as refused:
+        other_socket.bind(address)
     assert refused.value.errno == errno.EADDRINUSE
 
 
-def test_a_process_listens_at_its_held_ports_at_every_start(edge):
+def test_a_process_listens_on_its_reserved_ports_after_every_start(edge_fleet):
     for _ in range(2):
-        edge.start("edge-2")
-        edge.wait_for("alive", lambda: ask(edge.http("edge-2"), "GET", "/v1/alive")[0] == 200)
-        with socket.create_connection(split_address(edge.settings["edge-2"]["address"])) as link:
-            assert link.getpeername() == split_address(edge.settings["edge-2"]["address"])
-        edge.kill("edge-2")
-
-
-def test_a_process_that_ended_by_itself_is_told_with_its_code_and_last_words(edge):
-    with socket.socket() as other:
-        other.bind(("127.0.41.10", 0))
-        other.listen()
-        row = edge.settings["edge-2"]
-        row["http_address"] = "{}:{}".format(*other.getsockname())
-        edge.start("edge-2")
-        with pytest.raises(ProcessExited) as told:
-            edge.wait_for("never", lambda: False)
-    assert told.value.name == "edge-2" and told.value.code == 3
-    assert "Address already in use" in str(told.value)
-
-
-def test_a_process_that_ended_is_told_even_if_others_are_waited_for(edge):
-    edge.start("edge-2")
-    edge.signal("edge-2", signal.SIGKILL)
+        edge_fleet.start("edge-2")
+        edge_fleet.wait_for(
+            "alive", lambda: ask(edge_fleet.http("edge-2"), "GET", "/v1/alive")[0] == 200
+        )
+        with socket.create_connection(
+            split_address(edge_fleet.settings["edge-2"]["address"])
+        ) as connection:
+            assert connection.getpeername() == split_address(
+                edge_fleet.settings["edge-2"]["address"]
+            )
+        edge_fleet.kill("edge-2")
+
+
+def test_a_process_that_exits_is_reported_with_its_exit_code_and_output(edge_fleet):
+    with socket.socket() as other_socket:
+        other_socket.bind(("127.0.41.10", 0))
+        other_socket.listen()
+        row = edge_fleet.settings["edge-2"]
+        row["http_address"] = "{}:{}".format(*other_socket.getsockname())
+        edge_fleet.start("edge-2")
+        with pytest.raises(ProcessExited) as raised:
+            edge_fleet.wait_for("never", lambda: False)
+    assert raised.value.name == "edge-2" and raised.value.code == 3
+    assert "Address already in use" in str(raised.value)
+
+
+def test_a_process_that_exits_is_reported_while_waiting_for_other_nodes(edge_fleet):
+    edge_fleet.start("edge-2")
+    edge_fleet.signal("edge-2", signal.SIGKILL)
     with pytest.raises(ProcessExited, match="edge-2 exited unexpectedly with code -9"):
-        edge.wait_ready()
+        edge_fleet.wait_ready()
 
 
-def test_a_wait_that_was_in_vain_tells_what_each_node_last_answered(edge):
-    edge.start("edge-2")
-    edge.wait_for("alive", lambda: edge.ask("edge-2", "GET", "/v1/alive")[0] == 200)
-    with pytest.raises(TimeoutError) as told:
-        edge.wait_for("ready", lambda: edge.ask("edge-2", "GET", "/v1/ready")[0] == 200, 0)
-    text = str(told.value)
+def test_a_timed_out_wait_reports_the_last_response_of_each_node(edge_fleet):
+    edge_fleet.start("edge-2")
+    edge_fleet.wait_for("alive", lambda: edge_fleet.ask("edge-2", "GET", "/v1/alive")[0] == 200)
+    with pytest.raises(TimeoutError) as raised:
+        edge_fleet.wait_for(
+            "ready", lambda: edge_fleet.ask("edge-2", "GET", "/v1/ready")[0] == 200, 0
+        )
+    text = str(raised.value)
     assert "ready" in text and "edge-2 GET /v1/ready: 503" in text and "no fresh word" in text
     assert "/v1/alive" not in text
