--- a/proving/scale/loopback.py
+++ b/proving/scale/loopback.py
@@ -43,7 +43,7 @@
 
 
 def start_hollow(number, seeds, faults):
-    """Start a hollow node on a loopback address of its own; return it."""
+    """Start a hollow node on a loopback address; return it."""
     address = (f"127.0.{44 + number // 250}.{number % 250 + 1}", 7400)
     me = Member(
         f"edge-h{number:04d}",
--- a/proving/tools/callers.py
+++ b/proving/tools/callers.py
@@ -27,7 +27,7 @@
         self.resumes = 0
         self.stopping_edges = set()
 
-    def edge(self, edges, rng):
+    def choose_edge(self, edges, rng):
         """Return a random edge; like the platform, avoid edges that are being stopped."""
         return rng.choice([e for e in edges if e not in self.stopping_edges] or edges)
 
@@ -129,7 +129,7 @@
         attempts += 1
         client = None
         try:
-            client, response = send(record.edge(edges, rng), method, path, body, client_name)
+            client, response = send(record.choose_edge(edges, rng), method, path, body, client_name)
             if response.status_code == 200:
                 read_answer(answer, response, record, clock, start_time, drop_after)
                 drop_after = None
@@ -164,7 +164,7 @@
     """Fetch one tile and check its content."""
     coordinates = f"{rng.randrange(12, 16)}/{rng.randrange(64)}/7"
     path = f"/v1/tiles/{route}/{coordinates}"
-    status, answer = ask(record.edge(edges, rng), "GET", path)
+    status, answer = ask(record.choose_edge(edges, rng), "GET", path)
     if status == 200 and answer["tile"] != tile_content(f"/v1/tiles/{coordinates}"):
         record.violate(f"wrong tile {path}")
     record.note("tile", "complete" if status == 200 else answer.get("trouble"))
@@ -175,7 +175,7 @@
     key, seat = f"{rng.random():.12f}", f"row-{rng.randrange(900)}"
     body = {"entry": route, "key": key, "seat": seat}
     for _ in range(4):
-        status, answer = ask(record.edge(edges, rng), "POST", "/v1/seats", body)
+        status, answer = ask(record.choose_edge(edges, rng), "POST", "/v1/seats", body)
         if status == 200:
             if answer["confirmed"] != seat_confirmation(key, seat) or answer["key"] != key:
                 record.violate(f"wrong confirmation of {key}")
@@ -190,7 +190,7 @@
     items = [f"{key} item {n}" for n in range(size)]
     body, lot = {"entry": route, "key": key, "items": items}, None
     for _ in range(8):
-        status, answer = ask(record.edge(edges, rng), "POST", "/v1/lots", body, client_name)
+        status, answer = ask(record.choose_edge(edges, rng), "POST", "/v1/lots", body, client_name)
         if status == 200:
             lot = answer["lot"]
             break
@@ -205,7 +205,7 @@
     """Read the results of an accepted lot until all are available, and check them."""
     seen = {}
     for _ in range(200):
-        edge = record.edge(edges, rng)
+        edge = record.choose_edge(edges, rng)
         status, answer = ask(edge, "GET", f"/v1/lots/{lot}/results", None, client_name)
         if status == 404:
             record.violate(f"accepted lot {lot} is lost")
--- a/proving/tools/closing_fault.py
+++ b/proving/tools/closing_fault.py
@@ -15,12 +15,12 @@
     """Return whether every edge serves a stream and accepts a lot now."""
     probe_record = callers.Record()
     entries = json.loads((fleet.example / "layout.json").read_text())["entries"]
-    short = next(e for e in ("wayfinding", "price-hints") if e in entries)
-    lots = next(e for e in ("gate-notices", "fraud-reports") if e in entries)
+    stream_entry = next(e for e in ("wayfinding", "price-hints") if e in entries)
+    lot_entry = next(e for e in ("gate-notices", "fraud-reports") if e in entries)
     for name in fleet.names("edge"):
         edge, rng = [fleet.http(name)], random.Random(name)
-        callers.stream_call(edge, rng, probe_record, time.monotonic, short, "probe", 3, 0.0)
-        body = {"entry": lots, "items": ["one"], "key": f"probe-{time.monotonic_ns()}"}
+        callers.stream_call(edge, rng, probe_record, time.monotonic, stream_entry, "probe", 3, 0.0)
+        body = {"entry": lot_entry, "items": ["one"], "key": f"probe-{time.monotonic_ns()}"}
         status, _ = callers.ask(edge[0], "POST", "/v1/lots", body, "probe")
         probe_record.note("probe", "complete" if status == 200 else "refused")
     return set(probe_record.outcomes) == {("probe", "complete")}
@@ -38,7 +38,7 @@
     healed_at, consecutive_good_rounds = time.monotonic(), 0
     while consecutive_good_rounds < 3 and time.monotonic() - healed_at < 60:
         consecutive_good_rounds = consecutive_good_rounds + 1 if all_edges_serve(fleet) else 0
-    back_after = round(time.monotonic() - healed_at, 2)
-    note(f"every edge served three rounds, {back_after} s after the closing fault")
-    if back_after > MAX_RECOVERY_SECONDS:
-        record.violate(f"service took {back_after} s to return")
+    recovery_seconds = round(time.monotonic() - healed_at, 2)
+    note(f"every edge served three rounds, {recovery_seconds} s after the closing fault")
+    if recovery_seconds > MAX_RECOVERY_SECONDS:
+        record.violate(f"service took {recovery_seconds} s to return")
--- a/proving/tools/deployments.py
+++ b/proving/tools/deployments.py
@@ -7,7 +7,7 @@
 MODEL_CLASS = {"resumable": True, "repeatable": True}
 
 
-def promise(first, left, urgency, share, queue=64, **more):
+def service_class(first, left, urgency, share, queue=64, **more):
     """Return a service class; `first` and `left` are in milliseconds."""
     return {
         "first_piece_ms": first,
@@ -19,7 +19,7 @@
     }
 
 
-def route(service, class_name, prefix=None):
+def layout_entry(service, class_name, prefix=None):
     """Return a layout entry."""
     return {"service": service, "class": class_name, **({"prefix": prefix} if prefix else {})}
 
@@ -31,21 +31,25 @@
         "replicas": [("words", 6, 8), ("map", 4, 16)],
         "layout": {
             "classes": {
-                "traveller": promise(1500, 20_000, 8, 0.5, 128, **MODEL_CLASS),
-                "tile": promise(1000, 3000, 9, 0.2, 128, resumable=False, repeatable=True),
-                "boarding": promise(5000, 60_000, 6, 0.2, 64, **MODEL_CLASS),
-                "overnight": promise(60_000, 600_000, 2, 0.1, 256, **MODEL_CLASS),
+                "traveller": service_class(1500, 20_000, 8, 0.5, 128, **MODEL_CLASS),
+                "tile": service_class(1000, 3000, 9, 0.2, 128, resumable=False, repeatable=True),
+                "boarding": service_class(5000, 60_000, 6, 0.2, 64, **MODEL_CLASS),
+                "overnight": service_class(60_000, 600_000, 2, 0.1, 256, **MODEL_CLASS),
             },
             "services": {
                 "words": {"kind": "model", "warm_up_ms": 4000, "stall_ms": 2000},
                 "map": {"kind": "map", "warm_up_ms": 4000, "stall_ms": 1000},
             },
             "entries": {
-                "wayfinding": route("words", "traveller", "You guide travellers in Ferrowa. "),
-                "wayfinding-lounge": route("words", "traveller", "You guide lounge guests. "),
-                "tagging": route("words", "overnight", "You tag listings of shops. "),
-                "gate-notices": route("words", "boarding", "You rephrase gate changes. "),
-                "tiles": route("map", "tile"),
+                "wayfinding": layout_entry(
+                    "words", "traveller", "You guide travellers in Ferrowa. "
+                ),
+                "wayfinding-lounge": layout_entry(
+                    "words", "traveller", "You guide lounge guests. "
+                ),
+                "tagging": layout_entry("words", "overnight", "You tag listings of shops. "),
+                "gate-notices": layout_entry("words", "boarding", "You rephrase gate changes. "),
+                "tiles": layout_entry("map", "tile"),
             },
         },
     },
@@ -55,21 +59,21 @@
         "replicas": [("words", 9, 6), ("checkout", 4, 16)],
         "layout": {
             "classes": {
-                "hint": promise(1500, 20_000, 8, 0.5, 128, **MODEL_CLASS),
-                "seat": promise(1000, 4000, 9, 0.2, 128, resumable=False, repeatable=True),
-                "fraud": promise(5000, 60_000, 6, 0.2, 64, **MODEL_CLASS),
-                "review": promise(60_000, 600_000, 2, 0.1, 256, **MODEL_CLASS),
+                "hint": service_class(1500, 20_000, 8, 0.5, 128, **MODEL_CLASS),
+                "seat": service_class(1000, 4000, 9, 0.2, 128, resumable=False, repeatable=True),
+                "fraud": service_class(5000, 60_000, 6, 0.2, 64, **MODEL_CLASS),
+                "review": service_class(60_000, 600_000, 2, 0.1, 256, **MODEL_CLASS),
             },
             "services": {
                 "words": {"kind": "model", "warm_up_ms": 4000, "stall_ms": 2000},
                 "checkout": {"kind": "checkout", "warm_up_ms": 4000, "stall_ms": 1000},
             },
             "entries": {
-                "price-hints": route("words", "hint", "You hint at prices in Kilele. "),
-                "seller-hints": route("words", "hint", "You advise sellers in Kilele. "),
-                "seller-reviews": route("words", "review", "You review sellers. "),
-                "fraud-reports": route("words", "fraud", "You judge fraud reports. "),
-                "seats": route("checkout", "seat"),
+                "price-hints": layout_entry("words", "hint", "You hint at prices in Kilele. "),
+                "seller-hints": layout_entry("words", "hint", "You advise sellers in Kilele. "),
+                "seller-reviews": layout_entry("words", "review", "You review sellers. "),
+                "fraud-reports": layout_entry("words", "fraud", "You judge fraud reports. "),
+                "seats": layout_entry("checkout", "seat"),
             },
         },
     },
@@ -78,11 +82,11 @@
 
 def settings_of(deployment):
     """Yield the settings of every node; each node has its own loopback address."""
-    net, number, seeds = deployment["net"], 0, []
+    net, node_number, seeds = deployment["net"], 0, []
     for role in ("core", "store", "edge"):
         for i in range(deployment["sizes"][role]):
-            number += 1
-            host = f"127.0.{net}.{number}"
+            node_number += 1
+            host = f"127.0.{net}.{node_number}"
             fields = {
                 "name": f"{role}-{i + 1}",
                 "role": role,
@@ -101,15 +105,15 @@
 
 def replicas_of(deployment):
     """Yield the name, service, domain, address and slots of every replica."""
-    number = 100
+    node_number = 100
     for service, count, slots in deployment["replicas"]:
         for i in range(count):
-            number += 1
+            node_number += 1
             yield {
                 "name": f"{service}-{i + 1}",
                 "service": service,
                 "domain": ZONES[i % 4],
-                "address": f"127.0.{deployment['net']}.{number}:9400",
+                "address": f"127.0.{deployment['net']}.{node_number}:9400",
                 "slots": slots,
             }
 
--- a/proving/tools/local_fleet.py
+++ b/proving/tools/local_fleet.py
@@ -204,19 +204,24 @@
             roles = [m["role"] for m in answer.get("members", ())] if status == 200 else []
             return roles.count("store") == store_count
 
-        self.wait_for("stores known", knows_stores)
+        self.wait_for("all stores known", knows_stores)
         self.wait_for(
             "founded", lambda: self.ask(cores[0], "POST", "/v1/found", {"parts": 4})[0] == 200
         )
         configuration = json.loads((self.example / "layout.json").read_text())
         body = {"base_version": 0, "layout": configuration, "whole": True, "id": "first"}
-        self.wait_for("layout", lambda: self.ask(cores[0], "PUT", "/v1/layout", body)[0] == 200)
+        self.wait_for(
+            "layout applied", lambda: self.ask(cores[0], "PUT", "/v1/layout", body)[0] == 200
+        )
         self.wait_ready()
 
     def wait_fully_replicated(self):
         """Wait until every part has three stores that hold all of its data."""
         edge = self.names("edge")[0]
-        self.wait_for("whole", lambda: self.ask(edge, "GET", "/v1/whole")[1].get("is_whole"))
+        self.wait_for(
+            "all parts fully replicated",
+            lambda: self.ask(edge, "GET", "/v1/whole")[1].get("is_whole"),
+        )
 
     def wait_ready(self):
         """Wait until every running edge is ready and knows every running replica."""
--- a/proving/tools/overhead.py
+++ b/proving/tools/overhead.py
@@ -81,9 +81,11 @@
         fleet.start_all()
         fleet.found()
         edge, replica = fleet.http("edge-1"), fleet.replicas["map-1"]["address"]
-        _, beats = callers.ask(edge, "GET", "/v1/replicas")
+        _, replicas_answer = callers.ask(edge, "GET", "/v1/replicas")
         rng, record = random.Random(1), callers.Record()
-        incarnation = next(r["incarnation"] for r in beats["replicas"] if r["name"] == "map-1")
+        incarnation = next(
+            r["incarnation"] for r in replicas_answer["replicas"] if r["name"] == "map-1"
+        )
         direct = median_milliseconds(
             lambda: (
                 callers.ask(replica, "GET", f"/v1/tiles/1/1/1?inquiry=x&incarnation={incarnation}")[
@@ -93,7 +95,7 @@
             ),
             count,
         )
-        through = median_milliseconds(
+        through_edge = median_milliseconds(
             lambda: callers.ask(edge, "GET", "/v1/tiles/tiles/1/1/1")[0] == 200, count
         )
 
@@ -109,8 +111,8 @@
             json.dumps(
                 {
                     "tile_direct_ms": direct,
-                    "tile_through_edge_ms": through,
-                    "ratio": round(through / direct, 2),
+                    "tile_through_edge_ms": through_edge,
+                    "ratio": round(through_edge / direct, 2),
                     "kept_direct_ms": reused_direct,
                     "kept_through_edge_ms": reused_through,
                     "kept_ratio": round(reused_through / reused_direct, 2),
--- a/proving/tools/reference.py
+++ b/proving/tools/reference.py
@@ -23,8 +23,12 @@
     if "const" in schema:
         return f"`{schema['const']}`"
     limits = [
-        f"{word} {schema[key]}"
-        for key, word in (("minimum", "from"), ("exclusiveMinimum", "over"), ("maximum", "to"))
+        f"{preposition} {schema[key]}"
+        for key, preposition in (
+            ("minimum", "from"),
+            ("exclusiveMinimum", "over"),
+            ("maximum", "to"),
+        )
         if key in schema
     ]
     types = schema.get("type", "")
@@ -33,14 +37,14 @@
 
 def rows_of(schema):
     """Return [(description, schema of an item)] of a section; empty if it is a single value."""
-    inner = schema.get("additionalProperties")
+    item_schema = schema.get("additionalProperties")
     if "patternProperties" in schema:
         return [("by name", row) for row in schema["patternProperties"].values()]
     if "anyOf" in schema:
         return [("one for all", schema["anyOf"][0])]
-    if isinstance(inner, dict) and "if" in inner:
-        return [("by name", inner["else"]), ("by name, of kind `raw`", inner["then"])]
-    return [("by name", inner)] if isinstance(inner, dict) else []
+    if isinstance(item_schema, dict) and "if" in item_schema:
+        return [("by name", item_schema["else"]), ("by name, of kind `raw`", item_schema["then"])]
+    return [("by name", item_schema)] if isinstance(item_schema, dict) else []
 
 
 def reference():
