--- a/proving/tools/overhead.py
+++ b/proving/tools/overhead.py
@@ -28,8 +28,8 @@
 def measure_reused_connections(fleet, incarnation, count):
     """Measure tile calls over reused connections.
 
-    Return the median milliseconds directly and through the edge, and the share of a core that the
-    edge uses at 100 calls a second.
+    Return the median milliseconds directly and through the edge, and the share of a core that
+    100 calls a second take at the edge, without its idle load.
     """
     replica, edge = fleet.replicas["map-1"]["address"], fleet.http("edge-1")
     paths = {
--- a/proving/tools/standin.py
+++ b/proving/tools/standin.py
@@ -72,14 +72,14 @@
         try:
             gevent.sleep(0.003)
             if path == "/v1/seats":
-                word = seat_confirmation(fields["key"], fields["seat"])
-                return answer(start_response, {"inquiry": name, "confirmed": word})
+                confirmation = seat_confirmation(fields["key"], fields["seat"])
+                return answer(start_response, {"inquiry": name, "confirmed": confirmation})
             return answer(start_response, {"inquiry": name, "tile": tile_content(path)})
         finally:
             self.fake_replica.finish()
 
     def generate(self, fields, seconds):
-        """Yield the numbered pieces of the answer, from the requested one, and the end line."""
+        """Yield the pieces of the answer after number `from`, then the end line."""
         try:
             gevent.sleep(seconds)
             count = piece_count(fields["prompt"], fields["max_pieces"])
