--- a/proving/drawn_days.py
+++ b/proving/drawn_days.py
@@ -29,7 +29,7 @@
 @click.argument("site_path", metavar="SITE", type=click.Path(dir_okay=False))
 @click.option("--first", type=click.IntRange(min=0), default=1, help="First seed.")
 @click.option("--count", type=click.IntRange(1, MAX_DAYS), default=10, help="Number of days.")
-@click.option("--output", type=click.Path(file_okay=False), required=True, help="Output folder.")
+@click.option("--output", type=click.Path(file_okay=False), required=True, help="Folder.")
 def main(site_path, first, count, output):
     """Draw days with a mix of every kind of fault, write one file per day, and print the paths."""
     site = read_site(site_path)
--- a/proving/scale/__main__.py
+++ b/proving/scale/__main__.py
@@ -25,7 +25,7 @@
 
 
 @click.command()
-@click.option("--sizes", default="16,32,64,128", show_default=True, help="Numbers of members.")
+@click.option("--sizes", default="16,32,64,128", show_default=True, help="Members.")
 @click.option("--replicas", default="", help="Numbers of replicas, with 16 members.")
 @click.option("--entries", default="", help="Numbers of layout entries, with 16 members.")
 @click.option(
--- a/proving/scale/fit.py
+++ b/proving/scale/fit.py
@@ -70,13 +70,13 @@
     """Plot processor time, bytes, graph computations and memory of a node over the members."""
     rows = axis_rows(report["runs"], "size")
     figure, panels = pyplot.subplots(2, 2, figsize=(11, 8))
-    plotted_metrics = (
+    drawn = (
         ("cpu_ms", "processor ms per second"),
         ("beat_bytes", "heartbeat bytes per second"),
         ("makings", "graph computations per second"),
     )
     xs = [run["size"] for run in rows]
-    for panel, (name, label) in zip(panels.flat, plotted_metrics):
+    for panel, (name, label) in zip(panels.flat, drawn):
         for scenario in [n for n in rows[0]["rows"] if n != "memory"]:
             points = [
                 (run["size"], run["rows"][scenario][name] / run["rows"][scenario]["seconds"])
