--- a/proving/points/callers.py
+++ b/proving/points/callers.py
@@ -3,7 +3,7 @@
 import random
 
 from proving.sim.scripted_runtime import BREAK, SILENT, STALE, ScriptedAnswer, ScriptedRuntime
-from proving.tools.scripted_connection import END, RESET, FakeWire
+from proving.tools.scripted_connection import END, RESET, FakeConnections
 from quillring.fleet import make_node
 from quillring.forward import Request
 from quillring.forward.request_handler import forward_request
@@ -28,7 +28,7 @@
     Connections are pooled, so a surplus answer may still be unread when the next request reuses
     its connection. No request may receive the answer to another one.
     """
-    rng, wire = random.Random(seed), FakeWire()
+    rng, wire = random.Random(seed), FakeConnections()
     wire.start()
     try:
         return _exchange_all(rng, wire)
@@ -73,7 +73,7 @@
         sock.put(b"HTTP/1.1 100 Continue\r\n\r\n" + answer_bytes("foreign", b"of another"), cuts)
     if rng.random() < 0.1:
         sock.put(answer[: rng.randrange(len(answer))])
-        sock.arrived.append(rng.choice([END, RESET]))
+        sock.incoming.append(rng.choice([END, RESET]))
         return
     sock.put(answer, cuts)
 
--- a/proving/tools/reference.py
+++ b/proving/tools/reference.py
@@ -1,4 +1,4 @@
-"""Writes docs/settings.md from the schemas; a test checks that it is up to date."""
+"""Writes docs/settings.md from the schemas; a test checks that the page is up to date."""
 
 from quillring.kernel.bounds import ATTRIBUTE_OF_SETTING, Bounds
 from quillring.kernel.settings import SCHEMA as SETTINGS
@@ -17,14 +17,18 @@
 
 
 def type_of(schema):
-    """Return a short text of a schema's type."""
+    """Return a short description of a schema's type and limits."""
     if "enum" in schema:
         return ", ".join(f"`{value}`" for value in schema["enum"])
     if "const" in schema:
         return f"`{schema['const']}`"
     limits = [
-        f"{word} {schema[key]}"
-        for key, word in (("minimum", "from"), ("exclusiveMinimum", "over"), ("maximum", "to"))
+        f"{preposition} {schema[key]}"
+        for key, preposition in (
+            ("minimum", "from"),
+            ("exclusiveMinimum", "over"),
+            ("maximum", "to"),
+        )
         if key in schema
     ]
     types = schema.get("type", "")
@@ -32,19 +36,19 @@
 
 
 def rows_of(schema):
-    """Return [(what a section holds, schema of an item)]; none where it is a single value."""
-    inner = schema.get("additionalProperties")
+    """Return [(description, schema of an item)] of a section; empty if it is a single value."""
+    item_schema = schema.get("additionalProperties")
     if "patternProperties" in schema:
         return [("by name", row) for row in schema["patternProperties"].values()]
     if "anyOf" in schema:
         return [("one for all", schema["anyOf"][0])]
-    if isinstance(inner, dict) and "if" in inner:
-        return [("by name", inner["else"]), ("by name, of kind `raw`", inner["then"])]
-    return [("by name", inner)] if isinstance(inner, dict) else []
+    if isinstance(item_schema, dict) and "if" in item_schema:
+        return [("by name", item_schema["else"]), ("by name, of kind `raw`", item_schema["then"])]
+    return [("by name", item_schema)] if isinstance(item_schema, dict) else []
 
 
 def reference():
-    """Return the text of the reference."""
+    """Return the text of the page."""
     lines = [
         "# Settings and layout",
         "",
