--- a/tests/test_backend.py
+++ b/tests/test_backend.py
@@ -1,3 +1,5 @@
+"""HTTP calls to replicas: retries, reuse of idle connections and surplus answers."""
+
 import socket
 from unittest import mock
 
@@ -15,7 +17,7 @@
 
 
 class ScriptedServer:
-    """Serves each connection as an heir's `serve` does, on a port of its own."""
+    """A server on a free port; subclasses handle each connection in `serve`."""
 
     def __init__(self):
         self.requests = []
@@ -26,7 +28,7 @@
 
 @pytest.fixture
 def start():
-    """Return a function that starts a server of a class; all are stopped in the end."""
+    """Return a function that starts a server of the given class; all are stopped after the test."""
     servers = []
 
     def started(server_class):
@@ -38,8 +40,8 @@
         server.server.stop(timeout=0)
 
 
-class BreaksAtSecondRequest(ScriptedServer):
-    """Answers the first request of each connection, breaks off at the second."""
+class ClosesAtSecondRequest(ScriptedServer):
+    """Answers the first request of each connection and closes the connection at the second."""
 
     def serve(self, conn, _):
         with conn, conn.makefile("rb") as reader:
@@ -55,20 +57,20 @@
     return backend.fetch(FetchJson(server.address, "POST", "/x", {}, 5, may_repeat))
 
 
-def test_what_may_repeat_survives_a_kept_connection_that_breaks_off(start):
-    server = start(BreaksAtSecondRequest)
+def test_a_repeatable_request_is_retried_when_an_idle_connection_breaks(start):
+    server = start(ClosesAtSecondRequest)
     assert [fetch(server, True) for _ in range(3)] == [(200, True)] * 3
     assert [is_first for is_first, _ in server.requests] == [True, False, True, False, True]
 
 
-def test_what_may_not_repeat_never_goes_over_a_kept_connection(start):
-    server = start(BreaksAtSecondRequest)
+def test_a_non_repeatable_request_always_uses_a_new_connection(start):
+    server = start(ClosesAtSecondRequest)
     assert fetch(server, True) == (200, True)
     assert [fetch(server, False) for _ in range(2)] == [(200, True)] * 2
     assert all(is_first for is_first, _ in server.requests)
 
 
-def test_no_answer_in_time_is_not_tried_again():
+def test_a_request_that_times_out_is_not_retried():
     silent = StreamServer(("127.0.0.1", 0), lambda conn, _: gevent.event.Event().wait())
     silent.start()
     effect = FetchJson(("127.0.0.1", silent.server_port), "GET", "/", None, 0.05, True)
@@ -76,14 +78,14 @@
         backend.fetch(effect)
 
 
-def test_answers_do_not_wait_for_acknowledgements():
+def test_the_wsgi_server_sends_without_waiting_for_tcp_acknowledgements():
     server = start_wsgi_server(("127.0.0.1", 0), lambda environ, start: [])
     assert server.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
     server.stop()
 
 
 class ClosesUnanswered(ScriptedServer):
-    """Reads each request and closes without an answer."""
+    """Reads one request of each connection and closes without an answer."""
 
     def serve(self, conn, _):
         with conn, conn.makefile("rb") as reader:
@@ -95,22 +97,22 @@
 
 
 @pytest.mark.parametrize("method", ["GET", "POST", "DELETE"])
-def test_what_may_not_repeat_is_sent_once_also_by_the_library_below(start, method):
+def test_a_non_repeatable_request_is_not_resent_by_the_http_library(start, method):
     server = start(ClosesUnanswered)
     with pytest.raises(BackendError):
         backend.fetch(FetchJson(server.address, method, "/x", None, 5, False))
     assert len(server.requests) == 1
 
 
-def test_a_stream_is_opened_once(start):
+def test_opening_a_stream_is_not_retried(start):
     server = start(ClosesUnanswered)
     with pytest.raises(BackendError):
         backend.open_stream(OpenStream(server.address, "/x", {}, 5))
     assert len(server.requests) == 1
 
 
-def test_what_may_have_run_over_a_kept_connection_is_never_called_not_sent(start):
-    server = start(BreaksAtSecondRequest)
+def test_a_request_that_may_have_run_on_an_idle_connection_is_not_reported_as_not_sent(start):
+    server = start(ClosesAtSecondRequest)
     assert fetch(server, True) == (200, True)
     server.server.stop(timeout=0)
     with pytest.raises(BackendError) as failure:
@@ -120,11 +122,11 @@
 
 
 class SendsSurplusAnswer(ScriptedServer):
-    """Sends each answer, and a late copy of it when told to."""
+    """Answers one request of each connection; repeats the first answer after `may_send_surplus`."""
 
     def __init__(self):
         self.connections = 0
-        self.repeats, self.has_ended = gevent.event.Event(), gevent.event.Event()
+        self.may_send_surplus, self.may_close = gevent.event.Event(), gevent.event.Event()
         super().__init__()
 
     def serve(self, conn, _):
@@ -132,27 +134,27 @@
         with conn, conn.makefile("rb") as reader:
             while reader.readline() not in (b"\r\n", b""):
                 pass
-            conn.sendall(whole(b'"first"'))
+            conn.sendall(answer_bytes(b'"first"'))
             if self.connections == 1:
-                self.repeats.wait(5)
-                conn.sendall(whole(b'"first"'))
-            self.has_ended.wait(5)
+                self.may_send_surplus.wait(5)
+                conn.sendall(answer_bytes(b'"first"'))
+            self.may_close.wait(5)
 
 
-def whole(body):
+def answer_bytes(body):
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
-def test_a_connection_with_surplus_bytes_serves_no_further_request(start):
+def test_a_connection_with_surplus_bytes_is_not_reused(start):
     server = start(SendsSurplusAnswer)
     effect = FetchJson(server.address, "GET", "/x", None, 5, True)
     with mock.patch.object(backend, "IDLE_CLIENTS", backend.IdleClients()):
         assert backend.fetch(effect) == (200, "first")
-        server.repeats.set()
+        server.may_send_surplus.set()
         pool = backend.IDLE_CLIENTS.clients[0][1]._connection_pool
         sock = pool.get_socket()
         pool.return_socket(sock)
         assert select.select([sock], [], [], 5)[0]
         assert backend.fetch(effect) == (200, "first")
-    server.has_ended.set()
+    server.may_close.set()
     assert server.connections == 2
--- a/tests/test_channels.py
+++ b/tests/test_channels.py
@@ -1,4 +1,4 @@
-"""How long a copy of a message may be held by the connection to another node."""
+"""Connections to other nodes drop expired, unsent and truncated frames and report refusals."""
 
 import struct
 from unittest import mock
@@ -14,11 +14,11 @@
 from quillring.kernel.channel import MAX_QUEUED_TIMEOUTS, Channel
 from quillring.kernel.gevent_runtime import GeventRuntime
 
-BIG = b"x" * (1 << 20)
+LARGE_CHUNK = b"x" * (1 << 20)
 
 
-class Clock:
-    """Stands in for the time module."""
+class FakeClock:
+    """Replaces the time module."""
 
     def __init__(self):
         self.seconds = 50.0
@@ -36,11 +36,11 @@
     return frames
 
 
-def test_a_frame_that_waited_too_long_is_not_sent_any_more():
+def test_a_frame_queued_for_too_long_is_dropped():
     received = gevent.event.AsyncResult()
     server = StreamServer(("127.0.0.1", 0), lambda conn, _: received.set(conn.recv(65536)))
     server.start()
-    clock = Clock()
+    clock = FakeClock()
     with mock.patch.object(channel_module, "time", clock):
         channel = Channel(("127.0.0.1", server.server_port), 1.0)
         channel.put(b"old")
@@ -53,19 +53,19 @@
     assert read_frames(data) == [b"young"]
 
 
-def test_what_a_broken_link_still_held_is_not_delivered_once_it_heals():
+def test_closing_a_channel_discards_its_unsent_data():
     conns = gevent.event.AsyncResult()
-    may_end = gevent.event.Event()
+    may_close = gevent.event.Event()
 
-    def hold(conn, _):
+    def keep_open(conn, _):
         conns.set(conn)
-        may_end.wait()
+        may_close.wait()
 
     listener = gevent.socket.socket()
     listener.setsockopt(gevent.socket.SOL_SOCKET, gevent.socket.SO_RCVBUF, 4096)
     listener.bind(("127.0.0.1", 0))
     listener.listen()
-    server = StreamServer(listener, hold)
+    server = StreamServer(listener, keep_open)
     server.start()
     channel = Channel(listener.getsockname(), 5.0)
     sender = channel._connect()
@@ -73,19 +73,19 @@
     sent = 0
     with pytest.raises(BlockingIOError):
         while True:
-            sent += sender.send(BIG)
+            sent += sender.send(LARGE_CHUNK)
     channel.close()
-    conn, got = conns.get(timeout=5), 0
+    conn, received_bytes = conns.get(timeout=5), 0
     conn.settimeout(5)
     with pytest.raises(ConnectionResetError):
         while data := conn.recv(1 << 20):
-            got += len(data)
-    may_end.set()
-    assert got < sent
+            received_bytes += len(data)
+    may_close.set()
+    assert received_bytes < sent
 
 
-@pytest.mark.parametrize("cut", [1, 3, 4, 5, 9])
-def test_a_frame_that_was_cut_short_is_handed_to_nobody(cut):
+@pytest.mark.parametrize("truncated_length", [1, 3, 4, 5, 9])
+def test_a_truncated_frame_is_not_passed_to_the_handler(truncated_length):
     frames, done = [], gevent.event.Event()
     runtime = GeventRuntime(lambda error: None, 1.0)
 
@@ -96,54 +96,63 @@
     server = StreamServer(("127.0.0.1", 0), read)
     server.start()
     with gevent.socket.create_connection(("127.0.0.1", server.server_port)) as conn:
-        conn.sendall(struct.pack(">I", 5) + b"whole" + (struct.pack(">I", 6) + b"second")[:cut])
+        conn.sendall(
+            struct.pack(">I", 5) + b"whole" + (struct.pack(">I", 6) + b"second")[:truncated_length]
+        )
     assert done.wait(5)
     assert frames == [b"whole"]
 
 
-def listening_peer():
-    """Return (server, its connections): a peer that takes connections and holds them open."""
-    conns, is_over = gevent.queue.Queue(), gevent.event.Event()
+def start_listening_peer():
+    """Start a peer that keeps its connections open.
 
-    def hold(conn, _):
+    Returns the server, a queue of its connections and the event that lets them close.
+    """
+    conns, may_close = gevent.queue.Queue(), gevent.event.Event()
+
+    def keep_open(conn, _):
         conns.put(conn)
-        is_over.wait()
+        may_close.wait()
 
-    server = StreamServer(("127.0.0.1", 0), hold)
+    server = StreamServer(("127.0.0.1", 0), keep_open)
     server.start()
-    return server, conns, is_over
+    return server, conns, may_close
+
 
+def open_channel_to_peer():
+    """Start a peer and a runtime, and send the peer one frame.
 
-def linked_world():
-    """Return (runtime, refused addresses, the peer, its connections) with a channel to the peer."""
+    Returns the runtime, a queue of the addresses that it reports as refused, and the result of
+    start_listening_peer.
+    """
     runtime, refused = GeventRuntime(lambda error: None, 1.0), gevent.queue.Queue()
     runtime.on_refused = refused.put
-    server, conns, is_over = listening_peer()
+    server, conns, may_close = start_listening_peer()
     runtime.frame(server.address, b"frame")
-    return runtime, refused, server, conns, is_over
+    return runtime, refused, server, conns, may_close
 
 
-def test_a_peer_whose_process_ended_is_told_without_anything_being_sent():
-    _, refused, server, conns, is_over = linked_world()
+def test_the_end_of_a_peer_process_is_reported_without_sending_anything():
+    _, refused, server, conns, may_close = open_channel_to_peer()
     conn = conns.get(timeout=5)
     server.close()
     conn.close()
     assert refused.get(timeout=5) == server.address
-    is_over.set()
+    may_close.set()
 
 
-def test_a_peer_that_still_listens_is_not_told_though_it_closed_the_connection():
-    runtime, refused, server, conns, is_over = linked_world()
+def test_a_connection_closed_by_a_peer_that_still_listens_is_not_reported():
+    runtime, refused, server, conns, may_close = open_channel_to_peer()
     conns.get(timeout=5).close()
     conns.get(timeout=5)
     runtime.frame(server.address, b"again")
     conns.get(timeout=5)
     assert refused.empty()
-    is_over.set()
+    may_close.set()
     server.close()
 
 
-def test_a_frame_to_where_nobody_listens_tells_so():
+def test_a_frame_to_an_address_without_a_listener_is_reported_as_refused():
     runtime, refused = GeventRuntime(lambda error: None, 1.0), gevent.queue.Queue()
     runtime.on_refused = refused.put
     with gevent.socket.socket() as sock:
@@ -153,12 +162,12 @@
     assert refused.get(timeout=5) == address
 
 
-def test_a_channel_that_was_reset_here_tells_nothing():
-    runtime, refused, server, conns, is_over = linked_world()
+def test_a_channel_reset_by_this_node_is_not_reported_as_refused():
+    runtime, refused, server, conns, may_close = open_channel_to_peer()
     conns.get(timeout=5)
     runtime.reset(server.address)
     runtime.frame(server.address, b"again")
     conns.get(timeout=5)
     assert refused.empty()
-    is_over.set()
+    may_close.set()
     server.close()
--- a/tests/test_connection_machine.py
+++ b/tests/test_connection_machine.py
@@ -1,4 +1,4 @@
-"""Property tests: connections to replicas under surplus answers, cuts, splits and reuse."""
+"""Property tests: reuse of replica connections under surplus, truncated and split answers."""
 
 from contextlib import ExitStack
 from unittest import mock
@@ -23,11 +23,14 @@
 NUMBER = st.integers(0, 50)
 PROFILE = profile(300)
 GUARD_PROFILE = profile(3000)
-"""Draws depend on the modules that are loaded; ten times as many find each fault in any order."""
+"""Which examples are drawn depends on the modules loaded before.
+
+Ten times the examples of PROFILE find each disabled guard, whatever the order of the tests.
+"""
 
 
 class Exchange:
-    """One sending of a request: its socket, its answer as the replica means it, what was read."""
+    """One transmission of a request: its socket, the body of its answer and what was read of it."""
 
     def __init__(self, number, name, handle, sock):
         self.number, self.name, self.handle, self.sock = number, name, handle, sock
@@ -171,14 +174,14 @@
 TestConnections.settings = PROFILE
 
 
-def take_any(pool, address, answer_id=None):
-    """Stand-in for the guard: any kept connection will do."""
-    kept = pool.idle.get(address)
-    return kept.pop() if kept else None
+def take_any_idle_connection(pool, address, answer_id=None):
+    """Replaces the guard: takes any idle connection."""
+    idle_connections = pool.idle.get(address)
+    return idle_connections.pop() if idle_connections else None
 
 
-def keep_always(answer):
-    """Stand-in for the guard: a connection is kept though its answer was not read."""
+def always_keep_connection(answer):
+    """Replaces the guard: keeps a connection although its answer was not read completely."""
     if not answer.is_closed:
         answer.is_closed = True
         http_client.POOL.put(answer.connection, 60)
@@ -188,14 +191,17 @@
     "guards",
     [
         [(ClientExchange, "_bears_our_id", lambda answer: True)],
-        [(ConnectionPool, "take", take_any)],
-        [(ConnectionPool, "take", take_any), (ClientExchange, "close", keep_always)],
+        [(ConnectionPool, "take", take_any_idle_connection)],
+        [
+            (ConnectionPool, "take", take_any_idle_connection),
+            (ClientExchange, "close", always_keep_connection),
+        ],
     ],
     ids=["ids of answers", "ids of connections", "unread answers"],
 )
-def test_each_guard_taken_out_is_found(guards):
+def test_disabling_each_guard_is_detected(guards):
     quick = settings(GUARD_PROFILE, phases=[Phase.generate], report_multiple_bugs=False)
     with ExitStack() as stack, pytest.raises(AssertionError):
-        for target, name, stand_in in guards:
-            stack.enter_context(mock.patch.object(target, name, stand_in))
+        for target, name, replacement in guards:
+            stack.enter_context(mock.patch.object(target, name, replacement))
         run_state_machine_as_test(Connections, settings=quick)
--- a/tests/test_datagrams.py
+++ b/tests/test_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams over loopback: all that wait are taken in one wake, in their order."""
+"""Datagrams over loopback: all pending ones are received in order in one wake."""
 
 import socket
 
@@ -8,80 +8,80 @@
 from quillring.kernel import datagrams
 from quillring.kernel.gevent_runtime import GeventRuntime
 
-PATIENCE = 20
+TIMEOUT_SECONDS = 20
 
 
 class Listener:
-    """A runtime that listens at a free port and keeps what its handler got."""
+    """A runtime that listens on a free port and records the datagrams that its handler receives."""
 
-    def __init__(self, wanted_count, faulty=()):
-        self.faults, self.taken, self.faulty = [], [], faulty
+    def __init__(self, wanted_count, failing_payloads=()):
+        self.faults, self.received, self.failing_payloads = [], [], failing_payloads
         self.wanted_count, self.has_all = wanted_count, gevent.event.Event()
         self.runtime = GeventRuntime(self.faults.append, 1.0)
-        self.server = self.runtime.listen("127.0.0.1", 0, self.take, lambda data: None)
+        self.server = self.runtime.listen("127.0.0.1", 0, self.on_datagram, lambda data: None)
         self.address = self.runtime.datagrams.socket.getsockname()
 
-    def take(self, data):
-        self.taken.append(data)
-        if len(self.taken) == self.wanted_count:
+    def on_datagram(self, data):
+        self.received.append(data)
+        if len(self.received) == self.wanted_count:
             self.has_all.set()
-        if data in self.faulty:
+        if data in self.failing_payloads:
             raise ValueError(data)
 
 
 @pytest.fixture
-def client_name():
+def client_socket():
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as udp_socket:
         yield udp_socket
 
 
 @pytest.fixture
 def wakes(monkeypatch):
-    """The file numbers that were waited for, one entry a wake."""
-    waited, wait_read = [], datagrams.gevent.socket.wait_read
+    """The file descriptors passed to wait_read, one for each wake."""
+    awaited_descriptors, wait_read = [], datagrams.gevent.socket.wait_read
 
-    def counted(number):
-        waited.append(number)
-        wait_read(number)
+    def counting_wait_read(descriptor):
+        awaited_descriptors.append(descriptor)
+        wait_read(descriptor)
 
-    monkeypatch.setattr(datagrams.gevent.socket, "wait_read", counted)
-    return waited
+    monkeypatch.setattr(datagrams.gevent.socket, "wait_read", counting_wait_read)
+    return awaited_descriptors
 
 
-def send_all(client_name, listener, texts):
-    for text in texts:
-        client_name.sendto(text, listener.address)
-    assert listener.has_all.wait(PATIENCE)
+def send_all(client_socket, listener, payloads):
+    for text in payloads:
+        client_socket.sendto(text, listener.address)
+    assert listener.has_all.wait(TIMEOUT_SECONDS)
 
 
-def test_all_that_wait_are_taken_in_one_wake_and_in_their_order(client_name, wakes):
-    texts = [b"%d" % number for number in range(100)]
-    listener = Listener(len(texts))
-    send_all(client_name, listener, texts)
-    assert listener.taken == texts and listener.faults == []
+def test_all_pending_datagrams_are_received_in_order_in_one_wake(client_socket, wakes):
+    payloads = [b"%d" % number for number in range(100)]
+    listener = Listener(len(payloads))
+    send_all(client_socket, listener, payloads)
+    assert listener.received == payloads and listener.faults == []
     assert len(wakes) <= 2
 
 
-def test_what_comes_later_is_taken_too(client_name, wakes):
+def test_datagrams_that_arrive_later_are_received(client_socket, wakes):
     listener = Listener(1)
-    send_all(client_name, listener, [b"first"])
+    send_all(client_socket, listener, [b"first"])
     listener.has_all.clear()
     listener.wanted_count = 2
-    send_all(client_name, listener, [b"second"])
-    assert listener.taken == [b"first", b"second"]
+    send_all(client_socket, listener, [b"second"])
+    assert listener.received == [b"first", b"second"]
 
 
-def test_a_batch_ends_so_that_others_get_their_turn(client_name, wakes, monkeypatch):
+def test_the_size_of_a_batch_is_bounded(client_socket, wakes, monkeypatch):
     monkeypatch.setattr(datagrams, "MAX_BATCH_DATAGRAMS", 8)
-    texts = [b"%d" % number for number in range(20)]
-    listener = Listener(len(texts))
-    send_all(client_name, listener, texts)
-    assert listener.taken == texts
+    payloads = [b"%d" % number for number in range(20)]
+    listener = Listener(len(payloads))
+    send_all(client_socket, listener, payloads)
+    assert listener.received == payloads
     assert len(wakes) >= 3
 
 
-def test_a_handler_that_fails_on_one_gets_the_others(client_name):
-    listener = Listener(3, faulty=(b"bad",))
-    send_all(client_name, listener, [b"one", b"bad", b"two"])
-    assert listener.taken == [b"one", b"bad", b"two"]
+def test_a_handler_error_does_not_stop_the_following_datagrams(client_socket):
+    listener = Listener(3, failing_payloads=(b"bad",))
+    send_all(client_socket, listener, [b"one", b"bad", b"two"])
+    assert listener.received == [b"one", b"bad", b"two"]
     assert [str(fault) for fault in listener.faults] == ["b'bad'"]
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -8,7 +8,7 @@
 from quillring.kernel.effects import SendToClient
 from quillring.kernel.errors import BackendError, QuillringError
 from tests.forward_stage import HEAD, PLAIN_HEAD, both, event, make_stage, request
-from tests.test_raw_clients import Stream
+from tests.test_raw_clients import PausedStreamHandler
 from tests.test_raw_server import Client, serve  # noqa: F401
 
 NOT_RUN_RESPONSE = [(0.01, (503, {"x-inquiry": "q1", "x-not-run": "1"}))]
@@ -73,7 +73,7 @@
     ids=["nothing", "upgrade headers", "malformed request"],
 )
 def test_client_disconnect_cancels_its_request_whatever_bytes_follow_it(serve, trailing_bytes):  # noqa: F811
-    stream = Stream()
+    stream = PausedStreamHandler()
     client = Client(serve(stream.handle))
     is_header_line = trailing_bytes.endswith(b"\r\n")
     client.send(
--- a/tests/test_node_calls.py
+++ b/tests/test_node_calls.py
@@ -1,4 +1,4 @@
-"""A reply settles the call that asked for it, and nothing else."""
+"""A reply completes only the call that requested it; duplicate messages are filtered."""
 
 import random
 
@@ -12,8 +12,8 @@
 from quillring.nifty.duplicate_filter import WINDOW_SEQUENCES, DuplicateFilter
 
 
-class Sent:
-    """Stands in for the peer layer: notes what is sent."""
+class RecordingPeerLayer:
+    """Replaces the peer layer: records what is sent."""
 
     def __init__(self):
         self.messages = []
@@ -24,7 +24,7 @@
 
 
 class RecordingRuntime:
-    """A runtime without time: coroutines are kept for the test to drive."""
+    """A runtime whose clock stands at 0 and which collects coroutines for the test to run."""
 
     def __init__(self):
         self.random = random.Random(1)
@@ -39,11 +39,11 @@
 
 def make_node(incarnation=1, name="a"):
     node = Node(Member(name, incarnation, "core", "z", "h", 1, 2, ""), RecordingRuntime(), Bounds())
-    return node, node.offer("nifty", Sent())
+    return node, node.offer("nifty", RecordingPeerLayer())
 
 
 def begin_call(node, target="b"):
-    """Begin a call; return its coroutine, waiting for the reply."""
+    """Begin a call; return its coroutine, which waits for the reply."""
     coroutine = node.call(target, "s", {})
     assert isinstance(next(coroutine), Wait)
     return coroutine
@@ -53,65 +53,65 @@
     return sent.messages[-1][1]["c"]
 
 
-def outcome(coroutine):
-    """Let the call go on; return its value, or TimedOut where nothing settled it."""
+def resume_call(coroutine):
+    """Resume a call; return its value, or TimedOut if no reply completed it."""
     try:
         coroutine.send(None)
     except StopIteration as stop:
         return stop.value
     except TimedOut:
         return TimedOut
-    raise AssertionError("the call still waits")
+    raise AssertionError("the call is still waiting")
 
 
-def test_a_reply_of_the_node_that_was_asked_settles_its_call():
+def test_a_reply_from_the_called_node_completes_the_call():
     node, sent = make_node()
     coroutine = begin_call(node)
     node.on_message("b", {"r": call_id_of(sent), "b": "ours"})
-    assert outcome(coroutine) == "ours"
+    assert resume_call(coroutine) == "ours"
 
 
-def test_a_reply_of_another_node_than_was_asked_settles_nothing():
+def test_a_reply_from_a_node_that_was_not_called_is_ignored():
     node, sent = make_node()
     coroutine = begin_call(node)
     node.on_message("c", {"r": call_id_of(sent), "b": "theirs"})
-    assert outcome(coroutine) is TimedOut
+    assert resume_call(coroutine) is TimedOut
 
 
-def test_a_reply_of_another_node_does_not_take_the_place_of_the_due_one():
+def test_a_reply_from_another_node_does_not_block_the_expected_reply():
     node, sent = make_node()
     coroutine = begin_call(node)
     node.on_message("c", {"r": call_id_of(sent), "b": "theirs"})
     node.on_message("b", {"r": call_id_of(sent), "b": "ours"})
-    assert outcome(coroutine) == "ours"
+    assert resume_call(coroutine) == "ours"
 
 
 @pytest.mark.parametrize("later", [2, 1_000, 60_000_000, -60_000_000])
-def test_a_reply_meant_for_a_former_life_settles_nothing(later):
+def test_a_reply_to_a_former_incarnation_is_ignored(later):
     first_start = 1_800_000_000_000_000
-    former, former_sent = make_node(first_start)
+    former_node, former_sent = make_node(first_start)
     late_replies = []
     for _ in range(100):
-        begin_call(former)
+        begin_call(former_node)
         late_replies.append({"r": call_id_of(former_sent), "b": "of the former life"})
     node, _ = make_node(first_start + later)
     coroutines = [begin_call(node) for _ in range(100)]
     for reply in late_replies:
         node.on_message("b", reply)
-    assert {outcome(coroutine) for coroutine in coroutines} == {TimedOut}
+    assert {resume_call(coroutine) for coroutine in coroutines} == {TimedOut}
 
 
-def test_a_late_reply_settles_no_later_call():
+def test_a_late_reply_does_not_complete_a_later_call():
     node, sent = make_node()
     coroutine = begin_call(node)
     late_id = call_id_of(sent)
-    assert outcome(coroutine) is TimedOut
+    assert resume_call(coroutine) is TimedOut
     later = begin_call(node)
     node.on_message("b", {"r": late_id, "b": "late"})
-    assert outcome(later) is TimedOut
+    assert resume_call(later) is TimedOut
 
 
-def test_an_answer_comes_back_under_the_id_of_any_version():
+def test_a_reply_carries_the_call_id_unchanged_whatever_its_type():
     node, sent = make_node()
     node.handle("s", lambda body, origin: body)
     for call_id in (7, (1 << 63) - 1, [1, 2], "text"):
@@ -121,24 +121,24 @@
         assert sent.messages[-1] == ("b", {"r": call_id, "b": "x"})
 
 
-def test_a_reply_with_an_id_that_is_none_changes_nothing():
+def test_a_reply_with_an_invalid_call_id_is_ignored():
     node, _ = make_node()
     begin_call(node)
     for call_id in (None, [1], {}, "1", -1, 1.5):
         node.on_message("b", {"r": call_id, "b": "strange"})
 
 
-def test_an_error_of_another_node_fails_no_call():
+def test_an_error_from_a_node_that_was_not_called_is_ignored():
     node, sent = make_node()
     coroutine = begin_call(node)
     node.on_message("c", {"r": call_id_of(sent), "t": Refused.kind, "b": {}})
-    assert outcome(coroutine) is TimedOut
+    assert resume_call(coroutine) is TimedOut
 
 
-def test_a_held_copy_is_never_new_however_many_messages_went_past_it():
-    """The window has no end in time: what is older than it counts as seen."""
+def test_a_delayed_duplicate_is_rejected_however_many_messages_follow_the_original():
+    """Duplicates never expire: sequence numbers older than the window count as received."""
     chance = random.Random(5)
-    for passed in (
+    for later_messages in (
         0,
         1,
         WINDOW_SEQUENCES - 1,
@@ -149,7 +149,7 @@
     ):
         window = DuplicateFilter(1)
         assert window.is_first_copy(10)
-        for sequence in range(11, 11 + passed):
+        for sequence in range(11, 11 + later_messages):
             assert window.is_first_copy(sequence)
         assert not window.is_first_copy(10)
     window, seen = DuplicateFilter(1), set()
--- a/tests/test_pipelining_machine.py
+++ b/tests/test_pipelining_machine.py
@@ -1,4 +1,4 @@
-"""Property tests: a client's connection with pipelined requests, cut anywhere, ended any way."""
+"""Property tests: pipelined requests of one client, split at any byte, truncated or half-closed."""
 
 from itertools import pairwise
 from unittest import mock
@@ -21,18 +21,18 @@
 from quillring.nifty import Member
 from tests.profiles import profile
 
-WHOLE, STREAM, BREAK, LATE_FAILURE = "whole", "stream", "break", "late-failure"
-WAYS = st.sampled_from([WHOLE, WHOLE, STREAM, STREAM, BREAK, LATE_FAILURE])
+WHOLE, STREAM, BREAK, ERROR_AFTER_HEAD = "whole", "stream", "break", "late-failure"
+WAYS = st.sampled_from([WHOLE, WHOLE, STREAM, STREAM, BREAK, ERROR_AFTER_HEAD])
 FORMS = st.sampled_from(["length", "chunks", "expect", "bare", "last", "upgrade", "nonsense"])
 ENDS = st.sampled_from(["half-close", "stays"])
-LAST_FORMS = ("last", "upgrade", "nonsense")
+CLOSING_FORMS = ("last", "upgrade", "nonsense")
 
 
 class Server:
-    """The part of a raw server that one connection needs; notes every request that runs."""
+    """The part of HttpServer that one connection needs; records each request that is handled."""
 
     def __init__(self):
-        self.faults, self.ran = [], []
+        self.faults, self.executed = [], []
         self.node = Node(
             Member("n", 1, "edge", "z", "h", 1, 2, ""), GeventRuntime(self.faults.append, 1.0)
         )
@@ -48,7 +48,7 @@
 
     def handle(self, node, raw):
         _, number, way = raw.target.split("/")
-        self.ran.append((int(number), raw.body))
+        self.executed.append((int(number), raw.body))
         answer = answer_of(int(number))
         if way == WHOLE:
             return 200, [], answer
@@ -56,7 +56,7 @@
         if way == BREAK:
             raise QuillringError()
         yield SendToClient(answer[4:])
-        return (502, [], b"unknown") if way == LATE_FAILURE else None
+        return (502, [], b"unknown") if way == ERROR_AFTER_HEAD else None
 
 
 def answer_of(number):
@@ -73,7 +73,7 @@
     body = body_of(number, form)
     method = b"POST" if body else b"GET"
     head = b"%s /%d/%s HTTP/1.1\r\nHost: h\r\n" % (method, number, way.encode())
-    more = {
+    rest_by_form = {
         "length": b"Content-Length: %d\r\n\r\n%s" % (len(body), body),
         "expect": b"Expect: 100-continue\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body),
         "chunks": b"Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n" % (len(body), body),
@@ -81,11 +81,11 @@
         "last": b"Connection: close\r\n\r\n",
         "upgrade": b"Connection: Upgrade\r\nUpgrade: x\r\n\r\n",
     }
-    return head + more[form]
+    return head + rest_by_form[form]
 
 
 class Answers:
-    """Reads what came back: [(status, body, is whole)], interim answers left out."""
+    """Parses answers into [status, body, is complete] entries; interim answers are left out."""
 
     def __init__(self, data):
         self.found, self.status = [], None
@@ -107,20 +107,22 @@
 
 
 def exchange(requests, cuts, length, end, join_seconds=0):
-    """Play one connection; return (the server, all bytes that came back, requests sent whole).
+    """Send the first `length` bytes of the requests over one connection, split at `cuts`.
 
-    `join_seconds` is for requests the last of which ends the connection.
+    Returns the server, all bytes received and the number of requests that were sent completely.
+    `join_seconds` is how long to wait for the connection to close, for requests of which the last
+    closes it.
     """
     server = Server()
     ours, theirs = gevent.socket.socketpair()
     connection = gevent.spawn(ClientConnection(server, theirs).run)
-    pieces = [request_bytes(n, way, form) for n, (way, form) in enumerate(requests)]
-    data = b"".join(pieces)
+    request_texts = [request_bytes(n, way, form) for n, (way, form) in enumerate(requests)]
+    data = b"".join(request_texts)
     sent = data[:length]
-    places = [0, *sorted({cut % (len(sent) + 1) for cut in cuts}), len(sent)]
-    got = []
-    reading = gevent.spawn(read_all, ours, got)
-    for start, stop in pairwise(places):
+    offsets = [0, *sorted({cut % (len(sent) + 1) for cut in cuts}), len(sent)]
+    received = []
+    reader_greenlet = gevent.spawn(read_all, ours, received)
+    for start, stop in pairwise(offsets):
         try:
             ours.sendall(sent[start:stop])
         except OSError:
@@ -133,40 +135,42 @@
         connection.join(5)
         assert connection.dead
     connection.kill()
-    reading.join(5)
+    reader_greenlet.join(5)
     ours.close()
-    whole_count = sum(len(b"".join(pieces[: n + 1])) <= length for n in range(len(pieces)))
-    return server, b"".join(got), whole_count
+    whole_count = sum(
+        len(b"".join(request_texts[: n + 1])) <= length for n in range(len(request_texts))
+    )
+    return server, b"".join(received), whole_count
 
 
-def read_all(sock, got):
+def read_all(sock, received):
     try:
         while data := sock.recv(65536):
-            got.append(data)
+            received.append(data)
     except OSError:
         return
 
 
 def settle(connection):
-    """Let the connection work until a hundred turns of the loop have brought nothing new."""
+    """Run the event loop for up to a hundred turns or until the connection ends."""
     for _ in range(100):
         if connection.dead:
             return
         gevent.sleep(0)
 
 
-def is_last(way, form):
-    return form in LAST_FORMS or way in (BREAK, LATE_FAILURE)
+def closes_connection(way, form):
+    return form in CLOSING_FORMS or way in (BREAK, ERROR_AFTER_HEAD)
 
 
 def check(requests, cuts, length, end):
     server, data, whole_count = exchange(requests, cuts, length, end)
     assert not server.faults
     answers = Answers(data).found
-    numbers = [number for number, _ in server.ran]
-    assert numbers == list(range(len(numbers))), "each request runs once, in its turn"
-    assert len(numbers) <= whole_count, "no request that was cut short runs"
-    for number, body in server.ran:
+    numbers = [number for number, _ in server.executed]
+    assert numbers == list(range(len(numbers))), "each request runs once, in order"
+    assert len(numbers) <= whole_count, "a truncated request must not run"
+    for number, body in server.executed:
         assert body == body_of(number, requests[number][1])
     assert len(answers) <= whole_count + 1
     for number, (status, body, is_whole) in enumerate(answers):
@@ -174,10 +178,10 @@
             assert status == 400 and number == len(answers) - 1
             assert requests[number][1] == "nonsense"
             continue
-        assert answer_of(number).startswith(body), "an answer in another's place"
+        assert answer_of(number).startswith(body), "an answer to another request"
         way = requests[number][0]
         assert not is_whole or (body == answer_of(number) and way in (WHOLE, STREAM))
-        assert not is_last(*requests[number]) or number == len(answers) - 1
+        assert not closes_connection(*requests[number]) or number == len(answers) - 1
 
 
 REQUESTS = st.lists(st.tuples(WAYS, FORMS), min_size=1, max_size=6)
@@ -190,22 +194,22 @@
     check(requests, cuts, length, end)
 
 
-def test_whatever_came_whole_is_answered_whole():
+def test_every_complete_request_gets_a_complete_answer():
     requests = [(way, form) for way in (WHOLE, STREAM) for form in ("length", "chunks", "bare")]
     requests.append((WHOLE, "last"))
     server, data, count = exchange(requests, range(0, 500, 11), 2000, "stays", 5)
-    assert [n for n, _ in server.ran] == list(range(count)) == list(range(len(requests)))
+    assert [n for n, _ in server.executed] == list(range(count)) == list(range(len(requests)))
     assert Answers(data).found == [[200, answer_of(n), True] for n in range(count)]
 
 
-def hand_on_early(reader):
-    """Stand-in for the guard: a request is handed on once its head is there."""
+def complete_request_at_its_head(reader):
+    """Replaces the guard: a request is passed on before its body has been received."""
     reader.offer_continue()
     reader.on_message_complete()
 
 
-def never_unsound(connection, request, lines):
-    """Stand-in for the guard: a stream that fails late ends like a whole one."""
+def end_failed_stream_as_complete(connection, request, lines):
+    """Replaces the guard: a stream that fails after its head ends like a complete one."""
     result = REAL_SEND_LINES(connection, request, lines)
     if not result:
         connection._send(client_connection.LAST_CHUNK)
@@ -216,14 +220,14 @@
 
 
 @pytest.mark.parametrize(
-    "target, name, stand_in",
+    "target, name, replacement",
     [
-        (RequestReader, "on_headers_complete", hand_on_early),
-        (ClientConnection, "_send_lines", never_unsound),
+        (RequestReader, "on_headers_complete", complete_request_at_its_head),
+        (ClientConnection, "_send_lines", end_failed_stream_as_complete),
     ],
 )
-def test_each_guard_taken_out_is_found(target, name, stand_in):
-    requests = [(STREAM, "length"), (LATE_FAILURE, "chunks"), (WHOLE, "bare")]
-    with mock.patch.object(target, name, stand_in), pytest.raises(AssertionError):
+def test_disabling_each_guard_is_detected(target, name, replacement):
+    requests = [(STREAM, "length"), (ERROR_AFTER_HEAD, "chunks"), (WHOLE, "bare")]
+    with mock.patch.object(target, name, replacement), pytest.raises(AssertionError):
         for length in range(20, 300, 5):
             check(requests, [], length, "half-close")
--- a/tests/test_raw_clients.py
+++ b/tests/test_raw_clients.py
@@ -1,4 +1,4 @@
-"""A client's connection: pipelining, cuts, half-closes, and one answer for each request."""
+"""Client connections: pipelining, split and truncated requests, half-closes, idle timeouts."""
 
 from unittest import mock
 
@@ -15,15 +15,17 @@
 from tests.test_raw_server import Client, echo, serve  # noqa: F401
 
 GET = b"GET /%s HTTP/1.1\r\nHost: h\r\n\r\n"
-EXPECTING = b"POST /two HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n"
-INTERIM = b"HTTP/1.1 100 Continue\r\n\r\n"
+POST_EXPECTING_CONTINUE = (
+    b"POST /two HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n"
+)
+CONTINUE_ANSWER = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
-class Stream:
-    """A handler whose stream waits between its two pieces until it is told to go on."""
+class PausedStreamHandler:
+    """A handler whose stream waits for `may_continue` between its two parts."""
 
     def __init__(self):
-        self.go_on = Signal()
+        self.may_continue = Signal()
         self.has_begun = gevent.event.Event()
         self.has_ended = gevent.event.Event()
         self.targets = []
@@ -35,14 +37,14 @@
         try:
             yield SendToClient((200, [], b"one"))
             self.has_begun.set()
-            yield Wait(self.go_on, 30)
+            yield Wait(self.may_continue, 30)
             yield SendToClient(b"two")
         finally:
             self.has_ended.set()
 
 
 def read_until(client, end):
-    """Return the bytes up to an end that must come."""
+    """Return the bytes received up to and including `end`; fail if the connection closes before."""
     data = b""
     while not data.endswith(end):
         part = client.sock.recv(65536)
@@ -51,30 +53,30 @@
     return data
 
 
-def test_the_word_to_go_on_never_falls_into_another_answer(serve):  # noqa: F811
-    stream = Stream()
+def test_100_continue_is_not_sent_inside_another_answer(serve):  # noqa: F811
+    stream = PausedStreamHandler()
     client = Client(serve(stream.handle))
-    client.send(GET % b"stream" + EXPECTING)
+    client.send(GET % b"stream" + POST_EXPECTING_CONTINUE)
     assert stream.has_begun.wait(5)
     gevent.idle()
-    stream.go_on.set()
-    answers = read_until(client, INTERIM)
-    assert answers.endswith(b"3\r\none\r\n3\r\ntwo\r\n0\r\n\r\n" + INTERIM)
-    assert answers.count(INTERIM) == 1
+    stream.may_continue.set()
+    answers = read_until(client, CONTINUE_ANSWER)
+    assert answers.endswith(b"3\r\none\r\n3\r\ntwo\r\n0\r\n\r\n" + CONTINUE_ANSWER)
+    assert answers.count(CONTINUE_ANSWER) == 1
     client.send(b"abc")
     assert read_until(client, b"/twoabc").startswith(b"HTTP/1.1 200 OK")
 
 
-def test_a_client_that_does_not_wait_for_the_word_to_go_on_gets_no_late_one(serve):  # noqa: F811
-    stream = Stream()
+def test_a_client_that_sends_its_body_at_once_gets_no_late_100_continue(serve):  # noqa: F811
+    stream = PausedStreamHandler()
     client = Client(serve(stream.handle))
-    client.send(GET % b"stream" + EXPECTING + b"abc")
+    client.send(GET % b"stream" + POST_EXPECTING_CONTINUE + b"abc")
     assert stream.has_begun.wait(5)
-    stream.go_on.set()
-    assert INTERIM not in read_until(client, b"/twoabc")
+    stream.may_continue.set()
+    assert CONTINUE_ANSWER not in read_until(client, b"/twoabc")
 
 
-def test_an_upgrade_is_not_made_and_its_request_gets_one_answer(serve):  # noqa: F811
+def test_an_upgrade_is_ignored_and_its_request_gets_one_answer(serve):  # noqa: F811
     client = Client(serve(echo))
     client.send(
         b"GET /a HTTP/1.1\r\nHost: h\r\nConnection: Upgrade\r\nUpgrade: x\r\n\r\n" + GET % b"b"
@@ -84,19 +86,19 @@
     assert b"Connection: close" in answer
 
 
-def test_a_tunnel_is_refused_and_nothing_runs(serve):  # noqa: F811
-    stream = Stream()
+def test_a_connect_request_is_refused_and_not_handled(serve):  # noqa: F811
+    stream = PausedStreamHandler()
     client = Client(serve(stream.handle))
     client.send(b"CONNECT h:1 HTTP/1.1\r\nHost: h\r\n\r\n")
     assert client.read().startswith(b"HTTP/1.1 400")
     assert not stream.targets
 
 
-def test_a_pipelined_request_behind_a_cut_answer_neither_runs_nor_is_answered(serve):  # noqa: F811
-    ran = []
+def test_a_request_pipelined_after_a_failed_stream_is_neither_run_nor_answered(serve):  # noqa: F811
+    handled_targets = []
 
     def handle(node, raw):
-        ran.append(raw.target)
+        handled_targets.append(raw.target)
         yield SendToClient((200, [], b"one"))
         raise QuillringError()
 
@@ -104,12 +106,12 @@
     client.send(GET % b"first" + GET % b"second")
     answer = client.read()
     assert answer.count(b"HTTP/1.1 ") == 1 and not answer.endswith(b"0\r\n\r\n")
-    assert ran == ["/first"]
+    assert handled_targets == ["/first"]
 
 
 @pytest.mark.parametrize("count", [1, 3])
-def test_a_client_that_closes_half_ends_its_work_and_gets_nothing_that_looks_whole(serve, count):  # noqa: F811
-    stream = Stream()
+def test_a_half_close_cancels_the_request_and_leaves_the_answer_incomplete(serve, count):  # noqa: F811
+    stream = PausedStreamHandler()
     client = Client(serve(stream.handle))
     client.send(GET % b"stream" + GET % b"b" * (count - 1))
     assert stream.has_begun.wait(5)
@@ -119,8 +121,8 @@
     assert stream.targets == ["/stream"]
 
 
-def test_a_request_cut_amid_its_body_does_not_run(serve):  # noqa: F811
-    stream = Stream()
+def test_a_request_truncated_in_its_body_does_not_run(serve):  # noqa: F811
+    stream = PausedStreamHandler()
     client = Client(serve(stream.handle))
     client.send(b"POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nhalf")
     client.sock.shutdown(gevent.socket.SHUT_WR)
@@ -128,7 +130,7 @@
     assert not stream.targets
 
 
-def test_pipelined_answers_keep_their_order_whatever_the_cuts(serve):  # noqa: F811
+def test_pipelined_answers_keep_their_order_wherever_the_requests_are_split(serve):  # noqa: F811
     data = b"".join(GET % b"%d" % n for n in range(4))
     for cut in range(1, len(data), 7):
         client = Client(serve(echo))
@@ -141,17 +143,17 @@
         client.sock.close()
 
 
-def test_a_connection_that_has_rested_its_time_is_closed(serve):  # noqa: F811
+def test_an_idle_connection_is_closed_after_the_idle_timeout(serve):  # noqa: F811
     client = Client(serve(echo, idle_seconds=0.02))
     client.send(GET % b"a")
     assert client.read().endswith(b"X-Target: /a\r\nContent-Length: 0\r\n\r\n")
 
 
-def test_a_request_that_came_while_the_process_was_frozen_is_served(serve):  # noqa: F811
+def test_a_request_that_arrived_while_the_process_was_frozen_is_served(serve):  # noqa: F811
     clock, has_slept = [100.0], []
     receive = ClientConnection._receive
 
-    def sleep_through(connection):
+    def freeze_before_receive(connection):
         if has_slept:
             return receive(connection)
         assert select.select([connection.sock], [], [], 5)[0]
@@ -161,22 +163,22 @@
 
     with (
         mock.patch.object(HttpServer, "now", lambda server: clock[0]),
-        mock.patch.object(ClientConnection, "_receive", sleep_through),
+        mock.patch.object(ClientConnection, "_receive", freeze_before_receive),
     ):
         client = Client(serve(echo, idle_seconds=10))
         client.send(GET % b"a")
         assert read_until(client, b"X-Target: /a\r\nContent-Length: 0\r\n\r\n")
 
 
-def test_a_rest_counts_from_the_end_of_the_last_answer(serve):  # noqa: F811
+def test_the_idle_timeout_counts_from_the_end_of_the_last_answer(serve):  # noqa: F811
     clock = [100.0]
     with mock.patch.object(HttpServer, "now", lambda server: clock[0]):
-        stream = Stream()
+        stream = PausedStreamHandler()
         client = Client(serve(stream.handle, idle_seconds=0.02))
         client.send(GET % b"stream")
         assert stream.has_begun.wait(5)
         clock[0] += 1
-        stream.go_on.set()
+        stream.may_continue.set()
         read_until(client, b"0\r\n\r\n")
         for number in range(3):
             clock[0] += 0.015
--- a/tests/test_raw_server.py
+++ b/tests/test_raw_server.py
@@ -1,3 +1,5 @@
+"""The raw HTTP server, and the client that forwards requests to replicas."""
+
 import gevent
 import gevent.event
 import pytest
@@ -14,7 +16,7 @@
 
 
 class Client:
-    """A raw connection of a client."""
+    """A client connection that sends raw bytes."""
 
     def __init__(self, server):
         self.sock = gevent.socket.create_connection(
@@ -25,7 +27,7 @@
         self.sock.sendall(data)
 
     def read(self):
-        """Return all bytes until the server closes."""
+        """Return all bytes received until the server closes the connection."""
         parts = []
         while data := self.sock.recv(65536):
             parts.append(data)
@@ -77,21 +79,21 @@
         (b"POST / HTTP/1.1\r\nContent-Length: 900\r\n\r\n" + b"y" * 900, b"413"),
     ],
 )
-def test_what_is_no_request_within_limits_is_refused_and_nothing_runs(serve, data, status):
-    ran = []
+def test_a_malformed_or_too_large_request_is_refused_and_not_handled(serve, data, status):
+    handled_requests = []
 
     def handle(node, raw):
-        ran.append(raw)
+        handled_requests.append(raw)
         return 200, [], b""
         yield
 
     client = Client(serve(handle, head_bytes=400, body_bytes=400))
     client.send(data)
     assert client.read().startswith(b"HTTP/1.1 " + status)
-    assert not ran
+    assert not handled_requests
 
 
-def test_a_stream_that_breaks_does_not_look_complete(serve):
+def test_a_stream_that_fails_does_not_look_complete(serve):
     def handle(node, raw):
         yield SendToClient((200, [], b"one"))
         yield SendToClient(b"two")
@@ -103,25 +105,25 @@
     assert answer.endswith(b"3\r\ntwo\r\n") and b"0\r\n\r\n" not in answer
 
 
-def test_a_client_that_goes_away_ends_the_work_for_it(serve):
-    begun, ended = gevent.event.Event(), gevent.event.Event()
+def test_a_client_that_disconnects_cancels_its_request(serve):
+    has_begun, has_ended = gevent.event.Event(), gevent.event.Event()
 
     def handle(node, raw):
         try:
-            begun.set()
+            has_begun.set()
             yield Wait(Signal(), 30)
         finally:
-            ended.set()
+            has_ended.set()
 
     client = Client(serve(handle))
     client.send(b"POST / HTTP/1.1\r\nHost: h\r\n\r\n")
-    assert begun.wait(5)
+    assert has_begun.wait(5)
     client.sock.close()
-    assert ended.wait(5)
+    assert has_ended.wait(5)
 
 
 class Replica:
-    """Answers each request on a connection with the next of some texts."""
+    """Answers each request with the next of the given texts."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
@@ -136,12 +138,12 @@
             sock.sendall(self.answers.pop(0))
 
 
-def answer(name, body, more=b""):
+def answer(name, body, trailing_bytes=b""):
     return b"HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: %d\r\n\r\n%s%s" % (
         name,
         len(body),
         body,
-        more,
+        trailing_bytes,
     )
 
 
@@ -158,31 +160,31 @@
         handle.close()
 
 
-def test_an_answer_that_belongs_to_another_is_skipped():
+def test_an_answer_to_another_request_is_skipped():
     replica = Replica(answer(b"other", b"theirs") + answer(b"mine", b"ours"))
     assert ask(replica, "mine") == b"ours"
 
 
-def test_surplus_bytes_end_the_use_of_a_connection():
+def test_a_connection_with_surplus_bytes_is_not_reused():
     replica = Replica(answer(b"a", b"1", answer(b"a", b"late")), answer(b"b", b"2"))
     assert ask(replica, "a") == b"1"
     assert ask(replica, "b") == b"2"
     assert replica.connections == 2
 
 
-def test_kept_connections_serve_what_may_repeat_only():
+def test_idle_connections_are_reused_only_for_repeatable_requests():
     replica = Replica(*(answer(name, b"%d" % n) for n, name in enumerate((b"a", b"b", b"c"))))
     assert [ask(replica, "a"), ask(replica, "b"), ask(replica, "c", False)] == [b"0", b"1", b"2"]
     assert replica.connections == 2
 
 
-def test_a_body_that_is_cut_short_is_no_answer():
+def test_a_truncated_body_is_an_error():
     replica = Replica(b"HTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 9\r\n\r\nshort")
     with pytest.raises(BackendError):
         ask(replica, "a")
 
 
-def test_a_failure_that_comes_after_the_head_does_not_look_complete(serve):
+def test_an_error_after_the_head_leaves_the_answer_incomplete(serve):
     def handle(node, raw):
         yield SendToClient((200, [], b"one"))
         return 502, [], b"unknown"
