--- a/tests/test_configuration_versions.py
+++ b/tests/test_configuration_versions.py
@@ -1,3 +1,5 @@
+"""Configuration versions: conflicts, repeats, amendments, validation and distribution."""
+
 import copy
 
 import pytest
@@ -42,13 +44,13 @@
     }
 
 
-def order(configuration_version, base=0, whole=True, **fields):
+def adopt_command(configuration_version, base=0, is_complete=True, **fields):
     return {
         "do": "edition.adopt",
         "id": f"{configuration_version}-{base}",
         "base_edition": base,
         "edition": configuration_version,
-        "whole": whole,
+        "whole": is_complete,
         "forwards": {"f": forward()},
         "services": {"words": service()},
         "limits": {"head_bytes": 1, "origin": {"a": 1}},
@@ -57,9 +59,9 @@
     }
 
 
-def amend(configuration_version, base, **fields):
-    nothing = {"forwards": {}, "services": {}, "limits": None}
-    return order(configuration_version, base, False, **{**nothing, **fields})
+def amend_command(configuration_version, base, **fields):
+    no_changes = {"forwards": {}, "services": {}, "limits": None}
+    return adopt_command(configuration_version, base, False, **{**no_changes, **fields})
 
 
 def apply(state, *orders):
@@ -71,37 +73,37 @@
 
 def refusal(state, command):
     new_state, answers = apply_batch(state, [copy.deepcopy(command)])
-    assert new_state is state, "what was refused changed something"
+    assert new_state is state, "a refused command changed the state"
     return answers[0]
 
 
 START = initial_state([])
 
 
-def test_of_two_configuration_versions_on_the_same_base_the_first_wins_and_the_other_is_told_so():
-    state = apply(START, order(5))
-    error = refusal(state, order(6, 0))
+def test_of_two_versions_on_the_same_base_the_first_wins_and_the_other_gets_a_conflict():
+    state = apply(START, adopt_command(5))
+    error = refusal(state, adopt_command(6, 0))
     assert isinstance(error, Conflict) and error.detail["winning_edition"] == 5
-    assert refusal(state, order(6, 7)).detail["winning_edition"] == 5
+    assert refusal(state, adopt_command(6, 7)).detail["winning_edition"] == 5
 
 
-def test_a_configuration_version_sent_again_is_told_as_taken_also_after_a_later_one():
-    state = apply(START, order(5), order(9, 5))
-    again, answers = apply_batch(state, [{**order(5), "id": "another"}])
-    assert again is state and answers == [{"edition": 5, "repeated": True}]
-    assert isinstance(refusal(state, order(5, forwards={})), Conflict)
+def test_a_resent_version_is_acknowledged_as_repeated_also_after_a_later_version():
+    state = apply(START, adopt_command(5), adopt_command(9, 5))
+    state_after_repeat, answers = apply_batch(state, [{**adopt_command(5), "id": "another"}])
+    assert state_after_repeat is state and answers == [{"edition": 5, "repeated": True}]
+    assert isinstance(refusal(state, adopt_command(5, forwards={})), Conflict)
 
 
-def test_the_same_number_with_another_content_is_not_taken_as_a_repeat():
-    state = apply(START, order(5))
-    assert isinstance(refusal(state, order(5, 5, forwards={})), BadConfiguration)
+def test_the_same_version_number_with_different_content_is_not_a_repeat():
+    state = apply(START, adopt_command(5))
+    assert isinstance(refusal(state, adopt_command(5, 5, forwards={})), BadConfiguration)
 
 
 def test_the_history_of_configuration_versions_is_bounded_and_keeps_the_newest():
-    state = apply(START, *(order(n, n - 1) for n in range(1, MAX_RECORDED_VERSIONS + 20)))
+    state = apply(START, *(adopt_command(n, n - 1) for n in range(1, MAX_RECORDED_VERSIONS + 20)))
     last = MAX_RECORDED_VERSIONS + 19
     assert len(state["editions"]) == MAX_RECORDED_VERSIONS
-    assert apply_batch(state, [order(last, last - 1)])[1][0]["repeated"]
+    assert apply_batch(state, [adopt_command(last, last - 1)])[1][0]["repeated"]
 
 
 INVALID = {
@@ -128,16 +130,16 @@
 
 @pytest.mark.parametrize("fields", INVALID.values(), ids=INVALID)
 def test_an_invalid_configuration_version_is_refused_and_changes_nothing(fields):
-    assert isinstance(refusal(START, {**order(5), **fields}), QuillringError)
+    assert isinstance(refusal(START, {**adopt_command(5), **fields}), QuillringError)
 
 
 def test_a_prefix_of_one_slash_is_valid():
-    apply(START, order(5, forwards={"f": forward("/")}))
+    apply(START, adopt_command(5, forwards={"f": forward("/")}))
 
 
-def test_an_amendment_replaces_and_removes_by_name_and_carries_all_else_through():
-    first = order(5, forwards={"f": forward(), "g": forward("/g/"), "h": forward("/h/")})
-    change = amend(
+def test_an_amendment_replaces_and_removes_by_name_and_keeps_everything_else():
+    first = adopt_command(5, forwards={"f": forward(), "g": forward("/g/"), "h": forward("/h/")})
+    change = amend_command(
         7,
         5,
         forwards={"g": forward("/new/", origin={"name": "g", "k": [1.0]})},
@@ -154,24 +156,26 @@
     assert QUERIES.find("edition")({"layout": configuration}, {})["edition"] == 7
 
 
-def test_an_amendment_may_not_take_away_a_service_that_is_in_use():
-    state = apply(START, order(5))
+def test_an_amendment_cannot_remove_a_service_that_is_in_use():
+    state = apply(START, adopt_command(5))
     assert isinstance(
-        refusal(state, amend(6, 5, removed={"services": ["words"]})), BadConfiguration
+        refusal(state, amend_command(6, 5, removed={"services": ["words"]})), BadConfiguration
     )
 
 
-def test_a_whole_configuration_version_leaves_nothing_of_the_former_one_but_what_is_no_part_of_it():
+def test_a_complete_version_replaces_the_former_one_but_keeps_the_zone_orders():
     zone_order = {"do": "domain.mark", "domain": "north", "emptied": True, "nodes": False}
-    state = apply(START, zone_order, order(5, extras={"note": 1}), order(8, 5, forwards={}))
+    state = apply(
+        START, zone_order, adopt_command(5, extras={"note": 1}), adopt_command(8, 5, forwards={})
+    )
     configuration = state["layout"]
     assert configuration["forwards"] == {} and configuration["extras"] == {}
     assert configuration["domains"] == {"north": {"emptied": True, "nodes": False}}
     assert find_faults(configuration) == []
 
 
-def test_a_configuration_version_passes_the_checks_of_configurations_and_can_be_changed_by_part():
-    state = apply(START, order(5))
+def test_an_adopted_version_passes_the_configuration_checks_and_allows_partial_changes():
+    state = apply(START, adopt_command(5))
     assert find_faults(state["layout"]) == []
     change = {"domains": {"north": {"emptied": False}, "east": {}}}
     command = {
@@ -188,39 +192,39 @@
     }.items()
 
 
-def test_every_command_of_a_configuration_version_is_known_by_name():
+def test_the_commands_of_configuration_versions_are_registered():
     assert {"edition.adopt", "domain.mark", "store.mark"} <= set(COMMANDS.names())
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_configuration_version_is_everywhere_soon_although_its_owner_dies_right_after_the_answer(
+def test_a_version_reaches_every_node_although_the_owner_dies_right_after_the_answer(
     seed,
 ):
     stage = SelfFounded(seed)
     owner = stage.owner()
     asker = next(name for name in stage.sim.names("core") if name != owner)
-    answer, error = stage.submit(asker, order(5))
+    answer, error = stage.submit(asker, adopt_command(5))
     stage.sim.kill(owner)
     assert error is None and answer == {"edition": 5}
 
-    def is_everywhere():
+    def is_at_every_node():
         configurations = [
             n.find("layout").configuration for n in stage.sim.nodes.values() if stage.sim.is_up(n)
         ]
         return all((configuration or {}).get("edition") == 5 for configuration in configurations)
 
-    assert stage.wait_for(is_everywhere, 1.5) is not None
+    assert stage.wait_for(is_at_every_node, 1.5) is not None
     assert stage.wait_for(lambda: stage.owner() not in (None, owner), 2.5) is not None
-    assert stage.submit(asker, order(5))[0] == {"edition": 5, "repeated": True}
+    assert stage.submit(asker, adopt_command(5))[0] == {"edition": 5, "repeated": True}
     assert stage.read(asker, {"ask": "edition"})[0]["edition"] == 5
 
 
-def test_a_node_that_got_no_news_fetches_the_version_from_the_stores_without_their_owner():
+def test_a_node_that_missed_the_announcement_fetches_the_version_from_the_stores():
     stage = SelfFounded(4)
     owner = stage.owner()
     stage.sim.nodes["edge-1"].handlers["gossip.news"] = lambda items, origin: None
     asker = next(name for name in stage.sim.names("core") if name != owner)
-    assert stage.submit(asker, order(5))[1] is None
+    assert stage.submit(asker, adopt_command(5))[1] is None
     dead_store = max(stage.sim.nodes[asker].find("ownership").group("config"))[0]
     edge, stamp = stage.sim.nodes["edge-1"], stage.stores()[dead_store].stamp()
     polled_stamp = PolledStamp(StoreStamp.from_wire(stamp), edge.now())
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,3 +1,5 @@
+"""The pages and example files agree with the code."""
+
 import json
 import pathlib
 import re
@@ -18,18 +20,18 @@
     assert pathlib.Path("docs/settings.md").read_text() == reference()
 
 
-def test_every_point_stands_in_the_table():
+def test_every_scenario_point_is_listed_in_the_table():
     table = pathlib.Path("docs/never.md").read_text()
     assert [s.__name__ for _, s, _ in POINTS if f"`{s.__name__}`" not in table] == []
 
 
-def test_every_route_stands_in_the_http_page():
+def test_every_route_is_listed_in_the_http_page():
     page = re.sub(r"[A-Z]{3,}", "X", pathlib.Path("docs/http.md").read_text())
     paths = {re.sub(r"{\w+}", "X", path) for _, path in ROUTES.entries if path[:6] != "/test/"}
     assert main is not None and [path for path in sorted(paths) if path not in page] == []
 
 
-def test_the_example_files_are_sound_and_up_to_date():
+def test_the_example_files_are_valid_and_up_to_date():
     for name, deployment in DEPLOYMENTS.items():
         folder = pathlib.Path("examples") / name
         assert json.loads((folder / "layout.json").read_text()) == configuration_of(deployment)
@@ -47,7 +49,7 @@
     assert sorted(listed) == sorted(map(str, pathlib.Path("docs").glob("*.md")))
 
 
-def test_what_the_control_page_names_as_proof_exists():
+def test_the_tests_bugs_and_scenarios_named_by_the_control_page_exist():
     page = pathlib.Path("docs/control.md").read_text()
     files = set(re.findall(r"`(test_\w+\.py)`", page))
     assert len(files) > 25
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -1,3 +1,5 @@
+"""Mutated configurations, settings, JSON and messages between nodes are rejected or valid."""
+
 import json
 import random
 
@@ -17,14 +19,14 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_strange_configurations_are_refused_with_reasons_or_sound(seed):
-    chance, refused = random.Random(f"layout {seed}"), 0
+def test_a_mutated_configuration_is_refused_with_faults_or_valid(seed):
+    rng, refused = random.Random(f"layout {seed}"), 0
     for _ in range(400):
-        part = chance.choice(sorted(CONFIGURATION))
-        name = chance.choice(sorted(CONFIGURATION[part]))
-        change = {part: {name: fuzz.mutate(chance, CONFIGURATION[part][name])}}
-        if chance.random() < 0.2:
-            change = fuzz.mutate(chance, CONFIGURATION)
+        part = rng.choice(sorted(CONFIGURATION))
+        name = rng.choice(sorted(CONFIGURATION[part]))
+        change = {part: {name: fuzz.mutate(rng, CONFIGURATION[part][name])}}
+        if rng.random() < 0.2:
+            change = fuzz.mutate(rng, CONFIGURATION)
         state, answers = apply_batch(
             {**initial_state([]), "layout": CONFIGURATION, "version": 1},
             [
@@ -32,7 +34,7 @@
                     "do": "layout.adopt",
                     "id": "x",
                     "base_version": 1,
-                    "whole": chance.random() < 0.3,
+                    "whole": rng.random() < 0.3,
                     "change": change,
                 }
             ],
@@ -47,18 +49,20 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_strange_settings_are_faults_in_words_or_sound(seed):
-    chance, faulty = random.Random(f"settings {seed}"), 0
-    sound = next(settings_of(DEPLOYMENTS["ferrowa"]))
+def test_mutated_settings_give_fault_texts_or_are_valid(seed):
+    rng, faulty = random.Random(f"settings {seed}"), 0
+    valid_settings = next(settings_of(DEPLOYMENTS["ferrowa"]))
     for _ in range(400):
-        faults = find_faults(fuzz.mutate(chance, {**sound, "bounds": {"news": 2}, "parts": 4}))
+        faults = find_faults(
+            fuzz.mutate(rng, {**valid_settings, "bounds": {"news": 2}, "parts": 4})
+        )
         faulty += bool(faults)
         assert all(isinstance(fault, str) and fault for fault in faults)
     assert faulty > 250
 
 
 @pytest.mark.parametrize("raw", fuzz.RAW)
-def test_what_is_no_sound_json_is_a_value_error_or_plain(raw):
+def test_malformed_json_raises_value_error_or_parses_to_plain_json(raw):
     try:
         value = parse_json(raw)
     except ValueError:
@@ -67,34 +71,36 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_garbage_between_nodes_changes_nothing(seed):
-    stage, chance = ScenarioFleet(seed), random.Random(f"wire {seed}")
+def test_malformed_messages_between_nodes_change_nothing(seed):
+    stage, rng = ScenarioFleet(seed), random.Random(f"wire {seed}")
     node = stage.node("edge-1")
     sent = []
-    real = node.runtime.datagram
-    node.runtime.datagram = lambda address, data: sent.append(data) or real(address, data)
+    original_datagram = node.runtime.datagram
+    node.runtime.datagram = lambda address, data: (
+        sent.append(data) or original_datagram(address, data)
+    )
     stage.run(1)
-    node.runtime.datagram = real
+    node.runtime.datagram = original_datagram
     target = stage.node("core-1")
     frame = pack(["edge-1", node.me.incarnation, 0, "core-1", 3, {"s": "part.read", "b": {}}])
-    before = target.find("layout").version
+    version_before = target.find("layout").version
     for _ in range(600):
-        target.find("nifty").on_datagram(fuzz.datagram_case(chance, chance.choice(sent)))
-        case = fuzz.datagram_case(chance, frame)
+        target.find("nifty").on_datagram(fuzz.datagram_case(rng, rng.choice(sent)))
+        case = fuzz.datagram_case(rng, frame)
         try:
             _, fields = unpack(case)
-            is_beat = isinstance(fields, list) and fields and isinstance(fields[0], list)
+            is_heartbeat = isinstance(fields, list) and fields and isinstance(fields[0], list)
         except BadWire:
-            is_beat = False
-        if not is_beat:
+            is_heartbeat = False
+        if not is_heartbeat:
             target.find("nifty").on_frame(case)
     names = sorted(target.handlers)
     for _ in range(400):
-        call = node.call("core-1", chance.choice(names), fuzz.random_value(chance), 1)
+        call = node.call("core-1", rng.choice(names), fuzz.random_value(rng), 1)
         stage.start(stage.sim.run_script(node, call))
     stage.run(6)
     assert target.counts["bad_datagrams"] > 100 and target.counts["bad_frames"] > 100
-    assert target.find("layout").version == before
+    assert target.find("layout").version == version_before
     done = stage.start(stage.callers.stream("wayfinding", "after", 8))
     stage.finish(done)
     assert stage.outcomes() == {"after/complete": 1}
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -2,7 +2,7 @@
 import subprocess
 import sys
 
-GROUPED = """
+GROUPED_TESTS = """
 import os
 import pathlib
 
@@ -16,17 +16,29 @@
     worker = os.environ["PYTEST_XDIST_WORKER"]
     pathlib.Path(f"{__file__}.{number}.ran").write_text(worker)
 """
-WORDS = ("-m", "pytest", "-n", "3", "--dist", "loadgroup", "-p", "no:cacheprovider", "--rootdir")
+PYTEST_ARGUMENTS = (
+    "-m",
+    "pytest",
+    "-n",
+    "3",
+    "--dist",
+    "loadgroup",
+    "-p",
+    "no:cacheprovider",
+    "--rootdir",
+)
 
 
-def test_the_tests_of_a_group_run_on_one_worker(tmp_path):
+def test_all_tests_of_an_xdist_group_run_on_one_worker(tmp_path):
     for name in ("test_first.py", "test_second.py"):
-        (tmp_path / name).write_text(GROUPED)
-    outer = {name: word for name, word in os.environ.items() if not name.startswith("PYTEST_")}
+        (tmp_path / name).write_text(GROUPED_TESTS)
+    outer_environment = {
+        name: word for name, word in os.environ.items() if not name.startswith("PYTEST_")
+    }
     run = subprocess.run(
-        [sys.executable, *WORDS, str(tmp_path), str(tmp_path)],
+        [sys.executable, *PYTEST_ARGUMENTS, str(tmp_path), str(tmp_path)],
         cwd=tmp_path,
-        env=outer,
+        env=outer_environment,
         capture_output=True,
         text=True,
     )
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Which package may import which: the operators' verbs stand on top of all others."""
+"""Import rules of the packages: no other package imports quillring.verbs."""
 
 import ast
 from pathlib import Path
@@ -14,7 +14,7 @@
 
 
 def imported_names(path):
-    """Yield the full name of all that a file imports, wherever in it."""
+    """Yield the full name of each import in a file, at any nesting level."""
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("path", BELOW_VERBS, ids=lambda path: str(path.relative_to(FOLDER)))
-def test_nothing_below_the_verbs_imports_them(path):
+def test_no_other_package_imports_the_verbs(path):
     upward = [name for name in imported_names(path) if name.startswith("quillring.verbs")]
     assert upward == []
 
--- a/tests/test_newer_calls.py
+++ b/tests/test_newer_calls.py
@@ -1,4 +1,4 @@
-"""Calls at a node that knows nothing yet, and many orders at once whose answers may be lost."""
+"""Calls to a node without a configuration, and concurrent orders whose answers may be lost."""
 
 import json
 
@@ -15,7 +15,7 @@
 
 from system_edge import handle_client, handle_ready  # isort: skip
 
-UNCLEAR = 503
+OUTCOME_UNKNOWN_STATUS = 503
 CALLS = [
     ("POST", "/a/x"),
     ("GET", "/nowhere"),
@@ -27,7 +27,9 @@
 
 
 @pytest.mark.parametrize("method, target", CALLS)
-def test_a_node_that_knows_no_layout_refuses_with_a_promise_and_is_not_ready(method, target):
+def test_a_node_without_a_configuration_answers_503_with_retry_after_and_is_not_ready(
+    method, target
+):
     runtime = ScriptedRuntime()
     node = make_node(
         Member("e", 1, "edge", "north", "10.0.0.9", 7000, 7001, ""), runtime, [], Bounds()
@@ -40,7 +42,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_eight_orders_at_once_are_all_taken_and_acknowledged_again(seed):
+def test_eight_concurrent_orders_are_all_accepted_and_acknowledged_when_resent(seed):
     stage = SelfFounded(10 + seed)
     assert replace_configuration(stage, "core-1", FULL_CONFIGURATION, 0)[0] == 200
     stage.run(1)
@@ -59,5 +61,7 @@
             tasks.append(stage.env.process(stage.sim.run_script(node, coroutine)))
         stage.run(1)
         attempts.append([task.value[0][0] for task in tasks])
-    assert all(status in (200, UNCLEAR) for statuses in attempts for status in statuses)
+    assert all(
+        status in (200, OUTCOME_UNKNOWN_STATUS) for statuses in attempts for status in statuses
+    )
     assert attempts[-1] == [200] * 8
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Operators' orders: sent again, late, at once; what is taken once is never refused."""
+"""Operators' orders that are resent, late or concurrent; an accepted order stays accepted."""
 
 import pytest
 from hypothesis import given, settings
@@ -10,7 +10,7 @@
 from tests.fleet_stage import SelfFounded
 from tests.system_calls import FULL_CONFIGURATION, call, handle_ctl, replace_configuration
 
-FOUR = {"store-1": "a", "store-2": "b", "store-3": "c", "store-4": "d"}
+ZONE_BY_STORE = {"store-1": "a", "store-2": "b", "store-3": "c", "store-4": "d"}
 
 
 def zone_order(zone, is_emptied, seen_version):
@@ -23,7 +23,7 @@
     }
 
 
-def retirement(store, seen_version, counted=FOUR):
+def retirement(store, seen_version, counted=ZONE_BY_STORE):
     return {
         "do": "store.mark",
         "store": store,
@@ -34,7 +34,7 @@
     }
 
 
-def play(*commands):
+def apply_commands(*commands):
     return apply_batch(initial_state([]), list(commands))
 
 
@@ -42,33 +42,33 @@
     return ((state["layout"] or {}).get("domains") or {}).get(zone, {}).get("emptied", False)
 
 
-def test_a_late_copy_of_an_order_fails_after_its_end():
-    state, answers = play(
+def test_a_late_copy_of_an_order_is_refused_after_the_order_was_reverted():
+    state, answers = apply_commands(
         zone_order("north", True, 0), zone_order("north", False, 1), zone_order("north", True, 0)
     )
     assert isinstance(answers[2], StaleOrder) and not is_emptied(state, "north")
 
 
-def test_an_order_that_is_in_force_already_fences_a_late_contrary_copy():
-    state, answers = play(
+def test_an_order_already_in_force_fences_a_late_opposite_order():
+    state, answers = apply_commands(
         zone_order("north", False, 0), zone_order("north", False, 1), zone_order("north", True, 0)
     )
     assert isinstance(answers[2], StaleOrder) and not is_emptied(state, "north")
 
 
-def test_a_repeat_of_the_newest_order_is_acknowledged_whatever_its_node_had_seen():
-    state, answers = play(
+def test_a_repeat_of_the_newest_order_is_acknowledged_whatever_version_its_node_had_seen():
+    state, answers = apply_commands(
         zone_order("north", True, 0), zone_order("north", True, 0), zone_order("north", True, 1)
     )
     assert [answer["emptied"] for answer in answers] == [True] * 3 and is_emptied(state, "north")
 
 
-def test_orders_about_different_zones_do_not_fence_each_other():
-    state, answers = play(*(zone_order(f"zone-{n}", True, 0) for n in range(8)))
+def test_orders_for_different_zones_do_not_fence_each_other():
+    state, answers = apply_commands(*(zone_order(f"zone-{n}", True, 0) for n in range(8)))
     assert all(answer["emptied"] for answer in answers)
 
 
-def test_a_configuration_adopted_meanwhile_fences_what_was_ordered_before_it():
+def test_an_adopted_configuration_fences_orders_based_on_an_earlier_version():
     configuration = {"classes": {}, "services": {}, "entries": {}, "domains": {}}
     change = {
         "do": "layout.adopt",
@@ -77,32 +77,32 @@
         "whole": True,
         "change": configuration,
     }
-    _, answers = play(change, zone_order("north", True, 0), zone_order("north", True, 1))
+    _, answers = apply_commands(change, zone_order("north", True, 0), zone_order("north", True, 1))
     assert isinstance(answers[1], StaleOrder) and answers[2]["emptied"]
 
 
-def test_the_table_of_orders_is_bounded_and_what_left_it_still_fences():
+def test_the_table_of_orders_is_bounded_and_evicted_orders_still_fence():
     commands = [zone_order(f"zone-{n}", True, n) for n in range(MAX_RECORDED_ORDERS + 5)]
-    state, answers = play(*commands, zone_order("zone-0", False, 0))
+    state, answers = apply_commands(*commands, zone_order("zone-0", False, 0))
     assert len(state["orders"]) == MAX_RECORDED_ORDERS
     assert isinstance(answers[-1], StaleOrder) and is_emptied(state, "zone-0")
 
 
-def test_orders_of_the_version_before_are_replayed_as_they_were():
+def test_orders_of_the_previous_release_are_replayed_without_fencing():
     old = {"do": "domain.mark", "domain": "north", "emptied": True}
-    state, _ = play(old, {**old, "emptied": False}, {**old, "emptied": False})
+    state, _ = apply_commands(old, {**old, "emptied": False}, {**old, "emptied": False})
     assert state["version"] == 2 and "orders" not in state
 
 
-def test_of_two_retirements_in_one_moment_the_second_finds_the_first_done():
-    state, answers = play(
+def test_of_two_concurrent_retirements_the_second_conflicts_with_the_first():
+    state, answers = apply_commands(
         retirement("store-1", 0), retirement("store-2", 0), retirement("store-1", 0)
     )
     assert isinstance(answers[1], Conflict) and answers[2]["retired"]
     assert set(state["layout"]["stores"]) == {"store-1"}
 
 
-def test_a_retirement_counts_the_store_that_a_plan_under_way_retires():
+def test_a_retirement_takes_into_account_the_store_retired_by_a_running_plan():
     plan = {
         "intent": {"kind": "retire_store", "target": "store-1"},
         "target": "retire_store store-1",
@@ -111,7 +111,7 @@
         "moves": [],
         "against": {"version": 0},
     }
-    _, answers = play(
+    _, answers = apply_commands(
         {"do": "plan.propose", "id": "p", "plan": plan},
         {"do": "plan.confirm", "plan": "p", "id": "op", "accept": []},
         retirement("store-2", 0),
@@ -145,27 +145,29 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_an_order_held_on_its_way_is_not_committed_after_its_end_was_acknowledged(seed):
+def test_an_order_delayed_in_the_network_is_not_committed_after_it_was_reverted(seed):
     stage = SelfFounded(seed)
     owner = stage.owner()
     asker, *others = [name for name in stage.sim.names("core") if name != owner]
     ends = tuple(stage.sim.nodes[name].me.address for name in (asker, owner))
-    held, carry = [], stage.sim.net.carry
+    held_frames, carry = [], stage.sim.net.carry
 
-    def hold(home, target, data, kind):
-        if (home, target) == ends and kind == "frame":
-            held.append(data)
+    def intercept(source, target, data, kind):
+        if (source, target) == ends and kind == "frame":
+            held_frames.append(data)
         else:
-            carry(home, target, data, kind)
+            carry(source, target, data, kind)
 
-    stage.sim.net.carry = hold
+    stage.sim.net.carry = intercept
     assert call(stage, asker, "POST", "/Evacuate.Begin/north")[0] == 503
     stage.sim.net.carry = carry
     assert call(stage, others[0], "POST", "/Evacuate.Begin/north")[0] == 200
-    finish = "/Evacuate.Finish/north"
-    assert stage.wait_for(lambda: call(stage, others[1], "POST", finish)[0] == 200, 1) is not None
+    finish_path = "/Evacuate.Finish/north"
+    assert (
+        stage.wait_for(lambda: call(stage, others[1], "POST", finish_path)[0] == 200, 1) is not None
+    )
     stage.run(20)
-    for data in held:
+    for data in held_frames:
         carry(*ends, data, "frame")
     stage.run(1)
     assert not any(n.find("layout").is_emptied("north") for n in stage.sim.nodes.values())
@@ -173,7 +175,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_two_operators_who_retire_two_stores_in_one_moment_are_not_both_confirmed(seed):
+def test_two_concurrent_retirements_by_two_operators_are_not_both_accepted(seed):
     stage = SelfFounded(seed)
     tasks = []
     for core, store in (("core-1", "1"), ("core-3", "2")):
@@ -184,7 +186,7 @@
     assert sorted(task.value[0][0] for task in tasks) == [200, 409]
 
 
-def test_orders_change_nothing_about_the_configurations_under_way():
+def test_orders_do_not_change_the_version_that_configurations_are_based_on():
     stage = SelfFounded(1)
     assert call(stage, "core-1", "POST", "/Evacuate.Begin/north")[0] == 200
     assert replace_configuration(stage, "core-2", FULL_CONFIGURATION, 0)[0] == 200
