--- a/tests/test_plain_schema.py
+++ b/tests/test_plain_schema.py
@@ -1,4 +1,4 @@
-"""The quick word on schemas: never says sound where the library finds a fault."""
+"""The quick schema check never accepts a value in which the jsonschema library finds a fault."""
 
 import copy
 import random
@@ -20,7 +20,7 @@
     "losses": 2,
     "bounds": {"news": 2.5, "grace": 8},
 }
-BEAT_ROW = {
+HEARTBEAT_ROW = {
     "name": "guide-1",
     "service": "guide",
     "domain": "north",
@@ -36,7 +36,7 @@
 LIMITS_ROW = {"head_bytes": 16384, "idle_ms": 15000.0, "origin": {"any": [1]}}
 CASES = [
     (SCHEMA, SETTINGS),
-    (HEARTBEAT_SCHEMA.schema, BEAT_ROW),
+    (HEARTBEAT_SCHEMA.schema, HEARTBEAT_ROW),
     (FORWARD_VALIDATOR.schema, FORWARD_ROW),
     (RAW_SERVICE_VALIDATOR.schema, SERVICE_ROW),
     (LIMITS_VALIDATOR.schema, LIMITS_ROW),
@@ -45,57 +45,57 @@
 ODD_VALUES += [[], [1], {}, {"x": 1}, "raw", "edge", "127.0.0.1:1", "127.0.0.1:1\n"]
 
 
-def inner_places(value):
-    """Return (container, key) of everything inside a value."""
+def nested_keys(value):
+    """Return (container, key) for each item of a value, at any depth."""
     keys = value if isinstance(value, dict) else range(len(value)) if type(value) is list else ()
-    own_places = [(value, key) for key in keys]
-    return own_places + [place for key in keys for place in inner_places(value[key])]
+    own_keys = [(value, key) for key in keys]
+    return own_keys + [nested_key for key in keys for nested_key in nested_keys(value[key])]
 
 
-def odd_value(chance):
-    """Return a value that most places don't bear."""
-    return copy.deepcopy(chance.choice(ODD_VALUES))
+def random_odd_value(rng):
+    """Return a value that is invalid in most places."""
+    return copy.deepcopy(rng.choice(ODD_VALUES))
 
 
-def changed(chance, value):
-    """Return a copy of a value with one to three places changed, added or taken away."""
+def mutate(rng, value):
+    """Return a copy of a value with one to three items changed, added or removed."""
     value = copy.deepcopy(value)
-    for _ in range(chance.randint(1, 3)):
-        container, key = chance.choice(inner_places(value) or [({}, "x")])
-        way = chance.randrange(4)
-        if way == 0 and isinstance(container, dict):
+    for _ in range(rng.randint(1, 3)):
+        container, key = rng.choice(nested_keys(value) or [({}, "x")])
+        mutation = rng.randrange(4)
+        if mutation == 0 and isinstance(container, dict):
             container.pop(key, None)
-        elif way == 1 and isinstance(container, dict):
-            container[chance.choice(["x", "if", 3, *container])] = odd_value(chance)
+        elif mutation == 1 and isinstance(container, dict):
+            container[rng.choice(["x", "if", 3, *container])] = random_odd_value(rng)
         else:
-            container[key] = odd_value(chance)
+            container[key] = random_odd_value(rng)
     return value
 
 
 def library_faults(schema, value):
-    """Return the faults that the library finds."""
+    """Return the faults that the library finds in a value."""
     return list(StrictValidator.get_validator_class()(schema).iter_errors(value))
 
 
 @pytest.mark.parametrize("schema, value", CASES)
-def test_sound_values_are_found_sound_at_once(schema, value):
+def test_valid_values_are_recognized_without_the_library(schema, value):
     assert is_certainly_valid(schema, value)
     assert library_faults(schema, value) == []
 
 
 @pytest.mark.parametrize("schema, value", CASES)
-def test_nothing_is_called_sound_in_which_the_library_finds_a_fault(schema, value):
-    chance = random.Random(7)
-    sound_count = 0
+def test_no_value_with_a_fault_is_considered_valid(schema, value):
+    rng = random.Random(7)
+    valid_count = 0
     for _ in range(1500):
-        candidate = changed(chance, value)
+        candidate = mutate(rng, value)
         if is_certainly_valid(schema, candidate):
-            sound_count += 1
+            valid_count += 1
             assert library_faults(schema, candidate) == [], candidate
-    assert 0 < sound_count < 1500
+    assert 0 < valid_count < 1500
 
 
-def test_a_keyword_that_is_not_read_leaves_the_word_to_the_library():
+def test_an_unsupported_keyword_leaves_the_decision_to_the_library():
     schema = {"type": "object", "maxProperties": 0}
     assert not is_certainly_valid(schema, {})
     validator = StrictValidator(schema)
@@ -103,19 +103,21 @@
     assert [error.validator for error in validator.iter_errors({"x": 1})] == ["maxProperties"]
 
 
-def test_faults_are_told_as_the_library_tells_them():
+def test_faults_are_reported_as_by_the_library():
     faults = list(StrictValidator(SCHEMA).iter_errors({**SETTINGS, "losses": True}))
     assert [(list(fault.absolute_path), fault.validator) for fault in faults] == [
         (["losses"], "type")
     ]
 
 
-def test_a_start_loads_no_library_that_it_does_not_use():
+def test_a_process_start_imports_no_unused_library():
     code = (
         "import sys; import quillring.verbs.process; from quillring.kernel.settings import "
         f"check_settings; check_settings({SETTINGS!r}); "
         "print([n for n in ('attr', 'referencing', 'urllib.request', 'more_itertools', "
         "'icalendar', 'click', 'geventhttpclient') if n in sys.modules])"
     )
-    shown = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
-    assert shown.stdout.strip() == "[]"
+    completed = subprocess.run(
+        [sys.executable, "-c", code], capture_output=True, text=True, check=True
+    )
+    assert completed.stdout.strip() == "[]"
--- a/tests/test_retirement.py
+++ b/tests/test_retirement.py
@@ -1,4 +1,7 @@
-"""A retirement is finished only when no part needs the store, whatever happens right after."""
+"""A retirement is reported as finished only when no part needs the store any more.
+
+Failures right after that report must not lose data.
+"""
 
 from unittest import mock
 
@@ -18,7 +21,7 @@
     owners,
 )
 
-FIVE = {"sizes": {"edge": 1, "core": 4, "store": 5}}
+FIVE_STORES = {"sizes": {"edge": 1, "core": 4, "store": 5}}
 
 
 def retire(stage, store):
@@ -30,16 +33,16 @@
     return stage.ask(name, is_retired(stage.sim.nodes[name], store, 2))[0]
 
 
-def keep_writing(node, part, is_over, pause):
+def keep_writing(node, part, is_over, pause_seconds):
     number = 0
     while not is_over:
         number += 1
         yield from node.find("ownership").submit(part, mark_zone_command(f"{part}-{number % 9}"), 5)
-        yield Sleep(pause)
+        yield Sleep(pause_seconds)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_retirement_finishes_while_commands_keep_coming(seed):
+def test_a_retirement_finishes_under_continuous_writes(seed):
     stage, is_over = SelfFounded(seed), []
     store, node = members(stage)[0], stage.sim.nodes["core-1"]
     for part in PARTS:
@@ -47,14 +50,14 @@
             node.spawn(keep_writing(node, part, is_over, 0.002))
     stage.run(1)
     retire(stage, store)
-    took = stage.wait_for(lambda: is_finished(stage, store), 3)
+    finished_after_seconds = stage.wait_for(lambda: is_finished(stage, store), 3)
     is_over.append(True)
-    assert took is not None
+    assert finished_after_seconds is not None
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_retirement_waits_for_the_hints_kept_for_others(seed):
-    stage = SelfFounded(seed, FIVE)
+def test_a_retirement_waits_until_the_hints_for_other_stores_are_handed_over(seed):
+    stage = SelfFounded(seed, FIVE_STORES)
     store = next(n for n in stage.sim.names("store") if n not in members(stage, "part-0"))
     other = members(stage, "part-0")[0]
     with mock.patch.object(HintStore, "_hand_over", lambda self, name: iter(())):
@@ -71,8 +74,8 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_retirement_is_not_finished_while_another_member_of_a_part_is_away(seed):
-    stage = SelfFounded(seed, FIVE)
+def test_a_retirement_is_not_finished_while_another_group_member_is_down(seed):
+    stage = SelfFounded(seed, FIVE_STORES)
     store = next(n for n in stage.sim.names("store") if n not in members(stage, "part-0"))
     retire(stage, store)
     assert stage.wait_for(lambda: is_finished(stage, store), 6) is not None
@@ -84,8 +87,8 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 7))
-def test_a_store_told_to_be_free_joins_no_part_though_an_owner_has_old_news(seed):
-    stage = SelfFounded(seed, FIVE)
+def test_a_retired_store_joins_no_group_although_an_owner_has_stale_state(seed):
+    stage = SelfFounded(seed, FIVE_STORES)
     store = next(n for n in stage.sim.names("store") if n not in members(stage, "part-0"))
     retire(stage, store)
     assert stage.wait_for(lambda: is_finished(stage, store), 6) is not None
@@ -100,8 +103,8 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
-def test_nothing_is_lost_when_all_goes_wrong_right_after_a_retirement_finished(seed):
-    stage, is_over = SelfFounded(seed, FIVE), []
+def test_no_write_is_lost_by_several_failures_right_after_a_retirement_finished(seed):
+    stage, is_over = SelfFounded(seed, FIVE_STORES), []
     store = members(stage)[seed % 3]
     for number in range(6):
         assert stage.submit("core-1", mark_zone_command(f"d{number}"))[1] is None
@@ -114,11 +117,11 @@
     stage.sim.lose_disk(store)
     owner_name = stage.owner()
     stage.sim.kill(owner_name)
-    wiped = next(n for n in members_by_gossip(stage) if n != store)
-    stage.sim.lose_disk(wiped)
+    store_with_lost_disk = next(n for n in members_by_gossip(stage) if n != store)
+    stage.sim.lose_disk(store_with_lost_disk)
     is_over.append(True)
     stage.run(1)
-    stage.start(wiped)
+    stage.start(store_with_lost_disk)
     assert stage.wait_for(lambda: len(owners(stage)) == len(PARTS), 6) is not None
     assert stage.wait_for(lambda: all_parts_replicated(stage), 8) is not None
     assert {f"d{number}" for number in range(6)} < ordered_zones_at(stage)
@@ -136,8 +139,8 @@
     return set(answer["layout"]["domains"])
 
 
-def test_many_parts_far_away_are_asked_within_one_short_call():
-    stage = SelfFounded(1, FIVE, parts=48)
+def test_a_retirement_check_of_many_parts_with_high_latency_fits_into_one_short_call():
+    stage = SelfFounded(1, FIVE_STORES, parts=48)
     stage.sim.net.min_delay, stage.sim.net.max_delay = 0.015, 0.025
     store = members(stage)[0]
     retire(stage, store)
--- a/tests/test_rollout_messages.py
+++ b/tests/test_rollout_messages.py
@@ -1,4 +1,4 @@
-"""The commands and messages of the configuration in the form that all versions keep."""
+"""Commands and messages about the configuration keep the wire form shared by all releases."""
 
 import cbor2
 import pytest
@@ -104,7 +104,7 @@
 
 
 @pytest.mark.parametrize("message, wire_form", SAMPLES, ids=lambda value: type(value).__name__)
-def test_a_message_has_the_form_that_all_versions_know(message, wire_form):
+def test_a_message_has_the_same_wire_form_in_all_releases(message, wire_form):
     packed = cbor2.dumps(wire_form)
     assert message.to_wire() == wire_form
     assert cbor2.dumps(message.to_wire()) == packed
@@ -124,7 +124,7 @@
     assert AdoptConfiguration.from_wire(command).change == wire_form["change"]
 
 
-def test_an_order_of_the_version_before_leaves_out_what_it_did_not_know():
+def test_fields_missing_in_orders_of_earlier_releases_get_defaults():
     assert OrderZone.from_wire({"domain": "north", "emptied": 1}) == ("north", True, True, None)
     assert OrderStore.from_wire({"store": "a", "retired": 0}) == ("a", False, None, None, None)
     command = {**SAMPLES[1][1], "removed": None}
@@ -133,24 +133,24 @@
     assert adoption.removed == {} and adoption.extras == {}
 
 
-def test_a_zone_order_stands_in_the_configuration_as_all_versions_know_it():
+def test_a_zone_order_has_a_stable_form_in_the_stored_configuration():
     order = OrderZone("north", True, includes_nodes=False, seen_version=3)
     assert order.to_state() == {"emptied": True, "nodes": False}
 
 
-def test_the_digest_of_a_change_is_the_one_that_states_on_disks_hold():
+def test_the_digest_of_a_change_equals_the_one_in_stored_states():
     assert AdoptConfiguration("op", 4, {"b": 1, "a": 2}, False).digest() == DIGEST
     assert AdoptConfiguration("other", 5, {"a": 2, "b": 1}, False).digest() == DIGEST
 
 
-def test_what_stores_tell_is_read_by_name():
+def test_stamps_and_state_images_of_stores_are_parsed():
     stamp = StoreStamp.from_wire([[3, "core-1#9"], 12, "a1"])
     assert (stamp.ballot, stamp.committed_index, stamp.identity) == ([3, "core-1#9"], 12, "a1")
     image = StateImage.from_wire([12, {"layout": None}])
     assert (image.log_index, image.state) == (12, {"layout": None})
 
 
-def test_a_fault_is_told_under_the_names_that_callers_know():
+def test_a_fault_keeps_its_field_names_on_the_wire():
     assert Fault("classes", "why").to_wire() == {"field": "classes", "fault": "why"}
 
 
--- a/tests/test_starting.py
+++ b/tests/test_starting.py
@@ -4,7 +4,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_edges_know_the_configuration_within_a_period_after_all_lost_power(seed):
+def test_edges_know_the_configuration_within_one_heartbeat_interval_after_a_power_loss(seed):
     stage = SelfFounded(seed)
     change = {"do": "domain.mark", "domain": "halls", "emptied": True, "nodes": False}
     stage.submit("core-1", change)
@@ -15,8 +15,11 @@
     for name in names:
         stage.start(name)
 
-    def is_known():
+    def edges_know_the_configuration():
         edges = [stage.sim.nodes[name] for name in stage.sim.names("edge")]
         return all(edge.find("layout").index for edge in edges)
 
-    assert stage.wait_for(is_known, stage.sim.bounds.heartbeat_interval) is not None
+    assert (
+        stage.wait_for(edges_know_the_configuration, stage.sim.bounds.heartbeat_interval)
+        is not None
+    )
--- a/tests/test_system_configuration.py
+++ b/tests/test_system_configuration.py
@@ -1,3 +1,5 @@
+"""Configurations of the platform: round trip, conversion to adoption commands and validation."""
+
 import json
 
 import pytest
@@ -19,21 +21,30 @@
 
 
 @pytest.fixture(scope="module")
-def calm():
+def idle_stage():
     return SelfFounded(1)
 
 
-def test_a_configuration_comes_back_as_it_was_given():
+def test_a_configuration_is_returned_unchanged():
     stage = SelfFounded(1)
     assert call(stage, "core-1", "GET", "/Config.Fetch")[:2] == (
         200,
         {"ver": 0, "routes": [], "svcs": []},
     )
-    whole = {**FULL_CONFIGURATION, "remark": {"by": "someone"}}
-    assert replace_configuration(stage, "core-2", whole, 0)[:2] == (200, {"ver": 7})
-    assert call(stage, "core-3", "GET", "/Config.Fetch")[:2] == (200, whole)
-    assert replace_configuration(stage, "core-4", whole, 0)[0] == 200
-    assert replace_configuration(stage, "core-4", {**whole, "ver": 9}, 0)[0] == 412
+    configuration_with_extra_field = {**FULL_CONFIGURATION, "remark": {"by": "someone"}}
+    assert replace_configuration(stage, "core-2", configuration_with_extra_field, 0)[:2] == (
+        200,
+        {"ver": 7},
+    )
+    assert call(stage, "core-3", "GET", "/Config.Fetch")[:2] == (
+        200,
+        configuration_with_extra_field,
+    )
+    assert replace_configuration(stage, "core-4", configuration_with_extra_field, 0)[0] == 200
+    assert (
+        replace_configuration(stage, "core-4", {**configuration_with_extra_field, "ver": 9}, 0)[0]
+        == 412
+    )
     new_route = {**IDEMPOTENT_ROUTE, "prefix": "/new/", "later": 1.0}
     change = {
         "ver": 12,
@@ -42,16 +53,16 @@
     }
     assert call(stage, "core-1", "POST", "/Config.Amend", change, 7)[0] == 200
     assert call(stage, "core-1", "POST", "/Config.Amend", change, 7)[0] == 200
-    assert replace_configuration(stage, "core-4", whole, 0)[0] == 200
+    assert replace_configuration(stage, "core-4", configuration_with_extra_field, 0)[0] == 200
     assert call(stage, "core-2", "GET", "/Config.Fetch")[1] == {
-        **whole,
+        **configuration_with_extra_field,
         "ver": 12,
         "routes": [STREAM_ROUTE, new_route],
         "svcs": [SERVICE, {**SECOND_SERVICE, "max_conns": 5}],
     }
 
 
-def test_a_configuration_becomes_forwards_services_and_limits_of_the_product():
+def test_a_configuration_is_converted_to_forwards_services_and_limits():
     command = to_adoption(FULL_CONFIGURATION, 0, True).to_wire()
     forwards, services = command["forwards"], command["services"]
     assert forwards["r-1"] == {
@@ -69,14 +80,19 @@
         "origin": STREAM_ROUTE,
     }
     assert forwards["r-2"]["split"] == [["s2", 1]] and forwards["r-2"]["kind"] == "repeatable"
-    lot = forwards["r-3"]
-    assert (lot["kind"], lot["due_ms"], lot["retain_ms"], lot["most_tokens"]) == (
+    bulk_forward = forwards["r-3"]
+    assert (
+        bulk_forward["kind"],
+        bulk_forward["due_ms"],
+        bulk_forward["retain_ms"],
+        bulk_forward["most_tokens"],
+    ) == (
         "lot",
         8000,
         20_000,
         1100,
     )
-    assert "hold_ms" not in lot
+    assert "hold_ms" not in bulk_forward
     assert services["s1"] == {
         "kind": "raw",
         "probe_path": "/healthz",
@@ -147,11 +163,11 @@
 
 
 @pytest.mark.parametrize("body", INVALID.values(), ids=INVALID)
-def test_an_invalid_configuration_gets_400_and_changes_nothing(calm, body):
-    assert replace_configuration(calm, "core-2", body, 0)[0] == 400
-    assert call(calm, "core-1", "GET", "/Config.Fetch")[1]["ver"] == 0
+def test_an_invalid_configuration_gets_400_and_changes_nothing(idle_stage, body):
+    assert replace_configuration(idle_stage, "core-2", body, 0)[0] == 400
+    assert call(idle_stage, "core-1", "GET", "/Config.Fetch")[1]["ver"] == 0
 
 
 @pytest.mark.parametrize("base", [None, "", "x", "-1", "1.0"])
-def test_a_configuration_without_a_sound_base_gets_400(calm, base):
-    assert replace_configuration(calm, "core-2", FULL_CONFIGURATION, base)[0] == 400
+def test_a_configuration_without_a_valid_base_version_gets_400(idle_stage, base):
+    assert replace_configuration(idle_stage, "core-2", FULL_CONFIGURATION, base)[0] == 400
--- a/tests/test_system_ctl.py
+++ b/tests/test_system_ctl.py
@@ -1,3 +1,5 @@
+"""The platform's control API: configurations, zones, stores and replicas."""
+
 import json
 
 import pytest
@@ -13,11 +15,11 @@
 
 
 @pytest.fixture(scope="module")
-def calm():
+def idle_stage():
     return SelfFounded(1)
 
 
-def test_of_two_operators_at_once_one_wins():
+def test_of_two_concurrent_configurations_one_wins():
     stage = SelfFounded(3)
     coroutines = [
         stage.sim.run_script(
@@ -40,7 +42,7 @@
     assert call(stage, "core-2", "GET", "/Config.Fetch")[1]["ver"] == winner
 
 
-def test_orders_about_zones_need_no_configuration_and_may_be_repeated():
+def test_zone_orders_need_no_configuration_and_are_idempotent():
     stage = SelfFounded(2)
     for path, is_emptied in (("Begin", True), ("Begin", True), ("Finish", False)):
         assert call(stage, "core-1", "POST", f"/Evacuate.{path}/north")[:2] == (200, {})
@@ -50,7 +52,7 @@
         assert not any(snapshot.is_zone_draining("north") for snapshot in snapshots)
 
 
-def test_a_store_machine_is_emptied():
+def test_a_store_machine_is_retired():
     stage = SelfFounded(2)
     body = {"within_s": 10}
     assert call(stage, "core-1", "POST", "/Retire.Begin/9", body)[0] == 404
@@ -64,35 +66,35 @@
     assert call(stage, "core-4", "POST", "/Retire.Begin/2", b"{")[0] == 400
 
 
-def test_a_replica_beats_leaves_and_is_gone_at_every_node():
+def test_the_state_of_a_replica_reaches_every_node_from_heartbeat_to_deregistration():
     stage = SelfFounded(2)
 
-    def beat(core, **fields):
+    def send_heartbeat(core, **fields):
         return call(stage, core, "POST", "/Replicas.Heartbeat/i-1", {**HEARTBEAT, **fields})
 
-    def states():
+    def replica_states():
         return {n.find("replicas").find("i-1").state for n in stage.sim.nodes.values()}
 
-    status, body, seconds = beat("core-1", warm_left_ms=900)
+    status, body, seconds = send_heartbeat("core-1", warm_left_ms=900)
     assert (status, body, seconds) == (200, {}, 0)
     stage.run(0.5)
-    assert states() == {"cold"}
-    beat("core-2", calls=5)
-    beat("core-3", calls=7, state="draining")
-    assert beat("core-4", calls=6)[0] == 200
+    assert replica_states() == {"cold"}
+    send_heartbeat("core-2", calls=5)
+    send_heartbeat("core-3", calls=7, state="draining")
+    assert send_heartbeat("core-4", calls=6)[0] == 200
     stage.run(0.5)
-    assert states() == {"leaving"}
+    assert replica_states() == {"leaving"}
     assert call(stage, "core-1", "POST", "/Replicas.Deregister/i-1")[:2] == (200, {})
-    assert beat("core-2", calls=8)[0] == 200
+    assert send_heartbeat("core-2", calls=8)[0] == 200
     stage.run(0.5)
-    assert states() == {"gone"}
+    assert replica_states() == {"gone"}
 
 
-def test_the_end_of_a_replica_that_nobody_knows_is_acknowledged(calm):
-    assert call(calm, "core-1", "POST", "/Replicas.Deregister/i-9")[0] == 200
+def test_the_deregistration_of_an_unknown_replica_is_acknowledged(idle_stage):
+    assert call(idle_stage, "core-1", "POST", "/Replicas.Deregister/i-9")[0] == 200
 
 
-def test_a_node_that_just_started_leaves_the_end_of_an_unknown_replica_to_others():
+def test_a_node_that_just_started_answers_503_to_the_deregistration_of_an_unknown_replica():
     stage = SelfFounded(2)
     stage.sim.kill("core-1")
     stage.start("core-1")
@@ -114,29 +116,29 @@
         {"state": ["up"]},
     ],
 )
-def test_a_malformed_beat_gets_400(calm, fields):
+def test_a_malformed_heartbeat_gets_400(idle_stage, fields):
     status, body, _ = call(
-        calm, "core-1", "POST", "/Replicas.Heartbeat/i-7", {**HEARTBEAT, **fields}
+        idle_stage, "core-1", "POST", "/Replicas.Heartbeat/i-7", {**HEARTBEAT, **fields}
     )
     assert (status, body["trouble"]) == (400, "bad_inquiry")
-    assert calm.sim.nodes["core-1"].find("replicas").find("i-7") is None
+    assert idle_stage.sim.nodes["core-1"].find("replicas").find("i-7") is None
 
 
-def test_other_calls_and_methods_are_refused(calm):
-    assert call(calm, "core-1", "GET", "/Config.Replace")[0] == 405
-    assert call(calm, "core-1", "GET", "/")[0] == 404
-    assert call(calm, "core-1", "POST", "/Evacuate.Begin/")[0] == 400
+def test_unknown_paths_and_wrong_methods_are_refused(idle_stage):
+    assert call(idle_stage, "core-1", "GET", "/Config.Replace")[0] == 405
+    assert call(idle_stage, "core-1", "GET", "/")[0] == 404
+    assert call(idle_stage, "core-1", "POST", "/Evacuate.Begin/")[0] == 400
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_the_side_of_a_cut_without_a_majority_answers_503_at_once_and_the_other_takes_over(seed):
+def test_the_minority_side_of_a_partition_answers_503_and_the_majority_takes_over(seed):
     stage = SelfFounded(seed)
     assert replace_configuration(stage, "core-1", FULL_CONFIGURATION, 0)[0] == 200
     owner = stage.owner()
     zone = stage.sim.nodes[owner].me.zone
-    small = [n for n, node in stage.sim.nodes.items() if node.me.zone == zone]
-    stage.sim.cut(small, [n for n in stage.sim.nodes if n not in small])
-    other = next(n for n in stage.sim.names("core") if n not in small)
+    minority_side = [n for n, node in stage.sim.nodes.items() if node.me.zone == zone]
+    stage.sim.cut(minority_side, [n for n in stage.sim.nodes if n not in minority_side])
+    other = next(n for n in stage.sim.names("core") if n not in minority_side)
     newer = {**FULL_CONFIGURATION, "ver": 9}
     orders = [
         ("POST", "/Config.Replace", newer, 7),
@@ -161,7 +163,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_an_order_is_taken_within_four_seconds_after_the_owner_and_its_store_die(seed):
+def test_a_change_is_accepted_within_four_seconds_after_the_owner_and_its_store_die(seed):
     stage = SelfFounded(seed)
     assert replace_configuration(stage, "core-1", FULL_CONFIGURATION, 0)[0] == 200
     owner = stage.owner()
@@ -169,15 +171,18 @@
     for name, node in stage.sim.nodes.items():
         if node.me.zone == zone and node.me.role != "edge":
             stage.sim.kill(name, loses_power=True)
-    left = [n for n in stage.sim.names("core") if stage.sim.is_up(stage.sim.nodes[n])]
-    start_time, tried = stage.env.now, 0
+    remaining_cores = [n for n in stage.sim.names("core") if stage.sim.is_up(stage.sim.nodes[n])]
+    start_time, attempts = stage.env.now, 0
     while stage.env.now - start_time < 4:
         status, _, seconds = replace_configuration(
-            stage, left[tried % len(left)], {**FULL_CONFIGURATION, "ver": 8}, 7
+            stage,
+            remaining_cores[attempts % len(remaining_cores)],
+            {**FULL_CONFIGURATION, "ver": 8},
+            7,
         )
         assert seconds < 1 and status in (200, 503)
         if status == 200:
             break
-        tried += 1
+        attempts += 1
         stage.run(0.1)
     assert status == 200 and stage.env.now - start_time < 4
--- a/tests/test_system_lots.py
+++ b/tests/test_system_lots.py
@@ -1,3 +1,5 @@
+"""The platform's batch API: submission, results, deletion and malformed lots."""
+
 import base64
 import importlib.util
 import json
@@ -30,17 +32,22 @@
 
 
 def call(stage, method, target, body=b"", **headers):
-    def make(node):
+    def make_call(node):
         forward = node.find("forwards").find_by_name(FORWARD) if method == "POST" else None
-        named = {name.replace("_", "-"): value for name, value in headers.items()}
+        hyphenated_headers = {name.replace("_", "-"): value for name, value in headers.items()}
         return system_lots.handle_lot(
-            node, forward, method, target, {"host": HOST.upper() + ":80", **named}, body
+            node,
+            forward,
+            method,
+            target,
+            {"host": HOST.upper() + ":80", **hyphenated_headers},
+            body,
         )
 
-    return stage.run_on_node(stage.pick_running("edge"), make)
+    return stage.run_on_node(stage.pick_running("edge"), make_call)
 
 
-def test_a_lot_goes_through_from_hand_in_to_end():
+def test_a_lot_from_submission_to_deletion():
     with HttpLotStage(100) as stage:
         body = lot_body(row("i-1"), row("i-2"))
         value, error = call(stage, "POST", "/bulk/x", body, request_id="L1")
@@ -65,7 +72,7 @@
         assert isinstance(call(stage, "GET", "/items/L1?id=i-2")[1], NotFound)
 
 
-def test_unknown_lots_and_strange_calls_are_refused_by_type():
+def test_unknown_lots_and_invalid_calls_raise_the_matching_errors():
     with HttpLotStage(101) as stage:
         assert isinstance(call(stage, "GET", "/lots/none")[1], NotFound)
         assert isinstance(call(stage, "DELETE", "/lots/none")[1], NotFound)
@@ -110,7 +117,7 @@
     assert caught.value.status == 400
 
 
-def test_200_items_are_taken_and_their_bytes_unchanged():
+def test_200_items_are_accepted_and_their_payloads_unchanged():
     items = system_lots.read_items(lot_body(*(row(f"i-{n}") for n in range(200))))
     assert len(items) == 200
     assert items[3] == [
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""Wall clocks step by a minute either way: no order and no lot is lost or expires for it."""
+"""Wall clocks that step by a minute either way cause no loss or expiry of orders and lots."""
 
 import pathlib
 import re
@@ -11,24 +11,27 @@
 from tests.fleet_stage import SelfFounded
 from tests.system_calls import FULL_CONFIGURATION, call, replace_configuration
 
-TOPS = ("quillring", "platform")
-ASKS = re.compile(r"wall_time\(\)|def wall_time|(?<!date)time\.time\(|datetime\.now|\btime_ns")
-MAY_ASK = {
+SOURCE_FOLDERS = ("quillring", "platform")
+WALL_CLOCK_READ = re.compile(
+    r"wall_time\(\)|def wall_time|(?<!date)time\.time\(|datetime\.now|\btime_ns"
+)
+MAY_READ_WALL_CLOCK = {
     "quillring/edge/stream_handlers.py": "the age of a stream's token",
-    "quillring/kernel/gevent_runtime.py": "gives the clock to the others",
-    "quillring/kernel/runtime.py": "declares what every runtime gives; asks nothing itself",
-    "quillring/lots/http_requests/api.py": "when a lot was handed in, for its turn",
-    "quillring/lots/http_requests/item_table.py": "a lot's turn after its owner changed",
+    "quillring/kernel/gevent_runtime.py": "provides the wall clock to the other modules",
+    "quillring/kernel/runtime.py": "declares the interface of runtimes; reads no clock itself",
+    "quillring/lots/http_requests/api.py": "the submission time of a lot, for its queue position",
+    "quillring/lots/http_requests/item_table.py": "a lot's queue position after an owner change",
     "quillring/verbs/fleet_verbs.py": "the operator's calendar, on the operator's machine",
-    "quillring/verbs/process.py": "the number of a start; one that is too low is raised",
+    "quillring/verbs/process.py": "the incarnation of a process; one that is too low is raised",
 }
 STEP = 60
 
 
-def test_terms_orders_plans_and_configurations_ask_no_wall_clock():
-    paths = [path for top in TOPS for path in pathlib.Path(top).rglob("*.py")]
-    asking = {str(path) for path in paths if ASKS.search(path.read_text())}
-    assert asking == set(MAY_ASK)
+def test_only_the_listed_modules_read_the_wall_clock():
+    """Leases, orders, plans and configurations must not depend on wall clocks."""
+    paths = [path for top in SOURCE_FOLDERS for path in pathlib.Path(top).rglob("*.py")]
+    reading_paths = {str(path) for path in paths if WALL_CLOCK_READ.search(path.read_text())}
+    assert reading_paths == set(MAY_READ_WALL_CLOCK)
 
 
 @settings(max_examples=100, derandomize=True, deadline=None)
@@ -44,7 +47,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_orders_are_taken_and_stay_while_every_wall_clock_steps(seed):
+def test_orders_are_accepted_and_stay_in_force_while_the_wall_clocks_step(seed):
     stage, number = SelfFounded(seed), 0
     chance = stage.sim.chance
     for turn in range(12):
