--- a/tests/test_backend.py
+++ b/tests/test_backend.py
@@ -27,15 +27,15 @@
 
 
 @pytest.fixture
-def start():
+def start_server():
     """Return a function that starts a server of the given class; all are stopped after the test."""
     servers = []
 
-    def started(server_class):
+    def start(server_class):
         servers.append(server_class())
         return servers[-1]
 
-    yield started
+    yield start
     for server in servers:
         server.server.stop(timeout=0)
 
@@ -57,14 +57,14 @@
     return backend.fetch(FetchJson(server.address, "POST", "/x", {}, 5, may_repeat))
 
 
-def test_a_repeatable_request_is_retried_when_an_idle_connection_breaks(start):
-    server = start(ClosesAtSecondRequest)
+def test_a_repeatable_request_is_retried_when_an_idle_connection_breaks(start_server):
+    server = start_server(ClosesAtSecondRequest)
     assert [fetch(server, True) for _ in range(3)] == [(200, True)] * 3
     assert [is_first for is_first, _ in server.requests] == [True, False, True, False, True]
 
 
-def test_a_non_repeatable_request_always_uses_a_new_connection(start):
-    server = start(ClosesAtSecondRequest)
+def test_a_non_repeatable_request_always_uses_a_new_connection(start_server):
+    server = start_server(ClosesAtSecondRequest)
     assert fetch(server, True) == (200, True)
     assert [fetch(server, False) for _ in range(2)] == [(200, True)] * 2
     assert all(is_first for is_first, _ in server.requests)
@@ -97,22 +97,24 @@
 
 
 @pytest.mark.parametrize("method", ["GET", "POST", "DELETE"])
-def test_a_non_repeatable_request_is_not_resent_by_the_http_library(start, method):
-    server = start(ClosesUnanswered)
+def test_a_non_repeatable_request_is_not_resent_by_the_http_library(start_server, method):
+    server = start_server(ClosesUnanswered)
     with pytest.raises(BackendError):
         backend.fetch(FetchJson(server.address, method, "/x", None, 5, False))
     assert len(server.requests) == 1
 
 
-def test_opening_a_stream_is_not_retried(start):
-    server = start(ClosesUnanswered)
+def test_opening_a_stream_is_not_retried(start_server):
+    server = start_server(ClosesUnanswered)
     with pytest.raises(BackendError):
         backend.open_stream(OpenStream(server.address, "/x", {}, 5))
     assert len(server.requests) == 1
 
 
-def test_a_request_that_may_have_run_on_an_idle_connection_is_not_reported_as_not_sent(start):
-    server = start(ClosesAtSecondRequest)
+def test_a_request_that_may_have_run_on_an_idle_connection_is_not_reported_as_not_sent(
+    start_server,
+):
+    server = start_server(ClosesAtSecondRequest)
     assert fetch(server, True) == (200, True)
     server.server.stop(timeout=0)
     with pytest.raises(BackendError) as failure:
@@ -145,8 +147,8 @@
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
-def test_a_connection_with_surplus_bytes_is_not_reused(start):
-    server = start(SendsSurplusAnswer)
+def test_a_connection_with_surplus_bytes_is_not_reused(start_server):
+    server = start_server(SendsSurplusAnswer)
     effect = FetchJson(server.address, "GET", "/x", None, 5, True)
     with mock.patch.object(backend, "IDLE_CLIENTS", backend.IdleClients()):
         assert backend.fetch(effect) == (200, "first")
--- a/tests/test_channels.py
+++ b/tests/test_channels.py
@@ -70,10 +70,10 @@
     channel = Channel(listener.getsockname(), 5.0)
     sender = channel._connect()
     sender.setblocking(False)
-    sent = 0
+    sent_bytes = 0
     with pytest.raises(BlockingIOError):
         while True:
-            sent += sender.send(LARGE_CHUNK)
+            sent_bytes += sender.send(LARGE_CHUNK)
     channel.close()
     conn, received_bytes = conns.get(timeout=5), 0
     conn.settimeout(5)
@@ -81,7 +81,7 @@
         while data := conn.recv(1 << 20):
             received_bytes += len(data)
     may_close.set()
-    assert received_bytes < sent
+    assert received_bytes < sent_bytes
 
 
 @pytest.mark.parametrize("truncated_length", [1, 3, 4, 5, 9])
--- a/tests/test_configuration_versions.py
+++ b/tests/test_configuration_versions.py
@@ -219,7 +219,7 @@
     assert stage.read(asker, {"ask": "edition"})[0]["edition"] == 5
 
 
-def test_a_node_that_missed_the_announcement_fetches_the_version_from_the_stores():
+def test_a_node_that_missed_the_announcement_fetches_the_version_from_stores_without_the_owner():
     stage = SelfFounded(4)
     owner = stage.owner()
     stage.sim.nodes["edge-1"].handlers["gossip.news"] = lambda items, origin: None
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -13,15 +13,15 @@
 DETECTABLE_CUT_KINDS = {"refusing": CutKind.REFUSING, "resetting": CutKind.RESETTING}
 
 
-def partition_from_all(stage, name, way):
+def partition_from_all(stage, name, partition_kind):
     """Partition a node from all others: in one or both directions, silently or with errors."""
     others = [other for other in stage.sim.nodes if other != name]
-    if way == "inbound_lost":
+    if partition_kind == "inbound_lost":
         stage.sim.cut(others, [name], both_ways=False)
-    elif way == "outbound_lost":
+    elif partition_kind == "outbound_lost":
         stage.sim.cut([name], others, both_ways=False)
     else:
-        stage.sim.cut([name], others, kind=DETECTABLE_CUT_KINDS.get(way, CutKind.SILENT))
+        stage.sim.cut([name], others, kind=DETECTABLE_CUT_KINDS.get(partition_kind, CutKind.SILENT))
 
 
 class Operator:
@@ -73,26 +73,28 @@
     return statuses
 
 
-@pytest.mark.parametrize("way", PARTITION_KINDS)
+@pytest.mark.parametrize("partition_kind", PARTITION_KINDS)
 @pytest.mark.parametrize("is_leader", [True, False])
-def test_a_partitioned_core_answers_503_to_every_call_for_twenty_seconds(way, is_leader):
+def test_a_partitioned_core_answers_503_to_every_call_for_twenty_seconds(partition_kind, is_leader):
     stage = SelfFounded(5)
     operator, owner = Operator(stage), stage.owner()
     core = owner if is_leader else next(c for c in stage.sim.names("core") if c != owner)
     other = next(c for c in stage.sim.names("core") if c not in (core, owner))
-    partition_from_all(stage, core, way)
-    start_time, statuses, beats = stage.env.now, set(), []
+    partition_from_all(stage, core, partition_kind)
+    start_time, statuses, heartbeat_statuses = stage.env.now, set(), []
     while stage.env.now - start_time < PARTITION_SECONDS:
         operator.change(other, 0)
         statuses |= call_partitioned_core(stage, core, operator)
-        beat = {**HEARTBEAT, "calls": int(stage.env.now * 10)}
+        heartbeat = {**HEARTBEAT, "calls": int(stage.env.now * 10)}
         if stage.env.now - start_time > DETECTION_SECONDS:
-            beats.append(call(stage, core, "POST", "/Replicas.Heartbeat/i-1", beat)[0])
-            beats.append(call(stage, core, "POST", "/Replicas.Deregister/i-2")[0])
+            heartbeat_statuses.append(
+                call(stage, core, "POST", "/Replicas.Heartbeat/i-1", heartbeat)[0]
+            )
+            heartbeat_statuses.append(call(stage, core, "POST", "/Replicas.Deregister/i-2")[0])
         stage.run(0.3)
     assert operator.acknowledged > 5
     assert {status for _, status in statuses} == {503}, statuses
-    assert set(beats) == {503}
+    assert set(heartbeat_statuses) == {503}
     stage.sim.heal()
     stage.run(4)
     for name in stage.sim.names("core"):
@@ -104,12 +106,12 @@
     )
 
 
-@pytest.mark.parametrize("way", PARTITION_KINDS)
-def test_a_core_that_restarts_while_partitioned_answers_503_to_every_call(way):
+@pytest.mark.parametrize("partition_kind", PARTITION_KINDS)
+def test_a_core_that_restarts_while_partitioned_answers_503_to_every_call(partition_kind):
     stage = SelfFounded(6)
     operator = Operator(stage)
     core, other = stage.owner(), next(c for c in stage.sim.names("core") if c != stage.owner())
-    partition_from_all(stage, core, way)
+    partition_from_all(stage, core, partition_kind)
     stage.run(3)
     stage.sim.kill(core)
     stage.start(core)
@@ -125,13 +127,13 @@
     assert call(stage, core, "GET", "/Config.Fetch")[1]["ver"] >= operator.newest["ver"]
 
 
-@pytest.mark.parametrize("place", range(3))
-def test_an_owner_partitioned_with_one_store_of_its_group_acknowledges_nothing(place):
+@pytest.mark.parametrize("store_index", range(3))
+def test_an_owner_partitioned_with_one_store_of_its_group_acknowledges_nothing(store_index):
     """The changes are sent right after the cut, before failure detection."""
     stage = SelfFounded(8)
     operator, owner = Operator(stage), stage.owner()
     other = next(c for c in stage.sim.names("core") if c != owner)
-    side = [owner, stage.sim.nodes[owner].find("ownership").group("config")[place][0]]
+    side = [owner, stage.sim.nodes[owner].find("ownership").group("config")[store_index][0]]
     stage.sim.cut(side, [name for name in stage.sim.nodes if name not in side])
     for number in range(3):
         status, _, seconds = replace_configuration(
@@ -145,15 +147,15 @@
         assert call(stage, name, "GET", "/Config.Fetch")[1]["ver"] == operator.newest["ver"]
 
 
-@pytest.mark.parametrize("way", PARTITION_KINDS)
+@pytest.mark.parametrize("partition_kind", PARTITION_KINDS)
 @pytest.mark.parametrize("restarts", [False, True])
 def test_changes_are_accepted_while_a_store_is_partitioned_and_it_catches_up_afterwards(
-    way, restarts
+    partition_kind, restarts
 ):
     stage = SelfFounded(7)
     operator = Operator(stage)
     store = stage.sim.nodes["core-1"].find("ownership").group("config")[0][0]
-    partition_from_all(stage, store, way)
+    partition_from_all(stage, store, partition_kind)
     start_time, longest_gap_seconds = stage.env.now, 0.0
     last_accepted_at = stage.env.now
     while stage.env.now - start_time < PARTITION_SECONDS:
--- a/tests/test_datagrams.py
+++ b/tests/test_datagrams.py
@@ -49,8 +49,8 @@
 
 
 def send_all(client_socket, listener, payloads):
-    for text in payloads:
-        client_socket.sendto(text, listener.address)
+    for payload in payloads:
+        client_socket.sendto(payload, listener.address)
     assert listener.has_all.wait(TIMEOUT_SECONDS)
 
 
@@ -72,6 +72,7 @@
 
 
 def test_the_size_of_a_batch_is_bounded(client_socket, wakes, monkeypatch):
+    """The bound lets other greenlets run between two batches."""
     monkeypatch.setattr(datagrams, "MAX_BATCH_DATAGRAMS", 8)
     payloads = [b"%d" % number for number in range(20)]
     listener = Listener(len(payloads))
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -36,11 +36,14 @@
 def test_the_stores_survive_the_zone_losses_also_with_one_store_retired(counts, losses):
     zones = store_zones(counts)
     assert len(zones) <= MAX_STORES
-    for place in range(len(zones)):
-        assert can_survive_zone_loss(zones[:place] + zones[place + 1 :], losses * 2 + 1)
+    for retired_index in range(len(zones)):
+        assert can_survive_zone_loss(
+            zones[:retired_index] + zones[retired_index + 1 :], losses * 2 + 1
+        )
 
 
 def test_cores_share_the_machines_of_the_stores():
+    """Cores must not need machines of their own."""
     core, store = roles()["core"], roles()["store"]
     assert (core["on"], core["share"]) == (store["on"], store["share"])
 
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,3 +1,5 @@
+"""The embedding examples run and print what they document."""
+
 import subprocess
 import sys
 
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -20,7 +20,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_mutated_configuration_is_refused_with_faults_or_valid(seed):
-    rng, refused = random.Random(f"layout {seed}"), 0
+    rng, refused_count = random.Random(f"layout {seed}"), 0
     for _ in range(400):
         part = rng.choice(sorted(CONFIGURATION))
         name = rng.choice(sorted(CONFIGURATION[part]))
@@ -40,25 +40,25 @@
             ],
         )
         if isinstance(answers[0], QuillringError):
-            refused += 1
+            refused_count += 1
             assert answers[0].kind == "bad_layout" and answers[0].detail["faults"]
             assert state["version"] == 1 and state["layout"] is CONFIGURATION
         else:
             assert schema.find_faults(state["layout"]) == []
-    assert refused > 150
+    assert refused_count > 150
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_mutated_settings_give_fault_texts_or_are_valid(seed):
-    rng, faulty = random.Random(f"settings {seed}"), 0
+    rng, faulty_count = random.Random(f"settings {seed}"), 0
     valid_settings = next(settings_of(DEPLOYMENTS["ferrowa"]))
     for _ in range(400):
         faults = find_faults(
             fuzz.mutate(rng, {**valid_settings, "bounds": {"news": 2}, "parts": 4})
         )
-        faulty += bool(faults)
+        faulty_count += bool(faults)
         assert all(isinstance(fault, str) and fault for fault in faults)
-    assert faulty > 250
+    assert faulty_count > 250
 
 
 @pytest.mark.parametrize("raw", fuzz.RAW)
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -1,3 +1,5 @@
+"""Pytest-xdist runs all tests of one group on the same worker."""
+
 import os
 import subprocess
 import sys
@@ -33,7 +35,7 @@
     for name in ("test_first.py", "test_second.py"):
         (tmp_path / name).write_text(GROUPED_TESTS)
     outer_environment = {
-        name: word for name, word in os.environ.items() if not name.startswith("PYTEST_")
+        name: value for name, value in os.environ.items() if not name.startswith("PYTEST_")
     }
     run = subprocess.run(
         [sys.executable, *PYTEST_ARGUMENTS, str(tmp_path), str(tmp_path)],
--- a/tests/test_late_beats.py
+++ b/tests/test_late_beats.py
@@ -57,7 +57,7 @@
     assert replica_states(stage) <= {"leaving", "gone"}
 
 
-def test_first_heartbeats_after_a_deregistration_make_the_replica_receive_no_requests():
+def test_a_replica_deregistered_before_its_first_heartbeat_receives_no_requests():
     stage = SelfFounded(3)
     stage.run(6)
     assert call(stage, "core-2", "POST", f"/Replicas.Deregister/{REPLICA_ID}")[0] == 200
--- a/tests/test_node_calls.py
+++ b/tests/test_node_calls.py
@@ -49,8 +49,8 @@
     return coroutine
 
 
-def call_id_of(sent):
-    return sent.messages[-1][1]["c"]
+def call_id_of(peer_layer):
+    return peer_layer.messages[-1][1]["c"]
 
 
 def resume_call(coroutine):
@@ -65,36 +65,36 @@
 
 
 def test_a_reply_from_the_called_node_completes_the_call():
-    node, sent = make_node()
+    node, peer_layer = make_node()
     coroutine = begin_call(node)
-    node.on_message("b", {"r": call_id_of(sent), "b": "ours"})
+    node.on_message("b", {"r": call_id_of(peer_layer), "b": "ours"})
     assert resume_call(coroutine) == "ours"
 
 
 def test_a_reply_from_a_node_that_was_not_called_is_ignored():
-    node, sent = make_node()
+    node, peer_layer = make_node()
     coroutine = begin_call(node)
-    node.on_message("c", {"r": call_id_of(sent), "b": "theirs"})
+    node.on_message("c", {"r": call_id_of(peer_layer), "b": "theirs"})
     assert resume_call(coroutine) is TimedOut
 
 
 def test_a_reply_from_another_node_does_not_block_the_expected_reply():
-    node, sent = make_node()
+    node, peer_layer = make_node()
     coroutine = begin_call(node)
-    node.on_message("c", {"r": call_id_of(sent), "b": "theirs"})
-    node.on_message("b", {"r": call_id_of(sent), "b": "ours"})
+    node.on_message("c", {"r": call_id_of(peer_layer), "b": "theirs"})
+    node.on_message("b", {"r": call_id_of(peer_layer), "b": "ours"})
     assert resume_call(coroutine) == "ours"
 
 
-@pytest.mark.parametrize("later", [2, 1_000, 60_000_000, -60_000_000])
-def test_a_reply_to_a_former_incarnation_is_ignored(later):
+@pytest.mark.parametrize("start_difference", [2, 1_000, 60_000_000, -60_000_000])
+def test_a_reply_to_a_former_incarnation_is_ignored(start_difference):
     first_start = 1_800_000_000_000_000
-    former_node, former_sent = make_node(first_start)
+    former_node, former_peer_layer = make_node(first_start)
     late_replies = []
     for _ in range(100):
         begin_call(former_node)
-        late_replies.append({"r": call_id_of(former_sent), "b": "of the former life"})
-    node, _ = make_node(first_start + later)
+        late_replies.append({"r": call_id_of(former_peer_layer), "b": "of the former life"})
+    node, _ = make_node(first_start + start_difference)
     coroutines = [begin_call(node) for _ in range(100)]
     for reply in late_replies:
         node.on_message("b", reply)
@@ -102,23 +102,23 @@
 
 
 def test_a_late_reply_does_not_complete_a_later_call():
-    node, sent = make_node()
+    node, peer_layer = make_node()
     coroutine = begin_call(node)
-    late_id = call_id_of(sent)
+    late_id = call_id_of(peer_layer)
     assert resume_call(coroutine) is TimedOut
-    later = begin_call(node)
+    later_call = begin_call(node)
     node.on_message("b", {"r": late_id, "b": "late"})
-    assert resume_call(later) is TimedOut
+    assert resume_call(later_call) is TimedOut
 
 
 def test_a_reply_carries_the_call_id_unchanged_whatever_its_type():
-    node, sent = make_node()
+    node, peer_layer = make_node()
     node.handle("s", lambda body, origin: body)
     for call_id in (7, (1 << 63) - 1, [1, 2], "text"):
         node.on_message("b", {"s": "s", "b": "x", "c": call_id})
         with pytest.raises(StopIteration):
             next(node.runtime.coroutines.pop())
-        assert sent.messages[-1] == ("b", {"r": call_id, "b": "x"})
+        assert peer_layer.messages[-1] == ("b", {"r": call_id, "b": "x"})
 
 
 def test_a_reply_with_an_invalid_call_id_is_ignored():
@@ -129,15 +129,15 @@
 
 
 def test_an_error_from_a_node_that_was_not_called_is_ignored():
-    node, sent = make_node()
+    node, peer_layer = make_node()
     coroutine = begin_call(node)
-    node.on_message("c", {"r": call_id_of(sent), "t": Refused.kind, "b": {}})
+    node.on_message("c", {"r": call_id_of(peer_layer), "t": Refused.kind, "b": {}})
     assert resume_call(coroutine) is TimedOut
 
 
 def test_a_delayed_duplicate_is_rejected_however_many_messages_follow_the_original():
     """Duplicates never expire: sequence numbers older than the window count as received."""
-    chance = random.Random(5)
+    rng = random.Random(5)
     for later_messages in (
         0,
         1,
@@ -155,8 +155,8 @@
     window, seen = DuplicateFilter(1), set()
     top = 0
     for _ in range(20_000):
-        top += chance.randrange(3)
-        sequence = max(1, top - chance.randrange(2 * WINDOW_SEQUENCES))
+        top += rng.randrange(3)
+        sequence = max(1, top - rng.randrange(2 * WINDOW_SEQUENCES))
         if window.is_first_copy(sequence):
             assert sequence not in seen
             seen.add(sequence)
--- a/tests/test_pipelining_machine.py
+++ b/tests/test_pipelining_machine.py
@@ -21,8 +21,8 @@
 from quillring.nifty import Member
 from tests.profiles import profile
 
-WHOLE, STREAM, BREAK, ERROR_AFTER_HEAD = "whole", "stream", "break", "late-failure"
-WAYS = st.sampled_from([WHOLE, WHOLE, STREAM, STREAM, BREAK, ERROR_AFTER_HEAD])
+COMPLETE, STREAM, BREAK, ERROR_AFTER_HEAD = "whole", "stream", "break", "late-failure"
+WAYS = st.sampled_from([COMPLETE, COMPLETE, STREAM, STREAM, BREAK, ERROR_AFTER_HEAD])
 FORMS = st.sampled_from(["length", "chunks", "expect", "bare", "last", "upgrade", "nonsense"])
 ENDS = st.sampled_from(["half-close", "stays"])
 CLOSING_FORMS = ("last", "upgrade", "nonsense")
@@ -50,7 +50,7 @@
         _, number, way = raw.target.split("/")
         self.executed.append((int(number), raw.body))
         answer = answer_of(int(number))
-        if way == WHOLE:
+        if way == COMPLETE:
             return 200, [], answer
         yield SendToClient((200, [], answer[:4]))
         if way == BREAK:
@@ -137,10 +137,10 @@
     connection.kill()
     reader_greenlet.join(5)
     ours.close()
-    whole_count = sum(
+    complete_count = sum(
         len(b"".join(request_texts[: n + 1])) <= length for n in range(len(request_texts))
     )
-    return server, b"".join(received), whole_count
+    return server, b"".join(received), complete_count
 
 
 def read_all(sock, received):
@@ -164,23 +164,23 @@
 
 
 def check(requests, cuts, length, end):
-    server, data, whole_count = exchange(requests, cuts, length, end)
+    server, data, complete_count = exchange(requests, cuts, length, end)
     assert not server.faults
     answers = Answers(data).found
     numbers = [number for number, _ in server.executed]
     assert numbers == list(range(len(numbers))), "each request runs once, in order"
-    assert len(numbers) <= whole_count, "a truncated request must not run"
+    assert len(numbers) <= complete_count, "a truncated request must not run"
     for number, body in server.executed:
         assert body == body_of(number, requests[number][1])
-    assert len(answers) <= whole_count + 1
-    for number, (status, body, is_whole) in enumerate(answers):
+    assert len(answers) <= complete_count + 1
+    for number, (status, body, is_complete) in enumerate(answers):
         if status != 200:
             assert status == 400 and number == len(answers) - 1
             assert requests[number][1] == "nonsense"
             continue
         assert answer_of(number).startswith(body), "an answer to another request"
         way = requests[number][0]
-        assert not is_whole or (body == answer_of(number) and way in (WHOLE, STREAM))
+        assert not is_complete or (body == answer_of(number) and way in (COMPLETE, STREAM))
         assert not closes_connection(*requests[number]) or number == len(answers) - 1
 
 
@@ -195,8 +195,8 @@
 
 
 def test_every_complete_request_gets_a_complete_answer():
-    requests = [(way, form) for way in (WHOLE, STREAM) for form in ("length", "chunks", "bare")]
-    requests.append((WHOLE, "last"))
+    requests = [(way, form) for way in (COMPLETE, STREAM) for form in ("length", "chunks", "bare")]
+    requests.append((COMPLETE, "last"))
     server, data, count = exchange(requests, range(0, 500, 11), 2000, "stays", 5)
     assert [n for n, _ in server.executed] == list(range(count)) == list(range(len(requests)))
     assert Answers(data).found == [[200, answer_of(n), True] for n in range(count)]
@@ -227,7 +227,7 @@
     ],
 )
 def test_disabling_each_guard_is_detected(target, name, replacement):
-    requests = [(STREAM, "length"), (ERROR_AFTER_HEAD, "chunks"), (WHOLE, "bare")]
+    requests = [(STREAM, "length"), (ERROR_AFTER_HEAD, "chunks"), (COMPLETE, "bare")]
     with mock.patch.object(target, name, replacement), pytest.raises(AssertionError):
         for length in range(20, 300, 5):
             check(requests, [], length, "half-close")
--- a/tests/test_requirements.py
+++ b/tests/test_requirements.py
@@ -1,3 +1,5 @@
+"""The requirements of the deployment."""
+
 import tomllib
 from pathlib import Path
 
--- a/tests/test_resends.py
+++ b/tests/test_resends.py
@@ -24,7 +24,7 @@
         else:
             self.carry(source, target, data, kind)
 
-    def end(self):
+    def stop(self):
         self.net.carry = self.carry
 
     def release(self):
@@ -59,7 +59,7 @@
     owner, (asker, *others) = owner_and_other_cores(stage)
     interceptor = FrameInterceptor(stage, owner, asker)
     assert replace_configuration(stage, asker, NEWER, 7)[0] == 503
-    interceptor.end()
+    interceptor.stop()
     if owner_dies:
         stage.sim.kill(owner)
     assert replace_until_not_503(stage, others, NEWER, 7) == 200
@@ -75,7 +75,7 @@
     owner, (asker, *others) = owner_and_other_cores(stage)
     interceptor = FrameInterceptor(stage, asker, owner)
     assert replace_configuration(stage, asker, NEWER, 7)[0] == 503
-    interceptor.end()
+    interceptor.stop()
     assert replace_until_not_503(stage, others, NEWER, 7) == 200
     later = {**FULL_CONFIGURATION, "ver": 12}
     assert replace_until_not_503(stage, others, later, 9) == 200
--- a/tests/test_starting.py
+++ b/tests/test_starting.py
@@ -1,3 +1,5 @@
+"""The configuration is known again soon after all nodes have lost power."""
+
 import pytest
 
 from tests.fleet_stage import SelfFounded
