--- a/tests/test_loud_cuts.py
+++ b/tests/test_loud_cuts.py
@@ -10,7 +10,13 @@
 
 from proving.sim.network import CutKind
 from tests.fleet_stage import SelfFounded
-from tests.system_calls import BEAT, WHOLE, call, handle_ctl, replace
+from tests.system_calls import (
+    FULL_CONFIGURATION,
+    HEARTBEAT,
+    call,
+    handle_ctl,
+    replace_configuration,
+)
 
 HEARTBEAT_INTERVAL_SECONDS = 0.5
 LOUD_KINDS = (CutKind.REFUSING, CutKind.RESETTING)
@@ -21,13 +27,13 @@
 
 def numbered_configuration(number):
     """Return the complete configuration with this number."""
-    return {**WHOLE, "ver": number}
+    return {**FULL_CONFIGURATION, "ver": number}
 
 
 def start_fleet(seed):
     """Return (stage, owner of the config part, another core) of a fleet with a configuration."""
     stage = SelfFounded(seed)
-    assert replace(stage, "core-1", WHOLE, 0)[0] == 200
+    assert replace_configuration(stage, "core-1", FULL_CONFIGURATION, 0)[0] == 200
     stage.run(1)
     owner = stage.owner()
     return stage, owner, next(c for c in cores(stage) if c != owner)
@@ -66,7 +72,9 @@
     assert peer_layer(stage, other).graph.hops(owner) == 2
     assert peer_layer(stage, owner).graph.hops(other) == 2
     for number in range(8, 16):
-        status, _, seconds = replace(stage, other, numbered_configuration(number), number - 1)
+        status, _, seconds = replace_configuration(
+            stage, other, numbered_configuration(number), number - 1
+        )
         assert status == 200 and seconds < MAX_CALL_SECONDS
         assert call(stage, other, "GET", "/Config.Fetch")[1]["ver"] == number
         stage.run(0.4)
@@ -85,7 +93,7 @@
         assert peer_layer(stage, other).graph.hops(owner) == 1
         stage.run(2)
         assert peer_layer(stage, other).graph.hops(owner) == 2
-        assert replace(stage, other, numbered_configuration(8), 7)[0] == 200
+        assert replace_configuration(stage, other, numbered_configuration(8), 7)[0] == 200
         assert stage.sim.nodes[other].counts.get("refused_links", 0) == 0
 
 
@@ -95,7 +103,9 @@
     stage.sim.cut([other], [owner], both_ways=False, kind=CutKind.REFUSING)
     acknowledged, number = 0, 7
     for _ in range(20):
-        status, _, seconds = replace(stage, other, numbered_configuration(number + 1), number)
+        status, _, seconds = replace_configuration(
+            stage, other, numbered_configuration(number + 1), number
+        )
         assert status in (200, 503) and seconds < MAX_CALL_SECONDS
         acknowledged += status == 200
         number += status == 200
@@ -119,15 +129,17 @@
         REFUSAL_DETECTION_SECONDS if kind is CutKind.REFUSING else SILENCE_DETECTION_SECONDS
     )
     for number in range(100, 115):
-        status, _, seconds = replace(stage, owner, numbered_configuration(number), 7)
+        status, _, seconds = replace_configuration(stage, owner, numbered_configuration(number), 7)
         assert status == 503 and seconds < MAX_CALL_SECONDS
         assert call(stage, owner, "GET", "/Config.Fetch")[0] == 503
         if stage.env.now - start_time > detection_seconds:
-            assert call(stage, owner, "POST", "/Replicas.Heartbeat/i-1", BEAT)[0] == 503
+            assert call(stage, owner, "POST", "/Replicas.Heartbeat/i-1", HEARTBEAT)[0] == 503
         stage.run(0.3)
     assert (
         stage.wait_for(
-            lambda: replace(stage, other, numbered_configuration(8), 7)[0] == 200, 5, 0.3
+            lambda: replace_configuration(stage, other, numbered_configuration(8), 7)[0] == 200,
+            5,
+            0.3,
         )
         is not None
     )
@@ -148,11 +160,13 @@
     stage.run(REFUSAL_DETECTION_SECONDS)
     parts = list(stage.sim.nodes[reachable_core].find("ownership").parts())
     for number in range(20):
-        status, _, seconds = replace(stage, core, numbered_configuration(200 + number), 7)
+        status, _, seconds = replace_configuration(
+            stage, core, numbered_configuration(200 + number), 7
+        )
         assert status == 503 and seconds < REFUSAL_DETECTION_SECONDS
         assert call(stage, core, "GET", "/Config.Fetch")[0] == 503
         stage.run(0.2)
-    assert replace(stage, reachable_core, numbered_configuration(8), 7)[0] == 200
+    assert replace_configuration(stage, reachable_core, numbered_configuration(8), 7)[0] == 200
     for part in parts:
         query = {"ask": "edition" if part == "config" else "lot.fence"}
         assert stage.owner(part) not in (None, core)
@@ -174,7 +188,7 @@
     for _ in range(FLAP_COUNT):
         stage.sim.cut([owner], cut_names, kind=CutKind.REFUSING)
         stage.run(rng.uniform(MIN_CUT_SECONDS, HEARTBEAT_INTERVAL_SECONDS))
-        status, _, seconds = replace(
+        status, _, seconds = replace_configuration(
             stage,
             other,
             numbered_configuration(number + 1),
@@ -228,13 +242,16 @@
         number, delay = 8 + step, DELAY_STEP_SECONDS * step
         first_statuses.append(replace_during_reset(stage, (other, number), cut_names, kind, delay))
         resend = [
-            lambda n=number: replace(stage, other, numbered_configuration(n), n - 1)[0] == 200,
+            lambda n=number: (
+                replace_configuration(stage, other, numbered_configuration(n), n - 1)[0] == 200
+            ),
             4,
             0.2,
         ]
         assert stage.wait_for(*resend) is not None
         assert {
-            replace(stage, c, numbered_configuration(number), number - 1)[0] for c in cores(stage)
+            replace_configuration(stage, c, numbered_configuration(number), number - 1)[0]
+            for c in cores(stage)
         } == {200}
         stage.run(HEARTBEAT_INTERVAL_SECONDS * 2)
         assert fetched_numbers(stage) == {number} and layout.version == before + step + 1
--- a/tests/test_newer_calls.py
+++ b/tests/test_newer_calls.py
@@ -1,4 +1,4 @@
-"""Calls at a node that knows nothing yet, and many orders at once whose answers may be lost."""
+"""Calls to a node without a configuration, and concurrent orders whose answers may be lost."""
 
 import json
 
@@ -11,11 +11,11 @@
 from quillring.kernel.http_messages import HttpRequest
 from quillring.nifty import Member
 from tests.fleet_stage import SelfFounded
-from tests.system_calls import WHOLE, handle_ctl, replace
+from tests.system_calls import FULL_CONFIGURATION, handle_ctl, replace_configuration
 
 from system_edge import handle_client, handle_ready  # isort: skip
 
-UNCLEAR = 503
+OUTCOME_UNKNOWN_STATUS = 503
 CALLS = [
     ("POST", "/a/x"),
     ("GET", "/nowhere"),
@@ -27,7 +27,9 @@
 
 
 @pytest.mark.parametrize("method, target", CALLS)
-def test_a_node_that_knows_no_layout_refuses_with_a_promise_and_is_not_ready(method, target):
+def test_a_node_without_a_configuration_answers_503_with_retry_after_and_is_not_ready(
+    method, target
+):
     runtime = ScriptedRuntime()
     node = make_node(
         Member("e", 1, "edge", "north", "10.0.0.9", 7000, 7001, ""), runtime, [], Bounds()
@@ -40,14 +42,14 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_eight_orders_at_once_are_all_taken_and_acknowledged_again(seed):
+def test_eight_concurrent_orders_are_all_accepted_and_acknowledged_when_resent(seed):
     stage = SelfFounded(10 + seed)
-    assert replace(stage, "core-1", WHOLE, 0)[0] == 200
+    assert replace_configuration(stage, "core-1", FULL_CONFIGURATION, 0)[0] == 200
     stage.run(1)
     amendment = json.dumps({"ver": 90, "upsert": {}, "remove": {}}).encode()
     orders = [(f"/Evacuate.Begin/z{n % 2}", {}, b"") for n in range(4)]
     orders += [(f"/Evacuate.Finish/y{n}", {}, b"") for n in range(2)]
-    orders += [("/Config.Amend", {"base-version": str(WHOLE["ver"])}, amendment)]
+    orders += [("/Config.Amend", {"base-version": str(FULL_CONFIGURATION["ver"])}, amendment)]
     orders += [("/Retire.Begin/2", {}, b'{"within_s": 10}')]
     assert len(orders) == 8
     attempts = []
@@ -59,5 +61,7 @@
             tasks.append(stage.env.process(stage.sim.run_coroutine(node, coroutine)))
         stage.run(1)
         attempts.append([task.value[0][0] for task in tasks])
-    assert all(status in (200, UNCLEAR) for statuses in attempts for status in statuses)
+    assert all(
+        status in (200, OUTCOME_UNKNOWN_STATUS) for statuses in attempts for status in statuses
+    )
     assert attempts[-1] == [200] * 8
