--- a/tests/checkpoint_stage.py
+++ b/tests/checkpoint_stage.py
@@ -1,4 +1,4 @@
-"""One store's slots and log on a disk whose every step may be the last one."""
+"""A checkpointed log on a simulated disk that can lose power at any step, for crash tests."""
 
 from proving.sim.disk import CrashDisk, PowerLost
 from quillring.kernel.effects import Wait
@@ -15,12 +15,12 @@
     [["k", 11]],
 ]
 RECORDS = [record for batch in BATCHES for record in batch]
-LOG_LIMIT = 60
-MOST_STEPS = 400
+LOG_LIMIT_BYTES = 60
+MAX_STEPS = 400
 
 
-class Holder:
-    """State that tells a record which is missing, doubled or out of order."""
+class RecordedState:
+    """In-memory state that lists its records, so missing, duplicate or reordered ones show."""
 
     def __init__(self):
         self.records = []
@@ -38,98 +38,104 @@
         self.records.append(record)
 
 
-class Machine:
-    """One life of a store's process on a disk: it commits batches until it dies.
+class StoreProcess:
+    """A store process that runs on a disk from recovery until it crashes.
 
-    An eager one commits the next batch as soon as the last one is durable, while the next slot is
-    still being written; else the writer comes to rest between two batches.
+    If `is_eager`, `commit` returns as soon as its batch is durable, even while the next checkpoint
+    slot is still being written. Otherwise it returns once the writer is idle.
     """
 
-    def __init__(self, disk, log_limit=LOG_LIMIT, is_eager=False):
-        self.disk, self.holder, self.is_eager = disk, Holder(), is_eager
-        self.store = CheckpointedLog(disk, self.holder, log_limit)
+    def __init__(self, disk, log_limit_bytes=LOG_LIMIT_BYTES, is_eager=False):
+        self.disk, self.recorded_state, self.is_eager = disk, RecordedState(), is_eager
+        self.store = CheckpointedLog(disk, self.recorded_state, log_limit_bytes)
         self.acknowledged = 0
         if not self.store.recover():
             self.store.write_checkpoint()
-        self.acknowledged = len(self.holder.records)
+        self.acknowledged = len(self.recorded_state.records)
         self.writer = self.store.run(0.1)
-        self.effect = next(self.writer)
-
-    def pump(self, is_done=lambda: False):
-        """Let the writer go on until it waits for records, or until something is done."""
-        for _ in range(MOST_STEPS):
-            is_resting = isinstance(self.effect, Wait) and not self.effect.signal.is_set
-            if is_resting or is_done():
+        self.pending_effect = next(self.writer)
+
+    def run_writer(self, is_done=lambda: False):
+        """Run the writer until it waits for records or `is_done` returns true."""
+        for _ in range(MAX_STEPS):
+            is_idle = (
+                isinstance(self.pending_effect, Wait) and not self.pending_effect.signal.is_set
+            )
+            if is_idle or is_done():
                 return
-            self.effect = self.writer.send(True)
-        raise AssertionError("the writer never comes to rest")
+            self.pending_effect = self.writer.send(True)
+        raise AssertionError("the writer does not become idle")
 
     def commit(self, batch):
-        """Commit each record of a batch by itself, all under one sync; tell whether all went well.
+        """Commit each record of a batch separately, all with one sync.
 
-        As in the running store, memory changes first.
+        `acknowledged` is updated only if every record became durable. The state in memory changes
+        before the log, as in the running store.
         """
         coroutines, waits = [], []
         for record in batch:
-            self.holder.replay(record)
+            self.recorded_state.replay(record)
             coroutines.append(self.store.commit([record]))
-        outcomes = [self._begin(coroutine, waits) for coroutine in coroutines]
-        self.pump(lambda: self.is_eager and all(wait.signal.is_set for wait in waits))
+        outcomes = [self._start_commit(coroutine, waits) for coroutine in coroutines]
+        self.run_writer(lambda: self.is_eager and all(wait.signal.is_set for wait in waits))
         outcomes = [
-            self._end(coroutine) if outcome is None else outcome
+            self._finish_commit(coroutine) if outcome is None else outcome
             for coroutine, outcome in zip(coroutines, outcomes, strict=True)
         ]
         if all(outcome is True for outcome in outcomes):
-            self.acknowledged = len(self.holder.records)
+            self.acknowledged = len(self.recorded_state.records)
 
-    def _begin(self, coroutine, waits):
+    def _start_commit(self, coroutine, waits):
         try:
             waits.append(next(coroutine))
         except DiskError:
             return False
         return None
 
-    def _end(self, coroutine):
+    def _finish_commit(self, coroutine):
         try:
             coroutine.send(True)
         except StopIteration:
             return True
         except DiskError:
             return False
-        raise AssertionError("a record is neither durable nor refused")
+        raise AssertionError("the commit of a record neither succeeded nor failed")
+
 
+def run_until_power_loss(disk, acknowledged=0, is_eager=False):
+    """Commit all batches that the disk does not hold yet, until it loses power.
 
-def live(disk, acknowledged=0, is_eager=False):
-    """Live until the disk's last step; return how many records are surely durable."""
-    machine = None
+    Return (number of records acknowledged so far, whether all batches were processed).
+    """
+    process = None
     try:
-        machine = Machine(disk, is_eager=is_eager)
+        process = StoreProcess(disk, is_eager=is_eager)
         for batch in BATCHES:
-            done = len(machine.holder.records)
-            if batch[0] in RECORDS[done:]:
-                machine.commit([r for r in batch if r in RECORDS[done:]])
-        machine.pump()
-        return machine.acknowledged, True
+            recovered_count = len(process.recorded_state.records)
+            if batch[0] in RECORDS[recovered_count:]:
+                process.commit([r for r in batch if r in RECORDS[recovered_count:]])
+        process.run_writer()
+        return process.acknowledged, True
     except PowerLost:
-        known = acknowledged if machine is None else machine.acknowledged
-        return max(acknowledged, known), False
+        acknowledged_count = acknowledged if process is None else process.acknowledged
+        return max(acknowledged, acknowledged_count), False
 
 
-def check(disk, acknowledged, story):
-    """What comes back is a beginning of what was committed, with all that was acknowledged."""
-    machine = Machine(disk)
-    records = machine.holder.records
-    assert records == RECORDS[: len(records)], story
-    assert len(records) >= acknowledged, story
-    return machine
+def check_recovery(disk, acknowledged, context):
+    """Check that recovery returns a prefix of RECORDS with at least the acknowledged ones."""
+    process = StoreProcess(disk)
+    records = process.recorded_state.records
+    assert records == RECORDS[: len(records)], context
+    assert len(records) >= acknowledged, context
+    return process
 
 
-def lives(is_eager):
-    """Yield (last step, disk, acknowledged) for a crash at each step of a whole life."""
-    for last_step in range(1, MOST_STEPS):
+def crash_at_each_step(is_eager):
+    """Yield (last step, disk, acknowledged) for a power loss at each step of a complete run."""
+    for last_step in range(1, MAX_STEPS):
         disk = CrashDisk()
         disk.last_step = last_step
-        acknowledged, is_whole = live(disk, is_eager=is_eager)
+        acknowledged, is_complete = run_until_power_loss(disk, is_eager=is_eager)
         yield last_step, disk, acknowledged
-        if is_whole:
+        if is_complete:
             return
--- a/tests/fleet_stage.py
+++ b/tests/fleet_stage.py
@@ -1,4 +1,4 @@
-"""A simulated fleet that founds itself, for the tests of what operators and stores meet."""
+"""A simulated fleet that founds itself, for tests of orders, takeovers and stores."""
 
 from proving.sim.fleet import SimFleet
 from quillring.kernel.bounds import Bounds
@@ -8,8 +8,11 @@
 SIZES = {"sizes": {"edge": 2, "core": 4, "store": 4}}
 
 
-class SelfFounded:
-    """A fleet whose cores found it at the first start, unless told otherwise."""
+class SelfFoundingFleet:
+    """A simulated fleet that its cores found at their first start.
+
+    `is_first` tells for each node name whether its start counts as its first one.
+    """
 
     def __init__(
         self,
@@ -32,7 +35,7 @@
         self.env.run(until=ready_at)
 
     def start(self, name, is_first=False):
-        """Start a node as the platform's program does."""
+        """Start a node as the installed program does."""
         node = self.sim.start(name)
         if node.me.role == "core":
             if self.has_witnesses:
@@ -41,26 +44,26 @@
         return node
 
     def run(self, seconds):
-        """Let time pass."""
+        """Advance the simulated time."""
         self.env.run(until=self.env.now + seconds)
 
     def ask(self, name, coroutine, seconds=10):
-        """Run a coroutine on a node; return (its value, its error), (None, None) if it hangs."""
+        """Run a coroutine on a node; return (value, error), or (None, None) if it times out."""
         node = self.sim.nodes[name]
         task = self.env.process(self.sim.run_script(node, coroutine))
         self.env.run(until=task | self.env.timeout(seconds))
         return task.value if task.triggered else (None, None)
 
     def submit(self, name, command, part="config", seconds=0.8):
-        """Commit a command at a core."""
+        """Submit a command at a core; return (answer, error)."""
         return self.ask(name, self.sim.nodes[name].find("ownership").submit(part, command, seconds))
 
     def read(self, name, query, part="config", seconds=0.8):
-        """Read under the fence at a node."""
+        """Make a fenced read of a part at a node; return (answer, error)."""
         return self.ask(name, self.sim.nodes[name].find("ownership").read(part, query, seconds))
 
     def owner(self, part="config"):
-        """Return the core that owns a part by its own sight and that of its stores, or None."""
+        """Return the name of the core that leads a part under the highest ballot, or None."""
         owners = [
             node.find("ownership").leaders[part]
             for node in self.sim.up_nodes("core")
@@ -70,23 +73,23 @@
         return max(owners, key=lambda owner: owner.ballot).node.me.name if owners else None
 
     def stores(self):
-        """Return the acceptors of the running stores."""
+        """Return the acceptors of the running stores by name."""
         return {n.me.name: n.find("acceptors") for n in self.sim.up_nodes("store")}
 
-    def fleets(self):
-        """Return the fleets that stores were founded into."""
+    def fleet_ids(self):
+        """Return the ids of the fleets that the running stores belong to."""
         return {a.founding["fleet"] for a in self.stores().values() if a.founding}
 
-    def wait_for(self, is_so, seconds, step=0.05):
-        """Let time pass until something is so; return how long it took, or None."""
+    def wait_for(self, condition, seconds, step=0.05):
+        """Run until `condition` holds; return the seconds it took, or None after `seconds`."""
         start_time = self.env.now
-        while not is_so():
+        while not condition():
             if self.env.now - start_time > seconds:
                 return None
             self.run(step)
         return round(self.env.now - start_time, 2)
 
 
-def nothing():
-    """Coroutine that does nothing."""
+def do_nothing():
+    """Coroutine: yield one Sleep(0) and return."""
     yield Sleep(0)
--- a/tests/test_all_cores_at_once.py
+++ b/tests/test_all_cores_at_once.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 from tests.system_calls import WHOLE, call, replace
 
 CONTACT_SECONDS = 4.0
@@ -30,7 +30,7 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_after_all_cores_died_the_newest_configuration_is_read_or_503(seed, loses_power):
     chance = random.Random(seed)
-    stage = SelfFounded(seed, has_witnesses=True)
+    stage = SelfFoundingFleet(seed, has_witnesses=True)
     newest = {**WHOLE, "ver": 9}
     assert replace(stage, "core-1", WHOLE, 0)[0] == 200
     assert replace(stage, chance.choice(stage.sim.names("core")), newest, 7)[0] == 200
--- a/tests/test_checkpoint_files.py
+++ b/tests/test_checkpoint_files.py
@@ -1,4 +1,4 @@
-"""The format of slots and logs, and which files and folders are synced."""
+"""The file format of checkpoint slots and logs, and which files and folders are synced."""
 
 import os
 from unittest import mock
@@ -9,41 +9,41 @@
 from quillring.kernel.errors import Damaged
 from quillring.store import FolderDisk
 from quillring.store.records import encode_record
-from tests.checkpoint_stage import RECORDS, Machine, check
+from tests.checkpoint_stage import RECORDS, StoreProcess, check_recovery
 
 
-def log_of_earlier_version(records):
-    """Return a disk whose log has no marks of batches."""
+def disk_with_unmarked_log(records):
+    """Return a disk whose log has no batch marks, as an earlier version wrote it."""
     disk = CrashDisk()
-    Machine(disk)
+    StoreProcess(disk)
     disk.files["log.1"] = b"".join(map(encode_record, [1, *records]))
     return CrashDisk(disk.files)
 
 
-def test_a_log_of_an_earlier_version_is_read_and_carried_on():
-    disk = log_of_earlier_version(RECORDS[:3])
-    machine = check(disk, 3, "as it was")
-    machine.commit(RECORDS[3:])
-    check(CrashDisk(disk.files), len(RECORDS), "carried on")
+def test_log_of_an_earlier_version_is_read_and_appended_to():
+    disk = disk_with_unmarked_log(RECORDS[:3])
+    process = check_recovery(disk, 3, "before any new record")
+    process.commit(RECORDS[3:])
+    check_recovery(CrashDisk(disk.files), len(RECORDS), "after appending the rest")
 
 
-@pytest.mark.parametrize("make", [log_of_earlier_version, None])
-def test_rot_in_what_was_synced_refuses_to_start(make):
+@pytest.mark.parametrize("make_disk", [disk_with_unmarked_log, None])
+def test_corruption_in_synced_records_refuses_to_start(make_disk):
     disk = CrashDisk()
-    if make is None:
-        machine = Machine(disk, log_limit=1 << 20)
+    if make_disk is None:
+        process = StoreProcess(disk, log_limit_bytes=1 << 20)
         for record in RECORDS[:3]:
-            machine.commit([record])
+            process.commit([record])
     else:
-        disk = make(RECORDS[:3])
+        disk = make_disk(RECORDS[:3])
     log = bytearray(disk.files["log.1"])
     log[log.index(b"xxxx")] ^= 1
     with pytest.raises(Damaged):
-        Machine(CrashDisk({**disk.files, "log.1": bytes(log)}))
+        StoreProcess(CrashDisk({**disk.files, "log.1": bytes(log)}))
 
 
 class SyncRecorder:
-    """Notes which paths were synced, in place of the operating system's call."""
+    """Replaces os.fsync and records the paths of the synced files and folders."""
 
     def __init__(self):
         self.paths = []
@@ -52,7 +52,7 @@
         self.paths.append(os.readlink(f"/proc/self/fd/{handle}"))
 
 
-def test_each_file_and_each_folder_that_is_made_is_synced_with_its_parent(tmp_path):
+def test_each_new_file_and_folder_is_synced_together_with_its_parent_folder(tmp_path):
     recorder, folder = SyncRecorder(), tmp_path / "data" / "store"
     with mock.patch.object(os, "fsync", recorder):
         disk = FolderDisk(str(folder))
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -9,7 +9,7 @@
 from quillring.edge.resume_token import TOKEN_LIFETIME_SECONDS, BadToken, make_token, read_token
 from quillring.lots.http_requests.lot_placement import lot_key
 from quillring.quorum.parts import CONFIG_PART
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 from tests.http_lot_stage import HOST, HttpLotStage, check_complete_results, submit_accepted
 
 MINUTE = 60
@@ -108,7 +108,7 @@
 @pytest.mark.parametrize("step", [-MINUTE, MINUTE])
 @pytest.mark.parametrize("role", ["core", "store", "edge"])
 def test_a_node_restarted_with_a_stepped_clock_is_back_soon(role, step):
-    fleet = SelfFounded(91)
+    fleet = SelfFoundingFleet(91)
     name = fleet.owner() if role == "core" else f"{role}-1"
     fleet.sim.clocks[name] = 100 + step
     fleet.sim.kill(name)
--- a/tests/test_configuration_versions.py
+++ b/tests/test_configuration_versions.py
@@ -8,7 +8,7 @@
 from quillring.rollout.freshness import PolledStamp
 from quillring.rollout.messages import StoreStamp
 from quillring.rollout.schema import EMPTY_CONFIGURATION, find_faults
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 
 
 def forward(prefix="/a/", **fields):
@@ -196,7 +196,7 @@
 def test_a_configuration_version_is_everywhere_soon_although_its_owner_dies_right_after_the_answer(
     seed,
 ):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     owner = stage.owner()
     asker = next(name for name in stage.sim.names("core") if name != owner)
     answer, error = stage.submit(asker, order(5))
@@ -216,7 +216,7 @@
 
 
 def test_a_node_that_got_no_news_fetches_the_version_from_the_stores_without_their_owner():
-    stage = SelfFounded(4)
+    stage = SelfFoundingFleet(4)
     owner = stage.owner()
     stage.sim.nodes["edge-1"].handlers["gossip.news"] = lambda items, origin: None
     asker = next(name for name in stage.sim.names("core") if name != owner)
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -3,7 +3,7 @@
 import pytest
 
 from proving.sim.network import CutKind
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 from tests.system_calls import BEAT, WHOLE, call, replace
 
 CUT_SECONDS = 20
@@ -76,7 +76,7 @@
 def test_a_core_cut_off_for_twenty_seconds_hands_out_nothing_and_neither_takes_nor_refuses(
     way, is_leader
 ):
-    stage = SelfFounded(5)
+    stage = SelfFoundingFleet(5)
     operator, owner = Operator(stage), stage.owner()
     core = owner if is_leader else next(c for c in stage.sim.names("core") if c != owner)
     other = next(c for c in stage.sim.names("core") if c not in (core, owner))
@@ -104,7 +104,7 @@
 
 @pytest.mark.parametrize("way", WAYS)
 def test_a_core_that_restarts_while_it_is_cut_off_confirms_nothing_and_hands_out_nothing(way):
-    stage = SelfFounded(6)
+    stage = SelfFoundingFleet(6)
     operator = Operator(stage)
     core, other = stage.owner(), next(c for c in stage.sim.names("core") if c != stage.owner())
     cut_off(stage, core, way)
@@ -126,7 +126,7 @@
 @pytest.mark.parametrize("place", range(3))
 def test_an_owner_cut_off_with_one_store_of_its_group_confirms_nothing(place):
     """In the moment of the cut: nobody has noticed the silence yet."""
-    stage = SelfFounded(8)
+    stage = SelfFoundingFleet(8)
     operator, owner = Operator(stage), stage.owner()
     other = next(c for c in stage.sim.names("core") if c != owner)
     side = [owner, stage.sim.nodes[owner].find("ownership").group("config")[place][0]]
@@ -144,7 +144,7 @@
 @pytest.mark.parametrize("way", WAYS)
 @pytest.mark.parametrize("restarts", [False, True])
 def test_orders_go_on_while_a_store_is_cut_off_and_it_is_in_step_again_afterwards(way, restarts):
-    stage = SelfFounded(7)
+    stage = SelfFoundingFleet(7)
     operator = Operator(stage)
     store = stage.sim.nodes["core-1"].find("ownership").group("config")[0][0]
     cut_off(stage, store, way)
--- a/tests/test_election_attempts.py
+++ b/tests/test_election_attempts.py
@@ -5,7 +5,7 @@
 import pytest
 
 from quillring.kernel.errors import NotLeader
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 
 SIZES = {"sizes": {"edge": 2, "core": 9, "store": 5}}
 MOST_ATTEMPTS = 2
@@ -37,7 +37,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4, 5, 6])
 def test_few_cores_try_to_take_a_part_after_a_common_start(seed):
-    stage = SelfFounded(seed, SIZES)
+    stage = SelfFoundingFleet(seed, SIZES)
     ballots = restart_all(stage, seed)
     assert stage.wait_for(lambda: all(stage.owner(part) for part in ballots), 6) is not None
     stage.run(4)
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_part_that_is_handed_over_is_owned_again_at_once(seed):
-    stage = SelfFounded(seed, SIZES)
+    stage = SelfFoundingFleet(seed, SIZES)
     name = stage.owner("part-0")
     stage.sim.nodes[name].is_draining = True
     stage.sim.nodes[name].find("ownership").announce_drain()
@@ -56,7 +56,7 @@
 
 
 def test_an_owner_that_gave_up_is_not_waited_for():
-    stage = SelfFounded(7, SIZES)
+    stage = SelfFoundingFleet(7, SIZES)
     name = stage.owner("part-0")
     stage.sim.nodes[name].find("ownership").leaders["part-0"].step_down(NotLeader(part="part-0"))
     assert stage.wait_for(lambda: stage.owner("part-0"), 2) is not None
--- a/tests/test_first_start.py
+++ b/tests/test_first_start.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 from tests.test_founding_bootstrap import all_parts_are_led
 from tests.test_membership_repair import ordered_zones, zone_order
 
@@ -12,7 +12,7 @@
 
 def cut_from_the_start(seed, sizes, side, **options):
     """Return a stage whose nodes start in two sides that do not see each other."""
-    stage = SelfFounded(seed, sizes, ready_at=0.001, **options)
+    stage = SelfFoundingFleet(seed, sizes, ready_at=0.001, **options)
     stage.sim.cut(side, [name for name in stage.sim.nodes if name not in side])
     return stage
 
@@ -30,33 +30,34 @@
 def test_two_sides_that_start_apart_found_one_fleet(seed, sizes, side):
     stage = cut_from_the_start(seed, sizes, side)
     stage.run(25)
-    assert len(stage.fleets()) == 1
+    assert len(stage.fleet_ids()) == 1
     others = [name for name in stage.sim.names("core") if name not in side]
     assert stage.submit(others[0], zone_order("kept"), seconds=3)[1] is None
     stage.sim.heal()
     stage.run(6)
-    assert len(stage.fleets()) == 1 and all(a.founding for a in stage.stores().values())
+    assert len(stage.fleet_ids()) == 1 and all(a.founding for a in stage.stores().values())
     assert all_parts_are_led(stage)
     assert "kept" in ordered_zones(stage)
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_seeds_that_are_all_apart_found_nothing_until_two_meet(seed):
-    stage = SelfFounded(seed, ready_at=0.001)
+    stage = SelfFoundingFleet(seed, ready_at=0.001)
     seeds = ["core-1", "core-2", "core-3"]
     for name in seeds:
         stage.sim.cut([name], [other for other in stage.sim.nodes if other != name])
     stage.run(30)
-    assert stage.fleets() == set()
+    assert stage.fleet_ids() == set()
     stage.sim.heal()
     assert (
-        stage.wait_for(lambda: len(stage.fleets()) == 1 and all_parts_are_led(stage), 8) is not None
+        stage.wait_for(lambda: len(stage.fleet_ids()) == 1 and all_parts_are_led(stage), 8)
+        is not None
     )
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
 def test_seeds_that_restart_amid_the_founding_while_the_cut_moves_found_one_fleet(seed):
-    stage = SelfFounded(seed, ready_at=0.7, has_witnesses=True)
+    stage = SelfFoundingFleet(seed, ready_at=0.7, has_witnesses=True)
     chance, cores = stage.sim.chance, ["core-1", "core-2", "core-3"]
     for _ in range(24):
         stage.sim.heal()
@@ -67,19 +68,19 @@
         for name in chance.sample(cores, chance.randrange(3)):
             stage.sim.kill(name)
             stage.start(name, is_first=chance.random() < 0.5)
-        assert len(stage.fleets()) <= 1
+        assert len(stage.fleet_ids()) <= 1
     stage.sim.heal()
     assert (
-        stage.wait_for(lambda: len(stage.fleets()) == 1 and all_parts_are_led(stage), 25)
+        stage.wait_for(lambda: len(stage.fleet_ids()) == 1 and all_parts_are_led(stage), 25)
         is not None
     )
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_seed_that_restarted_and_has_no_witness_votes_no_more(seed):
-    stage = SelfFounded(seed, ready_at=0.3)
+    stage = SelfFoundingFleet(seed, ready_at=0.3)
     for name in ("core-1", "core-2"):
         stage.sim.kill(name)
         stage.start(name, is_first=False)
     stage.run(25)
-    assert stage.fleets() == set()
+    assert stage.fleet_ids() == set()
--- a/tests/test_follower_catch_up.py
+++ b/tests/test_follower_catch_up.py
@@ -1,6 +1,6 @@
 import pytest
 
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 from tests.test_membership_repair import is_whole, members, owners, zone_order
 
 
@@ -10,7 +10,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_store_that_missed_a_few_entries_is_sent_these_and_not_the_state(seed):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     store = members(stage)[0]
     stage.sim.kill(store)
     for number in range(5):
@@ -24,7 +24,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_promises_contain_no_state_and_the_new_leader_has_it_complete(seed):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     stage.submit("core-1", zone_order("halls"))
     promised_states = []
     for acceptors in stage.stores().values():
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -1,10 +1,10 @@
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 
 SIZES = {"sizes": {"edge": 40, "core": 4, "store": 4}}
 
 
 def test_an_update_stops_being_pushed_once_copies_arrive_from_other_members():
-    stage = SelfFounded(5, sizes=SIZES, ready_at=12)
+    stage = SelfFoundingFleet(5, sizes=SIZES, ready_at=12)
     nodes, receiver_names = stage.sim.nodes, []
     for name, node in nodes.items():
         on_updates = node.handlers["gossip.news"]
--- a/tests/test_late_beats.py
+++ b/tests/test_late_beats.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 from tests.system_calls import BEAT, call
 
 ID = "i-1"
@@ -18,7 +18,7 @@
 
 
 def test_a_late_beat_does_not_take_back_what_a_newer_sign_of_life_told():
-    stage = SelfFounded(2)
+    stage = SelfFoundingFleet(2)
     assert beat(stage, "core-1", 1, warm_left_ms=300) == 200
     stage.run(1)
     for calls in range(4, 40):
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_replica_that_leaves_stays_away_whatever_comes_late(seed):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     beat(stage, "core-1", 1)
     beat(stage, "core-2", 5)
     stage.run(0.5)
@@ -58,7 +58,7 @@
 
 
 def test_a_first_beat_that_comes_after_the_replicas_end_brings_nothing_back():
-    stage = SelfFounded(3)
+    stage = SelfFoundingFleet(3)
     stage.run(6)
     assert call(stage, "core-2", "POST", f"/Replicas.Deregister/{ID}")[0] == 200
     stage.run(0.5)
@@ -70,7 +70,7 @@
 
 
 def test_a_replica_that_gives_notice_first_is_gone_though_it_beats_on():
-    stage = SelfFounded(4)
+    stage = SelfFoundingFleet(4)
     beat(stage, "core-1", 1)
     beat(stage, "core-1", 5)
     stage.run(0.5)
--- a/tests/test_late_retirements.py
+++ b/tests/test_late_retirements.py
@@ -3,7 +3,7 @@
 import pytest
 
 from quillring.rollout.operator_orders import is_retired
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 from tests.test_membership_repair import is_whole, members
 
 LARGE = {"sizes": {"edge": 2, "core": 5, "store": 14}}
@@ -24,7 +24,7 @@
 
 @pytest.mark.parametrize("seed", range(1, 9))
 def test_a_store_retired_seven_seconds_after_another_lost_its_disk_is_free_in_time(seed):
-    stage = SelfFounded(seed, LARGE, size=5, parts=16, ready_at=11)
+    stage = SelfFoundingFleet(seed, LARGE, size=5, parts=16, ready_at=11)
     lost, retired = members(stage)[0], members(stage)[1]
     stage.sim.lose_disk(lost)
     if seed % 2:
@@ -43,7 +43,7 @@
 @pytest.mark.parametrize("role", ["core-1", "core-3"])
 @pytest.mark.parametrize("seed", range(1, 5))
 def test_a_retirement_is_taken_though_a_store_loses_its_disk_40_ms_later(seed, role):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     retired, lost = members(stage)[0], members(stage)[1]
     node = stage.sim.nodes[role]
     coroutine = node.find("ownership").submit("config", retire_order(retired), ORDER_SECONDS)
@@ -63,7 +63,7 @@
 @pytest.mark.parametrize("seed", range(1, 5))
 @pytest.mark.parametrize("delay", [0.0, 0.0005, 0.002, 0.004])
 def test_an_order_whose_store_dies_while_it_is_decided_is_taken_and_finished(seed, delay):
-    stage = SelfFounded(seed, FIVE)
+    stage = SelfFoundingFleet(seed, FIVE)
     retired, lost = members(stage)[0], members(stage)[1]
     node = stage.sim.nodes["core-2"]
     coroutine = node.find("ownership").submit("config", retire_order(retired), ORDER_SECONDS)
--- a/tests/test_loud_cuts.py
+++ b/tests/test_loud_cuts.py
@@ -5,7 +5,7 @@
 import pytest
 
 from proving.sim.network import CutKind
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 from tests.system_calls import BEAT, WHOLE, call, handle_ctl, replace
 
 BEAT_SECONDS = 0.5
@@ -22,7 +22,7 @@
 
 def founded(seed):
     """Return a fleet with a first configuration, its owner and another core."""
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     assert replace(stage, "core-1", WHOLE, 0)[0] == 200
     stage.run(1)
     owner = stage.owner()
--- a/tests/test_membership_repair.py
+++ b/tests/test_membership_repair.py
@@ -1,7 +1,7 @@
 import pytest
 
 from quillring.kernel.effects import Sleep
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 
 PARTS = ("config", "part-0", "part-1")
 
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_store_that_came_back_empty_is_refilled_at_once(seed):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     store = members(stage)[0]
     stage.sim.lose_disk(store)
     stage.run(2)
@@ -57,13 +57,13 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_store_that_is_gone_is_replaced_within_the_sync_bound(seed):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     stage.sim.kill(members(stage)[0])
     assert stage.wait_for(lambda: is_whole(stage), stage.sim.bounds.resync) is not None
 
 
 def test_a_store_that_is_back_soon_is_not_replaced():
-    stage = SelfFounded(4)
+    stage = SelfFoundingFleet(4)
     former = members(stage)
     stage.sim.kill(former[0])
     stage.run(3)
@@ -74,7 +74,7 @@
 
 @pytest.mark.parametrize("seed", range(1, 7))
 def test_nothing_is_lost_when_a_store_is_wiped_after_an_answer_and_another_dies_soon_after(seed):
-    stage, acked = SelfFounded(seed), set()
+    stage, acked = SelfFoundingFleet(seed), set()
     wiped, killed, _ = members(stage)
     for number in range(10):
         assert stage.submit("core-1", zone_order(f"d{number}"))[1] is None
@@ -92,7 +92,7 @@
 
 
 def test_a_member_that_missed_entries_is_mended_while_commands_keep_coming():
-    stage = SelfFounded(5)
+    stage = SelfFoundingFleet(5)
     late = members(stage)[2]
     stage.sim.kill(late)
     assert stage.submit("core-1", zone_order("missed"))[1] is None
@@ -122,7 +122,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_store_that_just_died_makes_no_command_wait(seed):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     stage.sim.kill(members(stage, "part-0")[0])
     for number in range(40):
         start_time = stage.env.now
--- a/tests/test_newer_calls.py
+++ b/tests/test_newer_calls.py
@@ -10,7 +10,7 @@
 from quillring.kernel.bounds import Bounds
 from quillring.kernel.http_messages import HttpRequest
 from quillring.nifty import Member
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 from tests.system_calls import WHOLE, handle_ctl, replace
 
 from system_edge import handle_client, handle_ready  # isort: skip
@@ -41,7 +41,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_eight_orders_at_once_are_all_taken_and_acknowledged_again(seed):
-    stage = SelfFounded(10 + seed)
+    stage = SelfFoundingFleet(10 + seed)
     assert replace(stage, "core-1", WHOLE, 0)[0] == 200
     stage.run(1)
     amendment = json.dumps({"ver": 90, "upsert": {}, "remove": {}}).encode()
--- a/tests/test_operator_orders.py
+++ b/tests/test_operator_orders.py
@@ -4,7 +4,7 @@
 from quillring.kernel.errors import Conflict, NotFound, Refused
 from quillring.quorum.commands import apply_batch, initial_state
 from quillring.rollout.operator_orders import is_retired, known_stores, retire_store
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 
 
 def zone_order(zone, is_emptied, **fields):
@@ -46,7 +46,7 @@
 
 @pytest.mark.parametrize("are_nodes_left", [True, False])
 def test_an_emptied_zone_keeps_its_nodes_serving_when_the_order_says_so(are_nodes_left):
-    stage = SelfFounded(2)
+    stage = SelfFoundingFleet(2)
     answer, error = stage.submit("core-2", zone_order("north", True, nodes=are_nodes_left))
     assert error is None
     stage.run(1)
@@ -62,7 +62,7 @@
 
 
 def test_a_retired_store_is_done_once_no_part_holds_it_and_all_groups_are_full():
-    stage = SelfFounded(3)
+    stage = SelfFoundingFleet(3)
     member = stage.sim.nodes["core-1"].find("ownership").group("config")[0][0]
     assert is_done(stage, member) == (False, None)
     assert retire(stage, member)[1] is None
@@ -75,13 +75,13 @@
 
 
 def test_an_unknown_store_is_not_found():
-    stage = SelfFounded(3)
+    stage = SelfFoundingFleet(3)
     assert isinstance(retire(stage, "store-9")[1], NotFound)
     assert isinstance(is_done(stage, "store-9")[1], NotFound)
 
 
 def test_a_retirement_that_leaves_too_few_stores_is_refused_and_changes_nothing():
-    stage = SelfFounded(3)
+    stage = SelfFoundingFleet(3)
     assert retire(stage, "store-1")[1] is None
     error = retire(stage, "store-2")[1]
     assert isinstance(error, Conflict)
@@ -89,7 +89,7 @@
 
 
 def test_a_retirement_is_refused_once_another_store_is_gone_for_good():
-    stage = SelfFounded(3)
+    stage = SelfFoundingFleet(3)
     stage.sim.kill("store-1")
     stage.run(stage.sim.bounds.recovery + 2)
     assert isinstance(retire(stage, "store-2")[1], Conflict)
@@ -97,7 +97,7 @@
 
 
 def test_a_retirement_is_taken_while_another_store_restarts_and_is_done_once_that_is_back():
-    stage = SelfFounded(3)
+    stage = SelfFoundingFleet(3)
     group = [s[0] for s in stage.sim.nodes["core-1"].find("ownership").group("config")]
     leaving, away = group[0], group[1]
     stage.sim.lose_disk(away)
@@ -110,6 +110,6 @@
 
 
 def test_stores_are_known_by_the_roster_and_the_groups():
-    stage = SelfFounded(3)
+    stage = SelfFoundingFleet(3)
     stores = known_stores(stage.sim.nodes["core-1"])
     assert sorted(stores) == ["store-1", "store-2", "store-3", "store-4"]
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -7,7 +7,7 @@
 from quillring.kernel.errors import Conflict
 from quillring.quorum.commands import apply_batch, initial_state
 from quillring.rollout.orders import MAX_RECORDED_ORDERS, StaleOrder
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 from tests.system_calls import WHOLE, call, handle_ctl, replace
 
 FOUR = {"store-1": "a", "store-2": "b", "store-3": "c", "store-4": "d"}
@@ -146,7 +146,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_an_order_held_on_its_way_is_not_committed_after_its_end_was_acknowledged(seed):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     owner = stage.owner()
     asker, *others = [name for name in stage.sim.names("core") if name != owner]
     ends = tuple(stage.sim.nodes[name].me.address for name in (asker, owner))
@@ -174,7 +174,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_two_operators_who_retire_two_stores_in_one_moment_are_not_both_confirmed(seed):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     tasks = []
     for core, store in (("core-1", "1"), ("core-3", "2")):
         node = stage.sim.nodes[core]
@@ -185,7 +185,7 @@
 
 
 def test_orders_change_nothing_about_the_configurations_under_way():
-    stage = SelfFounded(1)
+    stage = SelfFoundingFleet(1)
     assert call(stage, "core-1", "POST", "/Evacuate.Begin/north")[0] == 200
     assert replace(stage, "core-2", WHOLE, 0)[0] == 200
     assert call(stage, "core-3", "POST", "/Evacuate.Finish/north")[0] == 200
--- a/tests/test_prompt_lot_acceptance_fence.py
+++ b/tests/test_prompt_lot_acceptance_fence.py
@@ -7,7 +7,7 @@
 from quillring.lots.prompts.api import submit_lot
 from quillring.lots.prompts.state_machine import accept_lot
 from quillring.quorum.commands import apply_batch, initial_state
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 
 
 def accept(name, seen_drops=0, items=("a",)):
@@ -101,7 +101,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_delayed_copy_of_an_acceptance_is_refused_after_the_release(seed):
-    fleet = SelfFounded(seed)
+    fleet = SelfFoundingFleet(seed)
     configuration = {"do": "layout.adopt", "id": "first", "base_version": 0, "whole": True}
     assert fleet.submit("core-1", {**configuration, "change": fleet.sim.configuration})[1] is None
     fleet.run(2)
--- a/tests/test_removed_members.py
+++ b/tests/test_removed_members.py
@@ -7,7 +7,7 @@
 from quillring.gossip import Gossip
 from quillring.quorum.leader.follower_read import read_from_majority
 from quillring.quorum.parts import CONFIG_PART, majority
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 from tests.test_membership_repair import members, zone_order
 
 SIX = {"sizes": {"edge": 2, "core": 4, "store": 6}}
@@ -45,7 +45,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_an_edge_that_knows_a_former_group_is_not_fresh_by_its_removed_members(seed):
-    stage = SelfFounded(seed, SIX)
+    stage = SelfFoundingFleet(seed, SIX)
     edge = stage.sim.nodes["edge-1"]
     with losing_group_news("edge-1"):
         _, left = replace_two(stage)
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_store_that_knows_of_its_removal_gives_no_stamp(seed):
-    stage = SelfFounded(seed, SIX)
+    stage = SelfFoundingFleet(seed, SIX)
     _, left = replace_two(stage)
     stage.run(1)
     stamps = {name: acceptors.stamp() for name, acceptors in stage.stores().items()}
@@ -71,7 +71,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
 def test_a_former_owner_cut_off_with_two_removed_members_writes_and_confirms_nothing(seed):
-    stage = SelfFounded(seed, SIX)
+    stage = SelfFoundingFleet(seed, SIX)
     former_owner = stage.owner()
     stage.sim.nodes[former_owner].runtime.freeze()
     stage.run(3)
@@ -89,7 +89,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_peek_at_a_former_group_is_not_answered_by_its_removed_members(seed):
-    stage = SelfFounded(seed, SIX)
+    stage = SelfFoundingFleet(seed, SIX)
     former, left = replace_two(stage)
     cut_off(stage, ["edge-1", *left])
     stage.run(2)
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -1,7 +1,7 @@
 from quillring.classes import ServiceLevelMeter
 from quillring.edge import ReplicaTable
 from quillring.gossip import Gossip
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 from tests.test_nifty import node
 
 
@@ -72,7 +72,7 @@
 
 
 def test_unchanged_heartbeats_are_batched_and_not_gossiped():
-    stage = SelfFounded(7, ready_at=6)
+    stage = SelfFoundingFleet(7, ready_at=6)
     nodes, received = stage.sim.nodes, []
     edge = nodes["edge-1"]
     for service in ("gossip.news", "replica.alive"):
--- a/tests/test_resends.py
+++ b/tests/test_resends.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 from tests.system_calls import WHOLE, call, replace
 
 NEWER = {**WHOLE, "ver": 9}
@@ -51,7 +51,7 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize("owner_dies", [False, True])
 def test_a_change_whose_answer_was_lost_is_acknowledged_when_it_comes_again(seed, owner_dies):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     assert replace(stage, "core-1", WHOLE, 0)[0] == 200
     owner, (asker, *others) = cores(stage)
     holding = Holding(stage, owner, asker)
@@ -67,7 +67,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_first_copy_that_comes_after_the_second_and_a_later_change_does_nothing(seed):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     assert replace(stage, "core-1", WHOLE, 0)[0] == 200
     owner, (asker, *others) = cores(stage)
     holding = Holding(stage, asker, owner)
@@ -87,7 +87,7 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_of_two_changes_under_one_number_one_is_confirmed_though_the_owner_is_deposed(seed):
     """The first copies lie at an owner that is cut off; both are sent again to the next one."""
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     assert replace(stage, "core-1", WHOLE, 0)[0] == 200
     owner, others = cores(stage)
     rest = [name for name in stage.sim.nodes if name not in (owner, others[0])]
--- a/tests/test_retirement.py
+++ b/tests/test_retirement.py
@@ -9,7 +9,7 @@
 from quillring.quorum.acceptor.log_records import HintRecord
 from quillring.quorum.leader.membership_repair import MembershipRepair
 from quillring.rollout.operator_orders import is_retired
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 from tests.test_membership_repair import PARTS, is_whole, members, owners, zone_order
 
 FIVE = {"sizes": {"edge": 1, "core": 4, "store": 5}}
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_retirement_finishes_while_commands_keep_coming(seed):
-    stage, is_over = SelfFounded(seed), []
+    stage, is_over = SelfFoundingFleet(seed), []
     store, node = members(stage)[0], stage.sim.nodes["core-1"]
     for part in PARTS:
         for _ in range(4):
@@ -48,7 +48,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_retirement_waits_for_the_hints_kept_for_others(seed):
-    stage = SelfFounded(seed, FIVE)
+    stage = SelfFoundingFleet(seed, FIVE)
     store = next(n for n in stage.sim.names("store") if n not in members(stage, "part-0"))
     other = members(stage, "part-0")[0]
     with mock.patch.object(HintStore, "_hand_over", lambda self, name: iter(())):
@@ -66,7 +66,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_retirement_is_not_finished_while_another_member_of_a_part_is_away(seed):
-    stage = SelfFounded(seed, FIVE)
+    stage = SelfFoundingFleet(seed, FIVE)
     store = next(n for n in stage.sim.names("store") if n not in members(stage, "part-0"))
     retire(stage, store)
     assert stage.wait_for(lambda: is_finished(stage, store), 6) is not None
@@ -79,7 +79,7 @@
 
 @pytest.mark.parametrize("seed", range(1, 7))
 def test_a_store_told_to_be_free_joins_no_part_though_an_owner_has_old_news(seed):
-    stage = SelfFounded(seed, FIVE)
+    stage = SelfFoundingFleet(seed, FIVE)
     store = next(n for n in stage.sim.names("store") if n not in members(stage, "part-0"))
     retire(stage, store)
     assert stage.wait_for(lambda: is_finished(stage, store), 6) is not None
@@ -95,7 +95,7 @@
 
 @pytest.mark.parametrize("seed", range(1, 9))
 def test_nothing_is_lost_when_all_goes_wrong_right_after_a_retirement_finished(seed):
-    stage, is_over = SelfFounded(seed, FIVE), []
+    stage, is_over = SelfFoundingFleet(seed, FIVE), []
     store = members(stage)[seed % 3]
     for number in range(6):
         assert stage.submit("core-1", zone_order(f"d{number}"))[1] is None
@@ -131,7 +131,7 @@
 
 
 def test_many_parts_far_away_are_asked_within_one_short_call():
-    stage = SelfFounded(1, FIVE, parts=48)
+    stage = SelfFoundingFleet(1, FIVE, parts=48)
     stage.sim.net.min_delay, stage.sim.net.max_delay = 0.015, 0.025
     store = members(stage)[0]
     retire(stage, store)
--- a/tests/test_second_loss.py
+++ b/tests/test_second_loss.py
@@ -6,7 +6,7 @@
 
 from proving.sim import repair_time
 from quillring.quorum.leader import catch_up
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 from tests.test_membership_repair import is_whole, members, owners, zone_order
 
 PART = "config"
@@ -29,7 +29,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
 def test_a_loss_right_after_the_successor_joined_leaves_a_majority(seed):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     former = members(stage)
     spare = next(name for name in stage.sim.names("store") if name not in former)
     assert stage.submit("core-1", zone_order("before"))[1] is None
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_no_group_between_a_loss_and_its_repair_needs_more_than_two_stores(seed):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     stage.sim.kill(members(stage)[0])
     assert {len(names) for names in groups_seen(stage, 8)} == {3}
     assert is_whole(stage)
@@ -50,7 +50,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_store_that_came_back_empty_is_swapped_for_itself_or_a_spare_in_one_step(seed):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     store = members(stage)[0]
     stage.sim.lose_disk(store)
     stage.run(2)
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_retired_store_hands_its_place_over_in_one_step(seed):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     store = members(stage)[0]
     command = {"do": "store.mark", "store": store, "retired": True}
     assert stage.submit("core-1", command)[1] is None
@@ -71,7 +71,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_member_that_joins_holds_the_state_before_it_votes(seed):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     spare = next(name for name in stage.sim.names("store") if name not in members(stage))
     stage.sim.kill(members(stage)[0])
     assert stage.wait_for(lambda: stage.owner() and spare in members(stage), 8, 0.002) is not None
--- a/tests/test_slow_cores.py
+++ b/tests/test_slow_cores.py
@@ -9,7 +9,7 @@
     MIN_BACKOFF_HEARTBEATS,
 )
 from quillring.quorum.parts import CONFIG_PART
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 
 SLOW_STEPS = (0.002, 0.008, 0.03)
 TOO_SLOW = 0.03
@@ -61,7 +61,7 @@
 
 def slowed(seed, step_seconds):
     """Return a fleet whose owner of the configuration is slow from now on, and its name."""
-    fleet = SelfFounded(seed)
+    fleet = SelfFoundingFleet(seed)
     name = fleet.owner()
     fleet.sim.nodes[name].runtime.step_seconds = step_seconds
     return fleet, name
@@ -103,7 +103,7 @@
 
 @pytest.mark.parametrize("seed", [41, 42, 43])
 def test_an_owner_that_freezes_again_and_again_is_waited_for_less_and_less(seed):
-    fleet = SelfFounded(seed)
+    fleet = SelfFoundingFleet(seed)
     name = fleet.owner()
     terms = Terms(fleet)
     for _ in range(10):
@@ -115,7 +115,7 @@
 
 @pytest.mark.parametrize("seed", [51, 52])
 def test_a_frozen_owner_that_wakes_rests_and_the_next_in_rank_keeps_the_part(seed):
-    fleet = SelfFounded(seed)
+    fleet = SelfFoundingFleet(seed)
     name = fleet.owner()
     ownership = fleet.sim.nodes[name].find("ownership")
     fleet.sim.freeze(name, 4)
@@ -132,7 +132,7 @@
 @pytest.mark.parametrize("count", [1, 2])
 @pytest.mark.parametrize("seed", [61, 62])
 def test_slow_disks_of_stores_are_no_fault_of_the_owner(seed, count):
-    fleet = SelfFounded(seed)
+    fleet = SelfFoundingFleet(seed)
     name = fleet.owner()
     group = [store[0] for store in fleet.sim.nodes[name].find("ownership").group(CONFIG_PART)]
     former = {store: fleet.sim.disks[store].sync_seconds for store in group}
@@ -151,7 +151,7 @@
 
 
 def test_rests_grow_up_to_their_bound_and_begin_anew_after_a_good_time():
-    fleet = SelfFounded(71)
+    fleet = SelfFoundingFleet(71)
     node = fleet.sim.nodes["core-1"]
     backoff, beat = node.find("ownership").backoff, fleet.sim.bounds.heartbeat_interval
     backoff.loop_lag = AlwaysLate()
@@ -173,7 +173,7 @@
 
 
 def test_where_all_cores_rest_the_first_of_them_still_acts():
-    fleet = SelfFounded(81)
+    fleet = SelfFoundingFleet(81)
     for name in fleet.sim.names("core"):
         backoff = fleet.sim.nodes[name].find("ownership").backoff
         backoff.loop_lag = AlwaysLate()
--- a/tests/test_slow_disks.py
+++ b/tests/test_slow_disks.py
@@ -9,7 +9,7 @@
 from quillring.kernel.errors import DiskError, Fenced, QuillringError
 from quillring.quorum.parts import CONFIG_PART
 from quillring.verbs.status_routes import show_status
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 from tests.http_lot_stage import HttpLotStage
 
 STALL = 8.0
@@ -60,7 +60,7 @@
 @pytest.mark.parametrize("bring_about", FAULTS)
 @pytest.mark.parametrize("place", range(3))
 def test_the_disk_of_one_store_holds_up_no_order(bring_about, place):
-    fleet = SelfFounded(101 + place)
+    fleet = SelfFoundingFleet(101 + place)
     name = config_stores(fleet)[place]
     bring_about(fleet.sim, name)
     slowest = 0
@@ -91,7 +91,7 @@
 
 
 def test_a_full_disk_refuses_and_is_whole_again_once_there_is_room():
-    fleet = SelfFounded(121)
+    fleet = SelfFoundingFleet(121)
     name = config_stores(fleet)[0]
     acceptors = fleet.stores()[name]
     before = acceptors.parts[CONFIG_PART].applied
@@ -225,7 +225,7 @@
 
 
 def test_a_store_whose_disk_stays_full_is_replaced_before_the_next_loss():
-    fleet = SelfFounded(131)
+    fleet = SelfFoundingFleet(131)
     full, lost, _ = config_stores(fleet)
     fleet.sim.disks[full].is_full = True
     assert fleet.submit("core-2", order(1))[1] is None
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -8,7 +8,7 @@
 from quillring.quorum.messages import ConfirmRequest
 from quillring.quorum.parts import CONFIG_PART
 from quillring.verbs.routes import show_configuration
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 
 FREEZES = (2, 20, 60)
 SLOW_STEPS = (0.002, 0.008, 0.03)
@@ -44,7 +44,7 @@
 
 @pytest.mark.parametrize("seconds", FREEZES)
 def test_an_owner_that_wakes_amid_a_confirmation_may_not_act_on_it(seconds):
-    fleet = SelfFounded(11)
+    fleet = SelfFoundingFleet(11)
     name, owner = frozen_during(fleet, ConfirmRequest, seconds)
     assert fleet.owner() not in (None, name), "nobody took the part over"
     acted = []
@@ -59,7 +59,7 @@
 
 @pytest.mark.parametrize("seconds", FREEZES)
 def test_a_read_that_slept_through_a_takeover_hands_out_nothing_old(seconds):
-    fleet = SelfFounded(12)
+    fleet = SelfFoundingFleet(12)
     assert fleet.submit("core-1", zone_order("north", False))[1] is None
     name = fleet.owner()
     node = fleet.sim.nodes[name]
@@ -94,7 +94,7 @@
 
 @pytest.mark.parametrize("seconds", FREEZES)
 def test_what_was_queued_before_a_freeze_is_told_as_unknown_or_holds(seconds):
-    fleet = SelfFounded(13)
+    fleet = SelfFoundingFleet(13)
     name = fleet.owner()
     node = fleet.sim.nodes[name]
     zones = ["north", "east", "south"]
@@ -122,7 +122,7 @@
 
 
 def test_a_node_that_is_cut_off_shows_its_configuration_as_not_fresh():
-    fleet = SelfFounded(14)
+    fleet = SelfFoundingFleet(14)
     assert fleet.submit("core-1", zone_order("north"))[1] is None
     fleet.run(1)
     for name in ("core-2", "edge-1"):
@@ -147,7 +147,7 @@
 @pytest.mark.parametrize("step_seconds", SLOW_STEPS)
 @pytest.mark.parametrize("seed", [21, 22])
 def test_a_slowed_owner_acts_no_longer_than_its_window_beside_a_newer_one(seed, step_seconds):
-    fleet = SelfFounded(seed)
+    fleet = SelfFoundingFleet(seed)
     name = fleet.owner()
     node = fleet.sim.nodes[name]
     node.runtime.step_seconds = step_seconds
--- a/tests/test_starting.py
+++ b/tests/test_starting.py
@@ -1,11 +1,11 @@
 import pytest
 
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_edges_know_the_configuration_within_a_period_after_all_lost_power(seed):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     change = {"do": "domain.mark", "domain": "halls", "emptied": True, "nodes": False}
     stage.submit("core-1", change)
     names = list(stage.sim.rows)
--- a/tests/test_system_configuration.py
+++ b/tests/test_system_configuration.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 from tests.system_calls import (
     BULK,
     LIMITS,
@@ -20,11 +20,11 @@
 
 @pytest.fixture(scope="module")
 def calm():
-    return SelfFounded(1)
+    return SelfFoundingFleet(1)
 
 
 def test_a_configuration_comes_back_as_it_was_given():
-    stage = SelfFounded(1)
+    stage = SelfFoundingFleet(1)
     assert call(stage, "core-1", "GET", "/Config.Fetch")[:2] == (
         200,
         {"ver": 0, "routes": [], "svcs": []},
--- a/tests/test_system_ctl.py
+++ b/tests/test_system_ctl.py
@@ -2,17 +2,17 @@
 
 import pytest
 
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 from tests.system_calls import BEAT, WHOLE, call, handle_ctl, replace
 
 
 @pytest.fixture(scope="module")
 def calm():
-    return SelfFounded(1)
+    return SelfFoundingFleet(1)
 
 
 def test_of_two_operators_at_once_one_wins():
-    stage = SelfFounded(3)
+    stage = SelfFoundingFleet(3)
     coroutines = [
         stage.sim.run_script(
             stage.sim.nodes[core],
@@ -35,7 +35,7 @@
 
 
 def test_orders_about_zones_need_no_configuration_and_may_be_repeated():
-    stage = SelfFounded(2)
+    stage = SelfFoundingFleet(2)
     for path, is_emptied in (("Begin", True), ("Begin", True), ("Finish", False)):
         assert call(stage, "core-1", "POST", f"/Evacuate.{path}/north")[:2] == (200, {})
         stage.run(0.5)
@@ -45,7 +45,7 @@
 
 
 def test_a_store_machine_is_emptied():
-    stage = SelfFounded(2)
+    stage = SelfFoundingFleet(2)
     body = {"within_s": 10}
     assert call(stage, "core-1", "POST", "/Retire.Begin/9", body)[0] == 404
     assert call(stage, "core-1", "GET", "/Retire.Fetch/9")[0] == 404
@@ -59,7 +59,7 @@
 
 
 def test_a_replica_beats_leaves_and_is_gone_at_every_node():
-    stage = SelfFounded(2)
+    stage = SelfFoundingFleet(2)
 
     def beat(core, **fields):
         return call(stage, core, "POST", "/Replicas.Heartbeat/i-1", {**BEAT, **fields})
@@ -87,7 +87,7 @@
 
 
 def test_a_node_that_just_started_leaves_the_end_of_an_unknown_replica_to_others():
-    stage = SelfFounded(2)
+    stage = SelfFoundingFleet(2)
     stage.sim.kill("core-1")
     stage.start("core-1")
     assert call(stage, "core-1", "POST", "/Replicas.Deregister/i-9")[0] == 503
@@ -122,7 +122,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_the_side_of_a_cut_without_a_majority_answers_503_at_once_and_the_other_takes_over(seed):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     assert replace(stage, "core-1", WHOLE, 0)[0] == 200
     owner = stage.owner()
     zone = stage.sim.nodes[owner].me.zone
@@ -151,7 +151,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_an_order_is_taken_within_four_seconds_after_the_owner_and_its_store_die(seed):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     assert replace(stage, "core-1", WHOLE, 0)[0] == 200
     owner = stage.owner()
     zone = stage.sim.nodes[owner].me.zone
--- a/tests/test_transfer.py
+++ b/tests/test_transfer.py
@@ -20,7 +20,7 @@
     cut_chunk,
 )
 from quillring.quorum.values import GroupMember
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 from tests.test_membership_repair import is_whole, members, owners, zone_order
 
 BOUNDS = SimpleNamespace(propagation=2.0, read_timeout=1.0)
@@ -117,7 +117,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_state_is_fetched_from_and_sent_to_stores_of_the_previous_version_in_one_message(seed):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     stage.submit("core-1", zone_order("halls"))
     for node in stage.sim.up_nodes("store"):
         remove_chunk_services(node)
@@ -134,7 +134,7 @@
 
 
 def test_catch_up_of_an_unresponsive_member_is_retried_with_growing_backoff():
-    stage = SelfFounded(3)
+    stage = SelfFoundingFleet(3)
     leader, store = owners(stage)["config"], members(stage)[0]
     call_times = []
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from quillring.lots.http_requests.item_table import OpenLot, age_by_wall_clock
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 from tests.system_calls import WHOLE, call, replace
 
 TOPS = ("quillring", "platform")
@@ -45,7 +45,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_orders_are_taken_and_stay_while_every_wall_clock_steps(seed):
-    stage, number = SelfFounded(seed), 0
+    stage, number = SelfFoundingFleet(seed), 0
     chance = stage.sim.chance
     for turn in range(12):
         for node in stage.sim.nodes.values():
--- a/tests/wire_record.py
+++ b/tests/wire_record.py
@@ -23,7 +23,7 @@
     VERSION_HEADERS,
     unpack,
 )
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 from tests.http_lot_random_days import RandomFaultRun
 
 DEPTH = 3
@@ -134,7 +134,7 @@
 
 def founded_and_asked():
     """A fleet that founds itself by votes; every node is asked what operators ask."""
-    stage = SelfFounded(7, has_witnesses=True)
+    stage = SelfFoundingFleet(7, has_witnesses=True)
     asking = stage.sim.nodes["edge-1"]
     for name in ("core-1", "core-2", "store-1"):
         for service, body in (
