--- a/tests/test_landed_folders.py
+++ b/tests/test_landed_folders.py
@@ -1,4 +1,4 @@
-"""Data folders that the landed version wrote are recovered to the same state, byte for byte."""
+"""Data folders written by the landed version are recovered to the same state, byte for byte."""
 
 import shutil
 import zlib
@@ -16,14 +16,14 @@
 from quillring.store.checkpoint_file import HEADER
 from quillring.store.records import decode_records
 
-FOLDER = Path(__file__).parent / "data" / "landed"
+RECORDED_FOLDER = Path(__file__).parent / "data" / "landed"
 STORES = ("busy", "half-snapshot")
 
 
 @pytest.fixture
 def folder_disk(tmp_path):
     def copied(name):
-        shutil.copytree(FOLDER / name, tmp_path / name)
+        shutil.copytree(RECORDED_FOLDER / name, tmp_path / name)
         return FolderDisk(str(tmp_path / name))
 
     return copied
@@ -34,8 +34,8 @@
     return Node(Member("store-1", 1, "store", "x", "127.0.0.1", 1, 2, ""), None)
 
 
-class Gossip:
-    """Gossip that holds what was put into it."""
+class StubGossip:
+    """Stub of gossip that stores published values in a dict."""
 
     def __init__(self):
         self.news = {}
@@ -47,19 +47,19 @@
         return {key: value for key, (_, value) in self.news.items() if key.startswith(prefix)}
 
 
-class ReplicaTable:
-    """A table of replicas that changed."""
+class StubReplicaTable:
+    """Stub of the replica table, with a version that shows a change."""
 
     table_version = 1
 
 
-def recorded(name):
-    return (FOLDER / f"{name}.recovered").read_bytes()
+def read_recording(name):
+    return (RECORDED_FOLDER / f"{name}.recovered").read_bytes()
 
 
 def recovered_slot(disk, name):
-    """Recover a data folder; return the slot that holds what was recovered."""
-    acceptors = open_store(disk, (FOLDER / name / "NAME").read_text(), None)
+    """Recover a data folder and write a checkpoint; return its slot file."""
+    acceptors = open_store(disk, (RECORDED_FOLDER / name / "NAME").read_text(), None)
     acceptors.log.write_checkpoint()
     return disk.read(f"slot.{acceptors.log.generation % 2}")
 
@@ -69,15 +69,15 @@
 
 
 @pytest.mark.parametrize("name", STORES)
-def test_a_landed_store_is_recovered_to_the_same_rows(folder_disk, name):
+def test_landed_store_folder_is_recovered_to_the_same_rows(folder_disk, name):
     assert rows_of(recovered_slot(folder_disk(name), name)) == rows_of(
-        zlib.decompress(recorded(name))
+        zlib.decompress(read_recording(name))
     )
 
 
 @pytest.mark.parametrize("name", STORES)
-def test_the_next_slot_has_the_bytes_that_the_landed_version_wrote(folder_disk, name):
-    assert recovered_slot(folder_disk(name), name) == zlib.decompress(recorded(name))
+def test_next_checkpoint_slot_has_the_bytes_the_landed_version_wrote(folder_disk, name):
+    assert recovered_slot(folder_disk(name), name) == zlib.decompress(read_recording(name))
 
 
 @pytest.mark.parametrize("name", STORES)
@@ -87,17 +87,19 @@
     assert rows_of(recovered_slot(disk, name)) == first_rows
 
 
-def test_the_recorded_folders_hold_what_they_are_kept_for():
-    busy, half = (rows_of(zlib.decompress(recorded(name))) for name in STORES)
-    assert {"store", "hint", "part", "state"} == {row[0] for row in busy}
-    assert {"arriving", "arrived"} < {row[0] for row in half}
-    assert any(row[2][3] for row in busy if row[0] == "part"), "no accepted entry is unapplied"
-    assert {row[1] for row in busy if row[0] == "part"} > {"config"}
-    assert busy[0][2]["groups"], "no founding"
+def test_recorded_folders_contain_the_required_kinds_of_rows():
+    busy_rows, half_snapshot_rows = (
+        rows_of(zlib.decompress(read_recording(name))) for name in STORES
+    )
+    assert {"store", "hint", "part", "state"} == {row[0] for row in busy_rows}
+    assert {"arriving", "arrived"} < {row[0] for row in half_snapshot_rows}
+    assert any(row[2][3] for row in busy_rows if row[0] == "part"), "no accepted entry is unapplied"
+    assert {row[1] for row in busy_rows if row[0] == "part"} > {"config"}
+    assert busy_rows[0][2]["groups"], "no founding"
 
 
-def test_the_vote_of_a_seed_is_recalled_and_written_in_the_same_bytes(folder_disk, node, tmp_path):
-    vote = cbor2.loads(recorded("small"))["vote"]
+def test_founding_vote_is_read_and_written_in_the_same_bytes(folder_disk, node, tmp_path):
+    vote = cbor2.loads(read_recording("small"))["vote"]
     assert Witness(node, folder_disk("small")).on_recall(None, "core-1") == vote
     (tmp_path / "new").mkdir()
     disk = FolderDisk(str(tmp_path / "new"))
@@ -105,18 +107,21 @@
     witness.on_keep([1, [1, "core-1#101"], [0, ""], None], "core-1")
     witness.on_keep(vote, "core-1")
     for name in ("founding.0", "founding.1"):
-        assert disk.read(name) == (FOLDER / "small" / name).read_bytes()
+        assert disk.read(name) == (RECORDED_FOLDER / "small" / name).read_bytes()
 
 
-def test_the_replicas_of_a_landed_store_are_remembered(folder_disk, node):
-    beats, gossip = cbor2.loads(recorded("small"))["beats"], node.offer("gossip", Gossip())
-    node.offer("replicas", ReplicaTable())
+def test_replica_snapshot_of_a_landed_store_is_restored_and_rewritten(folder_disk, node):
+    heartbeats, gossip = (
+        cbor2.loads(read_recording("small"))["beats"],
+        node.offer("gossip", StubGossip()),
+    )
+    node.offer("replicas", StubReplicaTable())
     disk = folder_disk("small")
     snapshot = ReplicaSnapshot(node, disk)
     snapshot.restore()
-    assert gossip.news == {"replica/words-1": ([7, 3], beats[0])}
+    assert gossip.news == {"replica/words-1": ([7, 3], heartbeats[0])}
     writer, snapshot.written_version = snapshot.run(), 0
     next(writer)
     next(writer)
-    assert cbor2.loads(disk.read("replicas.1")[4:]) == [3, beats]
-    assert disk.read("replicas.0") == (FOLDER / "small" / "replicas.0").read_bytes()
+    assert cbor2.loads(disk.read("replicas.1")[4:]) == [3, heartbeats]
+    assert disk.read("replicas.0") == (RECORDED_FOLDER / "small" / "replicas.0").read_bytes()
--- a/tests/test_landed_messages.py
+++ b/tests/test_landed_messages.py
@@ -1,8 +1,8 @@
-"""The present version sends and stores what the landed one did: the same bytes from the same seeds.
+"""The present version sends and stores the same bytes as the landed one, from the same seeds.
 
-A change of what is sent, or when, fails here. Where it is meant, the record is made anew with
-`python -m tests.wire_record`, and the commit says which messages changed and how members of the
-version before read them.
+A change of what is sent, or when, fails these tests. If it is intended, make a new record with
+`python -m tests.wire_record`, and state in the commit which messages changed and how members that
+run the previous version read them.
 """
 
 import json
@@ -13,50 +13,51 @@
 
 from quillring.kernel.errors import BadWire
 from quillring.nifty.wire import unpack
-from tests.wire_record import RUNS, record
+from tests.wire_record import RUNS, play_and_record
 
 RECORDED = json.loads((Path(__file__).parent / "data" / "landed" / "messages.json").read_text())
-played = lru_cache(record)
+cached_record = lru_cache(play_and_record)
 
 
-def group(name, *words):
-    """Return a parameter whose tests share one worker, and so one played run."""
+def run_parameter(name, *words):
+    """Return a parameter whose tests run in one xdist worker and so share one cached run."""
     return pytest.param(name, *words, marks=pytest.mark.xdist_group(f"wire {name}"))
 
 
-each_run = pytest.mark.parametrize("run", [group(name) for name in RUNS])
+each_run = pytest.mark.parametrize("run", [run_parameter(name) for name in RUNS])
 each_kind = pytest.mark.parametrize(
-    ("run", "kind"), [group(run, kind) for run in RUNS for kind in RECORDED[run]["messages"]]
+    ("run", "kind"),
+    [run_parameter(run, kind) for run in RUNS for kind in RECORDED[run]["messages"]],
 )
 
 
 @each_run
-def test_a_run_has_the_kinds_of_messages_it_had(run):
-    assert set(played(run)["messages"]) == set(RECORDED[run]["messages"])
+def test_run_sends_the_recorded_kinds_of_messages(run):
+    assert set(cached_record(run)["messages"]) == set(RECORDED[run]["messages"])
 
 
 @each_kind
-def test_messages_of_a_kind_have_the_forms_they_had(run, kind):
-    message = played(run)["messages"][kind]
+def test_messages_have_the_recorded_forms(run, kind):
+    message = cached_record(run)["messages"][kind]
     recorded = RECORDED[run]["messages"][kind]
     assert message["forms"] == recorded["forms"], (message["sample"], recorded["sample"])
 
 
 @each_kind
-def test_messages_of_a_kind_are_as_many_and_the_same_bytes(run, kind):
-    message = played(run)["messages"][kind]
+def test_messages_have_the_recorded_count_and_bytes(run, kind):
+    message = cached_record(run)["messages"][kind]
     recorded = RECORDED[run]["messages"][kind]
     assert message["sample"] == recorded["sample"]
     assert (message["count"], message["bytes"]) == (recorded["count"], recorded["bytes"])
 
 
 @each_run
-def test_the_stores_disks_hold_the_same_bytes(run):
-    assert played(run)["files"] == RECORDED[run]["files"]
+def test_store_disks_have_the_recorded_files(run):
+    assert cached_record(run)["files"] == RECORDED[run]["files"]
 
 
 @pytest.mark.parametrize("run", RUNS)
-def test_recorded_messages_are_read_and_cut_ones_refused(run):
+def test_recorded_messages_are_decoded_and_truncated_ones_rejected(run):
     for recorded in RECORDED[run]["messages"].values():
         data = bytes.fromhex(recorded["sample"])
         assert len(unpack(data)[1]) > 5
--- a/tests/test_slow_disks.py
+++ b/tests/test_slow_disks.py
@@ -1,4 +1,4 @@
-"""Disks of stores that stall, are slow or full: the others go on, nothing unsynced is promised."""
+"""Store disks that stall, are slow or are full: no delay for orders, no unsynced acknowledgment."""
 
 import random
 
@@ -12,13 +12,13 @@
 from tests.fleet_stage import SelfFoundingFleet
 from tests.http_lot_stage import HttpLotStage
 
-STALL = 8.0
-ORDER_BOUND = 0.5
-GOAL = 0.4
+STALL_SECONDS = 8.0
+MAX_ORDER_SECONDS = 0.5
+MAX_SUBMIT_SECONDS = 0.4
 
 
-def order(number):
-    """Return an operator's order that differs from the one before."""
+def domain_order(number):
+    """Return the command that marks a zone as emptied; each number names another zone."""
     return {
         "do": "domain.mark",
         "domain": f"zone-{number}",
@@ -28,76 +28,76 @@
 
 
 def stall_disk(sim, name):
-    """Let the next sync of a store take eight seconds, while its process goes on."""
+    """Make the next sync of a store take STALL_SECONDS while its process keeps running."""
     disk = sim.disks[name]
-    former, disk.sync_seconds = disk.sync_seconds, (STALL, STALL)
+    former, disk.sync_seconds = disk.sync_seconds, (STALL_SECONDS, STALL_SECONDS)
     sim.env.timeout(1).callbacks.append(lambda _: setattr(disk, "sync_seconds", former))
 
 
 def block_process(sim, name):
-    """Stop a store's whole process for eight seconds, as a sync in its one loop does."""
-    sim.freeze(name, STALL)
+    """Suspend a store's process for STALL_SECONDS, as a sync inside its event loop would."""
+    sim.freeze(name, STALL_SECONDS)
 
 
 def slow_disk(sim, name):
-    """Let the syncs of a store take thirty times as long from now on."""
+    """Make all later syncs of a store take thirty times as long."""
     sim.disks[name].sync_seconds = (0.03, 0.18)
 
 
-def fill_disk(sim, name, seconds=STALL):
-    """Let a store's disk take no more bytes for some seconds."""
+def fill_disk(sim, name, seconds=STALL_SECONDS):
+    """Make a store's disk reject writes as full for some seconds."""
     sim.disks[name].is_full = True
     sim.env.timeout(seconds).callbacks.append(lambda _: setattr(sim.disks[name], "is_full", False))
 
 
-FAULTS = [stall_disk, block_process, slow_disk, fill_disk]
+DISK_FAULTS = [stall_disk, block_process, slow_disk, fill_disk]
 
 
 def config_stores(fleet):
     return [store[0] for store in fleet.sim.nodes["core-1"].find("ownership").group(CONFIG_PART)]
 
 
-@pytest.mark.parametrize("bring_about", FAULTS)
-@pytest.mark.parametrize("place", range(3))
-def test_the_disk_of_one_store_holds_up_no_order(bring_about, place):
-    fleet = SelfFoundingFleet(101 + place)
-    name = config_stores(fleet)[place]
-    bring_about(fleet.sim, name)
+@pytest.mark.parametrize("inject_fault", DISK_FAULTS)
+@pytest.mark.parametrize("store_index", range(3))
+def test_faulty_disk_of_one_store_delays_no_order(inject_fault, store_index):
+    fleet = SelfFoundingFleet(101 + store_index)
+    name = config_stores(fleet)[store_index]
+    inject_fault(fleet.sim, name)
     slowest = 0
     for number in range(30):
         begun_at = fleet.env.now
-        _, error = fleet.submit("core-2", order(number))
+        _, error = fleet.submit("core-2", domain_order(number))
         assert error is None, error
         slowest = max(slowest, fleet.env.now - begun_at)
         fleet.run(0.3)
-    assert slowest < ORDER_BOUND
+    assert slowest < MAX_ORDER_SECONDS
 
 
-@pytest.mark.parametrize("bring_about", FAULTS)
-@pytest.mark.parametrize("place", range(3))
-def test_the_disk_of_one_store_holds_up_no_lot(bring_about, place):
-    with HttpLotStage(111 + place) as stage:
+@pytest.mark.parametrize("inject_fault", DISK_FAULTS)
+@pytest.mark.parametrize("store_index", range(3))
+def test_faulty_disk_of_one_store_delays_no_lot(inject_fault, store_index):
+    with HttpLotStage(111 + store_index) as stage:
         owner = stage.owner()
         part = next(p for p, o in owner.find("raw").item_tables.items() if o.leader.is_leader)
-        bring_about(stage.sim, owner.find("ownership").group(part)[place][0])
+        inject_fault(stage.sim, owner.find("ownership").group(part)[store_index][0])
         for number in range(16):
             begun_at = stage.env.now
             _, error = stage.submit(f"lot-{number}", 1)
             assert error is None, error
-            assert stage.env.now - begun_at < GOAL
+            assert stage.env.now - begun_at < MAX_SUBMIT_SECONDS
             stage.run(0.5)
         for number in range(16):
             assert len(stage.read_all(f"lot-{number}")) == 1
 
 
-def test_a_full_disk_refuses_and_is_whole_again_once_there_is_room():
+def test_store_with_a_full_disk_reports_the_error_and_catches_up_once_space_is_free():
     fleet = SelfFoundingFleet(121)
     name = config_stores(fleet)[0]
     acceptors = fleet.stores()[name]
     before = acceptors.parts[CONFIG_PART].applied
     fill_disk(fleet.sim, name, fleet.sim.bounds.resync * 0.4)
     for number in range(4):
-        assert fleet.submit("core-2", order(number))[1] is None
+        assert fleet.submit("core-2", domain_order(number))[1] is None
     fleet.run(0.05)
     assert isinstance(acceptors.log.error, DiskError)
     assert "no space left" in show_status(fleet.sim.nodes[name], None)["disk_error"]
@@ -108,14 +108,14 @@
     newest = max(
         a.parts[CONFIG_PART].applied for a in fleet.stores().values() if CONFIG_PART in a.parts
     )
-    is_whole = fleet.wait_for(lambda: acceptors.parts[CONFIG_PART].applied == newest, 3)
-    assert is_whole is not None and acceptors.log.error is None
+    seconds_to_catch_up = fleet.wait_for(lambda: acceptors.parts[CONFIG_PART].applied == newest, 3)
+    assert seconds_to_catch_up is not None and acceptors.log.error is None
     assert name in config_stores(fleet)
     assert show_status(fleet.sim.nodes[name], None)["disk_error"] is None
 
 
-class BareNode:
-    """What an acceptor needs of its node."""
+class StubNode:
+    """Stub with the node attributes that an acceptor reads."""
 
     class Me:
         name = "store"
@@ -123,18 +123,18 @@
     me = Me()
 
 
-class Store:
-    """One acceptor on a disk; what it answers waits until the disk is synced."""
+class AcceptorOnDisk:
+    """An acceptor on a simulated disk whose sync the test triggers."""
 
     def __init__(self, name, disk=None):
         self.name, self.disk = name, disk or SimDisk(random.Random(1), (0, 0))
         self.acceptors = open_store(self.disk, name, lambda: "1")
-        self.acceptors.node = BareNode()
+        self.acceptors.node = StubNode()
         self.writer = self.acceptors.log.run(0.5)
         next(self.writer)
 
     def ask(self, service, ballot, **body):
-        """Return the answer or error, or the coroutine that waits for the disk."""
+        """Return the answer or error, or the coroutine if it waits for the disk to sync."""
         fields = {
             "part": CONFIG_PART,
             "identity": self.acceptors.identity,
@@ -152,35 +152,35 @@
             return error
 
     def sync(self, coroutine):
-        """Let the disk sync; return what the coroutine answers then."""
+        """Sync the disk; return the answer that the waiting coroutine then gives."""
         self.writer.send(True)
         try:
             coroutine.send(True)
         except StopIteration as stop:
             return stop.value
-        raise AssertionError("it still waits")
+        raise AssertionError("the request still waits after the sync")
 
     def after_power_loss(self):
-        """Return the store as it starts after a loss of power."""
+        """Return the store restarted after a power loss."""
         self.disk.lose_power()
-        return Store(self.name, self.disk)
+        return AcceptorOnDisk(self.name, self.disk)
 
 
 def three_stores(ballot):
-    """Return three stores that promised a ballot durably."""
-    stores = [Store(f"store-{n}") for n in range(3)]
+    """Return three stores that have durably promised a ballot."""
+    stores = [AcceptorOnDisk(f"store-{n}") for n in range(3)]
     for store in stores:
         store.sync(store.ask("prepare", ballot))
     return stores
 
 
-def test_a_confirmation_without_a_durable_promise_lets_no_former_owner_write():
+def test_confirmation_before_the_promise_is_durable_lets_no_old_owner_write():
     former, newer = [1, "a"], [2, "b"]
     first, second, late = three_stores(former)
     for store in (first, second):
         store.sync(store.ask("prepare", newer))
     waiting = late.ask("prepare", newer)
-    assert hasattr(waiting, "send"), "it promised before its disk was synced"
+    assert hasattr(waiting, "send"), "the promise was sent before the disk was synced"
     assert late.ask("confirm", newer) is True
     assert isinstance(late.ask("confirm", former), Fenced)
     late = late.after_power_loss()
@@ -191,7 +191,7 @@
     assert sum(answer is True for answer in confirmed) < 2
 
 
-def test_nothing_is_answered_that_a_stalled_disk_does_not_hold():
+def test_no_answer_is_sent_before_a_stalled_disk_has_synced():
     ballot = [1, "a"]
     store = three_stores(ballot)[0]
     asked = [
@@ -206,7 +206,7 @@
     assert (record.promised, record.applied, record.entries) == ((1, "a"), 0, {})
 
 
-def test_a_full_disk_answers_nothing_that_it_could_not_keep():
+def test_store_with_a_full_disk_acknowledges_nothing_it_could_not_write():
     former, newer = [1, "a"], [2, "b"]
     store = three_stores(former)[0]
     store.disk.is_full = True
@@ -224,15 +224,15 @@
     assert (record.promised, record.entries) == ((1, "a"), {})
 
 
-def test_a_store_whose_disk_stays_full_is_replaced_before_the_next_loss():
+def test_store_whose_disk_stays_full_is_replaced_before_another_store_fails():
     fleet = SelfFoundingFleet(131)
     full, lost, _ = config_stores(fleet)
     fleet.sim.disks[full].is_full = True
-    assert fleet.submit("core-2", order(1))[1] is None
+    assert fleet.submit("core-2", domain_order(1))[1] is None
     fleet.run(fleet.sim.bounds.resync * 2)
     fleet.sim.kill(lost)
     fleet.run(4)
-    _, error = fleet.submit("core-2", order(2), seconds=2)
+    _, error = fleet.submit("core-2", domain_order(2), seconds=2)
     assert error is None, error
     assert full not in config_stores(fleet)
     fleet.sim.disks[full].is_full = False
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -1,4 +1,4 @@
-"""Owners and stores that stop for seconds and wake: nothing old is confirmed or handed out."""
+"""An owner that is suspended or slow confirms no stale write and returns no stale read."""
 
 from unittest import mock
 
@@ -10,67 +10,70 @@
 from quillring.verbs.routes import show_configuration
 from tests.fleet_stage import SelfFoundingFleet
 
-FREEZES = (2, 20, 60)
-SLOW_STEPS = (0.002, 0.008, 0.03)
-REAL_CALL = PartLeader._call_majority
+FREEZE_SECONDS = (2, 20, 60)
+SLOW_STEP_SECONDS = (0.002, 0.008, 0.03)
+ORIGINAL_CALL_MAJORITY = PartLeader._call_majority
 
 
-def zone_order(zone, emptied=True):
-    """Return an operator's order about a domain."""
+def domain_order(zone, emptied=True):
+    """Return the command that marks a domain as emptied or in use."""
     return {"do": "domain.mark", "domain": zone, "emptied": emptied, "nodes": False}
 
 
-def frozen_during(fleet, request_type, seconds):
-    """Freeze the owner of the configuration right after it began to ask for something."""
+def freeze_owner_during_call(fleet, request_type, seconds):
+    """Freeze the owner of the configuration right after it sent a request of the given type.
+
+    Return (its name, its PartLeader) shortly before the freeze ends.
+    """
     name = fleet.owner()
     owner = fleet.sim.nodes[name].find("ownership").leaders[CONFIG_PART]
     frozen_at = []
 
-    def freezing_call(self, asked_type, **fields):
+    def call_and_freeze_once(self, asked_type, **fields):
         if self is owner and asked_type is request_type and not frozen_at:
             frozen_at.append(fleet.env.now)
             fleet.env.process(freeze_soon())
-        return REAL_CALL(self, asked_type, **fields)
+        return ORIGINAL_CALL_MAJORITY(self, asked_type, **fields)
 
     def freeze_soon():
         yield fleet.env.timeout(0.0001)
         fleet.sim.freeze(name, seconds)
 
-    with mock.patch.object(PartLeader, "_call_majority", freezing_call):
+    with mock.patch.object(PartLeader, "_call_majority", call_and_freeze_once):
         fleet.wait_for(lambda: frozen_at, 2, 0.01)
         fleet.run(frozen_at[0] + seconds - 0.001 - fleet.env.now)
     return name, owner
 
 
-@pytest.mark.parametrize("seconds", FREEZES)
-def test_an_owner_that_wakes_amid_a_confirmation_may_not_act_on_it(seconds):
+@pytest.mark.parametrize("seconds", FREEZE_SECONDS)
+def test_owner_frozen_during_a_confirmation_has_no_lease_after_it_resumes(seconds):
     fleet = SelfFoundingFleet(11)
-    name, owner = frozen_during(fleet, ConfirmRequest, seconds)
-    assert fleet.owner() not in (None, name), "nobody took the part over"
-    acted = []
+    name, owner = freeze_owner_during_call(fleet, ConfirmRequest, seconds)
+    assert fleet.owner() not in (None, name), "no other core took over the part"
+    lease_times = []
     for _ in range(300):
         fleet.run(0.002)
         if owner.has_lease():
-            acted.append(fleet.env.now)
-    assert acted == []
+            lease_times.append(fleet.env.now)
+    assert lease_times == []
     fleet.run(fleet.sim.bounds.propagation)
     assert not owner.is_leader and not owner.has_lease()
 
 
-@pytest.mark.parametrize("seconds", FREEZES)
-def test_a_read_that_slept_through_a_takeover_hands_out_nothing_old(seconds):
+@pytest.mark.parametrize("seconds", FREEZE_SECONDS)
+def test_read_frozen_across_a_takeover_returns_no_stale_state(seconds):
     fleet = SelfFoundingFleet(12)
-    assert fleet.submit("core-1", zone_order("north", False))[1] is None
+    assert fleet.submit("core-1", domain_order("north", False))[1] is None
     name = fleet.owner()
     node = fleet.sim.nodes[name]
     owner = node.find("ownership").leaders[CONFIG_PART]
     reads = []
 
-    def ask_during(self, request_type, **fields):
+    def call_then_freeze(self, request_type, **fields):
         if self is owner and request_type is ConfirmRequest and reads and len(reads) == 1:
             reads.append(fleet.env.now)
             fleet.env.process(freeze_soon())
-        return REAL_CALL(self, request_type, **fields)
+        return ORIGINAL_CALL_MAJORITY(self, request_type, **fields)
 
     def freeze_soon():
         yield fleet.env.timeout(0.0001)
@@ -81,19 +84,19 @@
         coroutine = node.find("ownership").read(CONFIG_PART, {"ask": "edition"}, 0.8)
         return (yield from fleet.sim.run_script(node, coroutine))
 
-    with mock.patch.object(PartLeader, "_call_majority", ask_during):
+    with mock.patch.object(PartLeader, "_call_majority", call_then_freeze):
         task = fleet.env.process(read())
         fleet.run(seconds - 0.3)
         other = next(n for n in fleet.sim.names("core") if n != name)
-        assert fleet.submit(other, zone_order("north"))[1] is None
+        assert fleet.submit(other, domain_order("north"))[1] is None
         fleet.run(3)
     assert task.triggered
     answer, error = task.value
     assert error is not None or answer["layout"]["domains"]["north"]["emptied"], answer
 
 
-@pytest.mark.parametrize("seconds", FREEZES)
-def test_what_was_queued_before_a_freeze_is_told_as_unknown_or_holds(seconds):
+@pytest.mark.parametrize("seconds", FREEZE_SECONDS)
+def test_reported_outcome_of_orders_queued_before_a_freeze_matches_the_state(seconds):
     fleet = SelfFoundingFleet(13)
     name = fleet.owner()
     node = fleet.sim.nodes[name]
@@ -101,7 +104,7 @@
     tasks = [
         fleet.env.process(
             fleet.sim.run_script(
-                node, node.find("ownership").submit(CONFIG_PART, zone_order(zone), 0.8)
+                node, node.find("ownership").submit(CONFIG_PART, domain_order(zone), 0.8)
             )
         )
         for zone in zones
@@ -112,18 +115,20 @@
     other = next(n for n in fleet.sim.names("core") if n != name)
     current, error = fleet.read(other, {"ask": "edition"})
     assert error is None
-    ordered_zones = current["layout"].get("domains", {}) if current["layout"] else {}
+    domains = current["layout"].get("domains", {}) if current["layout"] else {}
     for zone, task in zip(zones, tasks, strict=True):
         assert task.triggered
         answer, error = task.value
-        holds = ordered_zones.get(zone, {}).get("emptied", False)
-        assert holds or answer is None, f"{zone} was confirmed and does not hold"
-        assert not holds or error is None or error.kind == "outcome_unknown", error
+        is_in_force = domains.get(zone, {}).get("emptied", False)
+        assert is_in_force or answer is None, (
+            f"{zone} was confirmed but is not in the configuration"
+        )
+        assert not is_in_force or error is None or error.kind == "outcome_unknown", error
 
 
-def test_a_node_that_is_cut_off_shows_its_configuration_as_not_fresh():
+def test_partitioned_node_shows_its_configuration_as_not_fresh():
     fleet = SelfFoundingFleet(14)
-    assert fleet.submit("core-1", zone_order("north"))[1] is None
+    assert fleet.submit("core-1", domain_order("north"))[1] is None
     fleet.run(1)
     for name in ("core-2", "edge-1"):
         node = fleet.sim.nodes[name]
@@ -134,8 +139,8 @@
         assert shown["layout"]["domains"]["north"]["emptied"] and not shown["is_fresh"]
 
 
-def other_owners(fleet, owner):
-    """Return the ballots above an owner's that other cores own the configuration under."""
+def newer_ballots(fleet, owner):
+    """Return the ballots, higher than the given owner's, under which other cores own the part."""
     owners = [
         node.find("ownership").leaders.get(CONFIG_PART)
         for node in fleet.sim.up_nodes("core")
@@ -144,18 +149,18 @@
     return [o.ballot for o in owners if o is not None and o.is_leader and o.ballot > owner.ballot]
 
 
-@pytest.mark.parametrize("step_seconds", SLOW_STEPS)
+@pytest.mark.parametrize("step_seconds", SLOW_STEP_SECONDS)
 @pytest.mark.parametrize("seed", [21, 22])
-def test_a_slowed_owner_acts_no_longer_than_its_window_beside_a_newer_one(seed, step_seconds):
+def test_lease_of_a_slow_owner_overlaps_a_newer_owner_by_at_most_the_lease_time(seed, step_seconds):
     fleet = SelfFoundingFleet(seed)
     name = fleet.owner()
     node = fleet.sim.nodes[name]
     node.runtime.step_seconds = step_seconds
     other = next(n for n in fleet.sim.names("core") if n != name)
-    tasks, newer_since, overlap = [], {}, 0
+    tasks, newer_owner_since, overlap = [], {}, 0
     for step in range(800):
         if step % 40 == 0:
-            order = zone_order(f"zone-{step}")
+            order = domain_order(f"zone-{step}")
             asked = node if step % 80 else fleet.sim.nodes[other]
             coroutine = asked.find("ownership").submit(CONFIG_PART, order, 0.8)
             tasks.append(
@@ -163,8 +168,8 @@
             )
         fleet.run(0.02)
         owner = node.find("ownership").leaders.get(CONFIG_PART)
-        for ballot in other_owners(fleet, owner):
-            since = newer_since.setdefault(ballot, fleet.env.now)
+        for ballot in newer_ballots(fleet, owner):
+            since = newer_owner_since.setdefault(ballot, fleet.env.now)
             if owner.has_lease():
                 overlap = max(overlap, fleet.env.now - since)
     assert overlap <= fleet.sim.bounds.heartbeat_interval * 2
@@ -172,9 +177,11 @@
     fleet.run(4)
     current, error = fleet.read(other, {"ask": "edition"})
     assert error is None
-    ordered_zones = current["layout"]["domains"]
+    domains = current["layout"]["domains"]
     for zone, task in tasks:
         answer, error = task.value if task.triggered else (None, None)
-        assert answer is None or ordered_zones.get(zone, {}).get("emptied"), f"{zone} does not hold"
+        assert answer is None or domains.get(zone, {}).get("emptied"), (
+            f"{zone} was confirmed but is not in the configuration"
+        )
         assert error is None or error.status >= 500, error
     assert sum(task.value[1] is None for _, task in tasks[::2] if task.triggered) >= 5
--- a/tests/wire_record.py
+++ b/tests/wire_record.py
@@ -1,8 +1,8 @@
-"""What a seeded run sends and stores, in short: to compare two versions of the code by it.
+"""Digests of all messages and store files of seeded runs, to compare two versions of the code.
 
-A run of the simulator is the same from one seed under any hash seed, so that two versions that say
-and keep the same make the same bytes. `python -m tests.wire_record FILE` records the version of
-quillring that is imported.
+A simulated run depends only on its seed, not on the hash seed. Two versions that send and store the
+same data therefore produce the same bytes. `python -m tests.wire_record FILE` records the version
+of quillring that is imported.
 """
 
 import hashlib
@@ -26,26 +26,26 @@
 from tests.fleet_stage import SelfFoundingFleet
 from tests.http_lot_random_days import RandomFaultRun
 
-DEPTH = 3
+FORM_DEPTH = 3
 DIGEST_BYTES = 6
 
 
-def form_of(value, depth=DEPTH):
-    """Return the form of a decoded value: keys in their order, types, lengths of lists."""
+def form_of(value, depth=FORM_DEPTH):
+    """Return the structure of a decoded value: keys in order, list lengths and type names."""
     if depth and isinstance(value, dict):
-        return {key: form_of(kept, depth - 1) for key, kept in value.items()}
+        return {key: form_of(item, depth - 1) for key, item in value.items()}
     if depth and isinstance(value, list):
-        return [form_of(kept, depth - 1) for kept in value]
+        return [form_of(item, depth - 1) for item in value]
     return type(value).__name__
 
 
-def short(data):
-    """Return a short digest of bytes."""
+def short_digest(data):
+    """Return a digest of DIGEST_BYTES bytes in hex."""
     return hashlib.blake2b(data, digest_size=DIGEST_BYTES).hexdigest()
 
 
-class Kind:
-    """All messages of one kind: how many, their bytes in order, and the forms seen."""
+class MessageKind:
+    """The messages of one kind: their count, a digest of their bytes in order, their forms."""
 
     def __init__(self):
         self.count = 0
@@ -53,14 +53,14 @@
         self.forms = {}
 
     def add(self, data, value):
-        """Take one message; of each form the first one is kept."""
+        """Count one message; the first message of each form is stored."""
         self.count += 1
         self.bytes_digest.update(data)
-        form = short(json.dumps(form_of(value)).encode())
+        form = short_digest(json.dumps(form_of(value)).encode())
         self.forms.setdefault(form, data)
 
     def to_fields(self):
-        """Return it as fields of a record, with the first message as a sample."""
+        """Return the fields of the record, with the first message as a sample."""
         sample = next(iter(self.forms.values())).hex()
         return {
             "count": self.count,
@@ -71,23 +71,24 @@
 
 
 class Recording:
-    """Every packet of a run by kind: heartbeats, and calls and replies by service."""
+    """All packets of a run by kind: heartbeats, and calls, replies and errors by service."""
 
     def __init__(self):
         self.kinds = {}
         self.services = {}
         self.fleet = None
 
-    def take(self, home, data, kind):
-        """Take one packet on its way; a relayed message counts once for each hop.
+    def add_packet(self, home, data, kind):
+        """Record one packet in transit; a relayed message is recorded once per hop.
 
-        A compressed frame counts as the plain one: zlib streams differ between builds of zlib.
+        A compressed frame is recorded uncompressed, because zlib streams differ between builds of
+        zlib.
         """
         version, value = unpack(data)
         if version >= COMPRESSION_VERSION:
             data = VERSION_HEADERS[MAX_UNCOMPRESSED_VERSION] + cbor2.dumps(value)
         name = "heartbeat" if kind == "datagram" else self._name(value[0], value[3], value[5])
-        self.kinds.setdefault(name, Kind()).add(data, value)
+        self.kinds.setdefault(name, MessageKind()).add(data, value)
 
     def _name(self, origin, target, message):
         if "r" in message:
@@ -99,9 +100,9 @@
         return f"one-way {message['s']}"
 
     def to_fields(self):
-        """Return the record: messages by kind, and a digest of each file on a store's disk."""
+        """Return the record: messages by kind, and a digest of each file on the stores' disks."""
         files = {
-            f"{store}/{name}": short(disk.read(name))
+            f"{store}/{name}": short_digest(disk.read(name))
             for store, disk in sorted(self.fleet.disks.items())
             for name in sorted({*disk.durable, *disk.pending})
         }
@@ -110,32 +111,32 @@
 
 
 @contextmanager
-def recorded():
-    """Record the one simulated fleet that is made meanwhile."""
+def record_simulated_fleet():
+    """Context manager: record the packets of the simulated fleet created inside the block."""
     recording = Recording()
     real_carry, real_init = SimNet.carry, SimFleet.__init__
 
     def carry(self, home, target, data, kind):
-        recording.take(home, data, kind)
+        recording.add_packet(home, data, kind)
         return real_carry(self, home, target, data, kind)
 
-    def init(self, *words, **options):
-        real_init(self, *words, **options)
+    def init(self, *arguments, **options):
+        real_init(self, *arguments, **options)
         recording.fleet = self
 
     with mock.patch.object(SimNet, "carry", carry), mock.patch.object(SimFleet, "__init__", init):
         yield recording
 
 
-def day_of_raw_lots():
-    """A day of raw lots with faults, under a quota."""
+def run_raw_lots_with_faults():
+    """Run raw lots under random faults, with a token quota."""
     RandomFaultRun(3, seconds=12, faults=4, lots=8, most_tokens=300).run_all()
 
 
-def founded_and_asked():
-    """A fleet that founds itself by votes; every node is asked what operators ask."""
+def run_founding_and_queries():
+    """Found a fleet by votes and call the services that operators query on three nodes."""
     stage = SelfFoundingFleet(7, has_witnesses=True)
-    asking = stage.sim.nodes["edge-1"]
+    edge = stage.sim.nodes["edge-1"]
     for name in ("core-1", "core-2", "store-1"):
         for service, body in (
             ("part.takeovers", None),
@@ -145,20 +146,20 @@
             ("founding.recall", None),
             ("no.such", {}),
         ):
-            stage.ask("edge-1", asking.call(name, service, body))
+            stage.ask("edge-1", edge.call(name, service, body))
 
 
 RUNS = {
-    "founded": founded_and_asked,
+    "founded": run_founding_and_queries,
     "kilele": lambda: seeded_run.run_seed("kilele", 6, 8, seeded_run.SMALL),
     "quorum": lambda: quorum_fuzz.Fuzz(19).run(),
-    "raw-lots": day_of_raw_lots,
+    "raw-lots": run_raw_lots_with_faults,
 }
 
 
-def record(name):
-    """Play a run; return its record."""
-    with recorded() as recording:
+def play_and_record(name):
+    """Run one of RUNS; return its record."""
+    with record_simulated_fleet() as recording:
         RUNS[name]()
     return recording.to_fields()
 
@@ -166,8 +167,8 @@
 @click.command()
 @click.argument("path")
 def main(path):
-    """Record all runs of the version of quillring that is imported."""
-    records = {name: record(name) for name in RUNS}
+    """Record all runs with the version of quillring that is imported."""
+    records = {name: play_and_record(name) for name in RUNS}
     with open(path, "w") as record_file:
         json.dump(records, record_file, indent=1, sort_keys=True)
         record_file.write("\n")
