--- a/tests/settings_rows.py
+++ b/tests/settings_rows.py
@@ -1,4 +1,4 @@
-"""Settings of one process, as its settings file holds them."""
+"""Valid settings of an edge process, in the form of its settings file."""
 
 EDGE_SETTINGS = {
     "name": "edge-1",
--- a/tests/test_check_settings.py
+++ b/tests/test_check_settings.py
@@ -21,8 +21,8 @@
 
 
 @pytest.fixture
-def check(tmp_path):
-    """Return a function that writes files, runs the verb on them and gives its outcome."""
+def check_files(tmp_path):
+    """Return a function that writes the files and returns the outcome of `check-settings`."""
 
     def run(settings=None, configuration=None):
         arguments = ["check-settings"]
@@ -37,18 +37,18 @@
     return run
 
 
-def test_sound_files_are_summed_up(check):
-    outcome = check(EDGE_SETTINGS, CONFIGURATION)
+def test_valid_files_are_summarized(check_files):
+    outcome = check_files(EDGE_SETTINGS, CONFIGURATION)
     assert outcome.exit_code == 0 and outcome.stderr == ""
     settings_line, configuration_line = outcome.stdout.splitlines()
     assert settings_line.endswith("edge edge-1 in north at 127.0.0.1:7400: no fault")
     assert "1 services" in configuration_line and "1 forwards" in configuration_line
 
 
-def test_every_fault_of_both_files_is_told_with_its_field(check):
+def test_every_fault_of_both_files_is_reported_with_its_field(check_files):
     settings = {**EDGE_SETTINGS, "domain": "NORTH", "parts": 0, "extra": 1, "bounds": {"news": -1}}
     forward = {**CONFIGURATION["forwards"]["tiles"], "kind": "other", "rounds": 0}
-    outcome = check(settings, {**CONFIGURATION, "forwards": {"tiles": forward}})
+    outcome = check_files(settings, {**CONFIGURATION, "forwards": {"tiles": forward}})
     assert outcome.exit_code == 2 and outcome.stdout == ""
     faults = [line.partition(".json: ")[2] for line in outcome.stderr.splitlines()]
     assert [fault.partition(": ")[0] for fault in faults] == [
@@ -62,8 +62,8 @@
     assert "'extra'" in faults[3]
 
 
-def test_a_sound_file_is_summed_up_beside_a_faulty_one(check):
-    outcome = check({**EDGE_SETTINGS, "role": "store"}, CONFIGURATION)
+def test_valid_file_is_summarized_even_if_the_other_is_faulty(check_files):
+    outcome = check_files({**EDGE_SETTINGS, "role": "store"}, CONFIGURATION)
     assert outcome.exit_code == 2
     assert "no fault" in outcome.stdout and "folder: a store needs" in outcome.stderr
 
@@ -79,24 +79,24 @@
         ({"edition": "3"}, "edition"),
     ],
 )
-def test_a_configuration_version_is_checked_across_its_items(check, change, field):
-    outcome = check(configuration={**CONFIGURATION, **change})
+def test_items_of_a_configuration_are_checked_against_each_other(check_files, change, field):
+    outcome = check_files(configuration={**CONFIGURATION, **change})
     assert outcome.exit_code == 2 and f": {field}: " in outcome.stderr
 
 
-def test_a_configuration_without_forwards_needs_all_its_sections(check):
-    outcome = check(configuration={"services": {}})
+def test_configuration_without_forwards_requires_all_sections(check_files):
+    outcome = check_files(configuration={"services": {}})
     assert outcome.exit_code == 2 and "'classes' is a required property" in outcome.stderr
 
 
 @pytest.mark.parametrize("content", ["", "[]", "{", '{"name": NaN}', "null", "3"])
-def test_what_is_no_object_of_sound_json_is_a_fault(check, content):
-    assert check(settings=content).exit_code == 2
-    outcome = check(configuration=content)
+def test_content_that_is_not_a_valid_json_object_is_a_fault(check_files, content):
+    assert check_files(settings=content).exit_code == 2
+    outcome = check_files(configuration=content)
     assert outcome.exit_code == 2 and ": layout: " in outcome.stderr
 
 
-def test_a_file_that_is_not_there_is_a_fault_and_no_file_a_bad_usage(tmp_path):
+def test_missing_file_is_a_fault_and_no_file_argument_is_a_usage_error(tmp_path):
     path = str(tmp_path / "missing.json")
     for arguments in ([path], ["--layout", path]):
         outcome = CliRunner().invoke(main, ["check-settings", *arguments])
--- a/tests/test_checkpoints.py
+++ b/tests/test_checkpoints.py
@@ -1,4 +1,4 @@
-"""Checkpoints are written in steps while the log grows; a crash in between loses nothing."""
+"""Checkpoints are written in steps while the log grows; crashes lose no acknowledged record."""
 
 import hashlib
 import random
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -9,31 +9,35 @@
 from quillring.quorum.parts import CONFIG_PART
 
 CONFIGURATION = configuration_of(DEPLOYMENTS["ferrowa"])
-STORES = {f"store-{i + 1}": d for i, d in enumerate(("north", "east", "south", "west"))}
+STORES = {f"store-{i + 1}": zone for i, zone in enumerate(("north", "east", "south", "west"))}
 GROUPS = {"config": ["store-1", "store-2", "store-3"], "part-0": ["store-2", "store-3", "store-4"]}
 REPLICAS = [
-    ReplicaLoad(name=f"words-{i}", service="words", zone=d, slots=4, busy=1)
-    for i, d in enumerate(STORES.values())
+    ReplicaLoad(name=f"words-{i}", service="words", zone=zone, slots=4, busy=1)
+    for i, zone in enumerate(STORES.values())
 ]
 
 
-NODES = {f"{role}-{d}": NodeLocation(role, d) for role in ("edge", "core") for d in STORES.values()}
+NODE_LOCATIONS = {
+    f"{role}-{zone}": NodeLocation(role, zone)
+    for role in ("edge", "core")
+    for zone in STORES.values()
+}
 
 
-def view(**changes):
+def fleet_view(**changes):
     fields = {
         "version": 1,
         "configuration": CONFIGURATION,
         "groups": GROUPS,
         "stores": STORES,
         "replicas": REPLICAS,
-        "nodes": NODES,
+        "nodes": NODE_LOCATIONS,
         **changes,
     }
     return FleetView(**fields)
 
 
-def started():
+def state_with_configuration():
     state = initial_state([])
     return apply_batch(
         state,
@@ -49,28 +53,32 @@
     )[0]
 
 
-def played(state, *commands):
+def apply_commands(state, *commands):
     state, answers = apply_batch(state, list(commands))
     return state, answers
 
 
-def propose(name, intent, **changes):
-    return {"do": "plan.propose", "id": name, "plan": make_plan(view(**changes), intent).to_state()}
+def propose_command(name, intent, **changes):
+    return {
+        "do": "plan.propose",
+        "id": name,
+        "plan": make_plan(fleet_view(**changes), intent).to_state(),
+    }
 
 
-def confirm(name, by="op", accept=()):
-    return {"do": "plan.confirm", "plan": name, "id": by, "accept": list(accept)}
+def confirm_command(name, confirmation_id="op", accept=()):
+    return {"do": "plan.confirm", "plan": name, "id": confirmation_id, "accept": list(accept)}
 
 
 EMPTY_NORTH = {"kind": "empty_domain", "target": "north"}
 
 
-def test_a_plan_changes_nothing_before_it_is_confirmed_and_then_runs_step_by_step():
-    state, _ = played(started(), propose("p", EMPTY_NORTH))
+def test_plan_changes_nothing_until_confirmed_and_then_runs_step_by_step():
+    state, _ = apply_commands(state_with_configuration(), propose_command("p", EMPTY_NORTH))
     assert state["version"] == 1 and not state["layout"]["domains"]["north"]["emptied"]
-    state, answers = played(
+    state, answers = apply_commands(
         state,
-        confirm("p"),
+        confirm_command("p"),
         {"do": "plan.step", "plan": "p", "step": 0},
         {"do": "plan.step", "plan": "p", "step": 0},
         {"do": "plan.step", "plan": "p", "step": 1},
@@ -81,15 +89,19 @@
 
 
 def test_a_stale_plan_and_a_second_confirmation_are_refused():
-    state, _ = played(started(), propose("p", EMPTY_NORTH), propose("q", EMPTY_NORTH))
-    state, answers = played(
+    state, _ = apply_commands(
+        state_with_configuration(),
+        propose_command("p", EMPTY_NORTH),
+        propose_command("q", EMPTY_NORTH),
+    )
+    state, answers = apply_commands(
         state,
-        confirm("p", "one"),
-        confirm("p", "one"),
-        confirm("p", "two"),
+        confirm_command("p", "one"),
+        confirm_command("p", "one"),
+        confirm_command("p", "two"),
         {"do": "plan.step", "plan": "p", "step": 0},
-        confirm("q"),
-        confirm("nowhere"),
+        confirm_command("q"),
+        confirm_command("nowhere"),
     )
     assert answers[0]["phase"] == answers[1]["phase"] == "running"
     assert isinstance(answers[2], Conflict)
@@ -99,26 +111,28 @@
 
 def test_contradicting_plans_are_refused():
     refill = {"kind": "refill_domain", "target": "north"}
-    state, _ = played(started(), propose("p", EMPTY_NORTH), propose("r", refill))
-    state, answers = played(state, confirm("p"), confirm("r"))
+    state, _ = apply_commands(
+        state_with_configuration(), propose_command("p", EMPTY_NORTH), propose_command("r", refill)
+    )
+    state, answers = apply_commands(state, confirm_command("p"), confirm_command("r"))
     assert isinstance(answers[1], ConflictingPlan)
     assert state["plans"]["r"]["phase"] == "proposed"
 
 
-def test_a_stopped_plan_leaves_what_is_done_and_does_no_more():
-    state, _ = played(
-        started(),
-        propose("p", EMPTY_NORTH),
-        confirm("p"),
+def test_stopped_plan_keeps_its_completed_steps_and_runs_no_more():
+    state, _ = apply_commands(
+        state_with_configuration(),
+        propose_command("p", EMPTY_NORTH),
+        confirm_command("p"),
         {"do": "plan.step", "plan": "p", "step": 0},
     )
-    state, answers = played(
+    state, answers = apply_commands(
         state,
         {"do": "plan.stop", "plan": "p"},
         {"do": "plan.step", "plan": "p", "step": 1},
         {"do": "plan.stop", "plan": "p"},
-        confirm("p"),
-        confirm("p", "another"),
+        confirm_command("p"),
+        confirm_command("p", "another"),
     )
     assert answers[1] == {"phase": "stopped", "done": 1}
     assert answers[2] == answers[0] and answers[0]["phase"] == "stopped"
@@ -126,18 +140,18 @@
     assert isinstance(answers[4], Conflict)
 
 
-def test_a_plan_that_is_done_is_not_stopped_by_a_late_order():
-    state, _ = played(
-        started(),
-        propose("p", {"kind": "refill_domain", "target": "north"}),
-        confirm("p"),
+def test_completed_plan_cannot_be_stopped():
+    state, _ = apply_commands(
+        state_with_configuration(),
+        propose_command("p", {"kind": "refill_domain", "target": "north"}),
+        confirm_command("p"),
         {"do": "plan.step", "plan": "p", "step": 0},
     )
-    state, answers = played(state, {"do": "plan.stop", "plan": "p"})
+    state, answers = apply_commands(state, {"do": "plan.stop", "plan": "p"})
     assert isinstance(answers[0], Conflict) and state["plans"]["p"]["phase"] == "done"
 
 
-def test_one_id_does_not_confirm_two_different_changes():
+def test_one_change_id_is_not_accepted_for_two_different_changes():
     change = {
         "do": "layout.adopt",
         "id": "one",
@@ -146,28 +160,32 @@
         "change": {"domains": {"north": {"emptied": True}}},
     }
     other = {**change, "change": {"domains": {"east": {"emptied": True}}}}
-    state, answers = played(started(), change, other, change, {**change, "base_version": 2})
+    state, answers = apply_commands(
+        state_with_configuration(), change, other, change, {**change, "base_version": 2}
+    )
     assert isinstance(answers[1], Conflict)
     assert answers[2] == answers[3] == {"version": 2, "repeated": True}
     assert not state["layout"]["domains"]["east"]["emptied"]
 
 
-def test_retiring_that_leaves_a_part_short_needs_the_named_consequence():
+def test_retirement_that_leaves_a_part_under_three_stores_needs_the_consequence_accepted():
     three_stores = {n: d for n, d in STORES.items() if n != "store-4"}
     groups = {"config": ["store-1", "store-2", "store-3"]}
-    command = propose(
+    command = propose_command(
         "p", {"kind": "retire_store", "target": "store-1"}, stores=three_stores, groups=groups
     )
-    state, _ = played(started(), command)
-    state, answers = played(state, confirm("p"), confirm("p", accept=["part_under_three"]))
+    state, _ = apply_commands(state_with_configuration(), command)
+    state, answers = apply_commands(
+        state, confirm_command("p"), confirm_command("p", accept=["part_under_three"])
+    )
     assert isinstance(answers[0], UnacceptedObstacles)
     assert answers[0].detail["obstacles"][0]["consequence"] == "part_under_three"
     assert answers[1]["phase"] == "running"
 
 
-def test_emptying_a_zone_whose_weight_would_not_fit_says_so():
-    busy = [r._replace(busy=4) for r in REPLICAS]
-    plan = make_plan(view(replicas=busy), EMPTY_NORTH).to_state()
+def test_plan_to_empty_a_zone_reports_lack_of_capacity_as_an_obstacle():
+    busy_replicas = [r._replace(busy=4) for r in REPLICAS]
+    plan = make_plan(fleet_view(replicas=busy_replicas), EMPTY_NORTH).to_state()
     assert plan["obstacles"][0]["consequence"] == "less_room"
 
 
@@ -180,25 +198,25 @@
         {"kind": "move_entry", "target": "tiles", "service": "x"},
     ],
 )
-def test_an_unknown_target_is_a_typed_answer(intent):
+def test_unknown_target_raises_not_found(intent):
     with pytest.raises(NotFound):
-        make_plan(view(), intent)
+        make_plan(fleet_view(), intent)
 
 
-def test_a_confirmed_plan_outlives_the_core_that_runs_it():
+def test_confirmed_plan_completes_after_the_core_that_runs_it_is_killed():
     stage = Stage(3)
     node = stage.node("edge-1")
     plan = make_plan(
-        view(groups={"config": [s[0] for s in node.find("ownership").group(CONFIG_PART)]}),
+        fleet_view(groups={"config": [s[0] for s in node.find("ownership").group(CONFIG_PART)]}),
         {"kind": "retire_store", "target": node.find("ownership").group(CONFIG_PART)[0][0]},
     ).to_state()
     ownership = node.find("ownership")
 
-    def operate():
+    def propose_and_confirm():
         yield from ownership.submit(CONFIG_PART, {"do": "plan.propose", "id": "p", "plan": plan})
-        yield from ownership.submit(CONFIG_PART, confirm("p"))
+        yield from ownership.submit(CONFIG_PART, confirm_command("p"))
 
-    stage.finish(stage.start(stage.sim.run_script(node, operate())))
+    stage.finish(stage.start(stage.sim.run_script(node, propose_and_confirm())))
     stage.run(0.3)
     stage.sim.kill(node.find("gossip").get("owner/config")["owner"])
     stage.run(20)
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -21,7 +21,7 @@
 
 
 def freeze_owner_during_call(fleet, request_type, seconds):
-    """Freeze the owner of the configuration right after it sent a request of the given type.
+    """Freeze the owner of the configuration right after it starts a majority call of the type.
 
     Return (its name, its PartLeader) shortly before the freeze ends.
     """
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -35,7 +35,7 @@
     ]
 
 
-def test_another_file_is_a_typed_error():
+def test_file_that_is_not_a_calendar_raises_bad_calendar():
     start = datetime.datetime(2026, 12, 1, tzinfo=datetime.UTC)
     with pytest.raises(BadCalendar):
         read_windows(b"{}", start, start)
