--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,7 +2,7 @@
 
 from proving.tools.local_fleet import LocalFleet
 
-NAMES = [
+NODE_NAMES = [
     "core-1",
     "core-2",
     "store-1",
@@ -18,10 +18,12 @@
 
 @pytest.fixture(scope="session")
 def fleet(tmp_path_factory):
-    made = LocalFleet("examples/ferrowa", tmp_path_factory.mktemp("fleet"), True, set(NAMES))
+    running_fleet = LocalFleet(
+        "examples/ferrowa", tmp_path_factory.mktemp("fleet"), True, set(NODE_NAMES)
+    )
     try:
-        made.start_all()
-        made.found()
-        yield made
+        running_fleet.start_all()
+        running_fleet.found()
+        yield running_fleet
     finally:
-        made.stop_all()
+        running_fleet.stop_all()
--- a/tests/landed_code.py
+++ b/tests/landed_code.py
@@ -1,8 +1,8 @@
-"""The landed version's code beside the present one: its modules stand under the package `landed`.
+"""Imports the code of the landed version, an earlier one, as modules of the package `landed`.
 
 tests/data/landed/sources.tar.xz holds the sources of commit c588ed9. Their imports of `quillring`
-and `proving` are read as imports of `landed.quillring` and `landed.proving`, so nothing is shared
-between the two versions but the libraries and what the simulator hands from one node to another.
+and `proving` are rewritten to `landed.quillring` and `landed.proving`. The two versions share only
+third-party libraries and the data that the simulator passes between nodes.
 """
 
 import ast
@@ -14,21 +14,21 @@
 from pathlib import Path
 
 PACKAGE = "landed"
-MOVED = ("quillring", "proving")
+MOVED_PACKAGES = ("quillring", "proving")
 ARCHIVE = Path(__file__).parent / "data" / "landed" / "sources.tar.xz"
 
 
 class MovedImports(ast.NodeTransformer):
-    """Lets absolute imports of the moved packages find them where they are now."""
+    """Rewrites `from` imports of the moved packages to their names under `landed`."""
 
     def visit_ImportFrom(self, node):
-        if node.module.partition(".")[0] in MOVED:
+        if node.module.partition(".")[0] in MOVED_PACKAGES:
             node.module = f"{PACKAGE}.{node.module}"
         return node
 
 
 class LandedSources(importlib.abc.MetaPathFinder, importlib.abc.InspectLoader):
-    """Finds and loads the modules of the archive."""
+    """Finds and loads modules from the archive of sources."""
 
     def __init__(self):
         with tarfile.open(ARCHIVE) as archive:
@@ -64,7 +64,7 @@
 
 
 def landed(name, attribute=None):
-    """Return a module of the landed version, or what it holds, by the names they had there."""
+    """Return a module of the landed version, or an attribute of it, by its name there."""
     if not any(isinstance(finder, LandedSources) for finder in sys.meta_path):
         sys.meta_path.append(LandedSources())
     module = importlib.import_module(f"{PACKAGE}.{name}")
--- a/tests/mixed_fleet.py
+++ b/tests/mixed_fleet.py
@@ -1,7 +1,7 @@
-"""A simulated fleet in which some nodes run the landed version's code and others the present one.
+"""A simulated fleet in which some nodes run the landed version and others the present one.
 
-Both speak over the one simulated network, in bytes; a store's disk is handed from one version to
-the other when its node is started anew.
+Both versions exchange bytes over one simulated network. A node that restarts under another version
+keeps its disk.
 """
 
 import operator
@@ -24,14 +24,14 @@
 LandedRequest = landed("quillring.kernel.wsgi", "Request")
 LandedNode = landed("quillring.kernel.node", "Node")
 
-# What the simulator reads of nodes by its present name, and the name it had.
+# Attributes that the simulator reads by their present name, and their name in the landed version.
 for landed_class, name, landed_name in (
     (LandedNode, "runtime", "world"),
     (landed("quillring.edge", "Replicas"), "on_heartbeat", "on_beat"),
 ):
     setattr(landed_class, name, property(operator.attrgetter(landed_name)))
 
-LANDED_TWINS = {
+LANDED_EQUIVALENTS = {
     present.serve_model: landed("quillring.edge.streams", "serve_model"),
     present.resume_stream: landed("quillring.edge.streams", "resume_stream"),
     present.serve_idempotent_read: landed("quillring.edge.short", "serve_tile"),
@@ -43,19 +43,19 @@
 
 
 def is_landed(node):
-    """Tell whether a node runs the landed version."""
+    """Return whether a node runs the landed version."""
     return isinstance(node, LandedNode)
 
 
-def called_on(node, function, *words):
-    """Return the coroutine of a function of the node's own version, called on it."""
+def call_own_version(node, function, *words):
+    """Call the equivalent of `function` in the node's version; return the coroutine."""
     if not is_landed(node):
         return function(node, *words)
-    return LANDED_TWINS[function](node, *map(to_landed, words))
+    return LANDED_EQUIVALENTS[function](node, *map(to_landed, words))
 
 
 def to_landed(value):
-    """Return a request as the landed version's; anything else as it is."""
+    """Convert a request to the landed version's class; return other values unchanged."""
     if not isinstance(value, Request):
         return value
     return LandedRequest(*(getattr(value, slot) for slot in Request.__slots__))
@@ -71,12 +71,12 @@
         self.landed_backends.replicas = self.backends.replicas
 
     def start(self, name):
-        """Start a node under its version, with whatever its disk holds."""
+        """Start a node under its version, with the present content of its disk."""
         if name not in self.landed_names:
             return super().start(name)
         row, address = self.rows[name], split_address(self.rows[name]["address"])
         self.starts += 1
-        world = landed("proving.sim.world", "SimWorld")(
+        landed_runtime = landed("proving.sim.world", "SimWorld")(
             self.env,
             self.net,
             self.landed_backends,
@@ -95,33 +95,35 @@
         )
         seeds = [split_address(seed) for seed in row["seeds"]]
         bounds = landed("quillring.kernel.bounds", "Bounds")()
-        node = landed("quillring.fleet", "make_node")(me, world, seeds, bounds, self._logger(name))
+        node = landed("quillring.fleet", "make_node")(
+            me, landed_runtime, seeds, bounds, self._logger(name)
+        )
         landed("quillring.fleet", "start_node")(node, acceptors)
-        world.on_refused = node.find("nifty").on_refused
-        world.listen(node.find("nifty").on_datagram, node.find("nifty").on_frame)
+        landed_runtime.on_refused = node.find("nifty").on_refused
+        landed_runtime.listen(node.find("nifty").on_datagram, node.find("nifty").on_frame)
         self.nodes[name] = node
         return node
 
     def landed_disk(self, name):
-        """Return the disk of a store with the steps it had in the landed version; one content."""
+        """Return the disk of a store as the landed version's class; the content is shared."""
         disk = self.disks.setdefault(name, SimDisk(random.Random(f"{self.seed} {name}")))
-        same_disk = landed("proving.sim.disk", "SimDisk")(disk.chance)
-        same_disk.durable, same_disk.pending = disk.durable, disk.pending
-        return same_disk
+        landed_view = landed("proving.sim.disk", "SimDisk")(disk.chance)
+        landed_view.durable, landed_view.pending = disk.durable, disk.pending
+        return landed_view
 
     def run_script(self, node, coroutine, sink=None):
-        """Process: run a coroutine on a node; a landed error is returned as the present's."""
+        """Process: run a coroutine on a node; convert an error of the landed version."""
         try:
             return (yield from super().run_script(node, coroutine, sink))
         except LandedError as error:
             return None, error_from_wire(error.kind, error.detail)
 
     def found(self):
-        """Process: found the fleet from its first core and adopt the example's configuration."""
+        """Process: found the fleet from core-1 and adopt the configuration of the example."""
         core, error = self.nodes["core-1"], True
         while error:
             yield self.env.timeout(0.5)
-            _, error = yield from self.run_script(core, called_on(core, found_fleet, 2))
+            _, error = yield from self.run_script(core, call_own_version(core, found_fleet, 2))
         command = {
             "do": "layout.adopt",
             "id": "first",
@@ -135,15 +137,15 @@
             submitting = core.find("ownership").submit("config", command)
             _, error = yield from self.run_script(core, submitting)
 
-    def begin(self):
-        """Start all nodes and replicas; return the callers once the fleet serves."""
+    def start_serving(self):
+        """Start all nodes and replicas and run until READY_AT; return the callers."""
         self.start_all()
         self.env.process(self.found())
         self.env.run(until=READY_AT)
         return MixedCallers(self)
 
     def restart(self, name, is_landed):
-        """Stop a node and start it under a version."""
+        """Kill a node and start it under the landed or the present version."""
         (self.landed_names.add if is_landed else self.landed_names.discard)(name)
         self.kill(name)
         self.env.run(until=self.env.now + 0.3)
@@ -154,8 +156,10 @@
     """Callers that reach edges of both versions."""
 
     def ask(self, make, *words, **options):
-        """Process: one exchange that ends in one answer; return (answer, error)."""
-        return super().ask(lambda node, request: called_on(node, make, request), *words, **options)
+        """Process: make one request with a single answer; return (answer, error)."""
+        return super().ask(
+            lambda node, request: call_own_version(node, make, request), *words, **options
+        )
 
     def _open(self, node, answer, client_name, route):
         if answer.token is None:
@@ -165,4 +169,4 @@
             query = {"after": [str(len(answer.pieces))]}
             request = Request("GET", {"token": answer.token}, query, None, client_name)
             function = present.resume_stream
-        return Connection(self.sim, node, called_on(node, function, request))
+        return Connection(self.sim, node, call_own_version(node, function, request))
--- a/tests/test_mixed_processes.py
+++ b/tests/test_mixed_processes.py
@@ -1,4 +1,4 @@
-"""Processes of the landed version and of the present one as one fleet on real sockets."""
+"""Processes of the landed and of the present version form one fleet on real sockets."""
 
 import json
 import os
@@ -12,13 +12,13 @@
 
 from proving.tools.callers import Record, ask, follow_lot, lot_call, stream_call, tile_call
 from proving.tools.local_fleet import LocalFleet
-from tests.conftest import NAMES
+from tests.conftest import NODE_NAMES
 from tests.landed_code import ARCHIVE
 
 pytestmark = pytest.mark.xdist_group("mixed processes")
 
-LANDED = {"core-1", "store-1", "store-3", "edge-1"}
-RUN_LANDED = """
+FIRST_LANDED_NAMES = {"core-1", "store-1", "store-3", "edge-1"}
+LANDED_PROGRAM = """
 import sys
 import quillring
 if not quillring.__file__.startswith(sys.argv[1]):
@@ -29,24 +29,24 @@
 """
 
 
-class MixedProcesses(LocalFleet):
-    """A local fleet whose nodes in `landed_names` run the sources in a folder."""
+class MixedVersionProcesses(LocalFleet):
+    """A local fleet whose nodes in `landed_names` run the landed sources from a folder."""
 
-    def __init__(self, sources, *words):
-        super().__init__(*words)
-        self.sources, self.landed_names = str(sources), set(LANDED)
+    def __init__(self, sources, *arguments):
+        super().__init__(*arguments)
+        self.sources, self.landed_names = str(sources), set(FIRST_LANDED_NAMES)
 
     def start(self, name):
-        """Start a process under its version."""
+        """Start the process of a node with the sources of its version."""
         if name not in self.landed_names:
             super().start(name)
             return
         path = self.run_folder / f"{name}.json"
         path.write_text(json.dumps(self.settings[name]))
-        words = ["-P", "-c", RUN_LANDED, self.sources, self.settings[name]["role"]]
+        arguments = ["-P", "-c", LANDED_PROGRAM, self.sources, self.settings[name]["role"]]
         with open(self.run_folder / f"{name}.out", "ab") as out_file:
             self.processes[name] = subprocess.Popen(
-                [sys.executable, *words, "--settings", str(path)],
+                [sys.executable, *arguments, "--settings", str(path)],
                 stdout=out_file,
                 stderr=out_file,
                 start_new_session=True,
@@ -54,7 +54,7 @@
             )
 
     def change_version(self, name):
-        """Start a node under the other version: a store is killed, the others end as planned."""
+        """Restart a node under the other version; stores are killed, other nodes are stopped."""
         if name.startswith("store"):
             self.kill(name)
         else:
@@ -71,25 +71,25 @@
     with tarfile.open(ARCHIVE) as archive:
         archive.extractall(sources, filter="data")
     folder = tmp_path_factory.mktemp("mixed")
-    made = MixedProcesses(sources, "examples/ferrowa", folder, True, set(NAMES))
+    mixed_fleet = MixedVersionProcesses(sources, "examples/ferrowa", folder, True, set(NODE_NAMES))
     try:
-        made.start_all()
-        made.found()
-        made.wait_whole()
-        yield made
+        mixed_fleet.start_all()
+        mixed_fleet.found()
+        mixed_fleet.wait_whole()
+        yield mixed_fleet
     finally:
-        made.stop_all()
+        mixed_fleet.stop_all()
 
 
 def check_serving(fleet, seed):
-    """Each edge serves streams, tiles and a lot."""
+    """Check that each edge completes three streams, a tile and a lot."""
     for name in fleet.names("edge"):
-        record, chance = Record(), random.Random(f"{seed} {name}")
+        record, rng = Record(), random.Random(f"{seed} {name}")
         edge = [fleet.http(name)]
         for _ in range(3):
-            stream_call(edge, chance, record, time.monotonic, "wayfinding", "short")
-        tile_call(edge, chance, record, "tiles")
-        lot_call(edge, chance, record, "gate-notices", 4)
+            stream_call(edge, rng, record, time.monotonic, "wayfinding", "short")
+        tile_call(edge, rng, record, "tiles")
+        lot_call(edge, rng, record, "gate-notices", 4)
         assert record.violations == []
         assert record.outcomes == {
             ("short", "complete"): 3,
@@ -102,15 +102,15 @@
     check_serving(fleet, "both")
 
 
-def test_every_process_changes_its_version_and_a_lot_is_kept(fleet):
-    """Each folder that one version wrote is opened by the other; half go up and half go back."""
+def test_lot_survives_a_version_change_of_every_process(fleet):
+    """Each version opens the data folders of the other; some nodes upgrade, the rest downgrade."""
     body = {"entry": "gate-notices", "key": "kept", "items": [f"item {n}" for n in range(30)]}
     edges = [fleet.http(name) for name in fleet.names("edge")]
     status, accepted = ask(edges[0], "POST", "/v1/lots", body, "desk")
     assert status == 200
     for name in (*fleet.names("store"), *fleet.names("core"), *fleet.names("edge")):
         fleet.change_version(name)
-    assert fleet.landed_names == set(fleet.settings) - LANDED
+    assert fleet.landed_names == set(fleet.settings) - FIRST_LANDED_NAMES
     record = Record()
     follow_lot(edges, random.Random(1), record, accepted["lot"], body["items"], "desk")
     assert record.violations == [] and record.outcomes == {("lot", "complete"): 1}
--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -1,4 +1,4 @@
-"""Nodes of the landed version and of the present one serve together, and one replaces the other."""
+"""Nodes of the landed and the present version serve together and replace each other."""
 
 import copy
 import inspect
@@ -17,26 +17,26 @@
 CORES = ("core-1", "core-2", "core-3")
 STORES = ("store-1", "store-2", "store-3", "store-4")
 EDGES = ("edge-1", "edge-2", "edge-3", "edge-4")
-ALL = (*CORES, *STORES, *EDGES)
-MIXTURES = {
+ALL_NAMES = (*CORES, *STORES, *EDGES)
+VERSION_MIXES = {
     "landed-majority": ("core-1", "core-3", "store-1", "store-2", "store-3", "edge-1", "edge-2"),
     "present-majority": ("core-2", "store-4", "edge-3"),
     "landed-stores": STORES,
     "landed-cores": CORES,
 }
-GOOD = {"complete", "ended", "cancelled"}
+GOOD_OUTCOMES = {"complete", "ended", "cancelled"}
 SETTLE_SECONDS = 15.0
 
 
-def serve(fleet, callers, seconds):
-    """Start the traffic of every kind for some seconds."""
+def start_traffic(fleet, callers, seconds):
+    """Start traffic of every kind that stops after some seconds."""
     callers.stop_at = fleet.env.now + seconds
-    for words in (
+    for arguments in (
         (3, callers.stream, "wayfinding", "short"),
         (0.8, callers.lot, "gate-notices"),
         (4, callers.tile, "tiles"),
     ):
-        fleet.env.process(callers.generate(*words))
+        fleet.env.process(callers.generate(*arguments))
 
 
 def run(fleet, seconds):
@@ -44,22 +44,25 @@
 
 
 def check_served(fleet, callers, refused_tiles=0):
-    """Nothing was violated, every answer was good, no accepted lot is open or lost.
+    """Check that no guarantee was violated, all answers are good and all accepted lots ended.
 
-    So many tiles may be refused at an edge that has just started.
+    Up to `refused_tiles` tiles may be refused, by edges that have just started.
     """
     run(fleet, SETTLE_SECONDS)
     assert fleet.history.violations == []
     outcomes = dict(callers.record.outcomes)
     assert outcomes.pop(("tile", "refused"), 0) <= refused_tiles
-    assert {outcome for _, outcome in outcomes} <= GOOD, outcomes
+    assert {outcome for _, outcome in outcomes} <= GOOD_OUTCOMES, outcomes
     assert {kind for kind, _ in outcomes} == {"short", "lot", "tile"}
-    assert {known["phase"] for known in callers.lots.values()} <= {"ended", "cancelled"}
+    assert {accepted_lot["phase"] for accepted_lot in callers.lots.values()} <= {
+        "ended",
+        "cancelled",
+    }
     check_states(fleet)
 
 
 def check_states(fleet):
-    """All stores hold the same state of a part at the same index, as read from their disks."""
+    """Check that stores with the same applied index of a part have the same state on disk."""
     states, indexes = {}, {}
     for name, disk in fleet.disks.items():
         rows = open_store(copy.deepcopy(disk), name, None).rows()
@@ -70,10 +73,12 @@
             key = (part, index, bool(state))
             assert states.setdefault(key, cbor2.dumps(state, canonical=True)) == cbor2.dumps(
                 state, canonical=True
-            ), f"{part} differs at {index}"
+            ), f"stores differ in the state of {part} at index {index}"
     assert len(indexes) == 3
     for part, counts in indexes.items():
-        assert counts.most_common(1)[0][1] >= 3, f"{part}: no three stores agree: {counts}"
+        assert counts.most_common(1)[0][1] >= 3, (
+            f"{part}: no three stores have the same index: {counts}"
+        )
 
 
 def versions_of(fleet):
@@ -81,34 +86,36 @@
 
 
 def leader_of(fleet, part):
-    """Return the name of the core that leads a part, as gossip tells it."""
+    """Return the name of the core that leads a part, as announced by gossip at edge-4."""
     edge = fleet.nodes["edge-4"]
     return edge.find("gossip").get(f"owner/{part}")["owner"]
 
 
-def test_the_landed_code_shares_nothing_with_the_present():
+def test_landed_modules_share_no_code_with_the_present_version():
     assert landed("quillring.kernel.effects", "Signal") is not Signal
-    MixedFleet(1, ALL)
+    MixedFleet(1, ALL_NAMES)
     for name, module in list(sys.modules.items()):
         if not name.startswith("landed."):
             continue
         for value in vars(module).values():
-            home = value.__name__ if inspect.ismodule(value) else getattr(value, "__module__", "")
-            assert str(home).partition(".")[0] not in ("quillring", "proving"), (name, value)
+            module_name = (
+                value.__name__ if inspect.ismodule(value) else getattr(value, "__module__", "")
+            )
+            assert str(module_name).partition(".")[0] not in ("quillring", "proving"), (name, value)
 
 
-def test_the_present_version_speaks_all_wire_versions_of_the_landed_one():
+def test_present_version_supports_the_landed_wire_versions_and_one_more():
     landed_versions = landed("quillring.nifty.wire", "SPOKEN")
     assert (*landed_versions, landed_versions[-1] + 1) == SUPPORTED_VERSIONS
 
 
 @pytest.mark.parametrize("seed", [3, 4])
-@pytest.mark.parametrize("mixture", MIXTURES)
+@pytest.mark.parametrize("mixture", VERSION_MIXES)
 def test_both_versions_serve_together(mixture, seed):
-    fleet = MixedFleet(seed, MIXTURES[mixture])
-    callers = fleet.begin()
+    fleet = MixedFleet(seed, VERSION_MIXES[mixture])
+    callers = fleet.start_serving()
     assert versions_of(fleet) == {True, False}
-    serve(fleet, callers, 12)
+    start_traffic(fleet, callers, 12)
     run(fleet, 12)
     check_served(fleet, callers)
 
@@ -117,26 +124,28 @@
 @pytest.mark.parametrize(
     ("landed_cores", "is_landed_next"), [(("core-1", "core-2"), False), (("core-3",), True)]
 )
-def test_leadership_passes_from_one_version_to_the_other(landed_cores, is_landed_next, seed):
-    """The only core that is left leads every part, with all that the others had committed."""
+def test_leadership_moves_from_one_version_to_the_other(landed_cores, is_landed_next, seed):
+    """After the cores of one version are killed, the others lead with all committed state."""
     fleet = MixedFleet(seed, (*landed_cores, "store-1", "store-2", "edge-1"))
-    callers = fleet.begin()
-    serve(fleet, callers, 10)
+    callers = fleet.start_serving()
+    start_traffic(fleet, callers, 10)
     run(fleet, 5)
     for name in CORES:
         if is_landed(fleet.nodes[name]) is not is_landed_next:
             fleet.kill(name)
     run(fleet, 6)
-    left = [name for name in CORES if is_landed(fleet.nodes[name]) is is_landed_next]
-    assert {leader_of(fleet, part) for part in ("config", "part-0", "part-1")} <= set(left)
+    remaining_cores = [name for name in CORES if is_landed(fleet.nodes[name]) is is_landed_next]
+    assert {leader_of(fleet, part) for part in ("config", "part-0", "part-1")} <= set(
+        remaining_cores
+    )
     check_served(fleet, callers)
 
 
-def restarted_fleet(seed, was_landed, is_landed_next):
-    """Play a run in which every node starts anew, under another version or the same."""
-    fleet = MixedFleet(seed, ALL if was_landed else ())
-    callers = fleet.begin()
-    serve(fleet, callers, 3.5 * len(ALL))
+def run_rolling_restart(seed, was_landed, is_landed_next):
+    """Restart every node in turn under traffic; return the fleet and its callers."""
+    fleet = MixedFleet(seed, ALL_NAMES if was_landed else ())
+    callers = fleet.start_serving()
+    start_traffic(fleet, callers, 3.5 * len(ALL_NAMES))
     for name in (*STORES, *CORES, *EDGES):
         fleet.restart(name, is_landed_next)
         run(fleet, 3)
@@ -145,22 +154,22 @@
 
 @pytest.mark.parametrize("is_upgrade", [True, False], ids=["upgrade", "downgrade"])
 @pytest.mark.parametrize("seed", [7, 8])
-def test_a_fleet_changes_its_version_node_by_node(is_upgrade, seed):
-    """Callers see no more of it than of restarts without a change of version."""
-    same_fleet, same_callers = restarted_fleet(seed, was_landed=False, is_landed_next=False)
+def test_rolling_change_of_version_refuses_no_more_calls_than_a_rolling_restart(is_upgrade, seed):
+    """Callers see no more refused tiles than in a rolling restart without a change of version."""
+    same_fleet, same_callers = run_rolling_restart(seed, was_landed=False, is_landed_next=False)
     run(same_fleet, SETTLE_SECONDS)
     refused_tiles = same_callers.record.outcomes.get(("tile", "refused"), 0)
-    fleet, callers = restarted_fleet(seed, is_upgrade, not is_upgrade)
+    fleet, callers = run_rolling_restart(seed, is_upgrade, not is_upgrade)
     assert versions_of(fleet) == {not is_upgrade}
     check_served(fleet, callers, refused_tiles)
 
 
 @pytest.mark.parametrize("seed", [9, 10])
 def test_a_store_that_lost_power_catches_up_from_the_other_version(seed):
-    """A store of each version is away while the other version goes on."""
+    """One store of each version in turn loses power and misses changes while the others serve."""
     fleet = MixedFleet(seed, ("store-1", "store-2", "core-2", "edge-2"))
-    callers = fleet.begin()
-    serve(fleet, callers, 14)
+    callers = fleet.start_serving()
+    start_traffic(fleet, callers, 14)
     for name in ("store-1", "store-3"):
         fleet.kill(name, loses_power=True)
         run(fleet, 3)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -13,11 +13,11 @@
 pytestmark = pytest.mark.xdist_group("one fleet")
 
 
-def edges(fleet):
+def edge_addresses(fleet):
     return [fleet.http(name) for name in fleet.names("edge")]
 
 
-def test_changed_settings_are_taken_on_sighup_and_faulty_ones_change_nothing(fleet):
+def test_sighup_applies_changed_settings_and_rejects_faulty_ones(fleet):
     def seeds():
         return ask(fleet.http("edge-2"), "GET", "/v1/status")[1]["seeds"]
 
@@ -26,7 +26,7 @@
         path.write_text(json.dumps({**fleet.settings["edge-2"], **fields}))
         fleet.signal("edge-2", signal.SIGHUP)
 
-    record, former = Record(), seeds()
+    record, original_seeds = Record(), seeds()
     call = gevent.spawn(
         stream_call,
         [fleet.http("edge-2")],
@@ -47,39 +47,39 @@
         "the fault is logged",
         lambda: log_file.exists() and ("settings not changed" in log_file.read_text()),
     )
-    assert seeds() == new_seeds != former
+    assert seeds() == new_seeds != original_seeds
     call.join()
     assert record.outcomes == {("long", "complete"): 1} and record.violations == []
 
 
-def test_promises_are_metered_by_class(fleet):
-    record, chance = Record(), random.Random("promises")
+def test_promises_are_counted_by_class(fleet):
+    record, rng = Record(), random.Random("promises")
     fleet.wait_ready()
-    stream_call(edges(fleet)[1:], chance, record, time.monotonic, "tagging", "long", 20, 0.0)
-    _, answer = ask(edges(fleet)[1], "GET", "/v1/promises")
+    stream_call(edge_addresses(fleet)[1:], rng, record, time.monotonic, "tagging", "long", 20, 0.0)
+    _, answer = ask(edge_addresses(fleet)[1], "GET", "/v1/promises")
     rows = {row["class"]: row for row in answer["classes"]}
     assert record.outcomes == {("long", "complete"): 1} and rows["overnight"]["kept"] >= 1
     assert all(0 <= row["share_kept"] <= 1 for row in rows.values())
 
 
-def test_a_rolling_restart_by_the_verb_cuts_nothing(fleet):
+def test_rolling_restart_command_interrupts_no_call(fleet):
     fleet.wait_ready()
-    record, restarted, is_over = Record(), [], gevent.event.Event()
+    record, restarted, is_restart_done = Record(), [], gevent.event.Event()
 
-    def platform():
-        while not is_over.is_set():
+    def run_platform():
+        while not is_restart_done.is_set():
             restarted.extend(fleet.keep_running())
             gevent.sleep(0.05)
 
     def traffic(number):
-        chance = random.Random(f"r{number}")
-        while not is_over.is_set():
-            ready = [a for a in edges(fleet) if ask(a, "GET", "/v1/ready")[0] == 200]
+        rng = random.Random(f"r{number}")
+        while not is_restart_done.is_set():
+            ready = [a for a in edge_addresses(fleet) if ask(a, "GET", "/v1/ready")[0] == 200]
             if ready:
-                stream_call(ready, chance, record, time.monotonic, "wayfinding", "short", 20, 0.0)
+                stream_call(ready, rng, record, time.monotonic, "wayfinding", "short", 20, 0.0)
 
     calls = [gevent.spawn(traffic, number) for number in range(2)]
-    watching = gevent.spawn(platform)
+    platform_task = gevent.spawn(run_platform)
     outcome = CliRunner().invoke(
         main,
         [
@@ -95,8 +95,8 @@
             "edge-1",
         ],
     )
-    is_over.set()
-    gevent.joinall([*calls, watching], raise_error=True)
+    is_restart_done.set()
+    gevent.joinall([*calls, platform_task], raise_error=True)
     assert outcome.exit_code == 0, outcome.output
     assert json.loads(outcome.output) == {"restarted": ["store-1", "core-2", "edge-1"]}
     assert restarted == ["store-1", "core-2", "edge-1"]
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -13,7 +13,7 @@
 pytestmark = pytest.mark.xdist_group("one fleet")
 
 
-def edges(fleet):
+def edge_addresses(fleet):
     return [fleet.http(name) for name in fleet.names("edge")]
 
 
@@ -21,27 +21,37 @@
     record = Record()
     fleet.kill("store-2")
     for number in range(6):
-        chance = random.Random(number)
-        stream_call(edges(fleet), chance, record, time.monotonic, "wayfinding", "short")
-    lot_call(edges(fleet), random.Random(9), record, "gate-notices", 4)
+        rng = random.Random(number)
+        stream_call(edge_addresses(fleet), rng, record, time.monotonic, "wayfinding", "short")
+    lot_call(edge_addresses(fleet), random.Random(9), record, "gate-notices", 4)
     fleet.start("store-2")
     assert record.violations == []
     assert record.outcomes == {("short", "complete"): 6, ("lot", "complete"): 1}
-    assert ask(edges(fleet)[0], "GET", "/v1/tiles/tiles/12/3/7")[0] == 200
+    assert ask(edge_addresses(fleet)[0], "GET", "/v1/tiles/tiles/12/3/7")[0] == 200
 
 
-def test_a_lot_outlives_its_owner_and_a_restart_of_all_stores(fleet):
+def test_lot_survives_a_restart_of_all_stores(fleet):
     body = {"entry": "gate-notices", "key": "outlives", "items": [f"item {n}" for n in range(30)]}
-    accepted = [ask(a, "POST", "/v1/lots", body, "desk") for a in edges(fleet)]
+    accepted = [ask(a, "POST", "/v1/lots", body, "desk") for a in edge_addresses(fleet)]
     assert [status for status, _ in accepted] == [200, 200]
     for name in fleet.names("store"):
         fleet.kill(name)
     for name in fleet.names("store"):
         fleet.start(name)
     record = Record()
-    follow_lot(edges(fleet), random.Random(1), record, accepted[0][1]["lot"], body["items"], "desk")
+    follow_lot(
+        edge_addresses(fleet),
+        random.Random(1),
+        record,
+        accepted[0][1]["lot"],
+        body["items"],
+        "desk",
+    )
     assert record.violations == [] and record.outcomes == {("lot", "complete"): 1}
-    assert ask(edges(fleet)[0], "GET", f"/v1/lots/{accepted[0][1]['lot']}", None, "other")[0] == 404
+    assert (
+        ask(edge_addresses(fleet)[0], "GET", f"/v1/lots/{accepted[0][1]['lot']}", None, "other")[0]
+        == 404
+    )
 
 
 @pytest.mark.parametrize(
@@ -82,21 +92,21 @@
         ("PUT", "/v1/layout", {"base_version": 0, "layout": {}}, 409, "conflict", None),
     ],
 )
-def test_bad_input_is_a_typed_4xx(fleet, method, path, body, status, error, field):
-    seen_status, answer = ask(edges(fleet)[0], method, path, body)
+def test_bad_input_is_answered_with_a_typed_4xx(fleet, method, path, body, status, error, field):
+    seen_status, answer = ask(edge_addresses(fleet)[0], method, path, body)
     assert (seen_status, answer["trouble"], answer.get("field")) == (status, error, field)
 
 
-def test_garbage_between_processes_is_counted_and_the_process_lives(fleet):
-    row = fleet.settings["edge-1"]
-    host, port = row["address"].rsplit(":", 1)
+def test_garbage_on_the_node_port_is_counted_and_the_process_keeps_running(fleet):
+    node_settings = fleet.settings["edge-1"]
+    host, port = node_settings["address"].rsplit(":", 1)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as udp:
         udp.sendto(b"garbage", (host, int(port)))
     with socket.create_connection((host, int(port))) as tcp:
         tcp.sendall(b"\x00\x00\x00\x04junk\xff\xff\xff\xff")
 
     def counted():
-        _, answer = ask(row["http_address"], "GET", "/v1/counts")
+        _, answer = ask(node_settings["http_address"], "GET", "/v1/counts")
         counts = answer["counts"]
         return counts.get("bad_datagrams", 0) >= 1 and counts.get("bad_frames", 0) >= 1
 
@@ -104,23 +114,23 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_bad_http_input_never_is_a_500_and_runs_nothing(fleet, seed):
-    chance = random.Random(f"http {seed}")
-    strange, typed = [], 0
+def test_fuzzed_http_input_is_answered_with_200_or_a_typed_4xx(fleet, seed):
+    rng = random.Random(f"http {seed}")
+    unexpected_answers, typed_error_count = [], 0
     for _ in range(150):
-        case = fuzz.http_case(chance)
-        status, answer = fuzz.exchange(fleet.http(chance.choice(("edge-1", "core-1"))), case)
+        case = fuzz.http_case(rng)
+        status, answer = fuzz.exchange(fleet.http(rng.choice(("edge-1", "core-1"))), case)
         is_typed = isinstance(answer, dict) and "trouble" in answer
-        typed += is_typed and 400 <= status < 500
+        typed_error_count += is_typed and 400 <= status < 500
         if not (status == 200 or (400 <= status < 500 and (is_typed or case[0] == "HEAD"))):
-            strange.append((status, answer, case))
-    assert strange == []
-    assert typed > 100
-    assert ask(edges(fleet)[0], "GET", "/v1/ready")[0] == 200
+            unexpected_answers.append((status, answer, case))
+    assert unexpected_answers == []
+    assert typed_error_count > 100
+    assert ask(edge_addresses(fleet)[0], "GET", "/v1/ready")[0] == 200
 
 
-def test_malformed_json_names_the_body(fleet):
-    host, port = edges(fleet)[0].rsplit(":", 1)
+def test_malformed_json_is_reported_for_the_field_body(fleet):
+    host, port = edge_addresses(fleet)[0].rsplit(":", 1)
     with socket.create_connection((host, int(port))) as conn:
         conn.sendall(
             b"POST /v1/lots HTTP/1.1\r\nHost: x\r\nConnection: close\r\n"
@@ -131,16 +141,16 @@
     assert json.loads(rest)["field"] == "body"
 
 
-def test_a_planned_stop_finishes_what_is_under_way(fleet):
+def test_planned_stop_completes_calls_in_flight(fleet):
     import gevent
 
     record = Record()
     fleet.wait_ready()
-    first = [edges(fleet)[0]]
+    first_edge = [edge_addresses(fleet)[0]]
     calls = [
         gevent.spawn(
             stream_call,
-            first,
+            first_edge,
             random.Random(f"d{n}"),
             record,
             time.monotonic,
@@ -162,46 +172,50 @@
     assert record.outcomes == {("long", "complete"): 6}
 
 
-def test_a_newcomer_with_a_living_members_name_is_refused(fleet, tmp_path):
-    row = {**fleet.settings["edge-2"]}
-    clone = LocalFleet("examples/ferrowa", tmp_path, True, {"edge-2"})
-    clone.settings["edge-2"]["seeds"] = [fleet.settings["core-1"]["address"]]
-    clone.start("edge-2")
+def test_process_with_the_name_of_a_live_member_is_refused(fleet, tmp_path):
+    node_settings = {**fleet.settings["edge-2"]}
+    duplicate_fleet = LocalFleet("examples/ferrowa", tmp_path, True, {"edge-2"})
+    duplicate_fleet.settings["edge-2"]["seeds"] = [fleet.settings["core-1"]["address"]]
+    duplicate_fleet.start("edge-2")
     try:
-        assert clone.processes["edge-2"].wait(60) == 3
+        assert duplicate_fleet.processes["edge-2"].wait(60) == 3
     finally:
-        clone.stop_all()
-    assert "name_taken" in (clone.run_folder / "edge-2.out").read_text()
-    assert ask(row["http_address"], "GET", "/v1/ready")[0] == 200
+        duplicate_fleet.stop_all()
+    assert "name_taken" in (duplicate_fleet.run_folder / "edge-2.out").read_text()
+    assert ask(node_settings["http_address"], "GET", "/v1/ready")[0] == 200
 
 
-def test_a_store_folder_of_another_name_is_refused(fleet, tmp_path):
-    clone = LocalFleet("examples/ferrowa", tmp_path, True, {"store-4"})
-    clone.settings["store-4"]["folder"] = fleet.settings["store-3"]["folder"]
-    clone.start("store-4")
+def test_data_folder_of_another_store_is_refused(fleet, tmp_path):
+    duplicate_fleet = LocalFleet("examples/ferrowa", tmp_path, True, {"store-4"})
+    duplicate_fleet.settings["store-4"]["folder"] = fleet.settings["store-3"]["folder"]
+    duplicate_fleet.start("store-4")
     try:
-        assert clone.processes["store-4"].wait(60) == 3
+        assert duplicate_fleet.processes["store-4"].wait(60) == 3
     finally:
-        clone.stop_all()
-    assert "other_identity" in (clone.run_folder / "store-4.out").read_text()
+        duplicate_fleet.stop_all()
+    assert "other_identity" in (duplicate_fleet.run_folder / "store-4.out").read_text()
 
 
-def test_an_operators_plan_runs_by_the_command_line(fleet):
+def test_operator_plan_runs_from_the_command_line(fleet):
     from click.testing import CliRunner
 
     from quillring.verbs.program import main
 
-    def verb(*words):
-        outcome = CliRunner().invoke(main, [*words, "--node", fleet.http("core-1"), "--json"])
+    def run_command(*arguments):
+        outcome = CliRunner().invoke(main, [*arguments, "--node", fleet.http("core-1"), "--json"])
         return outcome.exit_code, json.loads(outcome.stdout or outcome.stderr)
 
-    code, plan = verb("plan", "empty-domain", "east")
+    code, plan = run_command("plan", "empty-domain", "east")
     assert code == 0 and plan["phase"] == "proposed"
-    assert verb("plan", "confirm", plan["plan"])[0] == 0
-    fleet.wait_for("plan done", lambda: verb("plan", "show", plan["plan"])[1]["phase"] == "done")
-    assert verb("plan", "confirm", plan["plan"])[1]["trouble"] == "conflict"
-    code, refill = verb("plan", "refill-domain", "east")
-    assert verb("plan", "confirm", refill["plan"])[0] == 0
-    fleet.wait_for("refilled", lambda: verb("plan", "show", refill["plan"])[1]["phase"] == "done")
+    assert run_command("plan", "confirm", plan["plan"])[0] == 0
+    fleet.wait_for(
+        "plan done", lambda: run_command("plan", "show", plan["plan"])[1]["phase"] == "done"
+    )
+    assert run_command("plan", "confirm", plan["plan"])[1]["trouble"] == "conflict"
+    code, refill = run_command("plan", "refill-domain", "east")
+    assert run_command("plan", "confirm", refill["plan"])[0] == 0
+    fleet.wait_for(
+        "refilled", lambda: run_command("plan", "show", refill["plan"])[1]["phase"] == "done"
+    )
     fleet.wait_ready()
-    assert verb("fleet")[0] == 0
+    assert run_command("fleet")[0] == 0
