--- a/tests/checkpoint_stage.py
+++ b/tests/checkpoint_stage.py
@@ -103,7 +103,7 @@
 
 
 def run_until_power_loss(disk, acknowledged=0, is_eager=False):
-    """Commit all batches that the disk does not hold yet, until it loses power.
+    """Commit all batches that are not on the disk yet, until it loses power.
 
     Return (number of records acknowledged so far, whether all batches were processed).
     """
--- a/tests/fleet_stage.py
+++ b/tests/fleet_stage.py
@@ -11,7 +11,7 @@
 class SelfFoundingFleet:
     """A simulated fleet that its cores found at their first start.
 
-    `is_first` tells for each node name whether its start counts as its first one.
+    `is_first` is called with a node name and returns whether it is that core's first start.
     """
 
     def __init__(
--- a/tests/mixed_fleet.py
+++ b/tests/mixed_fleet.py
@@ -47,11 +47,11 @@
     return isinstance(node, LandedNode)
 
 
-def call_own_version(node, function, *words):
+def call_own_version(node, function, *arguments):
     """Call the equivalent of `function` in the node's version; return the coroutine."""
     if not is_landed(node):
-        return function(node, *words)
-    return LANDED_EQUIVALENTS[function](node, *map(to_landed, words))
+        return function(node, *arguments)
+    return LANDED_EQUIVALENTS[function](node, *map(to_landed, arguments))
 
 
 def to_landed(value):
@@ -155,10 +155,10 @@
 class MixedCallers(SimCallers):
     """Callers that reach edges of both versions."""
 
-    def ask(self, make, *words, **options):
+    def ask(self, make, *arguments, **options):
         """Process: make one request with a single answer; return (answer, error)."""
         return super().ask(
-            lambda node, request: call_own_version(node, make, request), *words, **options
+            lambda node, request: call_own_version(node, make, request), *arguments, **options
         )
 
     def _open(self, node, answer, client_name, route):
--- a/tests/test_checkpoint_crashes.py
+++ b/tests/test_checkpoint_crashes.py
@@ -93,7 +93,7 @@
     disk = CrashDisk()
     process = StoreProcess(disk, log_limit_bytes=1 << 20)
     process.commit(RECORDS[:1])
-    before = dict(disk.files)
+    files_before = dict(disk.files)
     disk.last_step = disk.steps + 2
     with pytest.raises(PowerLost):
         process.commit(RECORDS[1:5])
@@ -101,7 +101,7 @@
     for first in range(len(data)):
         for last in range(first + 1, len(data) + 1):
             torn = data[:first] + bytes(last - first) + data[last:]
-            surviving_disk = CrashDisk({**before, name: before[name][:offset] + torn})
+            surviving_disk = CrashDisk({**files_before, name: files_before[name][:offset] + torn})
             check_recovery(surviving_disk, 1, f"zeros from {first} to {last}")
 
 
--- a/tests/test_checkpoints.py
+++ b/tests/test_checkpoints.py
@@ -102,9 +102,9 @@
 
 def test_truncated_previous_log_under_a_corrupt_slot_refuses_to_start():
     store, disk = store_after_records_and_steps(41, 1)
-    former_log = f"log.{(store.generation + 1) % 2}"
+    previous_log = f"log.{(store.generation + 1) % 2}"
     files = {**disk.durable, f"slot.{store.generation % 2}": b"rotten"}
-    files[former_log] = files[former_log][:-3]
+    files[previous_log] = files[previous_log][:-3]
     with pytest.raises(Damaged):
         recovered_records(files)
 
--- a/tests/test_landed_folders.py
+++ b/tests/test_landed_folders.py
@@ -22,11 +22,11 @@
 
 @pytest.fixture
 def folder_disk(tmp_path):
-    def copied(name):
+    def copy_folder(name):
         shutil.copytree(RECORDED_FOLDER / name, tmp_path / name)
         return FolderDisk(str(tmp_path / name))
 
-    return copied
+    return copy_folder
 
 
 @pytest.fixture
--- a/tests/test_landed_messages.py
+++ b/tests/test_landed_messages.py
@@ -19,9 +19,9 @@
 cached_record = lru_cache(play_and_record)
 
 
-def run_parameter(name, *words):
+def run_parameter(name, *values):
     """Return a parameter whose tests run in one xdist worker and so share one cached run."""
-    return pytest.param(name, *words, marks=pytest.mark.xdist_group(f"wire {name}"))
+    return pytest.param(name, *values, marks=pytest.mark.xdist_group(f"wire {name}"))
 
 
 each_run = pytest.mark.parametrize("run", [run_parameter(name) for name in RUNS])
--- a/tests/test_slow_disks.py
+++ b/tests/test_slow_disks.py
@@ -30,8 +30,10 @@
 def stall_disk(sim, name):
     """Make the next sync of a store take STALL_SECONDS while its process keeps running."""
     disk = sim.disks[name]
-    former, disk.sync_seconds = disk.sync_seconds, (STALL_SECONDS, STALL_SECONDS)
-    sim.env.timeout(1).callbacks.append(lambda _: setattr(disk, "sync_seconds", former))
+    normal_sync_seconds, disk.sync_seconds = disk.sync_seconds, (STALL_SECONDS, STALL_SECONDS)
+    sim.env.timeout(1).callbacks.append(
+        lambda _: setattr(disk, "sync_seconds", normal_sync_seconds)
+    )
 
 
 def block_process(sim, name):
@@ -94,7 +96,7 @@
     fleet = SelfFoundingFleet(121)
     name = config_stores(fleet)[0]
     acceptors = fleet.stores()[name]
-    before = acceptors.parts[CONFIG_PART].applied
+    applied_before = acceptors.parts[CONFIG_PART].applied
     fill_disk(fleet.sim, name, fleet.sim.bounds.resync * 0.4)
     for number in range(4):
         assert fleet.submit("core-2", domain_order(number))[1] is None
@@ -103,7 +105,7 @@
     assert "no space left" in show_status(fleet.sim.nodes[name], None)["disk_error"]
     assert acceptors.stamp() is None
     index, state = acceptors.on_image({"part": CONFIG_PART}, "anyone")
-    assert index >= before and state["group"]
+    assert index >= applied_before and state["group"]
     fleet.run(fleet.sim.bounds.resync * 0.4)
     newest = max(
         a.parts[CONFIG_PART].applied for a in fleet.stores().values() if CONFIG_PART in a.parts
@@ -175,19 +177,19 @@
 
 
 def test_confirmation_before_the_promise_is_durable_lets_no_old_owner_write():
-    former, newer = [1, "a"], [2, "b"]
-    first, second, late = three_stores(former)
+    old_ballot, new_ballot = [1, "a"], [2, "b"]
+    first, second, unsynced_store = three_stores(old_ballot)
     for store in (first, second):
-        store.sync(store.ask("prepare", newer))
-    waiting = late.ask("prepare", newer)
+        store.sync(store.ask("prepare", new_ballot))
+    waiting = unsynced_store.ask("prepare", new_ballot)
     assert hasattr(waiting, "send"), "the promise was sent before the disk was synced"
-    assert late.ask("confirm", newer) is True
-    assert isinstance(late.ask("confirm", former), Fenced)
-    late = late.after_power_loss()
+    assert unsynced_store.ask("confirm", new_ballot) is True
+    assert isinstance(unsynced_store.ask("confirm", old_ballot), Fenced)
+    unsynced_store = unsynced_store.after_power_loss()
     entry = {"index": 1, "batch": [], "committed": 0}
-    votes = [store.ask("accept", former, **entry) for store in (first, second, late)]
+    votes = [store.ask("accept", old_ballot, **entry) for store in (first, second, unsynced_store)]
     assert [isinstance(vote, Fenced) for vote in votes] == [True, True, False]
-    confirmed = [store.ask("confirm", former) for store in (first, second, late)]
+    confirmed = [store.ask("confirm", old_ballot) for store in (first, second, unsynced_store)]
     assert sum(answer is True for answer in confirmed) < 2
 
 
@@ -207,19 +209,19 @@
 
 
 def test_store_with_a_full_disk_acknowledges_nothing_it_could_not_write():
-    former, newer = [1, "a"], [2, "b"]
-    store = three_stores(former)[0]
+    old_ballot, new_ballot = [1, "a"], [2, "b"]
+    store = three_stores(old_ballot)[0]
     store.disk.is_full = True
     waiting = [
-        store.ask("prepare", newer),
-        store.ask("accept", newer, index=1, batch=[], committed=0),
+        store.ask("prepare", new_ballot),
+        store.ask("accept", new_ballot, index=1, batch=[], committed=0),
     ]
     store.writer.send(True)
     for coroutine in waiting:
         with pytest.raises(DiskError):
             coroutine.send(True)
-    assert isinstance(store.ask("confirm", newer), DiskError)
-    assert isinstance(store.ask("commit", newer, committed=0), DiskError)
+    assert isinstance(store.ask("confirm", new_ballot), DiskError)
+    assert isinstance(store.ask("commit", new_ballot, committed=0), DiskError)
     record = store.after_power_loss().acceptors.parts[CONFIG_PART]
     assert (record.promised, record.entries) == ((1, "a"), {})
 
