--- a/tests/test_all_cores_at_once.py
+++ b/tests/test_all_cores_at_once.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 from tests.system_calls import FULL_CONFIGURATION, call, replace_configuration
 
 MIN_READ_SECONDS = 4.0
@@ -33,7 +33,7 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_after_all_cores_restart_a_read_returns_the_newest_configuration_or_503(seed, loses_power):
     rng = random.Random(seed)
-    stage = SelfFounded(seed, has_witnesses=True)
+    stage = SelfFoundingFleet(seed, has_witnesses=True)
     newest = {**FULL_CONFIGURATION, "ver": 9}
     assert replace_configuration(stage, "core-1", FULL_CONFIGURATION, 0)[0] == 200
     assert replace_configuration(stage, rng.choice(stage.sim.names("core")), newest, 7)[0] == 200
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -9,7 +9,7 @@
 from quillring.edge.resume_token import TOKEN_LIFETIME_SECONDS, BadToken, make_token, read_token
 from quillring.lots.http_requests.lot_placement import lot_key
 from quillring.quorum.parts import CONFIG_PART
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 from tests.http_lot_stage import HOST, HttpLotStage, check_complete_results, submit_accepted
 
 SKEW_SECONDS = 60
@@ -114,7 +114,7 @@
 @pytest.mark.parametrize("step", [-SKEW_SECONDS, SKEW_SECONDS])
 @pytest.mark.parametrize("role", ["core", "store", "edge"])
 def test_node_restarted_with_a_stepped_clock_rejoins_and_accepts_commands(role, step):
-    fleet = SelfFounded(91)
+    fleet = SelfFoundingFleet(91)
     name = fleet.owner() if role == "core" else f"{role}-1"
     fleet.sim.incarnation_bases[name] = 100 + step
     fleet.sim.kill(name)
--- a/tests/test_configuration_versions.py
+++ b/tests/test_configuration_versions.py
@@ -10,7 +10,7 @@
 from quillring.rollout.freshness import PolledStamp
 from quillring.rollout.messages import StoreStamp
 from quillring.rollout.schema import EMPTY_CONFIGURATION, find_faults
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 
 
 def forward(prefix="/a/", **fields):
@@ -200,7 +200,7 @@
 def test_a_version_reaches_every_node_although_the_owner_dies_right_after_the_answer(
     seed,
 ):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     owner = stage.owner()
     asker = next(name for name in stage.sim.names("core") if name != owner)
     answer, error = stage.submit(asker, adopt_command(5))
@@ -220,7 +220,7 @@
 
 
 def test_a_node_that_missed_the_announcement_fetches_the_version_from_stores_without_the_owner():
-    stage = SelfFounded(4)
+    stage = SelfFoundingFleet(4)
     owner = stage.owner()
     stage.sim.nodes["edge-1"].handlers["gossip.news"] = lambda items, origin: None
     asker = next(name for name in stage.sim.names("core") if name != owner)
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -3,7 +3,7 @@
 import pytest
 
 from proving.sim.network import CutKind
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 from tests.system_calls import FULL_CONFIGURATION, HEARTBEAT, call, replace_configuration
 
 PARTITION_SECONDS = 20
@@ -76,7 +76,7 @@
 @pytest.mark.parametrize("partition_kind", PARTITION_KINDS)
 @pytest.mark.parametrize("is_leader", [True, False])
 def test_a_partitioned_core_answers_503_to_every_call_for_twenty_seconds(partition_kind, is_leader):
-    stage = SelfFounded(5)
+    stage = SelfFoundingFleet(5)
     operator, owner = Operator(stage), stage.owner()
     core = owner if is_leader else next(c for c in stage.sim.names("core") if c != owner)
     other = next(c for c in stage.sim.names("core") if c not in (core, owner))
@@ -108,7 +108,7 @@
 
 @pytest.mark.parametrize("partition_kind", PARTITION_KINDS)
 def test_a_core_that_restarts_while_partitioned_answers_503_to_every_call(partition_kind):
-    stage = SelfFounded(6)
+    stage = SelfFoundingFleet(6)
     operator = Operator(stage)
     core, other = stage.owner(), next(c for c in stage.sim.names("core") if c != stage.owner())
     partition_from_all(stage, core, partition_kind)
@@ -130,7 +130,7 @@
 @pytest.mark.parametrize("store_index", range(3))
 def test_an_owner_partitioned_with_one_store_of_its_group_acknowledges_nothing(store_index):
     """The changes are sent right after the cut, before failure detection."""
-    stage = SelfFounded(8)
+    stage = SelfFoundingFleet(8)
     operator, owner = Operator(stage), stage.owner()
     other = next(c for c in stage.sim.names("core") if c != owner)
     side = [owner, stage.sim.nodes[owner].find("ownership").group("config")[store_index][0]]
@@ -152,7 +152,7 @@
 def test_changes_are_accepted_while_a_store_is_partitioned_and_it_catches_up_afterwards(
     partition_kind, restarts
 ):
-    stage = SelfFounded(7)
+    stage = SelfFoundingFleet(7)
     operator = Operator(stage)
     store = stage.sim.nodes["core-1"].find("ownership").group("config")[0][0]
     partition_from_all(stage, store, partition_kind)
--- a/tests/test_election_attempts.py
+++ b/tests/test_election_attempts.py
@@ -5,7 +5,7 @@
 import pytest
 
 from quillring.kernel.errors import NotLeader
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 
 SIZES = {"sizes": {"edge": 2, "core": 9, "store": 5}}
 MAX_ATTEMPTING_CORES = 2
@@ -40,7 +40,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4, 5, 6])
 def test_few_cores_run_for_a_part_after_a_simultaneous_start(seed):
-    stage = SelfFounded(seed, SIZES)
+    stage = SelfFoundingFleet(seed, SIZES)
     cores_by_part = restart_all_nodes(stage, seed)
     assert stage.wait_for(lambda: all(stage.owner(part) for part in cores_by_part), 6) is not None
     stage.run(4)
@@ -52,7 +52,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_part_of_a_draining_core_gets_a_new_owner_within_the_propagation_bound(seed):
-    stage = SelfFounded(seed, SIZES)
+    stage = SelfFoundingFleet(seed, SIZES)
     name = stage.owner("part-0")
     stage.sim.nodes[name].is_draining = True
     stage.sim.nodes[name].find("ownership").announce_drain()
@@ -61,7 +61,7 @@
 
 
 def test_part_of_an_owner_that_stepped_down_gets_an_owner_without_delay():
-    stage = SelfFounded(7, SIZES)
+    stage = SelfFoundingFleet(7, SIZES)
     name = stage.owner("part-0")
     stage.sim.nodes[name].find("ownership").leaders["part-0"].step_down(NotLeader(part="part-0"))
     assert stage.wait_for(lambda: stage.owner("part-0"), 2) is not None
--- a/tests/test_late_beats.py
+++ b/tests/test_late_beats.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 from tests.system_calls import HEARTBEAT, call
 
 REPLICA_ID = "i-1"
@@ -18,7 +18,7 @@
 
 
 def test_a_late_heartbeat_does_not_override_a_newer_one():
-    stage = SelfFounded(2)
+    stage = SelfFoundingFleet(2)
     assert send_heartbeat(stage, "core-1", 1, warm_left_ms=300) == 200
     stage.run(1)
     for calls in range(4, 40):
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_draining_replica_does_not_become_ready_again_by_late_calls(seed):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     send_heartbeat(stage, "core-1", 1)
     send_heartbeat(stage, "core-2", 5)
     stage.run(0.5)
@@ -58,7 +58,7 @@
 
 
 def test_a_replica_deregistered_before_its_first_heartbeat_receives_no_requests():
-    stage = SelfFounded(3)
+    stage = SelfFoundingFleet(3)
     stage.run(6)
     assert call(stage, "core-2", "POST", f"/Replicas.Deregister/{REPLICA_ID}")[0] == 200
     stage.run(0.5)
@@ -72,7 +72,7 @@
 
 
 def test_a_deregistered_replica_stays_gone_although_its_heartbeats_continue():
-    stage = SelfFounded(4)
+    stage = SelfFoundingFleet(4)
     send_heartbeat(stage, "core-1", 1)
     send_heartbeat(stage, "core-1", 5)
     stage.run(0.5)
--- a/tests/test_late_retirements.py
+++ b/tests/test_late_retirements.py
@@ -3,7 +3,7 @@
 import pytest
 
 from quillring.rollout.operator_orders import is_retired
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 from tests.test_membership_repair import all_parts_replicated, members
 
 FOURTEEN_STORES = {"sizes": {"edge": 2, "core": 5, "store": 14}}
@@ -24,7 +24,7 @@
 
 @pytest.mark.parametrize("seed", range(1, 9))
 def test_a_retirement_seven_seconds_after_a_disk_loss_finishes_in_time(seed):
-    stage = SelfFounded(seed, FOURTEEN_STORES, size=5, parts=16, ready_at=11)
+    stage = SelfFoundingFleet(seed, FOURTEEN_STORES, size=5, parts=16, ready_at=11)
     lost, retired = members(stage)[0], members(stage)[1]
     stage.sim.lose_disk(lost)
     if seed % 2:
@@ -45,7 +45,7 @@
 @pytest.mark.parametrize("role", ["core-1", "core-3"])
 @pytest.mark.parametrize("seed", range(1, 5))
 def test_a_retirement_is_accepted_although_a_store_loses_its_disk_40_ms_later(seed, role):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     retired, lost = members(stage)[0], members(stage)[1]
     node = stage.sim.nodes[role]
     coroutine = node.find("ownership").submit("config", retire_order(retired), ORDER_SECONDS)
@@ -69,7 +69,7 @@
 def test_a_retirement_is_accepted_and_finished_although_a_store_fails_during_the_decision(
     seed, delay
 ):
-    stage = SelfFounded(seed, FIVE_STORES)
+    stage = SelfFoundingFleet(seed, FIVE_STORES)
     retired, lost = members(stage)[0], members(stage)[1]
     node = stage.sim.nodes["core-2"]
     coroutine = node.find("ownership").submit("config", retire_order(retired), ORDER_SECONDS)
--- a/tests/test_loud_cuts.py
+++ b/tests/test_loud_cuts.py
@@ -9,7 +9,7 @@
 import pytest
 
 from proving.sim.network import CutKind
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 from tests.system_calls import (
     FULL_CONFIGURATION,
     HEARTBEAT,
@@ -32,7 +32,7 @@
 
 def start_fleet(seed):
     """Return (stage, owner of the config part, another core) of a fleet with a configuration."""
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     assert replace_configuration(stage, "core-1", FULL_CONFIGURATION, 0)[0] == 200
     stage.run(1)
     owner = stage.owner()
--- a/tests/test_membership_repair.py
+++ b/tests/test_membership_repair.py
@@ -1,7 +1,7 @@
 import pytest
 
 from quillring.kernel.effects import Sleep
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 
 PARTS = ("config", "part-0", "part-1")
 
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_store_that_restarts_empty_is_refilled_within_two_seconds(seed):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     store = members(stage)[0]
     stage.sim.lose_disk(store)
     stage.run(2)
@@ -57,13 +57,13 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_lost_store_is_replaced_within_the_resync_bound(seed):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     stage.sim.kill(members(stage)[0])
     assert stage.wait_for(lambda: all_parts_replicated(stage), stage.sim.bounds.resync) is not None
 
 
 def test_store_that_restarts_soon_is_not_replaced():
-    stage = SelfFounded(4)
+    stage = SelfFoundingFleet(4)
     former = members(stage)
     stage.sim.kill(former[0])
     stage.run(3)
@@ -74,7 +74,7 @@
 
 @pytest.mark.parametrize("seed", range(1, 7))
 def test_acknowledged_commands_survive_a_wiped_store_and_the_loss_of_another_soon_after(seed):
-    stage, acknowledged = SelfFounded(seed), set()
+    stage, acknowledged = SelfFoundingFleet(seed), set()
     wiped, killed, _ = members(stage)
     for number in range(10):
         assert stage.submit("core-1", mark_zone_command(f"d{number}"))[1] is None
@@ -94,7 +94,7 @@
 
 
 def test_member_that_missed_entries_catches_up_while_commands_keep_coming():
-    stage = SelfFounded(5)
+    stage = SelfFoundingFleet(5)
     lagging = members(stage)[2]
     stage.sim.kill(lagging)
     assert stage.submit("core-1", mark_zone_command("missed"))[1] is None
@@ -124,7 +124,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_commands_are_not_delayed_by_a_store_that_just_died(seed):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     stage.sim.kill(members(stage, "part-0")[0])
     for number in range(40):
         start_time = stage.env.now
--- a/tests/test_newer_calls.py
+++ b/tests/test_newer_calls.py
@@ -10,7 +10,7 @@
 from quillring.kernel.bounds import Bounds
 from quillring.kernel.http_messages import HttpRequest
 from quillring.nifty import Member
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 from tests.system_calls import FULL_CONFIGURATION, handle_ctl, replace_configuration
 
 from system_edge import handle_client, handle_ready  # isort: skip
@@ -43,7 +43,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_eight_concurrent_orders_are_all_accepted_and_acknowledged_when_resent(seed):
-    stage = SelfFounded(10 + seed)
+    stage = SelfFoundingFleet(10 + seed)
     assert replace_configuration(stage, "core-1", FULL_CONFIGURATION, 0)[0] == 200
     stage.run(1)
     amendment = json.dumps({"ver": 90, "upsert": {}, "remove": {}}).encode()
--- a/tests/test_operator_orders.py
+++ b/tests/test_operator_orders.py
@@ -6,7 +6,7 @@
 from quillring.kernel.errors import Conflict, NotFound, Refused
 from quillring.quorum.commands import apply_batch, initial_state
 from quillring.rollout.operator_orders import is_retired, known_stores, retire_store
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 
 
 def zone_order(zone, is_emptied, **fields):
@@ -50,7 +50,7 @@
 def test_the_nodes_of_a_drained_zone_keep_serving_unless_the_order_includes_them(
     includes_nodes,
 ):
-    stage = SelfFounded(2)
+    stage = SelfFoundingFleet(2)
     answer, error = stage.submit("core-2", zone_order("north", True, nodes=includes_nodes))
     assert error is None
     stage.run(1)
@@ -66,7 +66,7 @@
 
 
 def test_a_retirement_is_done_when_no_group_contains_the_store_and_all_groups_are_full():
-    stage = SelfFounded(3)
+    stage = SelfFoundingFleet(3)
     member = stage.sim.nodes["core-1"].find("ownership").group("config")[0][0]
     assert is_retirement_done(stage, member) == (False, None)
     assert retire(stage, member)[1] is None
@@ -79,13 +79,13 @@
 
 
 def test_an_unknown_store_is_not_found():
-    stage = SelfFounded(3)
+    stage = SelfFoundingFleet(3)
     assert isinstance(retire(stage, "store-9")[1], NotFound)
     assert isinstance(is_retirement_done(stage, "store-9")[1], NotFound)
 
 
 def test_a_retirement_that_leaves_too_few_stores_is_refused_and_changes_nothing():
-    stage = SelfFounded(3)
+    stage = SelfFoundingFleet(3)
     assert retire(stage, "store-1")[1] is None
     error = retire(stage, "store-2")[1]
     assert isinstance(error, Conflict)
@@ -93,7 +93,7 @@
 
 
 def test_a_retirement_is_refused_after_another_store_is_permanently_lost():
-    stage = SelfFounded(3)
+    stage = SelfFoundingFleet(3)
     stage.sim.kill("store-1")
     stage.run(stage.sim.bounds.recovery + 2)
     assert isinstance(retire(stage, "store-2")[1], Conflict)
@@ -101,7 +101,7 @@
 
 
 def test_a_retirement_accepted_while_another_store_restarts_is_done_after_the_restart():
-    stage = SelfFounded(3)
+    stage = SelfFoundingFleet(3)
     group = [s[0] for s in stage.sim.nodes["core-1"].find("ownership").group("config")]
     retiring, restarting = group[0], group[1]
     stage.sim.lose_disk(restarting)
@@ -114,6 +114,6 @@
 
 
 def test_known_stores_include_the_roster_and_the_group_members():
-    stage = SelfFounded(3)
+    stage = SelfFoundingFleet(3)
     stores = known_stores(stage.sim.nodes["core-1"])
     assert sorted(stores) == ["store-1", "store-2", "store-3", "store-4"]
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -7,7 +7,7 @@
 from quillring.kernel.errors import Conflict
 from quillring.quorum.commands import apply_batch, initial_state
 from quillring.rollout.orders import MAX_RECORDED_ORDERS, StaleOrder
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 from tests.system_calls import FULL_CONFIGURATION, call, handle_ctl, replace_configuration
 
 ZONE_BY_STORE = {"store-1": "a", "store-2": "b", "store-3": "c", "store-4": "d"}
@@ -146,7 +146,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_an_order_delayed_in_the_network_is_not_committed_after_it_was_reverted(seed):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     owner = stage.owner()
     asker, *others = [name for name in stage.sim.names("core") if name != owner]
     ends = tuple(stage.sim.nodes[name].me.address for name in (asker, owner))
@@ -176,7 +176,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_two_concurrent_retirements_by_two_operators_are_not_both_accepted(seed):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     tasks = []
     for core, store in (("core-1", "1"), ("core-3", "2")):
         node = stage.sim.nodes[core]
@@ -187,7 +187,7 @@
 
 
 def test_orders_do_not_change_the_version_that_configurations_are_based_on():
-    stage = SelfFounded(1)
+    stage = SelfFoundingFleet(1)
     assert call(stage, "core-1", "POST", "/Evacuate.Begin/north")[0] == 200
     assert replace_configuration(stage, "core-2", FULL_CONFIGURATION, 0)[0] == 200
     assert call(stage, "core-3", "POST", "/Evacuate.Finish/north")[0] == 200
--- a/tests/test_removed_members.py
+++ b/tests/test_removed_members.py
@@ -7,7 +7,7 @@
 from quillring.gossip import Gossip
 from quillring.quorum.leader.follower_read import read_from_majority
 from quillring.quorum.parts import CONFIG_PART, majority
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 from tests.test_membership_repair import mark_zone_command, members
 
 SIX_STORES = {"sizes": {"edge": 2, "core": 4, "store": 6}}
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_edge_that_knows_a_former_group_gets_no_freshness_from_removed_members(seed):
-    stage = SelfFounded(seed, SIX_STORES)
+    stage = SelfFoundingFleet(seed, SIX_STORES)
     edge = stage.sim.nodes["edge-1"]
     with without_group_updates("edge-1"):
         _, removed = retire_two_members(stage)
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_store_that_knows_of_its_removal_issues_no_stamp(seed):
-    stage = SelfFounded(seed, SIX_STORES)
+    stage = SelfFoundingFleet(seed, SIX_STORES)
     _, removed = retire_two_members(stage)
     stage.run(1)
     stamps = {name: acceptors.stamp() for name, acceptors in stage.stores().items()}
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
 def test_former_owner_partitioned_with_two_removed_members_commits_and_reads_nothing(seed):
-    stage = SelfFounded(seed, SIX_STORES)
+    stage = SelfFoundingFleet(seed, SIX_STORES)
     former_owner = stage.owner()
     stage.sim.nodes[former_owner].runtime.freeze()
     stage.run(3)
@@ -91,7 +91,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_majority_read_at_a_former_group_is_not_answered_by_its_removed_members(seed):
-    stage = SelfFounded(seed, SIX_STORES)
+    stage = SelfFoundingFleet(seed, SIX_STORES)
     former, removed = retire_two_members(stage)
     partition(stage, ["edge-1", *removed])
     stage.run(2)
--- a/tests/test_resends.py
+++ b/tests/test_resends.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 from tests.system_calls import FULL_CONFIGURATION, call, replace_configuration
 
 NEWER = {**FULL_CONFIGURATION, "ver": 9}
@@ -54,7 +54,7 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize("owner_dies", [False, True])
 def test_a_change_whose_answer_was_lost_is_acknowledged_when_resent(seed, owner_dies):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     assert replace_configuration(stage, "core-1", FULL_CONFIGURATION, 0)[0] == 200
     owner, (asker, *others) = owner_and_other_cores(stage)
     interceptor = FrameInterceptor(stage, owner, asker)
@@ -70,7 +70,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_delayed_first_copy_after_a_resend_and_a_later_change_has_no_effect(seed):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     assert replace_configuration(stage, "core-1", FULL_CONFIGURATION, 0)[0] == 200
     owner, (asker, *others) = owner_and_other_cores(stage)
     interceptor = FrameInterceptor(stage, asker, owner)
@@ -90,7 +90,7 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_of_two_changes_with_one_version_number_one_is_accepted_across_an_owner_change(seed):
     """The first copies reach only the partitioned owner; both are resent to its successor."""
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     assert replace_configuration(stage, "core-1", FULL_CONFIGURATION, 0)[0] == 200
     owner, others = owner_and_other_cores(stage)
     rest = [name for name in stage.sim.nodes if name not in (owner, others[0])]
--- a/tests/test_retirement.py
+++ b/tests/test_retirement.py
@@ -12,7 +12,7 @@
 from quillring.quorum.acceptor.log_records import HintRecord
 from quillring.quorum.leader.membership_repair import MembershipRepair
 from quillring.rollout.operator_orders import is_retired
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 from tests.test_membership_repair import (
     PARTS,
     all_parts_replicated,
@@ -43,7 +43,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_retirement_finishes_under_continuous_writes(seed):
-    stage, is_over = SelfFounded(seed), []
+    stage, is_over = SelfFoundingFleet(seed), []
     store, node = members(stage)[0], stage.sim.nodes["core-1"]
     for part in PARTS:
         for _ in range(4):
@@ -57,7 +57,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_retirement_waits_until_the_hints_for_other_stores_are_handed_over(seed):
-    stage = SelfFounded(seed, FIVE_STORES)
+    stage = SelfFoundingFleet(seed, FIVE_STORES)
     store = next(n for n in stage.sim.names("store") if n not in members(stage, "part-0"))
     other = members(stage, "part-0")[0]
     with mock.patch.object(HintStore, "_hand_over", lambda self, name: iter(())):
@@ -75,7 +75,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_retirement_is_not_finished_while_another_group_member_is_down(seed):
-    stage = SelfFounded(seed, FIVE_STORES)
+    stage = SelfFoundingFleet(seed, FIVE_STORES)
     store = next(n for n in stage.sim.names("store") if n not in members(stage, "part-0"))
     retire(stage, store)
     assert stage.wait_for(lambda: is_finished(stage, store), 6) is not None
@@ -88,7 +88,7 @@
 
 @pytest.mark.parametrize("seed", range(1, 7))
 def test_a_retired_store_joins_no_group_although_an_owner_has_stale_state(seed):
-    stage = SelfFounded(seed, FIVE_STORES)
+    stage = SelfFoundingFleet(seed, FIVE_STORES)
     store = next(n for n in stage.sim.names("store") if n not in members(stage, "part-0"))
     retire(stage, store)
     assert stage.wait_for(lambda: is_finished(stage, store), 6) is not None
@@ -104,7 +104,7 @@
 
 @pytest.mark.parametrize("seed", range(1, 9))
 def test_no_write_is_lost_by_several_failures_right_after_a_retirement_finished(seed):
-    stage, is_over = SelfFounded(seed, FIVE_STORES), []
+    stage, is_over = SelfFoundingFleet(seed, FIVE_STORES), []
     store = members(stage)[seed % 3]
     for number in range(6):
         assert stage.submit("core-1", mark_zone_command(f"d{number}"))[1] is None
@@ -140,7 +140,7 @@
 
 
 def test_a_retirement_check_of_many_parts_with_high_latency_fits_into_one_short_call():
-    stage = SelfFounded(1, FIVE_STORES, parts=48)
+    stage = SelfFoundingFleet(1, FIVE_STORES, parts=48)
     stage.sim.net.min_delay_seconds, stage.sim.net.max_delay_seconds = 0.015, 0.025
     store = members(stage)[0]
     retire(stage, store)
--- a/tests/test_second_loss.py
+++ b/tests/test_second_loss.py
@@ -6,7 +6,7 @@
 
 from proving.sim import repair_time
 from quillring.quorum.leader import catch_up
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 from tests.test_membership_repair import all_parts_replicated, mark_zone_command, members, owners
 
 PART = "config"
@@ -29,7 +29,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
 def test_second_loss_right_after_the_replacement_joined_leaves_a_majority(seed):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     former = members(stage)
     spare = next(name for name in stage.sim.names("store") if name not in former)
     assert stage.submit("core-1", mark_zone_command("before"))[1] is None
@@ -44,7 +44,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_group_has_three_members_throughout_the_repair_of_a_loss(seed):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     stage.sim.kill(members(stage)[0])
     assert {len(names) for names in observed_groups(stage, 8)} == {3}
     assert all_parts_replicated(stage)
@@ -52,7 +52,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_store_that_restarts_empty_is_replaced_by_itself_or_a_spare_in_one_step(seed):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     store = members(stage)[0]
     stage.sim.lose_disk(store)
     stage.run(2)
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_retired_store_is_replaced_in_one_step(seed):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     store = members(stage)[0]
     command = {"do": "store.mark", "store": store, "retired": True}
     assert stage.submit("core-1", command)[1] is None
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_joining_member_has_the_state_before_it_votes(seed):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     spare = next(name for name in stage.sim.names("store") if name not in members(stage))
     stage.sim.kill(members(stage)[0])
     assert stage.wait_for(lambda: stage.owner() and spare in members(stage), 8, 0.002) is not None
--- a/tests/test_system_configuration.py
+++ b/tests/test_system_configuration.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 from tests.system_calls import (
     BULK_ROUTE,
     FULL_CONFIGURATION,
@@ -22,11 +22,11 @@
 
 @pytest.fixture(scope="module")
 def idle_stage():
-    return SelfFounded(1)
+    return SelfFoundingFleet(1)
 
 
 def test_a_configuration_is_returned_unchanged():
-    stage = SelfFounded(1)
+    stage = SelfFoundingFleet(1)
     assert call(stage, "core-1", "GET", "/Config.Fetch")[:2] == (
         200,
         {"ver": 0, "routes": [], "svcs": []},
--- a/tests/test_system_ctl.py
+++ b/tests/test_system_ctl.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.fleet_stage import SelfFounded
+from tests.fleet_stage import SelfFoundingFleet
 from tests.system_calls import (
     FULL_CONFIGURATION,
     HEARTBEAT,
@@ -16,11 +16,11 @@
 
 @pytest.fixture(scope="module")
 def idle_stage():
-    return SelfFounded(1)
+    return SelfFoundingFleet(1)
 
 
 def test_of_two_concurrent_configurations_one_wins():
-    stage = SelfFounded(3)
+    stage = SelfFoundingFleet(3)
     coroutines = [
         stage.sim.run_coroutine(
             stage.sim.nodes[core],
@@ -43,7 +43,7 @@
 
 
 def test_zone_orders_need_no_configuration_and_are_idempotent():
-    stage = SelfFounded(2)
+    stage = SelfFoundingFleet(2)
     for path, is_emptied in (("Begin", True), ("Begin", True), ("Finish", False)):
         assert call(stage, "core-1", "POST", f"/Evacuate.{path}/north")[:2] == (200, {})
         stage.run(0.5)
@@ -53,7 +53,7 @@
 
 
 def test_a_store_machine_is_retired():
-    stage = SelfFounded(2)
+    stage = SelfFoundingFleet(2)
     body = {"within_s": 10}
     assert call(stage, "core-1", "POST", "/Retire.Begin/9", body)[0] == 404
     assert call(stage, "core-1", "GET", "/Retire.Fetch/9")[0] == 404
@@ -67,7 +67,7 @@
 
 
 def test_the_state_of_a_replica_reaches_every_node_from_heartbeat_to_deregistration():
-    stage = SelfFounded(2)
+    stage = SelfFoundingFleet(2)
 
     def send_heartbeat(core, **fields):
         return call(stage, core, "POST", "/Replicas.Heartbeat/i-1", {**HEARTBEAT, **fields})
@@ -95,7 +95,7 @@
 
 
 def test_a_node_that_just_started_answers_503_to_the_deregistration_of_an_unknown_replica():
-    stage = SelfFounded(2)
+    stage = SelfFoundingFleet(2)
     stage.sim.kill("core-1")
     stage.start("core-1")
     assert call(stage, "core-1", "POST", "/Replicas.Deregister/i-9")[0] == 503
@@ -132,7 +132,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_the_minority_side_of_a_partition_answers_503_and_the_majority_takes_over(seed):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     assert replace_configuration(stage, "core-1", FULL_CONFIGURATION, 0)[0] == 200
     owner = stage.owner()
     zone = stage.sim.nodes[owner].me.zone
@@ -164,7 +164,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_change_is_accepted_within_four_seconds_after_the_owner_and_its_store_die(seed):
-    stage = SelfFounded(seed)
+    stage = SelfFoundingFleet(seed)
     assert replace_configuration(stage, "core-1", FULL_CONFIGURATION, 0)[0] == 200
     owner = stage.owner()
     zone = stage.sim.nodes[owner].me.zone
