--- a/proving/points/borrowed_capacity.py
+++ b/proving/points/borrowed_capacity.py
@@ -24,14 +24,14 @@
             fleet.start(fleet.callers.stream("tagging", "long", 200))
         fleet.run(2)
         used_slots = sum(r.logic.busy for r in fleet.sim.replicas.values())
-        fleet.callers.record.first_pieces.clear()
+        fleet.callers.record.first_piece_seconds.clear()
         stopped_cores = fleet.sim.names("core") if kills_cores else ()
         for name in stopped_cores:
             fleet.sim.kill(name)
         for _ in range(8):
             fleet.start(fleet.callers.stream("wayfinding", "short", 10))
         fleet.run(2)
-        first_piece_seconds = sorted(fleet.callers.record.first_pieces)
+        first_piece_seconds = sorted(fleet.callers.record.first_piece_seconds)
         for name in stopped_cores:
             fleet.sim.start(name)
         fleet.run(70)
--- a/proving/points/fleet.py
+++ b/proving/points/fleet.py
@@ -91,11 +91,11 @@
     for _ in range(300):
         fleet.start(fleet.callers.lot("gate-notices", 3, 0.0))
     fleet.run(1)
-    fleet.callers.record.first_pieces.clear()
+    fleet.callers.record.first_piece_seconds.clear()
     for _ in range(20):
         fleet.start(fleet.callers.stream("wayfinding", "urgent", 8, drop_after=1 << 30))
         fleet.run(0.25)
-    first_piece_seconds = sorted(fleet.callers.record.first_pieces)
+    first_piece_seconds = sorted(fleet.callers.record.first_piece_seconds)
     fleet.run(90)
     outcomes = fleet.outcomes()
     accepted = fleet.sim.history.counts.get("accepted_lots", 0)
