--- a/quillring/kernel/settings.py
+++ b/quillring/kernel/settings.py
@@ -23,13 +23,13 @@
         "name": {
             "type": "string",
             "pattern": "^[a-z][a-z0-9-]{0,40}$",
-            "description": "Name of the node, one of its own in the fleet.",
+            "description": "Name of the node, unique in the fleet.",
         },
-        "role": {"enum": ["edge", "core", "store"], "description": "What the process does."},
+        "role": {"enum": ["edge", "core", "store"], "description": "Role of the process."},
         "domain": {
             "type": "string",
             "pattern": "^[a-z][a-z0-9-]{0,40}$",
-            "description": "The domain (zone) the machine stands in.",
+            "description": "Failure domain (zone) of the machine.",
         },
         "address": {**ADDRESS, "description": "IP and port of heartbeats and messages."},
         "http_address": {**ADDRESS, "description": "IP and port of the HTTP interface."},
@@ -38,30 +38,30 @@
             "items": ADDRESS,
             "minItems": 1,
             "maxItems": 3,
-            "description": "Addresses of other processes; they may be down later.",
+            "description": "Addresses of processes to contact at the start; they may fail later.",
         },
         "folder": {"type": "string", "minLength": 1, "description": "Data folder of a store."},
-        "log_file": {"type": "string", "description": "Where the ring log is written out."},
+        "log_file": {"type": "string", "description": "File to which the ring log is written."},
         "parts": {
             "type": "integer",
             "minimum": 1,
             "maximum": 64,
-            "description": "Parts of the state beside the config part; used when founding.",
+            "description": "Number of parts besides the config part; read only at the founding.",
         },
         "bootstrap": {
             "type": "boolean",
-            "description": "True at the very first start: the first seed founds the fleet.",
+            "description": "True at the first start of the fleet: the first seed founds it.",
         },
         "witness": {
             "type": "string",
             "pattern": "^[a-z][a-z0-9-]{0,40}$",
-            "description": "Store on the same machine that keeps this seed's vote on the founding.",
+            "description": "Store on the same machine that stores this seed's founding vote.",
         },
         "losses": {
             "type": "integer",
             "minimum": 0,
             "maximum": 8,
-            "description": "Stores that may be lost at once; a part has twice as many and one.",
+            "description": "Number f of stores that may fail at once; each part has 2f + 1 stores.",
         },
         "decision_log_ratio": {
             "type": "number",
@@ -72,7 +72,7 @@
         "bounds": {
             "type": "object",
             "additionalProperties": False,
-            "description": "The bounds promised to users, in seconds.",
+            "description": "Time bounds guaranteed to users, in seconds.",
             "properties": {
                 "news": SECONDS,
                 "emptying": SECONDS,
@@ -153,7 +153,7 @@
     if fields.get("role") == "store" and not fields.get("folder"):
         faults.append("folder: a store needs a data folder")
     if fields.get("role") in ("edge", "core") and fields.get("folder"):
-        faults.append(f"folder: a {fields['role']} keeps nothing on disk")
+        faults.append(f"folder: a process of role {fields['role']} has no data folder")
     if fields.get("address") and fields.get("address") == fields.get("http_address"):
         faults.append("http_address: must differ from address")
     return sorted(faults)
