--- a/quillring/forward/load_messages.py
+++ b/quillring/forward/load_messages.py
@@ -122,7 +122,7 @@
         and all(isinstance(part.name, str) and _is_count(part.token_count) for part in parts)
     )
     if not is_valid:
-        raise ValueError(row)
+        raise ValueError(f"malformed prompt start: {row!r}")
     return PromptStart(replica, uncached_tokens, parts)
 
 
@@ -136,7 +136,7 @@
         and 0 < seconds < math.inf
     )
     if not is_valid:
-        raise ValueError(row)
+        raise ValueError(f"malformed prompt timing: {row!r}")
     return PromptTiming(replica, uncached_tokens, seconds)
 
 
--- a/quillring/kernel/checks.py
+++ b/quillring/kernel/checks.py
@@ -53,14 +53,14 @@
 
 def reject_constant(name: str) -> None:
     """Raise ValueError for NaN and the infinities, which RFC 8259 excludes from JSON."""
-    raise ValueError(name)
+    raise ValueError(f"{name} is not a JSON value")
 
 
 def read_float(text: str) -> float:
     """Return the float that a text denotes; raise ValueError if it is not finite."""
     number = float(text)
     if not math.isfinite(number):
-        raise ValueError(text)
+        raise ValueError(f"{text} is not a finite number")
     return number
 
 
