--- a/proving/points/callers.py
+++ b/proving/points/callers.py
@@ -214,7 +214,7 @@
     }
 
 
-def take_any(pool, address, answer_id=None):
+def take_any(pool, address, response_id=None):
     """Replaces the guard: an idle connection is reused even with unread data or the same id."""
     idle_connections = pool.idle.get(address)
     return idle_connections.pop() if idle_connections else None
--- a/proving/points/serving.py
+++ b/proving/points/serving.py
@@ -134,7 +134,7 @@
 REAL_ACQUIRE = dispatcher.Dispatcher.acquire
 
 
-def rerun_attempt(node, stream, progress, end_time, avoided_names):
+def rerun_attempt(node, stream, progress, deadline, excluded_names):
     """Replaces the guard: work that may not repeat is retried on another replica."""
     configuration = node.find("layout")
     real_route = configuration.route
@@ -143,7 +143,7 @@
     override = type("Image", (), {"route": staticmethod(lambda name: patched)})
     node.services["layout"], original = _LayoutOverride(configuration, override), configuration
     try:
-        yield from REAL_ATTEMPT(node, stream, progress, end_time, avoided_names)
+        yield from REAL_ATTEMPT(node, stream, progress, deadline, excluded_names)
     finally:
         node.services["layout"] = original
 
--- a/proving/points/zone_loss.py
+++ b/proving/points/zone_loss.py
@@ -120,7 +120,7 @@
     }
 
 
-def one_zone(self, name, avoided_names=()):
+def one_zone(self, name, excluded_names=()):
     """Replaces the guard: backup candidates may be in the same zone, and those come first."""
     members = self.node.find("nifty").roster.members.values()
     return sorted(
@@ -128,7 +128,7 @@
             m.name
             for m in members
             if m.role in ("edge", "core")
-            and m.name not in avoided_names
+            and m.name not in excluded_names
             and m.name != self.node.me.name
         ),
         key=lambda n: self.node.find("nifty").roster.members[n].zone != self.node.me.zone,
--- a/quillring/classes/class_terms.py
+++ b/quillring/classes/class_terms.py
@@ -14,7 +14,7 @@
     Terms = Mapping[str, Any]
 
 
-def may_repeat(terms: Terms) -> bool:
+def may_retry(terms: Terms) -> bool:
     """Return whether a request may run again after a replica may have started it."""
     return bool(terms.get("repeatable", False))
 
@@ -29,4 +29,4 @@
 
     `has_pieces` is truthy if the stream has produced pieces; failing over then also resumes it.
     """
-    return may_repeat(terms) and (not has_pieces or may_resume(terms))
+    return may_retry(terms) and (not has_pieces or may_resume(terms))
--- a/quillring/edge/dispatcher.py
+++ b/quillring/edge/dispatcher.py
@@ -73,7 +73,7 @@
         terms: dict[str, Any],
         prefix: str,
         deadline: float,
-        avoided_names: Iterable[str] = (),
+        excluded_names: Iterable[str] = (),
         was_preempted: bool = False,
         is_preemptible: bool = False,
     ) -> Coroutine:
@@ -87,7 +87,7 @@
             Key of a shared prompt prefix, or the empty string.
         deadline
             Deadline of the request, in seconds of the node's clock.
-        avoided_names
+        excluded_names
             Replicas on which the request must not run.
         was_preempted
             The request already ran and lost its slot; the limit of the queue length does not apply.
@@ -106,7 +106,7 @@
             self.last_arrival_number,
             service,
             prefix,
-            avoided_names,
+            excluded_names,
             class_name,
             is_preemptible,
             deadline,
@@ -154,7 +154,7 @@
         """Return a Refused if the request is not expected to get a slot before its deadline."""
         replicas = self.node.find("replicas")
         if not any(
-            replica.name not in request.avoided_names
+            replica.name not in request.excluded_names
             for replica in replicas.available_before(request.service, request.deadline)
         ):
             return Refused(reason="no replica", service=request.service)
@@ -261,7 +261,7 @@
         candidates: list[Replica] = [
             replica
             for replica in self.node.find("replicas").available(request.service)
-            if replica.name not in request.avoided_names
+            if replica.name not in request.excluded_names
             and replica.in_flight < self.capacity(replica)
             and now >= replica.full_until
         ]
--- a/quillring/edge/journal.py
+++ b/quillring/edge/journal.py
@@ -107,7 +107,7 @@
             del self.streams[stream.name]
             self.size -= stream.size
 
-    def backup_candidates(self, name: str, avoided_names: Collection[str] = ()) -> list[str]:
+    def backup_candidates(self, name: str, excluded_names: Collection[str] = ()) -> list[str]:
         """Return the reachable nodes in other zones that may back up a stream, edges first.
 
         Nodes that are being drained, or whose zone is, come last.
@@ -120,7 +120,7 @@
             if member.role in STORAGE_ROLES
             and member.zone != me.zone
             and nifty.reaches(member.name)
-            and member.name not in avoided_names
+            and member.name not in excluded_names
         ]
         members.sort(
             reverse=True,
@@ -181,10 +181,10 @@
         stream.has_ended = has_ended or stream.has_ended
         stream.last_used_at = self.node.now()
         self._drop_leaving_backup(stream)
-        avoided_names: set[str] = set()
+        excluded_names: set[str] = set()
         while True:
             if stream.backup is None:
-                candidates = self.backup_candidates(stream.name, avoided_names)
+                candidates = self.backup_candidates(stream.name, excluded_names)
                 if not candidates:
                     raise Refused(reason="no second holder in another domain")
                 stream.backup, start = candidates[0], 0
@@ -198,7 +198,7 @@
             except QuillringError as error:
                 self.node.count("holder_changes")
                 self.node.log("warning", "stream backup on %s failed: %s", stream.backup, error)
-                avoided_names.add(stream.backup)
+                excluded_names.add(stream.backup)
                 stream.backup = None
 
     def _check_term(self, stream: JournaledStream) -> None:
--- a/quillring/edge/short_requests.py
+++ b/quillring/edge/short_requests.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from quillring.classes.class_terms import may_repeat
+from quillring.classes.class_terms import may_retry
 from quillring.edge.admission import check_admission
 from quillring.edge.stream_handlers import check_before_sending
 from quillring.kernel.checks import StrictValidator, read_count
@@ -100,20 +100,20 @@
     first_piece_deadline = node.now() + terms["first_piece_ms"] / 1000
     responded_at: float | None = None
     request_id = f"{node.me.name}-{node.runtime.random.getrandbits(64):016x}"
-    avoided_names: set[str] = set()
+    excluded_names: set[str] = set()
     last_error: OutcomeUnknown | None = None
     try:
         while True:
             try:
                 lease = yield from node.find("dispatch").acquire(
-                    route["service"], route["class"], terms, affinity, deadline, avoided_names
+                    route["service"], route["class"], terms, affinity, deadline, excluded_names
                 )
             except Refused as refusal:
                 raise last_error or refusal from refusal
             try:
                 check_before_sending(node, lease.replica, deadline)
                 response = yield from _fetch_response(
-                    node, lease, method, path, body, request_id, deadline, may_repeat(terms)
+                    node, lease, method, path, body, request_id, deadline, may_retry(terms)
                 )
                 responded_at = node.now()
                 return response
@@ -121,11 +121,11 @@
                 node.find("replicas").mark_full(lease.replica)
             except BackendError as error:
                 node.count("replica_troubles")
-                avoided_names.add(lease.replica.name)
+                excluded_names.add(lease.replica.name)
                 if not isinstance(error, NotSent):
                     node.find("replicas").eject(lease.replica)
                     last_error = OutcomeUnknown(reason="the replica broke off")
-                    if not may_repeat(terms):
+                    if not may_retry(terms):
                         raise last_error from error
             finally:
                 lease.release()
--- a/quillring/edge/slot_lease.py
+++ b/quillring/edge/slot_lease.py
@@ -69,7 +69,7 @@
         "priority",
         "service",
         "prefix",
-        "avoided_names",
+        "excluded_names",
         "signal",
         "class_name",
         "is_preemptible",
@@ -82,7 +82,7 @@
         arrival_number: int,
         service: str,
         prefix: str,
-        avoided_names: Iterable[str],
+        excluded_names: Iterable[str],
         class_name: str,
         is_preemptible: bool,
         deadline: float,
@@ -91,7 +91,7 @@
         self.priority = (-self.urgency, arrival_number)
         self.service = service
         self.prefix = prefix
-        self.avoided_names = frozenset(avoided_names)
+        self.excluded_names = frozenset(excluded_names)
         self.class_name = class_name
         self.is_preemptible: bool = is_preemptible and may_fail_over(terms, True)
         self.deadline = deadline
--- a/quillring/edge/stream_handlers.py
+++ b/quillring/edge/stream_handlers.py
@@ -156,12 +156,12 @@
     route, _, terms = node.find("layout").route(stream.request["entry"])
     first_piece_deadline = node.now() + terms["first_piece_ms"] / 1000
     progress = ClientProgress(sent_count, head, first_piece_deadline, node.now)
-    avoided_names: set[str] = set()
+    excluded_names: set[str] = set()
     stream.is_running = True
     try:
         yield from send_journaled(stream, progress)
         while not stream.has_ended:
-            yield from try_replica(node, stream, progress, deadline, avoided_names)
+            yield from try_replica(node, stream, progress, deadline, excluded_names)
     except QuillringError as error:
         if not progress.is_head_sent:
             raise
@@ -193,7 +193,7 @@
     stream: JournaledStream,
     progress: ClientProgress,
     deadline: float,
-    avoided_names: set[str],
+    excluded_names: set[str],
 ) -> Coroutine:
     """Run or continue the stream on one replica until it ends, fails or is preempted.
 
@@ -217,7 +217,7 @@
         terms,
         prefix_key(prefix),
         wait_deadline,
-        avoided_names,
+        excluded_names,
         progress.was_preempted,
         True,
     )
@@ -249,7 +249,7 @@
     except BackendError as error:
         node.count("replica_troubles")
         node.log("warning", "attempt on replica %s failed: %s", replica.name, error)
-        avoided_names.add(replica.name)
+        excluded_names.add(replica.name)
         if not isinstance(error, NotSent):
             node.find("replicas").eject(replica)
             if node.now() >= deadline:
--- a/quillring/forward/attempt.py
+++ b/quillring/forward/attempt.py
@@ -30,7 +30,7 @@
     request: Request,
     last_event_id: int | None,
     urgency: int | None,
-    end_time: float,
+    deadline: float,
     may_reuse: bool,
     first_byte_timeout: float | None = None,
 ) -> Coroutine:
@@ -38,8 +38,8 @@
 
     Parameters
     ----------
-    end_time
-        Deadline of the request, in seconds of the node's clock.
+    deadline
+        When the request must be complete, in seconds of the node's clock.
     may_reuse
         Whether the request may run again. Only then may it be sent on an idle connection; if that
         connection turns out to be dead, the request is sent once more on a new one, after the
@@ -56,7 +56,7 @@
     BackendError
         The request may have run.
     """
-    fields = (node, replica, request, last_event_id, urgency, end_time)
+    fields = (node, replica, request, last_event_id, urgency, deadline)
     if may_reuse:
         try:
             return (yield from send_once(*fields, True, first_byte_timeout))
@@ -72,7 +72,7 @@
     request: Request,
     last_event_id: int | None,
     urgency: int | None,
-    end_time: float,
+    deadline: float,
     first_byte_timeout: float | None,
 ) -> Coroutine:
     """Send a request again on a new connection after a dead one may have delivered it.
@@ -80,7 +80,7 @@
     The first delivery may have run, whatever the second one returns. NotSent and a "not run"
     response therefore become BackendError.
     """
-    fields = (node, replica, request, last_event_id, urgency, end_time)
+    fields = (node, replica, request, last_event_id, urgency, deadline)
     try:
         handle = yield from send_once(*fields, False, first_byte_timeout)
     except NotSent as error:
@@ -98,7 +98,7 @@
     request: Request,
     last_event_id: int | None,
     urgency: int | None,
-    end_time: float,
+    deadline: float,
     may_reuse: bool,
     first_byte_timeout: float | None,
 ) -> Coroutine:
@@ -115,16 +115,16 @@
     if not node.find("replicas").may_receive_requests(replica):
         raise NotSent(replica=replica.name, reason="left")
     header_names = node.find("dialect")
-    seconds_left = end_time - node.now()
+    seconds_left = deadline - node.now()
     if seconds_left <= 0:
         raise NotSent(replica=replica.name, reason="no time left")
     data = request.to_bytes(header_names, replica.name, seconds_left, urgency, last_event_id)
-    answer_id = (header_names.request_id, request.id)
+    response_id = (header_names.request_id, request.id)
     node.traffic.record(REPLICA_REQUEST, replica.zone, len(data))
-    handle = yield SendRequest(replica.address, data, seconds_left, may_reuse, answer_id)
+    handle = yield SendRequest(replica.address, data, seconds_left, may_reuse, response_id)
     has_head = False
     try:
-        yield from wait_for_head(node, replica, handle, end_time, first_byte_timeout)
+        yield from wait_for_head(node, replica, handle, deadline, first_byte_timeout)
         has_head = True
         return handle
     finally:
@@ -133,22 +133,22 @@
 
 
 def wait_for_head(
-    node: Node, replica: Replica, handle: Any, end_time: float, first_byte_timeout: float | None
+    node: Node, replica: Replica, handle: Any, deadline: float, first_byte_timeout: float | None
 ) -> Coroutine:
     """Return once the response head is read; raise BackendError after the timeout."""
     if not first_byte_timeout:
-        yield ReadHead(handle, end_time - node.now() + RESPONSE_GRACE_SECONDS)
+        yield ReadHead(handle, deadline - node.now() + RESPONSE_GRACE_SECONDS)
         return
     sent_at = node.now()
     try:
-        seconds_left = end_time - node.now() + RESPONSE_GRACE_SECONDS
+        seconds_left = deadline - node.now() + RESPONSE_GRACE_SECONDS
         yield ReadHead(handle, min(seconds_left, first_byte_timeout))
         return
     except BackendError as error:
         is_unresponsive = node.find("placement").is_unresponsive(replica, node.now() - sent_at)
-        if error.detail["reason"] != STALL or is_unresponsive or node.now() >= end_time:
+        if error.detail["reason"] != STALL or is_unresponsive or node.now() >= deadline:
             raise
-    seconds_left = end_time - node.now() + RESPONSE_GRACE_SECONDS
+    seconds_left = deadline - node.now() + RESPONSE_GRACE_SECONDS
     yield ReadHead(handle, min(seconds_left, first_byte_timeout * BUSY_FIRST_BYTE_TIMEOUT_FACTOR))
 
 
--- a/quillring/forward/load_balancer.py
+++ b/quillring/forward/load_balancer.py
@@ -350,13 +350,13 @@
         self,
         service: str,
         request: Request,
-        avoided_names: Collection[str] = (),
+        excluded_names: Collection[str] = (),
         may_send_cold: bool = True,
         goals: LatencyGoals = DEFAULT_LATENCY_GOALS,
     ) -> Replica | None:
         """Return the replica for a request, or None if no replica may receive it now."""
         now = self.node.now()
-        candidates = [r for r in self.replicas(service) if r.name not in avoided_names]
+        candidates = [r for r in self.replicas(service) if r.name not in excluded_names]
         if not candidates:
             return None
         healthy = [r for r in candidates if self.health(r).may_get_request(now)]
--- a/quillring/forward/queueing.py
+++ b/quillring/forward/queueing.py
@@ -26,7 +26,7 @@
 
 def retry_after_seconds(node: Node, progress: RequestProgress) -> float:
     """Return the value of Retry-After in seconds: a quarter of the time until the deadline."""
-    return max(MIN_RETRY_AFTER_SECONDS, (progress.end_time - node.now()) / 4)
+    return max(MIN_RETRY_AFTER_SECONDS, (progress.deadline - node.now()) / 4)
 
 
 def choose_replica(
@@ -38,8 +38,8 @@
 ) -> Replica | None:
     """Return an untried replica; for a stream that has begun, a tried one if there is no other."""
     goals = LatencyGoals(route.latency_goal_seconds, route.gap_goal_seconds)
-    replica = load_balancer.choose(service, request, progress.avoided_names, goals=goals)
-    if replica is None and progress.avoided_names and progress.has_sent_head:
+    replica = load_balancer.choose(service, request, progress.excluded_names, goals=goals)
+    if replica is None and progress.excluded_names and progress.has_sent_head:
         return load_balancer.choose(service, request, goals=goals)
     return replica
 
@@ -63,13 +63,13 @@
         No replica became available within that time.
     """
     load_balancer = node.find("placement")
-    queue_until = progress.end_time
+    queue_until = progress.deadline
     if not progress.has_sent_head:
         queue_until = min(
             queue_until, arrived_at + route.latency_goal_seconds * QUEUE_TIMEOUT_SHARE
         )
     while True:
-        if node.now() < progress.end_time:
+        if node.now() < progress.deadline:
             replica = choose_replica(load_balancer, route, service, request, progress)
             if replica is not None:
                 return replica
--- a/quillring/forward/request_handler.py
+++ b/quillring/forward/request_handler.py
@@ -51,7 +51,7 @@
     return min(MAX_URGENCY, URGENCY_BY_RANK[rank] + is_long)
 
 
-def end_time_of(route: ForwardRoute, request: Request, arrived_at: float) -> float:
+def deadline_of(route: ForwardRoute, request: Request, arrived_at: float) -> float:
     """Return the earlier of the request's deadline and the end of the route's timeout."""
     seconds = route.timeout_seconds
     if request.deadline_ms is not None:
@@ -75,7 +75,7 @@
     node: Node, route: ForwardRoute, request: Request, arrived_at: float
 ) -> Coroutine:
     """Forward a request; emit a stream's head and bytes, or return a complete Response."""
-    progress = RequestProgress(end_time_of(route, request, arrived_at), request.last_event_id)
+    progress = RequestProgress(deadline_of(route, request, arrived_at), request.last_event_id)
     decisions = node.find("decisions")
     if not decisions.should_sample():
         return (yield from forward_until_final(node, route, request, progress, arrived_at))
@@ -161,7 +161,7 @@
             request,
             progress.last_event_id,
             urgency_of(route, request),
-            progress.end_time,
+            progress.deadline,
             route.is_retryable,
             first_byte_timeout(node, route, progress),
         )
@@ -201,7 +201,7 @@
     if handle.status in SUCCESS_STATUSES:
         in_flight_request.record_body_bytes(len(response.body))
     if handle.status in SERVER_ERROR_STATUSES and may_retry(node, route, progress):
-        progress.avoided_names.add(in_flight_request.replica.name)
+        progress.excluded_names.add(in_flight_request.replica.name)
         progress.last_response = response
         return RETRY
     return AttemptOutcome(True, check_head_not_sent(progress, response))
@@ -227,7 +227,7 @@
     A stream that has begun may exceed the limit of attempts, because a replica that refuses a
     request does not run it.
     """
-    progress.avoided_names.add(replica.name)
+    progress.excluded_names.add(replica.name)
     record_if_misdirected(node, replica, handle)
     if progress.attempts >= route.max_attempts and not progress.has_sent_head:
         seconds = retry_after_seconds(node, progress) / 2
--- a/quillring/forward/response.py
+++ b/quillring/forward/response.py
@@ -43,7 +43,7 @@
     """Read the complete body and return a Response; raise BackendError if it is cut off or late."""
     parts: list[bytes] = []
     while True:
-        part = yield ReadBody(handle, progress.end_time - node.now() + RESPONSE_GRACE_SECONDS)
+        part = yield ReadBody(handle, progress.deadline - node.now() + RESPONSE_GRACE_SECONDS)
         if part is None:
             return Response(handle.status, end_to_end_headers(handle.headers), b"".join(parts))
         parts.append(part)
@@ -99,13 +99,13 @@
     """Return the next bytes, or None at the end; raise BackendError if the replica stalls."""
     timeout = route.gap_goal_seconds * SILENCE_TIMEOUT_FACTOR
     while True:
-        seconds_left = progress.end_time - node.now() + RESPONSE_GRACE_SECONDS
+        seconds_left = progress.deadline - node.now() + RESPONSE_GRACE_SECONDS
         if not may_retry(node, route, progress):
             return (yield ReadBody(handle, seconds_left))
         try:
             return (yield ReadBody(handle, min(timeout, seconds_left)))
         except BackendError as error:
-            is_past_deadline = node.now() >= progress.end_time
+            is_past_deadline = node.now() >= progress.deadline
             is_long_timeout = timeout >= route.gap_goal_seconds * LONG_SILENCE_TIMEOUT_FACTOR
             if error.detail["reason"] != STALL or is_past_deadline or is_long_timeout:
                 raise
--- a/quillring/forward/retry.py
+++ b/quillring/forward/retry.py
@@ -31,20 +31,20 @@
 
     __slots__ = (
         "attempts",
-        "avoided_names",
+        "excluded_names",
         "last_event_id",
         "has_sent_head",
-        "end_time",
+        "deadline",
         "last_response",
         "in_flight_request",
     )
 
-    def __init__(self, end_time: float, last_event_id: int | None) -> None:
+    def __init__(self, deadline: float, last_event_id: int | None) -> None:
         self.attempts = 0
-        self.avoided_names: set[str] = set()
+        self.excluded_names: set[str] = set()
         self.last_event_id = last_event_id
         self.has_sent_head = False
-        self.end_time = end_time
+        self.deadline = deadline
         self.last_response: Response | None = None
         self.in_flight_request: InFlightRequest | None = None
 
@@ -73,7 +73,7 @@
 
 def may_retry(node: Node, route: ForwardRoute, progress: RequestProgress) -> bool:
     """Return whether a request that may have run may be retried at another replica."""
-    is_in_time: bool = node.now() < progress.end_time
+    is_in_time: bool = node.now() < progress.deadline
     return route.is_retryable and progress.attempts < route.max_attempts and is_in_time
 
 
@@ -93,6 +93,6 @@
     """Exclude the replica from this request, and record the failure if the replica caused it."""
     reason = error.detail.get("reason", "")
     node.count(f"forward_{error.kind}_{reason}")
-    progress.avoided_names.add(replica.name)
+    progress.excluded_names.add(replica.name)
     if reason not in NON_REPLICA_FAILURE_REASONS:
         node.find("placement").record_failure(replica, is_certain or reason == STALL)
--- a/quillring/kernel/backend.py
+++ b/quillring/kernel/backend.py
@@ -107,7 +107,7 @@
 def fetch(effect: FetchJson) -> tuple[int, Any]:
     """Send a request and return (status, JSON body).
 
-    A request with `may_repeat` is retried once on a new connection if a reused idle one broke.
+    A request with `may_retry` is retried once on a new connection if a reused idle one broke.
 
     Raises
     ------
@@ -117,15 +117,15 @@
         The request may have run. Also raised if the retry could not connect, since the first
         attempt may have run. `reason` is "time" after a timeout.
     """
-    end_time = time.monotonic() + effect.seconds
-    idle_client = IDLE_CLIENTS.take(effect.address) if effect.may_repeat else None
+    deadline = time.monotonic() + effect.seconds
+    idle_client = IDLE_CLIENTS.take(effect.address) if effect.may_retry else None
     if idle_client is not None:
         try:
             return _exchange(idle_client, effect, effect.seconds)
         except BackendError as error:
             if error.detail["reason"] == "time":
                 raise
-        seconds_left = end_time - time.monotonic()
+        seconds_left = deadline - time.monotonic()
         try:
             client = _connect(effect.address, seconds_left)
         except NotSent as error:
@@ -145,7 +145,7 @@
     except READ_ERRORS as error:
         raise BackendError(reason=type(error).__name__) from error
     finally:
-        if is_complete and effect.may_repeat:
+        if is_complete and effect.may_retry:
             IDLE_CLIENTS.put(effect.address, client)
         else:
             client.close()
--- a/quillring/kernel/connection_pool.py
+++ b/quillring/kernel/connection_pool.py
@@ -17,7 +17,7 @@
     from quillring.kernel.http_client import ClientExchange
     from quillring.kernel.types import Address
 
-    AnswerId = tuple[str, str | None]
+    ResponseId = tuple[str, str | None]
     """Header that identifies the response to a request: its lower-case name and expected value."""
 
 CONNECT_TIMEOUT_SECONDS = 0.4
@@ -46,7 +46,7 @@
         self.exchange: ClientExchange
         self.idle_until: float = 0
         self.was_reused = False
-        self.carried_ids: set[AnswerId] = set()
+        self.carried_ids: set[ResponseId] = set()
 
     def on_message_begin(self) -> None:
         """Begin a response (httptools callback)."""
@@ -81,7 +81,9 @@
     def __init__(self) -> None:
         self.idle: dict[Address, list[ReplicaConnection]] = {}
 
-    def take(self, address: Address, answer_id: AnswerId | None = None) -> ReplicaConnection | None:
+    def take(
+        self, address: Address, response_id: ResponseId | None = None
+    ) -> ReplicaConnection | None:
         """Remove and return an idle connection that has neither expired nor unread input, or None.
 
         A connection that already carried a request with this id is closed: a late duplicate of the
@@ -93,7 +95,7 @@
             is_fresh = time.monotonic() < connection.idle_until
             if (
                 is_fresh
-                and answer_id not in connection.carried_ids
+                and response_id not in connection.carried_ids
                 and not is_readable(connection.sock)
             ):
                 return connection
--- a/quillring/kernel/effects.py
+++ b/quillring/kernel/effects.py
@@ -46,12 +46,12 @@
 class FetchJson(Effect):
     """Send one HTTP request with a JSON body to a replica; resume with (status, JSON body).
 
-    With `may_repeat` it may use an idle connection, and is retried once if that connection broke.
+    With `may_retry` it may use an idle connection, and is retried once if that connection broke.
     Raises NotSent if the request did not run; BackendError if it may have run, also after a timeout
     of `seconds`.
     """
 
-    __slots__ = ("address", "method", "path", "body", "seconds", "may_repeat")
+    __slots__ = ("address", "method", "path", "body", "seconds", "may_retry")
 
     def __init__(
         self,
@@ -60,14 +60,14 @@
         path: str,
         body: Any,
         seconds: float,
-        may_repeat: bool,
+        may_retry: bool,
     ) -> None:
         self.address = address
         self.method = method
         self.path = path
         self.body = body
         self.seconds = seconds
-        self.may_repeat = may_repeat
+        self.may_retry = may_retry
 
 
 class OpenStream(Effect):
@@ -101,12 +101,12 @@
 class SendRequest(Effect):
     """Send the bytes of one HTTP request; resume with a handle of its response.
 
-    `answer_id` is a (lower-case header name, value) that identifies the response; responses with
+    `response_id` is a (lower-case header name, value) that identifies the response; responses with
     another value are skipped. With `may_reuse` an idle connection may be used. Raises NotSent if
     the request did not run, BackendError if it may have run.
     """
 
-    __slots__ = ("address", "data", "seconds", "may_reuse", "answer_id")
+    __slots__ = ("address", "data", "seconds", "may_reuse", "response_id")
 
     def __init__(
         self,
@@ -114,13 +114,13 @@
         data: bytes,
         seconds: float,
         may_reuse: bool,
-        answer_id: tuple[str, str | None],
+        response_id: tuple[str, str | None],
     ) -> None:
         self.address = address
         self.data = data
         self.seconds = seconds
         self.may_reuse = may_reuse
-        self.answer_id = answer_id
+        self.response_id = response_id
 
 
 class ReadHead(Effect):
--- a/quillring/kernel/http_client.py
+++ b/quillring/kernel/http_client.py
@@ -33,7 +33,7 @@
 
     Attributes
     ----------
-    answer_id : (lower-case header name, value) that identifies the response to the request
+    response_id : (lower-case header name, value) that identifies the response to the request
     lines : header fields of the current response as (name, value)
     is_persistent : whether the replica keeps the connection open after the response
     body_parts : bytes of the body that were received and not yet read
@@ -49,7 +49,7 @@
     __slots__ = (
         "connection",
         "effect",
-        "answer_id",
+        "response_id",
         "lines",
         "status",
         "headers",
@@ -68,7 +68,7 @@
     def __init__(self, connection: ReplicaConnection, effect: SendRequest) -> None:
         self.connection = connection
         self.effect = effect
-        self.answer_id = effect.answer_id
+        self.response_id = effect.response_id
         self.body_parts: deque[bytes] = deque()
         self.has_bytes = False
         self.is_complete = self.has_surplus = False
@@ -106,7 +106,7 @@
 
         If the request has no id, the response must not have one either.
         """
-        id_header, request_id = self.answer_id
+        id_header, request_id = self.response_id
         named_ids = {value for name, value in self.lines if name.lower() == id_header}
         return named_ids == ({request_id} if request_id is not None else set())
 
@@ -148,18 +148,18 @@
             raise BackendError(reason="broken off")
         self.is_complete, self.is_persistent = True, False
 
-    def write_until(self, end_time: float) -> None:
-        """Write the request before the deadline `end_time`, a monotonic time.
+    def write_until(self, deadline: float) -> None:
+        """Write the request before `deadline`, a monotonic time in seconds.
 
         Raises NotSent if the deadline has already passed, BackendError if the write failed or was
         not finished in time.
         """
-        seconds = end_time - time.monotonic()
+        seconds = deadline - time.monotonic()
         if seconds <= 0:
             self.connection.close()
             raise NotSent(reason="no time left")
         self.connection.exchange = self
-        self.connection.carried_ids.add(self.answer_id)
+        self.connection.carried_ids.add(self.response_id)
         try:
             with gevent.Timeout(seconds, BackendError(reason="stall")):
                 self._write()
@@ -261,15 +261,15 @@
     BackendError
         The request could not be written on a new connection; it may have run.
     """
-    end_time = time.monotonic() + effect.seconds
-    may_reuse = effect.may_reuse and effect.answer_id[1] is not None
+    deadline = time.monotonic() + effect.seconds
+    may_reuse = effect.may_reuse and effect.response_id[1] is not None
     idle_connection = (
-        POOL.take((effect.address[0], effect.address[1]), effect.answer_id) if may_reuse else None
+        POOL.take((effect.address[0], effect.address[1]), effect.response_id) if may_reuse else None
     )
     if idle_connection is not None:
         exchange = ClientExchange(idle_connection, effect)
         try:
-            exchange.write_until(end_time)
+            exchange.write_until(deadline)
             return exchange
         except NotSent:
             raise
@@ -278,9 +278,9 @@
         except BaseException:
             idle_connection.close()
             raise
-    exchange = ClientExchange(connect(effect.address, end_time - time.monotonic()), effect)
+    exchange = ClientExchange(connect(effect.address, deadline - time.monotonic()), effect)
     try:
-        exchange.write_until(end_time)
+        exchange.write_until(deadline)
     except BaseException:
         exchange.close()
         raise
--- a/quillring/lots/http_requests/api.py
+++ b/quillring/lots/http_requests/api.py
@@ -92,13 +92,13 @@
     command = new_accept_command(node, forward, placement.key, items)
     if seconds is None:
         seconds = forward.latency_goal_seconds + node.bounds.read_timeout
-    end_time = node.now() + min(seconds, forward.timeout_seconds)
+    deadline = node.now() + min(seconds, forward.timeout_seconds)
     is_spread = are_lots_spread(node)
     if is_spread and command.most_tokens:
-        answer = yield from accept_with_reservation(node, placement, command, end_time)
+        answer = yield from accept_with_reservation(node, placement, command, deadline)
     else:
         answer = yield from accept_without_reservation(
-            node, placement, command, end_time, is_spread
+            node, placement, command, deadline, is_spread
         )
     refusal = answer.get("refused")
     if refusal is not None:
@@ -137,26 +137,26 @@
     OutcomeUnknown if it may be. Definite errors such as Conflict are propagated.
     """
     ownership, bounds = node.find("ownership"), node.bounds
-    end_time, may_be_applied = node.now() + seconds, False
+    deadline, may_be_applied = node.now() + seconds, False
     while True:
-        window_end = min(end_time, node.now() + bounds.call_timeout)
+        window_end = min(deadline, node.now() + bounds.call_timeout)
         try:
             return (yield from ownership.submit(part, command, window_end - node.now()))
         except (OutcomeUnknown, TimedOut):
             may_be_applied = True
         except Refused:
-            is_final = node.now() < window_end or node.now() >= end_time
+            is_final = node.now() < window_end or node.now() >= deadline
             if is_final and not may_be_applied:
                 raise
             if is_final:
                 break
-        if node.now() >= end_time:
+        if node.now() >= deadline:
             break
     raise OutcomeUnknown(part=part, reason="hand it in again under the same name")
 
 
 def accept_with_reservation(
-    node: Node, placement: LotPlacement, command: AcceptLot, end_time: float
+    node: Node, placement: LotPlacement, command: AcceptLot, deadline: float
 ) -> Coroutine:
     """Reserve the lot's tokens in its home part, then submit the lot to its own part.
 
@@ -166,19 +166,19 @@
     command = command._replace(max_held_bytes=held_limit_of_part(node))
     reserve = new_reserve_command(placement, command)
     while True:
-        reserved = yield from reserve_or_find_accepted(node, placement, reserve, command, end_time)
+        reserved = yield from reserve_or_find_accepted(node, placement, reserve, command, deadline)
         ticket = reserved.get("ticket")
         if ticket is None:
             return reserved
         accept = command._replace(reserving_part=placement.home, ticket=ticket)
         answer = yield from submit_with_retries(
-            node, placement.own, accept.to_wire(), end_time - node.now()
+            node, placement.own, accept.to_wire(), deadline - node.now()
         )
         if answer.get("refused") != FENCED:
             return answer
         node.count("raw_accepts_fenced")
         reserve = reserve._replace(fenced_ticket=ticket)
-        if node.now() >= end_time:
+        if node.now() >= deadline:
             raise Refused(reason="the reservation ran out", part=placement.own)
 
 
@@ -202,7 +202,7 @@
     placement: LotPlacement,
     reserve: ReserveTokens,
     command: AcceptLot,
-    end_time: float,
+    deadline: float,
 ) -> Coroutine:
     """Return an answer with a ticket, or a final answer: refused, or accepted earlier.
 
@@ -211,7 +211,7 @@
     """
     try:
         reserved = yield from submit_with_retries(
-            node, placement.home, reserve.to_wire(), end_time - node.now()
+            node, placement.home, reserve.to_wire(), deadline - node.now()
         )
     except OutcomeUnknown as error:
         raise Refused(reason="no reservation", part=placement.home) from error
@@ -228,7 +228,7 @@
 
 
 def accept_without_reservation(
-    node: Node, placement: LotPlacement, command: AcceptLot, end_time: float, is_spread: bool
+    node: Node, placement: LotPlacement, command: AcceptLot, deadline: float, is_spread: bool
 ) -> Coroutine:
     """Accept a lot without reserving tokens.
 
@@ -240,9 +240,9 @@
     if accepted is not None:
         return accepted
     accept = command._replace(max_held_bytes=held_limit_of_part(node)) if is_spread else command
-    answer = yield from submit_with_retries(node, part, accept.to_wire(), end_time - node.now())
+    answer = yield from submit_with_retries(node, part, accept.to_wire(), deadline - node.now())
     if answer.get("refused") == MOVED:
-        return (yield from accept_with_reservation(node, placement, command, end_time))
+        return (yield from accept_with_reservation(node, placement, command, deadline))
     return answer
 
 
--- a/quillring/lots/http_requests/item_executor.py
+++ b/quillring/lots/http_requests/item_executor.py
@@ -196,7 +196,7 @@
                 request,
                 run.last_event_id,
                 order.urgency,
-                end_time=node.now() + stall_seconds * 3,
+                deadline=node.now() + stall_seconds * 3,
                 may_reuse=True,
                 first_byte_timeout=stall_seconds / 2,
             )
@@ -276,12 +276,12 @@
 
         Stops without an error when that time is over or the run is stopped.
         """
-        end_time = self.node.now() + self.node.bounds.recovery * 3
+        deadline = self.node.now() + self.node.bounds.recovery * 3
         text = b"\n".join(run.text)
         command = command_of(run, outcome, text)
         report = RunReport(run.lot, run.number, run.id, outcome, run.last_event_id, text).to_wire()
         ownership = self.node.find("ownership")
-        while self.node.now() < end_time and not run.is_stopped:
+        while self.node.now() < deadline and not run.is_stopped:
             try:
                 if command is not None:
                     return (yield from ownership.submit(run.part, command))
--- a/quillring/lots/http_requests/result_reads.py
+++ b/quillring/lots/http_requests/result_reads.py
@@ -60,14 +60,14 @@
         read = messages.LongPollRead.from_wire(body)
         lot: str = read.query["lot"]
         leader = self.node.find("ownership").leaders.get(read.part)
-        end_time = self.node.now() + read.max_wait_seconds
+        deadline = self.node.now() + read.max_wait_seconds
         if leader is not None:
             yield from leader.in_flight.wait(lot)
         while True:
             if leader is None or not leader.is_leader:
                 raise NotLeader(part=read.part)
             answer = self._find_answer(leader.state, read.query)
-            seconds_left = end_time - self.node.now()
+            seconds_left = deadline - self.node.now()
             if answer is not None and (answer["results"] or answer["is_over"]):
                 return answer
             if answer is None or seconds_left <= 0:
--- a/quillring/lots/prompts/scheduler.py
+++ b/quillring/lots/prompts/scheduler.py
@@ -11,7 +11,7 @@
 from itertools import islice
 from typing import TYPE_CHECKING, Any
 
-from quillring.classes.class_terms import may_repeat
+from quillring.classes.class_terms import may_retry
 from quillring.edge.dispatcher import prefix_key
 from quillring.edge.stream_handlers import DEFAULT_STALL_MS, check_before_sending, check_line
 from quillring.kernel.effects import FetchJson, OpenStream, ReadLine, Signal, Sleep, Wait
@@ -201,7 +201,7 @@
             node.now() + node.bounds.propagation,
         )
         try:
-            if not may_repeat(terms) and not (yield from self._mark_started(leader, key)):
+            if not may_retry(terms) and not (yield from self._mark_started(leader, key)):
                 return {"trouble": "outcome_unknown"}
             check_before_sending(node, lease.replica, deadline)
             if not self._is_wanted(leader, key):
--- a/quillring/verbs/restart.py
+++ b/quillring/verbs/restart.py
@@ -53,9 +53,9 @@
     name: str, condition_name: str, is_satisfied: Callable[[], bool], timeout_seconds: float
 ) -> None:
     """Poll until a condition is true; errors count as false. Raise RestartTimedOut in the end."""
-    end_time = time.monotonic() + timeout_seconds
+    deadline = time.monotonic() + timeout_seconds
     last_error: str | None = None
-    while time.monotonic() < end_time:
+    while time.monotonic() < deadline:
         try:
             if is_satisfied():
                 return
--- a/tests/test_backend.py
+++ b/tests/test_backend.py
@@ -51,8 +51,8 @@
                     conn.sendall(ANSWER)
 
 
-def fetch(server, may_repeat):
-    return backend.fetch(FetchJson(server.address, "POST", "/x", {}, 5, may_repeat))
+def fetch(server, may_retry):
+    return backend.fetch(FetchJson(server.address, "POST", "/x", {}, 5, may_retry))
 
 
 def test_what_may_repeat_survives_a_kept_connection_that_breaks_off(start):
--- a/tests/test_connection_machine.py
+++ b/tests/test_connection_machine.py
@@ -71,8 +71,8 @@
             return
         before = [len(sock.written) for sock in self.wire.sockets]
         data = request(name)
-        answer_id = (ID_HEADER, name and name.decode())
-        handle = send_request(SendRequest(ADDRESS, data, 5, may_reuse, answer_id))
+        response_id = (ID_HEADER, name and name.decode())
+        handle = send_request(SendRequest(ADDRESS, data, 5, may_reuse, response_id))
         after = [len(sock.written) for sock in self.wire.sockets]
         assert sum(after) == sum(before) + 1, "a request is written once"
         sock = handle.connection.sock
@@ -171,7 +171,7 @@
 TestConnections.settings = PROFILE
 
 
-def take_any(pool, address, answer_id=None):
+def take_any(pool, address, response_id=None):
     """Stand-in for the guard: any kept connection will do."""
     kept = pool.idle.get(address)
     return kept.pop() if kept else None
--- a/tests/test_wrong_caller.py
+++ b/tests/test_wrong_caller.py
@@ -220,9 +220,9 @@
         clock[0] += 20
         return real_connect(address, seconds)
 
-    def take(pool, address, answer_id):
+    def take(pool, address, response_id):
         clock[0] += 20
-        return real_take(address, answer_id)
+        return real_take(address, response_id)
 
     with (
         mock.patch.object(http_client, "time", mock.Mock(monotonic=lambda: clock[0])),
