--- a/proving/histories/calls.py
+++ b/proving/histories/calls.py
@@ -32,7 +32,7 @@
 from quillring.lots.http_requests.lot_table import HeldTooMuch, QuotaExceeded
 from quillring.quorum.parts import CONFIG_PART
 from quillring.rollout.commands import BadConfiguration
-from quillring.rollout.messages import OrderStore, OrderZone
+from quillring.rollout.messages import StoreOrder, ZoneOrder
 from quillring.rollout.operator_orders import retire_store
 from quillring.rollout.orders import StaleOrder, submit_order
 
@@ -94,12 +94,12 @@
         case FetchConfiguration():
             return ownership.read(CONFIG_PART, {"ask": "edition"}, seconds)
         case MarkZone():
-            zone_order = OrderZone(name, order.is_emptied, includes_nodes=False)
+            zone_order = ZoneOrder(name, order.is_emptied, includes_nodes=False)
             return submit_order(node, zone_order, seconds)
         case RetireStore():
             return retire_store(node, order.store, seconds)
         case RestoreStore():
-            return submit_order(node, OrderStore(order.store, is_retired=False), seconds)
+            return submit_order(node, StoreOrder(order.store, is_retired=False), seconds)
         case AcceptLot():
             items = stage.items(name, order.digest, order.count)
             return api.submit_lot(node, FORWARD, name, items)
--- a/proving/points/orders.py
+++ b/proving/points/orders.py
@@ -9,7 +9,7 @@
 from quillring.ownership.part_client import PartClient
 from quillring.quorum.leader.part_leader import PartLeader
 from quillring.rollout import operator_orders, orders
-from quillring.rollout.messages import OrderZone
+from quillring.rollout.messages import ZoneOrder
 from quillring.rollout.operator_orders import retire_store
 from quillring.rollout.orders import submit_order
 
@@ -17,17 +17,17 @@
 ATTEMPT_TIMEOUT_SECONDS = 0.8
 
 
-def order_zone(fleet, node_name, zone, is_emptied):
+def order_zone(fleet, node_name, zone, is_drained):
     """Order a zone emptied or filled again, through one node; return (answer, error)."""
-    node, order = fleet.node(node_name), OrderZone(zone, is_emptied, includes_nodes=False)
+    node, order = fleet.node(node_name), ZoneOrder(zone, is_drained, includes_nodes=False)
     coroutine = submit_order(node, order, ATTEMPT_TIMEOUT_SECONDS)
     return fleet.finish(fleet.start(fleet.sim.run_script(node, coroutine)))
 
 
-def order_until_acknowledged(fleet, zone, is_emptied, names):
+def order_until_acknowledged(fleet, zone, is_drained, names):
     """Send an order through one node after another; return whether one was acknowledged."""
     for number in range(12):
-        answer, _ = order_zone(fleet, names[number % len(names)], zone, is_emptied)
+        answer, _ = order_zone(fleet, names[number % len(names)], zone, is_drained)
         if answer:
             return True
         fleet.run(0.3)
@@ -79,15 +79,15 @@
             fleet.sim.history.violate("an order was acknowledged that reached no owner")
         others = [name for name in fleet.sim.names("core") if name != requester]
         acknowledged = [
-            order_until_acknowledged(fleet, zone, is_emptied, others)
-            for is_emptied in (True, False)
+            order_until_acknowledged(fleet, zone, is_drained, others)
+            for is_drained in (True, False)
         ]
     if acknowledged != [True, True]:
         fleet.sim.history.violate(f"repeated orders were not acknowledged: {acknowledged}")
     fleet.run(FAULT_SECONDS)
     delayed.release()
     fleet.run(2)
-    emptied = [n.me.name for n in fleet.sim.nodes.values() if n.find("layout").is_emptied(zone)]
+    emptied = [n.me.name for n in fleet.sim.nodes.values() if n.find("layout").is_drained(zone)]
     if emptied:
         fleet.sim.history.violate(f"{zone} is emptied at {emptied} by the late order")
     if not order_until_acknowledged(fleet, zone, True, others):
--- a/proving/points/removed_members.py
+++ b/proving/points/removed_members.py
@@ -110,7 +110,7 @@
         store.find("acceptors").founding and store.find("acceptors").founding["fleet"]
         for store in sim.up_nodes("store")
     }
-    is_order_kept = all(core.find("layout").is_emptied("north") for core in sim.up_nodes("core"))
+    is_order_kept = all(core.find("layout").is_drained("north") for core in sim.up_nodes("core"))
     if len(fleets) != 1 or not task.value[0] or not is_order_kept:
         sim.history.violate(f"fleets {fleets}, acknowledged {task.value}, kept {is_order_kept}")
     return sim.history.violations, {"fleets": len(fleets)}
--- a/quillring/classes/quota_server.py
+++ b/quillring/classes/quota_server.py
@@ -12,7 +12,7 @@
 from quillring.classes.messages import REQUEST_QUOTA, Quota, QuotaRequest
 from quillring.kernel.errors import NotLeader
 from quillring.kernel.records import NamedTuple
-from quillring.nifty.graph import score
+from quillring.nifty.graph import rendezvous_score
 from quillring.quorum.parts import part_for_key
 
 if TYPE_CHECKING:
@@ -173,7 +173,9 @@
             if name != client
         )
         if usable < len(by_client):
-            ranked = sorted(by_client, key=lambda name: score(replica.name, name), reverse=True)
+            ranked = sorted(
+                by_client, key=lambda name: rendezvous_score(replica.name, name), reverse=True
+            )
             wanted = int(client in ranked[:usable])
         else:
             weights = {name: sum(d.demands.values()) + 1 for name, d in by_client.items()}
--- a/quillring/edge/dispatcher.py
+++ b/quillring/edge/dispatcher.py
@@ -9,7 +9,7 @@
 from quillring.edge.slot_lease import QueuedRequest, SlotLease
 from quillring.kernel.effects import Sleep, Wait
 from quillring.kernel.errors import Refused
-from quillring.nifty.graph import score
+from quillring.nifty.graph import rendezvous_score
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -268,10 +268,12 @@
         if not candidates:
             return None
         if request.prefix:
-            preferred = max(candidates, key=lambda r: score(request.prefix, r.name))
+            preferred = max(candidates, key=lambda r: rendezvous_score(request.prefix, r.name))
             if preferred.in_flight < self.capacity(preferred) * AFFINITY_LOAD_LIMIT:
                 return preferred
-        return min(candidates, key=lambda r: (r.in_flight / self.capacity(r), score(r.name)))
+        return min(
+            candidates, key=lambda r: (r.in_flight / self.capacity(r), rendezvous_score(r.name))
+        )
 
     def _count_running(self, request: QueuedRequest) -> int:
         return sum(
--- a/quillring/edge/journal.py
+++ b/quillring/edge/journal.py
@@ -16,7 +16,7 @@
 from quillring.edge.stream_takeover import take_over_stream
 from quillring.kernel.effects import Sleep
 from quillring.kernel.errors import Fenced, NotFound, QuillringError, Refused
-from quillring.nifty.graph import score
+from quillring.nifty.graph import rendezvous_score
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Collection, Sequence
@@ -124,7 +124,11 @@
         ]
         members.sort(
             reverse=True,
-            key=lambda m: (not is_leaving(m.name), m.role == "edge", score(name, m.name)),
+            key=lambda m: (
+                not is_leaving(m.name),
+                m.role == "edge",
+                rendezvous_score(name, m.name),
+            ),
         )
         return [member.name for member in members]
 
--- a/quillring/edge/replicas.py
+++ b/quillring/edge/replicas.py
@@ -271,7 +271,7 @@
         return (
             replica.state not in ENDED_STATES
             and self.is_alive(replica.name)
-            and not self.node.find("layout").is_emptied(replica.zone)
+            and not self.node.find("layout").is_drained(replica.zone)
         )
 
     def may_receive_requests(self, replica: Replica) -> bool:
@@ -281,7 +281,7 @@
             known is not None
             and known.state not in ENDED_STATES
             and replica.name not in self.misdirected_names
-            and not self.node.find("layout").is_emptied(replica.zone)
+            and not self.node.find("layout").is_drained(replica.zone)
         )
 
     def mark_misdirected(self, replica: Replica) -> None:
--- a/quillring/edge/short_requests.py
+++ b/quillring/edge/short_requests.py
@@ -47,10 +47,14 @@
 @route("GET", "/v1/tiles/{entry}/{zoom}/{column}/{row}")
 def serve_idempotent_read(node: Node, request: Request) -> Coroutine:
     """Serve an idempotent read, which may be retried at another replica."""
-    words = request.words
-    zoom, column, row = (read_count(words[name], name) for name in ("zoom", "column", "row"))
+    path_parameters = request.path_parameters
+    zoom, column, row = (
+        read_count(path_parameters[name], name) for name in ("zoom", "column", "row")
+    )
     path = f"/v1/tiles/{zoom}/{column}/{row}"
-    response = yield from send_short_request(node, words["entry"], "map", "GET", path, None, path)
+    response = yield from send_short_request(
+        node, path_parameters["entry"], "map", "GET", path, None, path
+    )
     return {"tile": response["tile"]}
 
 
--- a/quillring/edge/stream_handlers.py
+++ b/quillring/edge/stream_handlers.py
@@ -76,7 +76,7 @@
     check_not_draining(node)
     secret = node.find("ownership").founding()["secret"]
     token = read_token(
-        secret, request.words["token"], request.client_name, node.runtime.wall_time()
+        secret, request.path_parameters["token"], request.client_name, node.runtime.wall_time()
     )
     sent_count = read_count(request.query.get("after", ["0"])[0], "after")
 
--- a/quillring/forward/load_balancer.py
+++ b/quillring/forward/load_balancer.py
@@ -20,7 +20,7 @@
 from quillring.kernel.effects import Signal
 from quillring.kernel.records import NamedTuple
 from quillring.kernel.traffic import REPLICA_RESPONSE
-from quillring.nifty.graph import score
+from quillring.nifty.graph import rendezvous_score
 
 if TYPE_CHECKING:
     from collections.abc import Collection, Sequence
@@ -179,7 +179,7 @@
     return {
         name: index / max(1, len(names) - 1)
         for names in names_by_zone.values()
-        for index, name in enumerate(sorted(names, key=score))
+        for index, name in enumerate(sorted(names, key=rendezvous_score))
     }
 
 
--- a/quillring/forward/load_exchange.py
+++ b/quillring/forward/load_exchange.py
@@ -25,7 +25,7 @@
 )
 from quillring.kernel.effects import Sleep
 from quillring.kernel.records import NamedTuple
-from quillring.nifty.graph import score
+from quillring.nifty.graph import rendezvous_score
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
@@ -198,7 +198,7 @@
             members.append(self.node.me)
         first_role = min((SENDING_ROLES.index(member.role) for member in members), default=0)
         names = [m.name for m in members if SENDING_ROLES.index(m.role) == first_role]
-        return max(names, key=lambda name: score(zone, name))
+        return max(names, key=lambda name: rendezvous_score(zone, name))
 
     def _own_report(
         self, starts: Sequence[PromptStart] = (), timings: Sequence[PromptTiming] = ()
--- a/quillring/forward/route_table.py
+++ b/quillring/forward/route_table.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Any
 
 from quillring.kernel.records import NamedTuple
-from quillring.nifty.graph import score
+from quillring.nifty.graph import rendezvous_score
 
 if TYPE_CHECKING:
     from quillring.kernel.node import Node
@@ -71,7 +71,7 @@
         if len(self.split) == 1:
             return self.split[0].service
         total = sum(weight for _, weight in self.split)
-        position = int.from_bytes(score(self.name, key)[:7], "big") / (1 << 56) * total
+        position = int.from_bytes(rendezvous_score(self.name, key)[:7], "big") / (1 << 56) * total
         for service, weight in self.split:
             position -= weight
             if position < 0:
--- a/quillring/forward/slow_start.py
+++ b/quillring/forward/slow_start.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from quillring.nifty.graph import score
+from quillring.nifty.graph import rendezvous_score
 
 if TYPE_CHECKING:
     from quillring.forward.types import Replica
@@ -69,5 +69,5 @@
             and (member.name in graph.routes or member.name == self.node.me.name)
         ]
         sender_count = max(1, min(len(names), int(rate / MIN_RATE_PER_SENDER)))
-        ranked = sorted(names, key=lambda name: score(replica.name, name), reverse=True)
+        ranked = sorted(names, key=lambda name: rendezvous_score(replica.name, name), reverse=True)
         return rate / sender_count if self.node.me.name in ranked[:sender_count] else 0
--- a/quillring/kernel/backend.py
+++ b/quillring/kernel/backend.py
@@ -31,13 +31,13 @@
 class StreamHandle:
     """Handle of an open streamed response; owns its HTTP connection."""
 
-    __slots__ = ("client", "response", "status", "kept")
+    __slots__ = ("client", "response", "status", "unread_bytes")
 
     def __init__(self, client: Any, response: Any) -> None:
         self.client = client
         self.response = response
         self.status: int = response.status_code
-        self.kept = b""
+        self.unread_bytes = b""
 
     def close(self) -> None:
         """Close the connection; the replica cancels the request when it detects the close."""
--- a/quillring/kernel/client_connection.py
+++ b/quillring/kernel/client_connection.py
@@ -205,7 +205,7 @@
     def _answer(self, request: HttpRequest) -> bool:
         """Answer one request; return whether the connection may serve another one."""
         node = self.server.node
-        node.under_way += 1
+        node.requests_in_flight += 1
         lines = None
         try:
             lines = node.runtime.lines(self.server.handle(node, request))
@@ -216,7 +216,7 @@
             self.server.report(error)
             return False
         finally:
-            node.under_way -= 1
+            node.requests_in_flight -= 1
             if lines is not None:
                 lines.close()
 
--- a/quillring/kernel/node.py
+++ b/quillring/kernel/node.py
@@ -72,7 +72,7 @@
     counts : event counters by name
     is_draining : whether the process is about to stop and finishes its requests before
     is_closing : whether a draining process already refuses new requests
-    under_way : number of requests in flight
+    requests_in_flight : number of requests in flight
     """
 
     __slots__ = (
@@ -88,7 +88,7 @@
         "traffic",
         "is_draining",
         "is_closing",
-        "under_way",
+        "requests_in_flight",
     )
 
     def __init__(
@@ -110,7 +110,7 @@
         self.traffic = TrafficCounters()
         self.is_draining = False
         self.is_closing = False
-        self.under_way = 0
+        self.requests_in_flight = 0
 
     def now(self) -> float:
         """Return the runtime's monotonic time in seconds."""
--- a/quillring/kernel/routes.py
+++ b/quillring/kernel/routes.py
@@ -46,24 +46,24 @@
 
     Attributes
     ----------
-    words : path parameters by name
+    path_parameters : path parameters by name
     query : values of the query parameters by name
     body : parsed JSON body, None if it was empty
     client_name : name that the client sent in the X-Sender header, "" without one
     """
 
-    __slots__ = ("method", "words", "query", "body", "client_name")
+    __slots__ = ("method", "path_parameters", "query", "body", "client_name")
 
     def __init__(
         self,
         method: str,
-        words: dict[str, str],
+        path_parameters: dict[str, str],
         query: dict[str, list[str]],
         body: Any,
         client_name: str,
     ) -> None:
         self.method = method
-        self.words = words
+        self.path_parameters = path_parameters
         self.query = query
         self.body = body
         self.client_name = client_name
--- a/quillring/kernel/wsgi.py
+++ b/quillring/kernel/wsgi.py
@@ -48,10 +48,10 @@
     def answer(environ: Environ, start_response: StartResponse) -> Iterable[bytes]:
         try:
             method = environ["REQUEST_METHOD"]
-            route, words = find_route(method, environ["PATH_INFO"])
+            route, path_parameters = find_route(method, environ["PATH_INFO"])
             request = Request(
                 method,
-                words,
+                path_parameters,
                 read_query(environ, route.query_parameters),
                 read_body(environ, route.body_limit),
                 environ.get("HTTP_X_SENDER", ""),
@@ -76,7 +76,7 @@
         self.node = node
         self.chunks = chunks
         self.is_open = True
-        node.under_way += 1
+        node.requests_in_flight += 1
 
     def __iter__(self) -> Iterator[bytes]:
         return iter(self.chunks)
@@ -85,7 +85,7 @@
         """End the response; the server calls this also after an error (PEP 3333)."""
         if self.is_open:
             self.is_open = False
-            self.node.under_way -= 1
+            self.node.requests_in_flight -= 1
             close = getattr(self.chunks, "close", None)
             if close is not None:
                 close()
--- a/quillring/lots/http_requests/api.py
+++ b/quillring/lots/http_requests/api.py
@@ -32,8 +32,8 @@
 from quillring.lots.http_requests.lot_placement import (
     LotPlacement,
     are_lots_spread,
-    held_limit_of_part,
     in_own_or_home_part,
+    max_held_bytes_of_part,
     placement_of_lot,
 )
 from quillring.lots.http_requests.lot_table import (
@@ -124,7 +124,7 @@
         submitted_at_ms=int(node.runtime.wall_time() * 1000),
         due_ms=fields.get("due_ms") or DEFAULT_DUE_MS,
         retain_ms=fields.get("retain_ms") or DEFAULT_RETAIN_MS,
-        rounds=forward.max_attempts,
+        max_attempts=forward.max_attempts,
     )
 
 
@@ -163,7 +163,7 @@
     If the lot's part fenced the ticket in the meantime, a new one is requested. A lot that the
     quota has no room for may have been accepted earlier; then that answer is returned.
     """
-    command = command._replace(max_held_bytes=held_limit_of_part(node))
+    command = command._replace(max_held_bytes=max_held_bytes_of_part(node))
     reserve = new_reserve_command(placement, command)
     while True:
         reserved = yield from reserve_or_find_accepted(node, placement, reserve, command, deadline)
@@ -239,7 +239,7 @@
     accepted = None if part == other else (yield from find_accepted_lot(node, other, command))
     if accepted is not None:
         return accepted
-    accept = command._replace(max_held_bytes=held_limit_of_part(node)) if is_spread else command
+    accept = command._replace(max_held_bytes=max_held_bytes_of_part(node)) if is_spread else command
     answer = yield from submit_with_retries(node, part, accept.to_wire(), deadline - node.now())
     if answer.get("refused") == MOVED:
         return (yield from accept_with_reservation(node, placement, command, deadline))
--- a/quillring/lots/http_requests/backlog.py
+++ b/quillring/lots/http_requests/backlog.py
@@ -66,7 +66,7 @@
         """The share as a ratio, above 0 and at most 1; 1 for an empty interval."""
         return (self.end - self.start) / self.total if self.end > self.start else 1.0
 
-    def room(self, slots: int, offset: float) -> int:
+    def part_slots(self, slots: int, offset: float) -> int:
         """Return how many of a replica's slots this part may use.
 
         The counts of all parts add up to `slots`. `offset` (0 to 1, spread evenly over the
--- a/quillring/lots/http_requests/commands.py
+++ b/quillring/lots/http_requests/commands.py
@@ -45,7 +45,7 @@
         Wall-clock time of the submission.
     due_ms, retain_ms
         Time from the submission until the lot is due, and until its pending items expire.
-    rounds
+    max_attempts
         Number of failed runs after which an item is errored.
     max_held_bytes
         Limit on the stored bytes of the part's lots; None in commands of the former version.
@@ -64,7 +64,7 @@
     submitted_at_ms: int
     due_ms: int
     retain_ms: int
-    rounds: int
+    max_attempts: int
     max_held_bytes: int | None = None
     reserving_part: str | None = None
     ticket: int | None = None
@@ -103,7 +103,7 @@
             "at": self.submitted_at_ms,
             "due_ms": self.due_ms,
             "retain_ms": self.retain_ms,
-            "rounds": self.rounds,
+            "rounds": self.max_attempts,
         }
         if self.max_held_bytes is not None:
             wire["most_weight"] = self.max_held_bytes
--- a/quillring/lots/http_requests/concurrency_limits.py
+++ b/quillring/lots/http_requests/concurrency_limits.py
@@ -127,7 +127,7 @@
             replica
             for replica in preferred
             if running.get(replica.name, 0)
-            < slot_share.room(self._free_slots(replica, share), offsets[replica.name])
+            < slot_share.part_slots(self._free_slots(replica, share), offsets[replica.name])
             and self._may_start(replica, load_balancer, now)
         ]
         candidates = [r for r in eligible if not r.is_cold(now)]
--- a/quillring/lots/http_requests/item_executor.py
+++ b/quillring/lots/http_requests/item_executor.py
@@ -175,13 +175,13 @@
                 run.stop()
 
     def _run(self, run: ItemRun, replica: Replica, order: RunItem) -> Coroutine:
-        self.node.under_way += 1
+        self.node.requests_in_flight += 1
         try:
             outcome = yield from self._send_item(run, replica, order)
             if not run.is_stopped:
                 yield from self._deliver(run, outcome)
         finally:
-            self.node.under_way -= 1
+            self.node.requests_in_flight -= 1
             self.runs.pop(run.id, None)
 
     def _send_item(self, run: ItemRun, replica: Replica, order: RunItem) -> Coroutine:
--- a/quillring/lots/http_requests/lot_placement.py
+++ b/quillring/lots/http_requests/lot_placement.py
@@ -59,7 +59,7 @@
     return LotPlacement(key, part_for_key(key, count), part_for_key(normalized_host(host), count))
 
 
-def held_limit_of_part(node: Node) -> int:
+def max_held_bytes_of_part(node: Node) -> int:
     """Return the limit on the bytes of a part's lots: an equal share of HELD_LIMIT_BYTES."""
     return HELD_LIMIT_BYTES // count_parts(node)
 
--- a/quillring/lots/http_requests/scheduler.py
+++ b/quillring/lots/http_requests/scheduler.py
@@ -29,7 +29,7 @@
     PendingItem,
 )
 from quillring.lots.http_requests.lot_expiry import LotExpiry, is_lot_ended
-from quillring.lots.http_requests.lot_placement import held_limit_of_part
+from quillring.lots.http_requests.lot_placement import max_held_bytes_of_part
 from quillring.lots.http_requests.lot_table import held_bytes, lot_records
 from quillring.lots.http_requests.messages import (
     ActiveRun,
@@ -210,7 +210,7 @@
                 self.node.spawn(leader.submit(ExpireLot(name).to_wire()))
         else:
             item_table.has_collected_runs = True
-        if held_bytes(leader.state) > held_limit_of_part(self.node) / 2:
+        if held_bytes(leader.state) > max_held_bytes_of_part(self.node) / 2:
             for name in item_table.lots_completed_for(COMPLETED_LOT_RETENTION_SECONDS)[
                 :MAX_DROPS_PER_CHECK
             ]:
--- a/quillring/lots/http_requests/state_machine.py
+++ b/quillring/lots/http_requests/state_machine.py
@@ -129,7 +129,7 @@
         "at": command.submitted_at_ms,
         "due_ms": command.due_ms,
         "retain_ms": command.retain_ms,
-        "rounds": command.rounds,
+        "rounds": command.max_attempts,
         "count": len(command.items),
         "tokens": tokens,
         "weight": weight,
--- a/quillring/lots/prompts/api.py
+++ b/quillring/lots/prompts/api.py
@@ -88,7 +88,7 @@
 @route("GET", "/v1/lots/{lot}")
 def show_lot(node: Node, request: Request) -> Coroutine:
     """Return a lot's phase and the numbers of its items and results."""
-    query = QueryStatus(request.words["lot"], request.client_name)
+    query = QueryStatus(request.path_parameters["lot"], request.client_name)
     part = part_of_lot(node, query.lot)
     return (yield from node.find("ownership").read(part, query.to_wire()))
 
@@ -99,7 +99,7 @@
     start = read_count(request.query.get("from", ["0"])[0], "from")
     count = read_count(request.query.get("count", [str(MAX_RESULTS_PER_PAGE)])[0], "count")
     query = QueryResults(
-        request.words["lot"], request.client_name, start, min(count, MAX_RESULTS_PER_PAGE)
+        request.path_parameters["lot"], request.client_name, start, min(count, MAX_RESULTS_PER_PAGE)
     )
     part = part_of_lot(node, query.lot)
     return (yield from node.find("ownership").read(part, query.to_wire()))
@@ -108,7 +108,7 @@
 @route("POST", "/v1/lots/{lot}/release")
 def release_lot(node: Node, request: Request) -> Coroutine:
     """Delete an ended lot and its results before its retention period is over."""
-    command = ReleaseLot(request.words["lot"], request.client_name)
+    command = ReleaseLot(request.path_parameters["lot"], request.client_name)
     if node.find("nifty").lowest_common_version() < MIN_RELEASE_VERSION:
         raise Refused(reason="some nodes are of the former version")
     part = part_of_lot(node, command.lot)
@@ -118,6 +118,6 @@
 @route("DELETE", "/v1/lots/{lot}")
 def cancel_lot(node: Node, request: Request) -> Coroutine:
     """Cancel a lot; results written so far remain readable."""
-    command = CancelLot(request.words["lot"], request.client_name)
+    command = CancelLot(request.path_parameters["lot"], request.client_name)
     part = part_of_lot(node, command.lot)
     return (yield from node.find("ownership").submit(part, command.to_wire()))
--- a/quillring/nifty/graph.py
+++ b/quillring/nifty/graph.py
@@ -23,7 +23,7 @@
 MAX_CACHED_RESULTS = 4096
 
 
-def score(*key_parts: str) -> bytes:
+def rendezvous_score(*key_parts: str) -> bytes:
     """Return the rendezvous hash score of a key."""
     return hashlib.blake2b("\0".join(key_parts).encode(), digest_size=8).digest()
 
@@ -176,7 +176,8 @@
         if len(hops) == 1:
             return hops[0]
         return self._cached(
-            (target, origin), lambda: max(hops, key=lambda hop: score(origin, target, hop))
+            (target, origin),
+            lambda: max(hops, key=lambda hop: rendezvous_score(origin, target, hop)),
         )
 
     def hops(self, target: str) -> int | None:
--- a/quillring/nifty/incarnations.py
+++ b/quillring/nifty/incarnations.py
@@ -18,7 +18,7 @@
         and state is not None
         and known.address != member.address
         and known.incarnation == state.incarnation != member.incarnation
-        and peers.is_heard(state)
+        and peers.has_recent_heartbeat(state)
     )
 
 
--- a/quillring/nifty/nifty.py
+++ b/quillring/nifty/nifty.py
@@ -221,7 +221,7 @@
             return False
         if state is None or heartbeat.incarnation > state.incarnation:
             return True
-        if heartbeat.version > 1 and not self.is_heard(state):
+        if heartbeat.version > 1 and not self.has_recent_heartbeat(state):
             self.send_direct(member, heartbeat.version, "member.former", state.incarnation)
         return False
 
--- a/quillring/nifty/peers.py
+++ b/quillring/nifty/peers.py
@@ -106,7 +106,7 @@
             self.replace_roster(self._merge_pending_members())
         return state.store_bitmap(digest, bitmap, self.recent_rosters.get(digest))
 
-    def is_heard(self, state: PeerState) -> bool:
+    def has_recent_heartbeat(self, state: PeerState) -> bool:
         """Return whether a heartbeat of the peer was received within the link timeout."""
         return state.heard_at > self.node.now() - self.timing.link_timeout
 
@@ -115,14 +115,14 @@
         has_marked = False
         for name in self.roster.addresses.get(address, ()):
             state = self.peer_states.get(name)
-            if state is not None and not state.is_refused and self.is_heard(state):
+            if state is not None and not state.is_refused and self.has_recent_heartbeat(state):
                 state.is_refused = has_marked = True
         return has_marked
 
     def is_lost_by_refusal_only(self, name: str) -> bool:
         """Return whether a member is lost by a refused connection, but not yet by the timeout."""
         state = self.peer_states.get(name)
-        return state is not None and state.is_refused and self.is_heard(state)
+        return state is not None and state.is_refused and self.has_recent_heartbeat(state)
 
     def is_silent(self, name: str, seconds: float) -> bool:
         """Return whether no heartbeat of a member was received in the last `seconds`."""
--- a/quillring/ownership/candidates.py
+++ b/quillring/ownership/candidates.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING
 
-from quillring.nifty.graph import score
+from quillring.nifty.graph import rendezvous_score
 
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterable
@@ -37,7 +37,7 @@
             name not in leaving_names,
             name not in backing_off_names,
             name in bridge_names,
-            score(key, name),
+            rendezvous_score(key, name),
         )
 
     return sorted(reachable_cores, key=preference, reverse=True)
--- a/quillring/ownership/leadership_transfer.py
+++ b/quillring/ownership/leadership_transfer.py
@@ -121,4 +121,4 @@
             chunk = StateChunkReply.from_wire(reply)
             builder.add(chunk.data, chunk.next_offset)
             offset = chunk.next_offset
-        return builder.whole()
+        return builder.build()
--- a/quillring/ownership/ownership.py
+++ b/quillring/ownership/ownership.py
@@ -136,8 +136,8 @@
             self.decoded_groups[part] = decoded
         return decoded.group
 
-    def size(self) -> int:
-        """Return the number of stores in a complete group."""
+    def stores_per_part(self) -> int:
+        """Return the number of stores in the complete group of a part."""
         size: int = self.founding().get("size", GROUP_SIZE)
         return size
 
--- a/quillring/plans/api.py
+++ b/quillring/plans/api.py
@@ -94,7 +94,7 @@
 @route("GET", "/v1/plans/{plan}")
 def show_one(node: Node, request: Request) -> Coroutine:
     """Return one plan with its progress."""
-    query = make_plan_query(request.words["plan"])
+    query = make_plan_query(request.path_parameters["plan"])
     return (yield from node.find("ownership").read(CONFIG_PART, query))
 
 
@@ -104,12 +104,12 @@
     body = request.body or {}
     check_body(CONFIRM, body)
     command_id = body.get("id") or f"{node.runtime.random.getrandbits(96):024x}"
-    command = ConfirmPlan(request.words["plan"], body.get("accept", []), command_id)
+    command = ConfirmPlan(request.path_parameters["plan"], body.get("accept", []), command_id)
     return (yield from node.find("ownership").submit(CONFIG_PART, command.to_wire()))
 
 
 @route("POST", "/v1/plans/{plan}/stop")
 def stop(node: Node, request: Request) -> Coroutine:
     """Stop a plan; completed steps are not undone."""
-    command = StopPlan(request.words["plan"])
+    command = StopPlan(request.path_parameters["plan"])
     return (yield from node.find("ownership").submit(CONFIG_PART, command.to_wire()))
--- a/quillring/quorum/acceptor/snapshot_transfer.py
+++ b/quillring/quorum/acceptor/snapshot_transfer.py
@@ -72,7 +72,7 @@
         if record.next_offset is not None:
             return None
         del self.incoming[record.part]
-        return builder.whole()
+        return builder.build()
 
     def drop_outdated(self, part: str, acceptor: AcceptorState) -> None:
         """Drop a snapshot under a ballot below the promised one, or not above the applied index."""
--- a/quillring/quorum/leader/hinted_handoff.py
+++ b/quillring/quorum/leader/hinted_handoff.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from quillring.nifty.graph import score
+from quillring.nifty.graph import rendezvous_score
 from quillring.quorum.messages import HintRequest
 from quillring.quorum.retirement_orders import is_retirement_ordered
 
@@ -47,4 +47,4 @@
         and nifty.reaches(m.name)
         and not is_retirement_ordered(node, m.name)
     ]
-    return max(spares, default=None, key=lambda name: score(part, name))
+    return max(spares, default=None, key=lambda name: rendezvous_score(part, name))
--- a/quillring/quorum/leader/membership_repair.py
+++ b/quillring/quorum/leader/membership_repair.py
@@ -6,7 +6,7 @@
 
 from quillring.kernel.effects import Sleep
 from quillring.kernel.errors import QuillringError
-from quillring.nifty.graph import score
+from quillring.nifty.graph import rendezvous_score
 from quillring.quorum.disk_health import is_disk_failing
 from quillring.quorum.leader.membership_change import make_group_change
 from quillring.quorum.leader.retirement_check import agrees_to_join
@@ -172,7 +172,7 @@
 
     def _next_change(self, leader: PartLeader) -> GroupChange | None:
         """Return the next change that the part's group needs, or None."""
-        group, size = leader.group, self.node.find("ownership").size()
+        group, size = leader.group, self.node.find("ownership").stores_per_part()
         spare = self._pick_spare(leader.part, group)
         lost = [m for m in group if self.has_lost_data(m) or self.is_lost(m)]
         leaving = [*lost, *(m for m in group if self.is_retired(m) and m not in lost)]
@@ -198,7 +198,7 @@
         used_zones = [m.zone for m in staying if not self.has_lost_data(m)]
         names = {m.name for m in group if not self.has_lost_data(m)}
         # No zone may have a majority of a full group, or its loss would stop the part.
-        most_in_zone = self.node.find("ownership").size() // 2
+        most_in_zone = self.node.find("ownership").stores_per_part() // 2
         candidates = [
             store
             for store in self._working_stores()
@@ -210,7 +210,7 @@
 
         def preference(store: GroupMember) -> tuple[int, bool, bytes]:
             is_preferred = store.name == preferred_name
-            return -used_zones.count(store.zone), is_preferred, score(part, store.name)
+            return -used_zones.count(store.zone), is_preferred, rendezvous_score(part, store.name)
 
         return max(candidates, default=None, key=preference)
 
--- a/quillring/quorum/leader/retirement_check.py
+++ b/quillring/quorum/leader/retirement_check.py
@@ -92,7 +92,7 @@
     if not (yield from _is_ready_to_leave(node, store)):
         return False
     statuses = yield from fetch_group_statuses(node, seconds)
-    size = node.find("ownership").size()
+    size = node.find("ownership").stores_per_part()
     return all(status.is_whole_without(store, size) for status in statuses)
 
 
--- a/quillring/quorum/leader/state_fetch.py
+++ b/quillring/quorum/leader/state_fetch.py
@@ -97,7 +97,7 @@
             self.progress.fetched_bytes += len(chunk.data)
             builder.add(chunk.data, chunk.next_offset)
             offset = chunk.next_offset
-        return builder.whole()
+        return builder.build()
 
     def _fetch_complete_state(self, store: str, index: int, seconds: float) -> Coroutine:
         """Return the state from a store of an earlier version, which sends it in one message.
--- a/quillring/quorum/parts.py
+++ b/quillring/quorum/parts.py
@@ -5,7 +5,7 @@
 import hashlib
 from typing import TYPE_CHECKING, Any
 
-from quillring.nifty.graph import score
+from quillring.nifty.graph import rendezvous_score
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -43,7 +43,9 @@
 
     Stores are ranked by rendezvous hashing and spread evenly over zones.
     """
-    ranked_stores = sorted(stores, key=lambda store: score(part, store.name), reverse=True)
+    ranked_stores = sorted(
+        stores, key=lambda store: rendezvous_score(part, store.name), reverse=True
+    )
     zones = [store.zone for store in ranked_stores]
     if len(ranked_stores) < size:
         return None
--- a/quillring/quorum/snapshot_chunks.py
+++ b/quillring/quorum/snapshot_chunks.py
@@ -163,7 +163,7 @@
         if next_offset is not None and tuple(next_offset) != self.offset:
             raise BadChunk(place=self.offset.to_wire(), following=list(next_offset))
 
-    def whole(self) -> PartState:
+    def build(self) -> PartState:
         """Return the reassembled state; raises BadChunk when its last row is incomplete."""
         if self.incomplete_row:
             raise BadChunk(place=self.offset.to_wire())
--- a/quillring/rollout/messages.py
+++ b/quillring/rollout/messages.py
@@ -139,7 +139,7 @@
         return self.forwards if section == "forwards" else self.services
 
 
-class OrderZone(NamedTuple):
+class ZoneOrder(NamedTuple):
     """`domain.mark`: drain a zone, or cancel that.
 
     `includes_nodes` is True to drain the zone's nodes and replicas, False to drain only replicas.
@@ -153,7 +153,7 @@
     seen_version: int | None = None
 
     @classmethod
-    def from_wire(cls, command: WireMap) -> OrderZone:
+    def from_wire(cls, command: WireMap) -> ZoneOrder:
         """Read the command from its form in the log."""
         return cls(
             command["domain"],
@@ -177,12 +177,12 @@
         return {"emptied": self.is_drained, "nodes": self.includes_nodes}
 
 
-class OrderStore(NamedTuple):
+class StoreOrder(NamedTuple):
     """`store.mark`: retire a store, or cancel that.
 
     `counted` is {store: zone} of the stores that the submitting node counts as remaining, or None
     to skip the check of their number. `group_size` is the number of stores that hold each part.
-    `seen_version` is the fencing token, as in OrderZone.
+    `seen_version` is the fencing token, as in ZoneOrder.
     """
 
     store: str
@@ -192,7 +192,7 @@
     seen_version: int | None = None
 
     @classmethod
-    def from_wire(cls, command: WireMap) -> OrderStore:
+    def from_wire(cls, command: WireMap) -> StoreOrder:
         """Read the command from its form in the log."""
         return cls(
             command["store"],
--- a/quillring/rollout/operator_orders.py
+++ b/quillring/rollout/operator_orders.py
@@ -13,8 +13,8 @@
     ORDER_ZONE,
     READ_CURRENT_VERSION,
     CurrentVersion,
-    OrderStore,
-    OrderZone,
+    StoreOrder,
+    ZoneOrder,
 )
 from quillring.rollout.orders import place_order, submit_order
 from quillring.rollout.schema import EMPTY_CONFIGURATION
@@ -29,7 +29,7 @@
 @COMMANDS.entry(ORDER_ZONE)
 def order_zone(state: WireMap, command: WireMap) -> tuple[WireMap, WireMap]:
     """Drain a zone or cancel that; raise StaleOrder for a delayed copy of an older order."""
-    order = OrderZone.from_wire(command)
+    order = ZoneOrder.from_wire(command)
     fields = order.to_state()
     return place_order(state, "domains", order.zone, fields, order.seen_version), fields
 
@@ -42,7 +42,7 @@
     second of two concurrent retirements takes the first into account. Raises Conflict if too few
     would remain, StaleOrder for a delayed copy of an older order.
     """
-    order = OrderStore.from_wire(command)
+    order = StoreOrder.from_wire(command)
     current_fields = ((state["layout"] or EMPTY_CONFIGURATION).get("stores") or {}).get(
         order.store, {}
     )
@@ -92,7 +92,7 @@
     if store not in stores:
         raise NotFound(field="store", store=store)
     counted = {name: zone for name, zone in stores.items() if not is_long_unreachable(node, name)}
-    order = OrderStore(store, True, counted, ownership.size())
+    order = StoreOrder(store, True, counted, ownership.stores_per_part())
     yield from submit_order(node, order, deadline - node.now())
 
 
--- a/quillring/rollout/orders.py
+++ b/quillring/rollout/orders.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from quillring.kernel.node import Node
     from quillring.kernel.types import Coroutine, WireMap
-    from quillring.rollout.messages import OrderStore, OrderZone
+    from quillring.rollout.messages import StoreOrder, ZoneOrder
 
 MAX_RECORDED_ORDERS = 256
 
@@ -87,7 +87,7 @@
     return {"orders": recorded_versions, "orders_floor": floor}
 
 
-def submit_order(node: Node, order: OrderZone | OrderStore, seconds: float) -> Coroutine:
+def submit_order(node: Node, order: ZoneOrder | StoreOrder, seconds: float) -> Coroutine:
     """Commit an order, fenced by the version that this node knows when the order arrives.
 
     Raises StaleOrder if a newer order was accepted that this node did not know. The order is not
--- a/quillring/rollout/snapshot.py
+++ b/quillring/rollout/snapshot.py
@@ -100,7 +100,7 @@
         service = configuration["services"][route["service"]]
         return RouteTarget(route, service, configuration["classes"][route["class"]])
 
-    def is_emptied(self, zone: str) -> bool:
+    def is_drained(self, zone: str) -> bool:
         """Return whether operators ordered the zone's replicas to be drained."""
         return bool(self._order(zone).get("emptied"))
 
--- a/quillring/verbs/part_routes.py
+++ b/quillring/verbs/part_routes.py
@@ -36,6 +36,8 @@
             )
         except QuillringError as error:
             answer = {"trouble": error.kind}
-        is_whole = len(answer.get("group", ())) == ownership.size() and not answer["late"]
+        is_whole = (
+            len(answer.get("group", ())) == ownership.stores_per_part() and not answer["late"]
+        )
         rows.append({"part": part, "is_whole": is_whole, **answer})
     return {"is_whole": all(row["is_whole"] for row in rows), "parts": rows}
--- a/quillring/verbs/process.py
+++ b/quillring/verbs/process.py
@@ -82,7 +82,7 @@
     deadline = node.now() + timeout_seconds
     gevent.sleep(admission_seconds)
     node.is_closing = True
-    while node.under_way and node.now() < deadline:
+    while node.requests_in_flight and node.now() < deadline:
         gevent.sleep(node.bounds.gossip_interval)
     journal = node.find("journal")
     if journal is not None:
--- a/quillring/verbs/routes.py
+++ b/quillring/verbs/routes.py
@@ -105,7 +105,7 @@
 @route("DELETE", "/v1/members/{name}")
 def forget_member(node: Node, request: Request) -> dict[str, Any]:
     """Remove a member permanently; raise NotFound, or Conflict while it is reachable."""
-    nifty, name = node.find("nifty"), request.words["name"]
+    nifty, name = node.find("nifty"), request.path_parameters["name"]
     member = nifty.roster.members.get(name)
     if member is None:
         raise NotFound(field="name", name=name)
@@ -186,12 +186,12 @@
     return (yield from _order_zone(node, request, False))
 
 
-def _order_zone(node: Node, request: Request, is_emptied: bool) -> Coroutine:
-    ownership, zone = node.find("ownership"), request.words["domain"]
+def _order_zone(node: Node, request: Request, is_drained: bool) -> Coroutine:
+    ownership, zone = node.find("ownership"), request.path_parameters["domain"]
     answer = yield from ownership.read(CONFIG_PART, READ_CONFIGURATION)
     current = CurrentConfiguration.from_wire(answer)
     if zone not in (current.configuration or {}).get("domains", {}):
         raise NotFound(field="domain", domain=zone)
     change_id = f"{node.runtime.random.getrandbits(96):024x}"
-    command = ChangeZone(change_id, current.version, zone, is_emptied).to_wire()
+    command = ChangeZone(change_id, current.version, zone, is_drained).to_wire()
     return (yield from ownership.submit(CONFIG_PART, command))
--- a/quillring/verbs/status_routes.py
+++ b/quillring/verbs/status_routes.py
@@ -28,7 +28,7 @@
         "domain": node.me.zone,
         "layout_version": snapshot.version,
         "is_fresh": node.find("freshness").is_fresh(),
-        "under_way": node.under_way,
+        "under_way": node.requests_in_flight,
         "is_draining": node.is_draining,
         "is_cut": node.find("nifty").graph.is_cut,
         "disk_error": None if disk_error is None else str(disk_error),
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -21,7 +21,7 @@
     def __init__(self):
         self.handled_targets = []
         self.node = self.runtime = self
-        self.under_way = 0
+        self.requests_in_flight = 0
         self.is_draining = False
 
     def limits(self):
--- a/tests/test_founding_bootstrap.py
+++ b/tests/test_founding_bootstrap.py
@@ -123,7 +123,7 @@
     assert stage.wait_for(lambda: all_parts_are_led(stage), 3) is not None
     stage.run(1)
     assert stage.read("core-3", {"ask": "edition"})[0]["layout"]["domains"]["north"]["emptied"]
-    assert all(n.find("layout").is_emptied("north") for n in stage.sim.nodes.values())
+    assert all(n.find("layout").is_drained("north") for n in stage.sim.nodes.values())
     stage.run(3)
     assert stage.fleets() == fleets and all(a.founding for a in stage.stores().values())
 
--- a/tests/test_lot_backlog.py
+++ b/tests/test_lot_backlog.py
@@ -96,7 +96,9 @@
     for part in sorted(items):
         start = sum(items[name] for name in sorted(items) if name < part)
         share = SlotShare(start, start + items[part], total)
-        shares[part] = [share.room(slots, offset) for offset in rounding_offsets(names).values()]
+        shares[part] = [
+            share.part_slots(slots, offset) for offset in rounding_offsets(names).values()
+        ]
     assert [sum(column) for column in zip(*shares.values(), strict=True)] == [slots] * replicas
     if count >= total:
         assert all(sum(part_slots) >= int(items[part]) for part, part_slots in shares.items())
--- a/tests/test_lot_commands.py
+++ b/tests/test_lot_commands.py
@@ -38,7 +38,7 @@
     submitted_at_ms=1000,
     due_ms=8000,
     retain_ms=40_000,
-    rounds=2,
+    max_attempts=2,
 )
 SAMPLES = [
     (ACCEPT, ACCEPT_FIELDS),
--- a/tests/test_operator_orders.py
+++ b/tests/test_operator_orders.py
@@ -7,8 +7,8 @@
 from tests.fleet_stage import SelfFounded
 
 
-def zone_order(zone, is_emptied, **fields):
-    return {"do": "domain.mark", "domain": zone, "emptied": is_emptied, **fields}
+def zone_order(zone, is_drained, **fields):
+    return {"do": "domain.mark", "domain": zone, "emptied": is_drained, **fields}
 
 
 def retire(stage, store, core="core-1"):
@@ -52,7 +52,7 @@
     stage.run(1)
     node = next(n for n in stage.sim.up_nodes("edge") if n.me.zone == "north")
     core = next(n for n in stage.sim.up_nodes("core") if n.me.zone == "north")
-    assert node.find("layout").is_emptied("north")
+    assert node.find("layout").is_drained("north")
     assert node.find("ownership").is_leaving(core.me.name) == are_nodes_left
     if are_nodes_left:
         with pytest.raises(Refused):
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -13,11 +13,11 @@
 FOUR = {"store-1": "a", "store-2": "b", "store-3": "c", "store-4": "d"}
 
 
-def zone_order(zone, is_emptied, seen_version):
+def zone_order(zone, is_drained, seen_version):
     return {
         "do": "domain.mark",
         "domain": zone,
-        "emptied": is_emptied,
+        "emptied": is_drained,
         "nodes": False,
         "seen_version": seen_version,
     }
@@ -38,7 +38,7 @@
     return apply_batch(initial_state([]), list(commands))
 
 
-def is_emptied(state, zone):
+def is_drained(state, zone):
     return ((state["layout"] or {}).get("domains") or {}).get(zone, {}).get("emptied", False)
 
 
@@ -46,21 +46,21 @@
     state, answers = play(
         zone_order("north", True, 0), zone_order("north", False, 1), zone_order("north", True, 0)
     )
-    assert isinstance(answers[2], StaleOrder) and not is_emptied(state, "north")
+    assert isinstance(answers[2], StaleOrder) and not is_drained(state, "north")
 
 
 def test_an_order_that_is_in_force_already_fences_a_late_contrary_copy():
     state, answers = play(
         zone_order("north", False, 0), zone_order("north", False, 1), zone_order("north", True, 0)
     )
-    assert isinstance(answers[2], StaleOrder) and not is_emptied(state, "north")
+    assert isinstance(answers[2], StaleOrder) and not is_drained(state, "north")
 
 
 def test_a_repeat_of_the_newest_order_is_acknowledged_whatever_its_node_had_seen():
     state, answers = play(
         zone_order("north", True, 0), zone_order("north", True, 0), zone_order("north", True, 1)
     )
-    assert [answer["emptied"] for answer in answers] == [True] * 3 and is_emptied(state, "north")
+    assert [answer["emptied"] for answer in answers] == [True] * 3 and is_drained(state, "north")
 
 
 def test_orders_about_different_zones_do_not_fence_each_other():
@@ -85,7 +85,7 @@
     commands = [zone_order(f"zone-{n}", True, n) for n in range(MAX_RECORDED_ORDERS + 5)]
     state, answers = play(*commands, zone_order("zone-0", False, 0))
     assert len(state["orders"]) == MAX_RECORDED_ORDERS
-    assert isinstance(answers[-1], StaleOrder) and is_emptied(state, "zone-0")
+    assert isinstance(answers[-1], StaleOrder) and is_drained(state, "zone-0")
 
 
 def test_orders_of_the_version_before_are_replayed_as_they_were():
@@ -141,7 +141,7 @@
             assert not (is_late and command["seen_version"] < newest[1]) if newest else True
             newest = (command["emptied"], state["version"])
         if newest is not None:
-            assert is_emptied(state, "north") == newest[0]
+            assert is_drained(state, "north") == newest[0]
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -168,7 +168,7 @@
     for data in held:
         carry(*ends, data, "frame")
     stage.run(1)
-    assert not any(n.find("layout").is_emptied("north") for n in stage.sim.nodes.values())
+    assert not any(n.find("layout").is_drained("north") for n in stage.sim.nodes.values())
     assert call(stage, others[0], "POST", "/Evacuate.Begin/north")[0] == 200
 
 
--- a/tests/test_part_client.py
+++ b/tests/test_part_client.py
@@ -98,7 +98,9 @@
         return {"group": [f"store-{n}" for n in range(count)], "late": late}
         yield
 
-    ownership = SimpleNamespace(call_leader=ask, parts=lambda: ["part-1"], size=lambda: 5)
+    ownership = SimpleNamespace(
+        call_leader=ask, parts=lambda: ["part-1"], stores_per_part=lambda: 5
+    )
     coroutine = show_completeness(
         SimpleNamespace(find=lambda name: ownership, bounds=Bounds()), None
     )
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -19,7 +19,7 @@
 
 
 class StubLayout:
-    def is_emptied(self, zone):
+    def is_drained(self, zone):
         return False
 
 
--- a/tests/test_retirement_answers.py
+++ b/tests/test_retirement_answers.py
@@ -24,7 +24,7 @@
     def parts(self):
         return PARTS
 
-    def size(self):
+    def stores_per_part(self):
         return 3
 
     def reaches(self, name):
--- a/tests/test_rollout_messages.py
+++ b/tests/test_rollout_messages.py
@@ -13,10 +13,10 @@
     ConfigurationRecord,
     CurrentConfiguration,
     CurrentVersion,
-    OrderStore,
-    OrderZone,
     StateImage,
+    StoreOrder,
     StoreStamp,
+    ZoneOrder,
 )
 from quillring.rollout.schema import Fault
 
@@ -68,11 +68,11 @@
         },
     ),
     (
-        OrderZone("north", True, includes_nodes=False),
+        ZoneOrder("north", True, includes_nodes=False),
         {"do": "domain.mark", "domain": "north", "emptied": True, "nodes": False},
     ),
     (
-        OrderZone("north", False, True, 9),
+        ZoneOrder("north", False, True, 9),
         {
             "do": "domain.mark",
             "domain": "north",
@@ -82,11 +82,11 @@
         },
     ),
     (
-        OrderStore("store-1", False),
+        StoreOrder("store-1", False),
         {"do": "store.mark", "store": "store-1", "retired": False},
     ),
     (
-        OrderStore("store-1", True, {"store-2": "south"}, 3, 9),
+        StoreOrder("store-1", True, {"store-2": "south"}, 3, 9),
         {
             "do": "store.mark",
             "store": "store-1",
@@ -125,8 +125,8 @@
 
 
 def test_an_order_of_the_version_before_leaves_out_what_it_did_not_know():
-    assert OrderZone.from_wire({"domain": "north", "emptied": 1}) == ("north", True, True, None)
-    assert OrderStore.from_wire({"store": "a", "retired": 0}) == ("a", False, None, None, None)
+    assert ZoneOrder.from_wire({"domain": "north", "emptied": 1}) == ("north", True, True, None)
+    assert StoreOrder.from_wire({"store": "a", "retired": 0}) == ("a", False, None, None, None)
     command = {**SAMPLES[1][1], "removed": None}
     del command["extras"]
     adoption = AdoptVersion.from_wire(command)
@@ -134,7 +134,7 @@
 
 
 def test_a_zone_order_stands_in_the_configuration_as_all_versions_know_it():
-    order = OrderZone("north", True, includes_nodes=False, seen_version=3)
+    order = ZoneOrder("north", True, includes_nodes=False, seen_version=3)
     assert order.to_state() == {"emptied": True, "nodes": False}
 
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -35,7 +35,7 @@
 def test_rate_share_is_cached_until_the_graph_or_configuration_changes():
     slow_start_by_name, services = slow_starts(16)
     slow_start = slow_start_by_name["edge-1"]
-    with mock.patch.object(module, "score", wraps=module.score) as scored:
+    with mock.patch.object(module, "rendezvous_score", wraps=module.rendezvous_score) as scored:
         for time in range(50):
             slow_start.try_acquire(REPLICA, time / 100)
         assert scored.call_count == len(EDGES)
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -37,7 +37,7 @@
         )
         self.node.offer("dialect", HeaderNames())
         self.node.bounds = Bounds(grace_period=grace_seconds)
-        self.node.under_way = 1
+        self.node.requests_in_flight = 1
         self.observations = []
 
     def sleep(self, seconds):
--- a/tests/test_system_ctl.py
+++ b/tests/test_system_ctl.py
@@ -36,11 +36,11 @@
 
 def test_orders_about_zones_need_no_configuration_and_may_be_repeated():
     stage = SelfFounded(2)
-    for path, is_emptied in (("Begin", True), ("Begin", True), ("Finish", False)):
+    for path, is_drained in (("Begin", True), ("Begin", True), ("Finish", False)):
         assert call(stage, "core-1", "POST", f"/Evacuate.{path}/north")[:2] == (200, {})
         stage.run(0.5)
         snapshots = [node.find("layout") for node in stage.sim.nodes.values()]
-        assert {snapshot.is_emptied("north") for snapshot in snapshots} == {is_emptied}
+        assert {snapshot.is_drained("north") for snapshot in snapshots} == {is_drained}
         assert not any(snapshot.is_zone_draining("north") for snapshot in snapshots)
 
 
@@ -146,7 +146,7 @@
     stage.sim.heal()
     stage.run(4)
     assert call(stage, owner, "GET", "/Config.Fetch")[1] == newer
-    assert not stage.sim.nodes[other].find("layout").is_emptied("east")
+    assert not stage.sim.nodes[other].find("layout").is_drained("east")
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
--- a/tests/test_transfer.py
+++ b/tests/test_transfer.py
@@ -45,8 +45,8 @@
         sizes.append(len(data))
         builder.add(data, next_offset)
         offset = next_offset
-    assert builder.whole() == state and max(sizes) <= max_bytes
-    assert list(builder.whole()) == list(state)
+    assert builder.build() == state and max(sizes) <= max_bytes
+    assert list(builder.build()) == list(state)
 
 
 def test_state_without_its_last_chunk_is_rejected():
@@ -54,7 +54,7 @@
     builder, (data, next_offset) = StateBuilder(), cut_chunk(state, SNAPSHOT_START, 50)
     builder.add(data, next_offset)
     with pytest.raises(BadChunk):
-        builder.whole()
+        builder.build()
 
 
 class ForgetfulStore:
@@ -88,7 +88,7 @@
             QuorumCaller(node, "part-0", []), StateMachine(9, state), lambda: True
         )
         finish(catch_up.send_missing(GroupMember("store-1", "a", "north"), 0))
-        assert each.builder.whole() == state
+        assert each.builder.build() == state
     lost_offset = reliable.offsets[loses_after - 1]
     assert len(reliable.offsets) > 7 and store.offsets.count(lost_offset) == 2
     assert len(store.offsets) == len(reliable.offsets) + 2
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -57,6 +57,6 @@
         verb = "Begin" if turn % 2 == 0 else "Finish"
         assert call(stage, core, "POST", f"/Evacuate.{verb}/north")[0] == 200
         stage.run(0.5)
-        emptied = {n.find("layout").is_emptied("north") for n in stage.sim.nodes.values()}
+        emptied = {n.find("layout").is_drained("north") for n in stage.sim.nodes.values()}
         assert emptied == {turn % 2 == 0}
         assert call(stage, "core-1", "GET", "/Config.Fetch")[1]["ver"] == number
--- a/tests/test_wsgi.py
+++ b/tests/test_wsgi.py
@@ -51,7 +51,7 @@
         assert headers["Retry-After"] == str(body["come_back_s"])
         delays.append(body["come_back_s"])
     assert min(delays) >= 10 and max(delays) <= 30 and len(set(delays)) > 15
-    assert test_node.under_way == 0
+    assert test_node.requests_in_flight == 0
 
 
 def test_a_body_over_the_limit_is_rejected_by_its_content_length():
@@ -66,10 +66,10 @@
 
     def lines(coroutine):
         for effect in coroutine:
-            assert test_node.under_way == 1 or effect.item == {"n": 1}
+            assert test_node.requests_in_flight == 1 or effect.item == {"n": 1}
             yield effect.item
 
     runtime.lines = lines
     status, headers, body = call(test_node, "GET", "/test/lines")
     assert status == 200 and body == [{"n": 1}, {"n": 2}]
-    assert test_node.under_way == 0
+    assert test_node.requests_in_flight == 0
