--- a/quillring/forward/load_balancer.py
+++ b/quillring/forward/load_balancer.py
@@ -455,8 +455,8 @@
     def is_unresponsive(self, replica: Replica, seconds: float) -> bool:
         """Return whether the replica was silent for `seconds` without a known reason.
 
-        Bytes sent to this node or to a peer end the silence. Time in which the replica is expected
-        to process prompts does not count, because its streams pause meanwhile.
+        Bytes received by this node or by a peer end the silence. Time in which the replica is
+        expected to process prompts does not count, because its streams pause during that time.
         """
         health, now = self.health(replica), self.node.now()
         busy_until = min(now, health.work.busy_until)
--- a/quillring/kernel/client_connection.py
+++ b/quillring/kernel/client_connection.py
@@ -140,9 +140,9 @@
         return None
 
     def _end_after_timeout(self) -> RequestRejected | str | None:
-        """Return why reading ends after a timeout, or None if it goes on.
+        """Return why reading ends after a timeout, or None if it continues.
 
-        It goes on while a request is being answered, while idle time remains, and if input is
+        It continues while a request is being answered, while idle time remains, and if input is
         available: input that arrived while the process was suspended counts as in time.
         """
         if self._is_busy() or is_readable(self.sock):
--- a/quillring/lots/prompts/acceptance_fence.py
+++ b/quillring/lots/prompts/acceptance_fence.py
@@ -31,7 +31,8 @@
 class StaleLot(QuillringError):
     """The acceptance predates the drop of a lot of this name, or may predate it.
 
-    It is also raised if so many other lots were dropped since that the table cannot tell.
+    It is also raised if the drop of this lot may have been evicted from the table, which tracks
+    only the last MAX_TRACKED_DROPS drops.
     """
 
     kind = "stale_lot"
--- a/quillring/lots/prompts/retention.py
+++ b/quillring/lots/prompts/retention.py
@@ -17,7 +17,7 @@
 ITEM_OVERHEAD_BYTES = 1024
 
 
-class CachedWeight(NamedTuple):
+class CachedSize(NamedTuple):
     """The results of an ended lot and their approximate size in bytes."""
 
     results: Any
@@ -29,7 +29,7 @@
 
     Attributes
     ----------
-    cached_weights
+    cached_sizes
         The sizes of ended lots, by part and lot.
     ended_at
         When this node first saw that a lot had ended, by part and lot, in seconds of its clock.
@@ -37,11 +37,11 @@
         When `drop_expired` last checked a part's lots, by part, in seconds of the node's clock.
     """
 
-    __slots__ = ("node", "cached_weights", "ended_at", "last_checked_at")
+    __slots__ = ("node", "cached_sizes", "ended_at", "last_checked_at")
 
     def __init__(self, node: Node) -> None:
         self.node = node
-        self.cached_weights: dict[tuple[str, str], CachedWeight] = {}
+        self.cached_sizes: dict[tuple[str, str], CachedSize] = {}
         self.ended_at: dict[tuple[str, str], float] = {}
         self.last_checked_at: dict[str, float] = {}
 
@@ -49,10 +49,10 @@
         """Return the approximate size of a lot in bytes; the size of an ended lot is cached."""
         if lot["phase"] == OPEN:
             return lot["weight"] + ITEM_OVERHEAD_BYTES * lot["count"]
-        cached = self.cached_weights.get((part, name))
+        cached = self.cached_sizes.get((part, name))
         if cached is None or cached.results is not lot["results"]:
             weight = sum(len(str(result)) for result in lot["results"].values())
-            cached = self.cached_weights[part, name] = CachedWeight(lot["results"], weight)
+            cached = self.cached_sizes[part, name] = CachedSize(lot["results"], weight)
         return cached.weight
 
     def check(self, leader: Any, wire: Wire) -> None:
@@ -93,8 +93,8 @@
         for name in ended:
             ended_at[part, name] = self.ended_at.get((part, name), now)
         self.ended_at = ended_at
-        self.cached_weights = {
+        self.cached_sizes = {
             (other_part, name): cached
-            for (other_part, name), cached in self.cached_weights.items()
+            for (other_part, name), cached in self.cached_sizes.items()
             if other_part != part or name in lots
         }
--- a/quillring/lots/prompts/scheduler.py
+++ b/quillring/lots/prompts/scheduler.py
@@ -143,6 +143,7 @@
                 self.node.spawn(self._tell_replicas(command.lot, lot["entry"]))
 
     def _tell_replicas(self, lot_name: str, route_name: str) -> Coroutine:
+        """Stop the running items of a lot on every available replica of its service."""
         route, _service, _terms = self.node.find("layout").route(route_name)
         replicas = self.node.find("replicas").available_before(route["service"], math.inf)
         for replica in replicas:
--- a/quillring/plans/messages.py
+++ b/quillring/plans/messages.py
@@ -86,8 +86,8 @@
 class Plan(NamedTuple):
     """A plan based on a version of the configuration.
 
-    `stated_intent` is the intent exactly as the operator sent it; `moves` tells operators what
-    stops or moves where.
+    `stated_intent` is the intent exactly as the operator sent it; `moves` describes to
+    operators what stops, and what moves where.
     """
 
     stated_intent: WireMap
--- a/quillring/quorum/acceptor/snapshot_rows.py
+++ b/quillring/quorum/acceptor/snapshot_rows.py
@@ -56,7 +56,7 @@
 
 
 class PartRow(NamedTuple):
-    """A part's acceptor state without the applied state, which follows in rows of its own."""
+    """A part's acceptor state without the applied state, which follows in separate rows."""
 
     part: str
     acceptor: AcceptorState
--- a/quillring/quorum/leader/state_fetch.py
+++ b/quillring/quorum/leader/state_fetch.py
@@ -81,8 +81,8 @@
     def _fetch_snapshot(self, store: str, index: int) -> Coroutine:
         """Return a store's state after an index, fetched chunk by chunk.
 
-        Raises Conflict if the store has applied further entries meanwhile, and BadChunk if the
-        chunks don't form a state.
+        Raises Conflict if the store applies further entries during the fetch, and BadChunk if
+        the chunks don't form a state.
         """
         builder, seconds = StateBuilder(), self.node.bounds.propagation / 2
         offset: ChunkOffset | None = SNAPSHOT_START
--- a/quillring/quorum/messages.py
+++ b/quillring/quorum/messages.py
@@ -265,7 +265,7 @@
     """Phase 1b of Paxos, the answer to `quorum.prepare`: what the acceptor has of the part.
 
     `state` is the complete state after the entry `applied`, or None if the store has none; in a
-    brief answer, True stands for an existing state. `accepted` are the entries after `applied`.
+    brief answer, True means that a state exists. `accepted` are the entries after `applied`.
     """
 
     promised: Ballot
--- a/quillring/rollout/operator_orders.py
+++ b/quillring/rollout/operator_orders.py
@@ -81,7 +81,7 @@
     """Mark a store as retired within `seconds`, if it is known and enough others remain.
 
     Raises NotFound for an unknown store, Conflict if too few would remain, and StaleOrder if a
-    newer order was accepted meanwhile.
+    newer order was accepted while this one was in flight.
     """
     deadline, ownership = node.now() + seconds, node.find("ownership")
     answer = yield from ownership.read(CONFIG_PART, READ_CURRENT_VERSION, seconds)
