--- a/quillring/forward/load_balancer.py
+++ b/quillring/forward/load_balancer.py
@@ -20,7 +20,7 @@
 from quillring.kernel.effects import Signal
 from quillring.kernel.records import NamedTuple
 from quillring.kernel.traffic import REPLICA_RESPONSE
-from quillring.nifty.graph import score
+from quillring.nifty.graph import rendezvous_score
 
 if TYPE_CHECKING:
     from collections.abc import Collection, Sequence
@@ -179,7 +179,7 @@
     return {
         name: index / max(1, len(names) - 1)
         for names in names_by_zone.values()
-        for index, name in enumerate(sorted(names, key=score))
+        for index, name in enumerate(sorted(names, key=rendezvous_score))
     }
 
 
@@ -350,13 +350,13 @@
         self,
         service: str,
         request: Request,
-        avoided_names: Collection[str] = (),
+        excluded_names: Collection[str] = (),
         may_send_cold: bool = True,
         goals: LatencyGoals = DEFAULT_LATENCY_GOALS,
     ) -> Replica | None:
         """Return the replica for a request, or None if no replica may receive it now."""
         now = self.node.now()
-        candidates = [r for r in self.replicas(service) if r.name not in avoided_names]
+        candidates = [r for r in self.replicas(service) if r.name not in excluded_names]
         if not candidates:
             return None
         healthy = [r for r in candidates if self.health(r).may_get_request(now)]
@@ -455,8 +455,8 @@
     def is_unresponsive(self, replica: Replica, seconds: float) -> bool:
         """Return whether the replica was silent for `seconds` without a known reason.
 
-        Bytes sent to this node or to a peer end the silence. Time in which the replica is expected
-        to process prompts does not count, because its streams pause meanwhile.
+        Bytes received by this node or by a peer end the silence. Time in which the replica is
+        expected to process prompts does not count, because its streams pause during that time.
         """
         health, now = self.health(replica), self.node.now()
         busy_until = min(now, health.work.busy_until)
--- a/quillring/kernel/client_connection.py
+++ b/quillring/kernel/client_connection.py
@@ -140,9 +140,9 @@
         return None
 
     def _end_after_timeout(self) -> RequestRejected | str | None:
-        """Return why reading ends after a timeout, or None if it goes on.
+        """Return why reading ends after a timeout, or None if it continues.
 
-        It goes on while a request is being answered, while idle time remains, and if input is
+        It continues while a request is being answered, while idle time remains, and if input is
         available: input that arrived while the process was suspended counts as in time.
         """
         if self._is_busy() or is_readable(self.sock):
@@ -205,7 +205,7 @@
     def _answer(self, request: HttpRequest) -> bool:
         """Answer one request; return whether the connection may serve another one."""
         node = self.server.node
-        node.under_way += 1
+        node.requests_in_flight += 1
         lines = None
         try:
             lines = node.runtime.lines(self.server.handle(node, request))
@@ -216,7 +216,7 @@
             self.server.report(error)
             return False
         finally:
-            node.under_way -= 1
+            node.requests_in_flight -= 1
             if lines is not None:
                 lines.close()
 
--- a/quillring/lots/prompts/scheduler.py
+++ b/quillring/lots/prompts/scheduler.py
@@ -11,7 +11,7 @@
 from itertools import islice
 from typing import TYPE_CHECKING, Any
 
-from quillring.classes.class_terms import may_repeat
+from quillring.classes.class_terms import may_retry
 from quillring.edge.dispatcher import prefix_key
 from quillring.edge.stream_handlers import DEFAULT_STALL_MS, check_before_sending, check_line
 from quillring.kernel.effects import FetchJson, OpenStream, ReadLine, Signal, Sleep, Wait
@@ -143,6 +143,7 @@
                 self.node.spawn(self._tell_replicas(command.lot, lot["entry"]))
 
     def _tell_replicas(self, lot_name: str, route_name: str) -> Coroutine:
+        """Stop the running items of a lot on every available replica of its service."""
         route, _service, _terms = self.node.find("layout").route(route_name)
         replicas = self.node.find("replicas").available_before(route["service"], math.inf)
         for replica in replicas:
@@ -201,7 +202,7 @@
             node.now() + node.bounds.propagation,
         )
         try:
-            if not may_repeat(terms) and not (yield from self._mark_started(leader, key)):
+            if not may_retry(terms) and not (yield from self._mark_started(leader, key)):
                 return {"trouble": "outcome_unknown"}
             check_before_sending(node, lease.replica, deadline)
             if not self._is_wanted(leader, key):
--- a/quillring/quorum/leader/state_fetch.py
+++ b/quillring/quorum/leader/state_fetch.py
@@ -81,8 +81,8 @@
     def _fetch_snapshot(self, store: str, index: int) -> Coroutine:
         """Return a store's state after an index, fetched chunk by chunk.
 
-        Raises Conflict if the store has applied further entries meanwhile, and BadChunk if the
-        chunks don't form a state.
+        Raises Conflict if the store applies further entries during the fetch, and BadChunk if
+        the chunks don't form a state.
         """
         builder, seconds = StateBuilder(), self.node.bounds.propagation / 2
         offset: ChunkOffset | None = SNAPSHOT_START
@@ -97,7 +97,7 @@
             self.progress.fetched_bytes += len(chunk.data)
             builder.add(chunk.data, chunk.next_offset)
             offset = chunk.next_offset
-        return builder.whole()
+        return builder.build()
 
     def _fetch_complete_state(self, store: str, index: int, seconds: float) -> Coroutine:
         """Return the state from a store of an earlier version, which sends it in one message.
--- a/tests/test_backend.py
+++ b/tests/test_backend.py
@@ -53,8 +53,8 @@
                     conn.sendall(ANSWER)
 
 
-def fetch(server, may_repeat):
-    return backend.fetch(FetchJson(server.address, "POST", "/x", {}, 5, may_repeat))
+def fetch(server, may_retry):
+    return backend.fetch(FetchJson(server.address, "POST", "/x", {}, 5, may_retry))
 
 
 def test_a_repeatable_request_is_retried_when_an_idle_connection_breaks(start_server):
--- a/tests/test_connection_machine.py
+++ b/tests/test_connection_machine.py
@@ -74,8 +74,8 @@
             return
         before = [len(sock.written) for sock in self.wire.sockets]
         data = request(name)
-        answer_id = (ID_HEADER, name and name.decode())
-        handle = send_request(SendRequest(ADDRESS, data, 5, may_reuse, answer_id))
+        response_id = (ID_HEADER, name and name.decode())
+        handle = send_request(SendRequest(ADDRESS, data, 5, may_reuse, response_id))
         after = [len(sock.written) for sock in self.wire.sockets]
         assert sum(after) == sum(before) + 1, "a request is written once"
         sock = handle.connection.sock
@@ -174,7 +174,7 @@
 TestConnections.settings = PROFILE
 
 
-def take_any_idle_connection(pool, address, answer_id=None):
+def take_any_idle_connection(pool, address, response_id=None):
     """Replaces the guard: takes any idle connection."""
     idle_connections = pool.idle.get(address)
     return idle_connections.pop() if idle_connections else None
--- a/tests/test_operator_orders.py
+++ b/tests/test_operator_orders.py
@@ -9,8 +9,8 @@
 from tests.fleet_stage import SelfFoundingFleet
 
 
-def zone_order(zone, is_emptied, **fields):
-    return {"do": "domain.mark", "domain": zone, "emptied": is_emptied, **fields}
+def zone_order(zone, is_drained, **fields):
+    return {"do": "domain.mark", "domain": zone, "emptied": is_drained, **fields}
 
 
 def retire(stage, store, core="core-1"):
@@ -56,7 +56,7 @@
     stage.run(1)
     node = next(n for n in stage.sim.up_nodes("edge") if n.me.zone == "north")
     core = next(n for n in stage.sim.up_nodes("core") if n.me.zone == "north")
-    assert node.find("layout").is_emptied("north")
+    assert node.find("layout").is_drained("north")
     assert node.find("ownership").is_leaving(core.me.name) == includes_nodes
     if includes_nodes:
         with pytest.raises(Refused):
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -13,11 +13,11 @@
 ZONE_BY_STORE = {"store-1": "a", "store-2": "b", "store-3": "c", "store-4": "d"}
 
 
-def zone_order(zone, is_emptied, seen_version):
+def zone_order(zone, is_drained, seen_version):
     return {
         "do": "domain.mark",
         "domain": zone,
-        "emptied": is_emptied,
+        "emptied": is_drained,
         "nodes": False,
         "seen_version": seen_version,
     }
@@ -38,7 +38,7 @@
     return apply_batch(initial_state([]), list(commands))
 
 
-def is_emptied(state, zone):
+def is_drained(state, zone):
     return ((state["layout"] or {}).get("domains") or {}).get(zone, {}).get("emptied", False)
 
 
@@ -46,21 +46,21 @@
     state, answers = apply_commands(
         zone_order("north", True, 0), zone_order("north", False, 1), zone_order("north", True, 0)
     )
-    assert isinstance(answers[2], StaleOrder) and not is_emptied(state, "north")
+    assert isinstance(answers[2], StaleOrder) and not is_drained(state, "north")
 
 
 def test_an_order_already_in_force_fences_a_late_opposite_order():
     state, answers = apply_commands(
         zone_order("north", False, 0), zone_order("north", False, 1), zone_order("north", True, 0)
     )
-    assert isinstance(answers[2], StaleOrder) and not is_emptied(state, "north")
+    assert isinstance(answers[2], StaleOrder) and not is_drained(state, "north")
 
 
 def test_a_repeat_of_the_newest_order_is_acknowledged_whatever_version_its_node_had_seen():
     state, answers = apply_commands(
         zone_order("north", True, 0), zone_order("north", True, 0), zone_order("north", True, 1)
     )
-    assert [answer["emptied"] for answer in answers] == [True] * 3 and is_emptied(state, "north")
+    assert [answer["emptied"] for answer in answers] == [True] * 3 and is_drained(state, "north")
 
 
 def test_orders_for_different_zones_do_not_fence_each_other():
@@ -85,7 +85,7 @@
     commands = [zone_order(f"zone-{n}", True, n) for n in range(MAX_RECORDED_ORDERS + 5)]
     state, answers = apply_commands(*commands, zone_order("zone-0", False, 0))
     assert len(state["orders"]) == MAX_RECORDED_ORDERS
-    assert isinstance(answers[-1], StaleOrder) and is_emptied(state, "zone-0")
+    assert isinstance(answers[-1], StaleOrder) and is_drained(state, "zone-0")
 
 
 def test_orders_of_the_previous_release_are_replayed_without_fencing():
@@ -141,7 +141,7 @@
             assert not (is_late and command["seen_version"] < newest[1]) if newest else True
             newest = (command["emptied"], state["version"])
         if newest is not None:
-            assert is_emptied(state, "north") == newest[0]
+            assert is_drained(state, "north") == newest[0]
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -170,7 +170,7 @@
     for data in held_frames:
         carry(*ends, data, "frame")
     stage.run(1)
-    assert not any(n.find("layout").is_emptied("north") for n in stage.sim.nodes.values())
+    assert not any(n.find("layout").is_drained("north") for n in stage.sim.nodes.values())
     assert call(stage, others[0], "POST", "/Evacuate.Begin/north")[0] == 200
 
 
