--- a/proving/points/callers.py
+++ b/proving/points/callers.py
@@ -17,8 +17,8 @@
 
 ADDRESS = ("10.0.0.1", 9000)
 ID_HEADER = "request-id"
-EXCHANGES, REQUESTS = 600, 400
-ATTEMPTS, REPLICAS = 2, 4
+EXCHANGE_COUNT, REQUEST_COUNT = 600, 400
+MAX_ATTEMPTS, REPLICA_COUNT = 2, 4
 START_TIME, DEADLINE_SECONDS, DEADLINE_TOLERANCE_SECONDS = 1000.0, 4, 0.25
 
 
@@ -39,7 +39,7 @@
 def _exchange_all(rng, wire):
     """Make the exchanges one after another; return (violations, figures)."""
     violations, figures, sent_by_socket = [], {"whole": 0, "broken": 0}, {}
-    for number in range(EXCHANGES):
+    for number in range(EXCHANGE_COUNT):
         name = f"r{number if rng.random() < 0.8 else rng.randrange(number + 1)}"
         expected_body = b"answer to sending %d" % number
         request = f"POST / HTTP/1.1\r\nRequest-Id: {name}\r\nContent-Length: 0\r\n\r\n".encode()
@@ -141,7 +141,7 @@
     A request that may not repeat must reach a replica at most once, on a new connection.
     """
     rng, violations, outcomes = random.Random(seed), [], {}
-    for number in range(REQUESTS):
+    for number in range(REQUEST_COUNT):
         kind, is_resumable = rng.choice(KINDS)
         runtime = FaultyRuntime(rng.random())
         outcome = _forward(runtime, kind, is_resumable)
@@ -153,10 +153,10 @@
             violations.append(f"request {number} ({kind}) was sent on a reused connection")
         if is_unrepeatable and runs and outcome == "refused":
             violations.append(f"request {number} ({kind}) may have run and was refused")
-        if len({address for address, _ in runs}) > ATTEMPTS:
+        if len({address for address, _ in runs}) > MAX_ATTEMPTS:
             violations.append(f"request {number} ({kind}) ran on too many replicas")
         if runtime.now() > START_TIME + DEADLINE_SECONDS + DEADLINE_TOLERANCE_SECONDS:
-            violations.append(f"request {number} ({kind}) was held past its deadline")
+            violations.append(f"request {number} ({kind}) ended after its deadline")
         name = f"{'once' if is_unrepeatable else 'repeatable'}/{outcome}"
         outcomes[name] = outcomes.get(name, 0) + 1
     return violations, dict(sorted(outcomes.items()))
@@ -168,7 +168,7 @@
         Member("edge-1", 1, "edge", "north", "10.0.0.9", 7000, 7001, ""), runtime, [], Bounds()
     )
     node.find("gossip").publish("layout", [1], [1, 1, _configuration(kind, is_resumable), []])
-    for number in range(REPLICAS):
+    for number in range(REPLICA_COUNT):
         node.find("replicas").on_heartbeat(_heartbeat(number))
     pairs = [("Host", "h"), ("X-Inquiry", "q"), ("X-Deadline-Ms", str(DEADLINE_SECONDS * 1000))]
     request = Request(node.find("dialect"), "POST", "/a/x", pairs, b"")
@@ -191,7 +191,7 @@
         "prefix": "/a/",
         "kind": kind,
         "split": [["s", 1]],
-        "rounds": ATTEMPTS,
+        "rounds": MAX_ATTEMPTS,
         "hold_ms": 5000,
         "goal_ms": 250,
         "resumable": is_resumable,
--- a/proving/points/early_refusals.py
+++ b/proving/points/early_refusals.py
@@ -94,9 +94,9 @@
 def lost_majority(seed):
     """Two stores of a part are down; lots for it must be refused within 0.3 s."""
     fleet = ScenarioFleet(seed)
-    chance = fleet.sim.chance
+    rng = fleet.sim.chance
     group = [s[0] for s in fleet.node("core-1").find("ownership").group("part-1")]
-    for name in chance.sample(group, 2):
+    for name in rng.sample(group, 2):
         fleet.sim.kill(name)
     fleet.run(3)
     bodies = [{"entry": "gate-notices", "items": ["x"]} for _ in range(20)]
--- a/proving/points/failures.py
+++ b/proving/points/failures.py
@@ -22,16 +22,16 @@
 
     def scenario(seed):
         fleet = ScenarioFleet(seed)
-        sim, chance = fleet.sim, fleet.sim.chance
+        sim, rng = fleet.sim, fleet.sim.chance
         fleet.start(fleet.callers.generate(8, fleet.callers.stream, "wayfinding", "short", 20))
         fleet.start(fleet.callers.generate(3, fleet.callers.stream, "once", "once", 12, True))
         fleet.start(fleet.callers.generate(1, fleet.callers.lot, "gate-notices", 3, 0.3))
         fleet.run(1.5)
-        name = chance.choice(sim.names(role))
+        name = rng.choice(sim.names(role))
         owner_name = fleet.node("edge-1").find("gossip").get("owner/part-1")["owner"]
         name = owner_name if role == "core" else name
-        zone = chance.choice([d for d in ("north", "east") if d != sim.rows[name]["domain"]])
-        frozen_seconds = chance.uniform(5.5, 7.5)
+        zone = rng.choice([d for d in ("north", "east") if d != sim.rows[name]["domain"]])
+        frozen_seconds = rng.uniform(5.5, 7.5)
         sim.freeze(name, frozen_seconds)
         if role == "edge":
             sim.env.timeout(frozen_seconds - 0.001).callbacks.append(
--- a/proving/points/lots.py
+++ b/proving/points/lots.py
@@ -37,7 +37,7 @@
 
 
 def zone_lost_after_accept(seed):
-    """The zone and the disk of one store are lost for good right after lots were accepted.
+    """The zone and the disk of one store are lost permanently right after lots were accepted.
 
     The part's two other stores are frozen while the lots are submitted, and lose the packets that
     arrived meanwhile. No accepted lot may be lost.
@@ -70,7 +70,7 @@
 def two_owners(seed):
     """A part's owner and edge-1 freeze for 6 s, another core takes the part over, both resume.
 
-    Lots are submitted through edge-1 at once: the former owner must accept none of them.
+    Lots are submitted through edge-1 at once: the previous owner must accept none of them.
     """
     fleet = ScenarioFleet(seed)
     owner_name = fleet.node("core-1").find("gossip").get("owner/part-1")["owner"]
--- a/proving/points/many_configurations.py
+++ b/proving/points/many_configurations.py
@@ -6,36 +6,36 @@
 from quillring.quorum.leader.anti_entropy import AntiEntropy
 from quillring.quorum.parts import CONFIG_PART
 
-CHANGES = 120
+CHANGE_COUNT = 120
 
 
 def many_changes(seed):
-    """A store misses CHANGES changes while frozen, then while down; at last the owner dies.
+    """A store misses CHANGE_COUNT changes while frozen, then while down; at last the owner dies.
 
-    Each time the fleet must be up to date within 4 s, and in the end all stores hold one state.
+    Each time the fleet must be up to date within 4 s; in the end all stores must be equal.
     """
     fleet, figures = ManyChanges(seed, 2, 2, stores=3), {}
     fleet.change(1)
     violations = fleet.sim.history.violations
     for case in (frozen_store, restarted_store, new_owner):
         number = fleet.number
-        acknowledged, (seconds, _) = case(fleet, CHANGES)
+        acknowledged, (seconds, _) = case(fleet, CHANGE_COUNT)
         figures[f"{case.__name__}_s"] = seconds
-        if acknowledged != CHANGES or seconds is None or seconds > 4:
+        if acknowledged != CHANGE_COUNT or seconds is None or seconds > 4:
             fleet.sim.history.violate(
                 f"{case.__name__}: {acknowledged} acknowledged, up to date after {seconds} s"
             )
             return violations, figures
         fleet.run(1)
         owner = fleet.owner()
-        if owner is None or owner.state["layout"]["edition"] != number + CHANGES:
+        if owner is None or owner.state["layout"]["edition"] != number + CHANGE_COUNT:
             fleet.sim.history.violate(
                 f"{case.__name__}: the owner is missing or has an outdated state"
             )
     nodes = [fleet.sim.nodes[name] for name in fleet.group()]
     states = {cbor2.dumps(n.find("acceptors").parts[CONFIG_PART].state) for n in nodes}
     if len(states) != 1:
-        fleet.sim.history.violate("the stores hold different states")
+        fleet.sim.history.violate("the stores have different states")
     return violations, figures
 
 
--- a/proving/points/membership.py
+++ b/proving/points/membership.py
@@ -43,7 +43,7 @@
 
 
 def second_loss(seed):
-    """A store dies; as soon as a spare has replaced it, another member loses its disk for good.
+    """A store dies; as soon as a spare has replaced it, another member permanently loses its disk.
 
     The group must still have a majority with the data: every accepted lot ends.
     """
--- a/proving/points/orders.py
+++ b/proving/points/orders.py
@@ -52,7 +52,7 @@
         self.real_carry = self.net.carry
 
     def carry(self, home, target, data, kind):
-        """Keep a frame of the pair for `release`, and carry everything else at once."""
+        """Store a frame of the pair until `release`, and deliver everything else at once."""
         if (home, target) == self.address_pair and kind == "frame":
             self.delayed.append(data)
         else:
--- a/proving/points/partitions.py
+++ b/proving/points/partitions.py
@@ -169,7 +169,7 @@
 def full_disks(seed):
     """Every disk is full, so that no lot may be accepted; then there is space again.
 
-    The stores restart before lots are submitted again, so that only what is on disk counts.
+    The stores restart before lots are submitted again, so only lots that are on disk count.
     """
     fleet = ScenarioFleet(seed)
     for disk in fleet.sim.disks.values():
--- a/proving/points/reads.py
+++ b/proving/points/reads.py
@@ -20,13 +20,13 @@
     before the read began.
     """
     fleet = ScenarioFleet(seed)
-    sim, chance, faults, read_seconds, reads = fleet.sim, fleet.sim.chance, [], [], []
+    sim, rng, faults, read_seconds, reads = fleet.sim, fleet.sim.chance, [], [], []
     for _ in range(8):
         fleet.start(fleet.callers.lot("gate-notices", 8, 0.0))
 
     def reader(lot, client_name):
         while True:
-            node, start_time = chance.choice(sim.up_nodes("edge")), sim.env.now
+            node, start_time = rng.choice(sim.up_nodes("edge")), sim.env.now
             written = _written_result_numbers(fleet, lot)
             request = fleet.request("GET", {"lot": lot}, {}, None, client_name)
             answer, error = yield from sim.run_coroutine(node, show_results(node, request))
@@ -37,13 +37,13 @@
             elif {row["n"] for row in answer["results"]} < written:
                 faults.append(f"{lot} lacks results that were written before the read began")
             read_seconds.append(seconds)
-            yield sim.env.timeout(chance.uniform(0.05, 0.15))
+            yield sim.env.timeout(rng.uniform(0.05, 0.15))
 
     fleet.run(1.5)
     for lot, known in list(fleet.callers.lots.items())[:4]:
         fleet.start(reader(lot, known["sender"]))
     for _ in range(2):
-        fleet.run(chance.uniform(1, 2))
+        fleet.run(rng.uniform(1, 2))
         name = fleet.node("edge-1").find("gossip").get("owner/part-1")["owner"]
         sim.kill(name, loses_power=True)
         fleet.run(4)
@@ -73,9 +73,9 @@
     fleet = ScenarioFleet(seed)
     fleet.start(fleet.callers.generate(6, fleet.callers.stream, "wayfinding", "short", 40))
 
-    def ask_with_retries(make, method, words, body):
+    def ask_with_retries(handler, method, words, body):
         for _ in range(6):
-            answer, error = yield from fleet.callers.ask(make, method, words, body=body)
+            answer, error = yield from fleet.callers.ask(handler, method, words, body=body)
             if answer or not isinstance(error, TimedOut):
                 return answer
         return None
--- a/proving/points/removed_members.py
+++ b/proving/points/removed_members.py
@@ -22,8 +22,8 @@
 def removed_members(seed):
     """Two members are removed one by one; an edge that does not know it is cut off with both.
 
-    The edge still has the former group, of which the two are a majority. They must not confirm to
-    it that its outdated layout is fresh.
+    The edge still uses the previous group, of which the two are a majority. They must not confirm
+    to it that its outdated layout is fresh.
     """
     fleet = fleet_with_fast_repair(seed, sizes=SIX_STORES)
     sim, edge, real_publish = fleet.sim, fleet.node("edge-1"), Gossip.publish
--- a/proving/points/retention.py
+++ b/proving/points/retention.py
@@ -22,7 +22,7 @@
 
     Results stay readable, further lots are refused at the limit, and released space is usable.
     """
-    fleet, accepted, refused, most_held_bytes = ScenarioFleet(seed), {}, 0, 0
+    fleet, accepted, refused, max_lot_bytes = ScenarioFleet(seed), {}, 0, 0
     limit_bytes = 30_000
     with mock.patch.object(retention, "HELD_LIMIT_BYTES", limit_bytes):
         for number in range(60):
@@ -35,14 +35,14 @@
             else:
                 fleet.sim.history.violate(f"unexpected refusal {error}")
             fleet.run(0.7)
-            most_held_bytes = max(
-                most_held_bytes, *(_held_bytes(n) for n in fleet.sim.up_nodes("core"))
+            max_lot_bytes = max(
+                max_lot_bytes, *(_max_lot_bytes(n) for n in fleet.sim.up_nodes("core"))
             )
         fleet.run(10)
         _check_results_readable(fleet, accepted)
-        if not refused or most_held_bytes > limit_bytes:
+        if not refused or max_lot_bytes > limit_bytes:
             fleet.sim.history.violate(
-                f"{refused} refused, up to {most_held_bytes} of {limit_bytes} bytes held"
+                f"{refused} refused, up to {max_lot_bytes} of {limit_bytes} bytes used"
             )
         for lot in list(accepted)[:6]:
             answer, error = fleet.finish(
@@ -61,12 +61,12 @@
     return fleet.sim.history.violations, {
         "accepted": len(accepted) + 6,
         "refused": refused,
-        "most_held": most_held_bytes,
+        "most_held": max_lot_bytes,
     }
 
 
-def _held_bytes(node):
-    """Return the most bytes that the lots of any part owned by the node take up."""
+def _max_lot_bytes(node):
+    """Return the bytes of all lots in the largest of the parts that the node owns."""
     owners = node.find("ownership").leaders.values()
     return max(
         (
@@ -123,7 +123,7 @@
     if outcomes.get("long/complete", 0) + outcomes.get("long/refused", 0) != 8:
         fleet.sim.history.violate(f"streams in flight were dropped: {outcomes}")
     if outcomes.get("short/complete", 0) < 20:
-        fleet.sim.history.violate(f"ended streams did not make room for others: {outcomes}")
+        fleet.sim.history.violate(f"ended streams freed no space for others: {outcomes}")
     journal_bytes = [n.find("journal").size for n in fleet.sim.nodes.values() if n.find("journal")]
     if max(journal_bytes) > 50_000:
         fleet.sim.history.violate(f"journals are too large: {journal_bytes} bytes")
@@ -141,12 +141,12 @@
     for _ in range(300):
         fleet.start(fleet.callers.stream("wayfinding", "crowd", 8))
     fleet.run(5)
-    held = sum(
+    journaled_count = sum(
         len(n.find("journal").streams) for n in fleet.sim.nodes.values() if n.find("journal")
     )
-    if held:
-        fleet.sim.history.violate(f"{held} refused requests are still in journals")
-    return fleet.sim.history.violations, {**fleet.outcomes(), "held": held}
+    if journaled_count:
+        fleet.sim.history.violate(f"{journaled_count} refused requests are still in journals")
+    return fleet.sim.history.violations, {**fleet.outcomes(), "held": journaled_count}
 
 
 def frozen_holders(seed):
@@ -174,7 +174,7 @@
 
 
 def drop_oldest(self):
-    """Replaces the guard: the oldest streams are dropped to make room, even those in flight."""
+    """Replaces the guard: the oldest streams are dropped to free space, even those in flight."""
     while self._is_full() and self.streams:
         self.forget(min(self.streams.values(), key=lambda s: (s.has_ended, s.last_used_at)))
 
--- a/proving/points/scenario_fleet.py
+++ b/proving/points/scenario_fleet.py
@@ -36,7 +36,7 @@
         self.env.run(until=ready_at)
 
     def run(self, seconds):
-        """Advance simulated time by so many seconds."""
+        """Advance simulated time by `seconds`."""
         self.env.run(until=self.env.now + seconds)
 
     def start(self, process):
--- a/proving/points/serving.py
+++ b/proving/points/serving.py
@@ -21,7 +21,7 @@
 def frozen_before_sending(seed):
     """An edge freezes while work that may not repeat is queued, and resumes past the deadline.
 
-    The requests count as refused from the start, so that a late send is a violation.
+    The requests are recorded as refused at the start, which makes a late send a violation.
     """
     fleet = ScenarioFleet(seed)
     fleet.route_to_edge("edge-1")
--- a/proving/points/starts.py
+++ b/proving/points/starts.py
@@ -6,7 +6,7 @@
 from quillring.nifty import Nifty
 from quillring.nifty.wire import SUPPORTED_VERSIONS
 
-FORMER_VERSIONS = tuple(version - 1 for version in SUPPORTED_VERSIONS)
+PREVIOUS_VERSIONS = tuple(version - 1 for version in SUPPORTED_VERSIONS)
 UNKNOWN_VERSIONS = tuple(version + 5 for version in SUPPORTED_VERSIONS)
 
 
@@ -29,7 +29,7 @@
         }
     )
     if unreached_names:
-        fleet.sim.history.violate(f"{unreached_names} are still not reached by every node")
+        fleet.sim.history.violate(f"{unreached_names} are still unreachable from some node")
     fleet.route_to_edge(names[0])
     outcomes = run_traffic(fleet, 4)
     if any(not name.endswith(("complete", "ended")) for name in outcomes):
@@ -38,12 +38,12 @@
 
 
 def mixed_versions(seed):
-    """Nodes of the former version are upgraded one by one under traffic.
+    """Nodes of the previous version are upgraded one by one under traffic.
 
-    The fleet uses the former version until the last node is upgraded. A node with an unknown
+    The fleet uses the previous version until the last node is upgraded. A node with an unknown
     version tries to join throughout, and must be counted and not admitted.
     """
-    fleet = ScenarioFleet(seed, versions=FORMER_VERSIONS)
+    fleet = ScenarioFleet(seed, versions=PREVIOUS_VERSIONS)
     sim, callers = fleet.sim, fleet.callers
     unknown_node_row = {
         "name": "edge-9",
@@ -81,16 +81,18 @@
     fleet.run(20)
     outcomes = fleet.outcomes()
     after = {fleet.node(n).find("nifty").lowest_common_version() for n in order}
-    if after != {SUPPORTED_VERSIONS[-1]} or set(versions_in_use) != {FORMER_VERSIONS[-1]}:
+    if after != {SUPPORTED_VERSIONS[-1]} or set(versions_in_use) != {PREVIOUS_VERSIONS[-1]}:
         sim.history.violate(f"versions in use {versions_in_use}, in the end {after}")
-    rejected_beats = fleet.node("core-1").counts.get("other_versions", 0)
-    if not rejected_beats or "edge-9" in fleet.node("core-1").find("nifty").roster.members:
-        sim.history.violate(f"unknown version admitted or not counted: {rejected_beats} heartbeats")
+    rejected_heartbeats = fleet.node("core-1").counts.get("other_versions", 0)
+    if not rejected_heartbeats or "edge-9" in fleet.node("core-1").find("nifty").roster.members:
+        sim.history.violate(
+            f"unknown version admitted or not counted: {rejected_heartbeats} heartbeats"
+        )
     failed = {k: n for k, n in outcomes.items() if not k.endswith(("complete", "ended", "refused"))}
     accepted = sim.history.counts.get("accepted_lots", 0)
     if failed or outcomes.get("lot/ended", 0) != accepted:
         sim.history.violate(f"accepted {accepted}, outcomes {outcomes}")
-    return sim.history.violations, {**outcomes, "knocked": rejected_beats}
+    return sim.history.violations, {**outcomes, "knocked": rejected_heartbeats}
 
 
 def no_word(*args):
--- a/proving/points/stream_resumption.py
+++ b/proving/points/stream_resumption.py
@@ -87,8 +87,8 @@
     node = fleet.node("edge-2")
     stream = fleet.node("edge-1").find("journal").streams[head["stream"]]
     secret = node.find("ownership").founding()["secret"]
-    chance = fleet.sim.chance
-    position = chance.randrange(len(head["resume"]) - 2)
+    rng = fleet.sim.chance
+    position = rng.randrange(len(head["resume"]) - 2)
     swapped = "A" if head["resume"][position] != "A" else "B"
     forged_body = cbor2.dumps([stream.name, [1, "edge-1"], 1 << 40])
     tokens = {
@@ -106,7 +106,7 @@
             make_token(secret, stream, node.runtime.wall_time() - TOKEN_LIFETIME_SECONDS - 1),
             "ann",
         ),
-        "cut off": (head["resume"][: chance.randrange(1, 20)], "ann"),
+        "cut off": (head["resume"][: rng.randrange(1, 20)], "ann"),
         "not ascii": ("\u00fc" * 8, "ann"),
     }
     for label, (token, client_name) in tokens.items():
--- a/proving/points/streams.py
+++ b/proving/points/streams.py
@@ -9,7 +9,7 @@
 from quillring.edge import journal, stream_handlers
 from quillring.kernel.errors import QuillringError, Refused
 
-STREAMS_CUT = 4
+CUT_STREAM_COUNT = 4
 
 
 def mixed_answers(seed):
@@ -72,7 +72,7 @@
 def half_open(seed):
     """A sender resumes at another edge, while the first one never sees its connection close.
 
-    Only the second edge may go on running the stream.
+    Only the second edge may continue to run the stream.
     """
     fleet = ScenarioFleet(seed)
     with mock.patch.object(callers.Connection, "_take", half_open_take):
@@ -89,10 +89,10 @@
 
 
 def stale_holder(seed):
-    """A former edge continues a stream behind a cut with its own backup; then the new edge dies.
+    """The old edge continues a stream behind a cut with its own backup; then the new edge dies.
 
-    Runs with two seeds: in about one of six runs the last edge's backup has the longest copy, so
-    that a run cannot fail even without the guard.
+    Runs with two seeds: in about one of six runs the last edge's backup has the longest copy, and
+    such a run cannot fail even without the guard.
     """
     outcomes = [stale_holder_run(run_seed) for run_seed in (seed, seed + 1)]
     violations = [violation for found, _ in outcomes for violation in found]
@@ -122,7 +122,7 @@
         mock.patch.object(callers.Connection, "_take", half_open_take),
     ):
         fleet.route_to_edge("edge-1")
-        for _ in range(STREAMS_CUT):
+        for _ in range(CUT_STREAM_COUNT):
             fleet.start(fleet.callers.stream("wayfinding", "short", 300, drop_after=10))
         fleet.run(0.55)
         fleet.sim.cut(
--- a/proving/points/zone_loss.py
+++ b/proving/points/zone_loss.py
@@ -21,8 +21,8 @@
     item. Every accepted lot must still end.
     """
     fleet = ScenarioFleet(seed)
-    callers, chance = fleet.callers, fleet.sim.chance
-    zone = chance.choice(("north", "east", "south"))
+    callers, rng = fleet.callers, fleet.sim.chance
+    zone = rng.choice(("north", "east", "south"))
     fleet.start(callers.generate(6, callers.stream, "wayfinding", "short", 30))
     fleet.start(callers.generate(1, callers.stream, "tagging", "long", 200))
     fleet.start(callers.generate(1.5, callers.lot, "gate-notices", 6, 0.0))
@@ -95,12 +95,12 @@
     Every stream must end for its sender, and every accepted lot must end.
     """
     fleet = ScenarioFleet(seed)
-    callers, chance = fleet.callers, fleet.sim.chance
-    zone = chance.choice(("north", "east", "south"))
+    callers, rng = fleet.callers, fleet.sim.chance
+    zone = rng.choice(("north", "east", "south"))
     for _ in range(12):
         fleet.start(callers.stream("wayfinding", "short", 150))
         fleet.start(callers.lot("gate-notices", 5, 0.0))
-    fleet.run(chance.uniform(0.4, 1.5))
+    fleet.run(rng.uniform(0.4, 1.5))
     for node in list(fleet.sim.nodes.values()):
         if node.me.zone == zone:
             fleet.sim.kill(node.me.name, loses_power=True)
