--- a/proving/drawn/draw.py
+++ b/proving/drawn/draw.py
@@ -2,66 +2,64 @@
 
 from proving.drawn.kinds import CLOSINGS, CONTROL_FAULTS, FLAG_SHARE, PLANNED, REPLICA_FAULTS
 
-FIRST_AT_SECONDS = 2.0
-LAST_SHARE = 0.85
+EARLIEST_TIME_SECONDS = 2.0
+LATEST_TIME_SHARE = 0.85
 CLUSTER_SHARE = 0.5
 CLUSTER_WIDTH_SECONDS = 2.0
-CLOSING_SHARE = 0.6
+CLOSING_FAULT_SHARE = 0.6
 MANY_CHANGES_SHARE = 0.15
 MANY_CHANGES_COUNT = 100
 LOAD_RANGE = (0.5, 0.9)
 
 
-def draw_entry(chance, kind, at):
+def draw_entry(rng, kind, at):
     """Return a random entry of a kind at a time in seconds since the start of traffic."""
     entry = {"at": round(at, 2), "kind": kind.name}
     for field, (low, high) in kind.ranges.items():
         is_integer = isinstance(low, int) and isinstance(high, int)
-        entry[field] = (
-            chance.randint(low, high) if is_integer else round(chance.uniform(low, high), 2)
-        )
-    machine_class = chance.choice(kind.machine_classes) if kind.machine_classes else ""
+        entry[field] = rng.randint(low, high) if is_integer else round(rng.uniform(low, high), 2)
+    machine_class = rng.choice(kind.machine_classes) if kind.machine_classes else ""
     if machine_class:
         entry["on"] = machine_class
-    modifiers = [chance.choice(kind.variants)]
-    modifiers += [flag for flag in kind.flags if chance.random() < FLAG_SHARE]
+    modifiers = [rng.choice(kind.variants)]
+    modifiers += [flag for flag in kind.flags if rng.random() < FLAG_SHARE]
     how = " ".join(modifier for modifier in modifiers if modifier)
     if how:
         entry["how"] = how
     return entry
 
 
-def draw_times(chance, count, length):
+def draw_times(rng, count, length):
     """Return sorted times in a day of `length` seconds, about half of them close to another one."""
-    times = [chance.uniform(FIRST_AT_SECONDS, length * LAST_SHARE) for _ in range(count)]
+    times = [rng.uniform(EARLIEST_TIME_SECONDS, length * LATEST_TIME_SHARE) for _ in range(count)]
     for index in range(1, count):
-        if chance.random() < CLUSTER_SHARE:
-            near_time = times[index - 1] + chance.uniform(0, CLUSTER_WIDTH_SECONDS)
-            times[index] = min(near_time, length * LAST_SHARE)
+        if rng.random() < CLUSTER_SHARE:
+            near_time = times[index - 1] + rng.uniform(0, CLUSTER_WIDTH_SECONDS)
+            times[index] = min(near_time, length * LATEST_TIME_SHARE)
     return sorted(times)
 
 
-def draw_day(chance, site, name, seed):
+def draw_day(rng, site, name, seed):
     """Return a day in the format of the site file, with the site's traffic at a random load."""
     length = site["length_s"]
-    control_fault_times = draw_times(chance, chance.randint(2, 5), length)
-    replica_fault_times = draw_times(chance, chance.randint(1, 3), length)
-    planned_times = draw_times(chance, chance.randint(2, 5), length)
-    faults = [draw_entry(chance, chance.choice(CONTROL_FAULTS), at) for at in control_fault_times]
-    faults += [draw_entry(chance, chance.choice(REPLICA_FAULTS), at) for at in replica_fault_times]
-    plan = [draw_entry(chance, chance.choice(PLANNED), at) for at in planned_times]
-    if chance.random() < MANY_CHANGES_SHARE:
-        gap = round((length - 2 * FIRST_AT_SECONDS) / MANY_CHANGES_COUNT, 3)
+    control_fault_times = draw_times(rng, rng.randint(2, 5), length)
+    replica_fault_times = draw_times(rng, rng.randint(1, 3), length)
+    planned_times = draw_times(rng, rng.randint(2, 5), length)
+    faults = [draw_entry(rng, rng.choice(CONTROL_FAULTS), at) for at in control_fault_times]
+    faults += [draw_entry(rng, rng.choice(REPLICA_FAULTS), at) for at in replica_fault_times]
+    plan = [draw_entry(rng, rng.choice(PLANNED), at) for at in planned_times]
+    if rng.random() < MANY_CHANGES_SHARE:
+        gap = round((length - 2 * EARLIEST_TIME_SECONDS) / MANY_CHANGES_COUNT, 3)
         plan.append(
             {
-                "at": FIRST_AT_SECONDS,
+                "at": EARLIEST_TIME_SECONDS,
                 "kind": "config_race",
                 "count": MANY_CHANGES_COUNT,
                 "gap_s": gap,
             }
         )
     template = site["day"][0]
-    load = chance.uniform(*LOAD_RANGE)
+    load = rng.uniform(*LOAD_RANGE)
     day = {
         "name": name,
         "slot": "trouble",
@@ -76,7 +74,7 @@
         "faults": sorted(faults, key=lambda entry: entry["at"]),
         "traffic": [{**row, "per_s": round(row["per_s"] * load, 1)} for row in site["traffic"]],
     }
-    if chance.random() < CLOSING_SHARE:
-        closing = draw_entry(chance, chance.choice(CLOSINGS), 0)
+    if rng.random() < CLOSING_FAULT_SHARE:
+        closing = draw_entry(rng, rng.choice(CLOSINGS), 0)
         day["closing"] = {field: value for field, value in closing.items() if field != "at"}
     return day
--- a/proving/histories/clients.py
+++ b/proving/histories/clients.py
@@ -68,8 +68,8 @@
     ):
         """Process: send an order once and record it; return its answer.
 
-        The client waits for a random time within `wait_seconds`, a pair (least, most). The node
-        retries for `attempt_seconds`. A read of the configuration is recorded as reads of the
+        The client waits for a random time within `wait_seconds`, a pair (minimum, maximum). The
+        node retries for `attempt_seconds`. A read of the configuration is recorded as reads of the
         configuration, the stores and each zone.
         """
         node, begin = node or self.pick_node(), self.env.now
@@ -90,8 +90,8 @@
     def outcome_of(self, process, node):
         """Return (value, error) of a call, or None if the client gets no answer.
 
-        That is so if the call is not complete yet, if the node died, and otherwise with probability
-        LOST_ANSWER_SHARE.
+        No answer arrives if the call is not complete yet or the node died, and otherwise with the
+        probability LOST_ANSWER_SHARE.
         """
         if not process.triggered or self.rng.random() < LOST_ANSWER_SHARE:
             return None
--- a/proving/histories/faults.py
+++ b/proving/histories/faults.py
@@ -1,4 +1,4 @@
-"""The faults of a recorded run: partitions, freezes, kills, lost disks and held messages."""
+"""The faults of a recorded run: partitions, freezes, kills, lost disks and delayed messages."""
 
 from proving.sim.chaos import Chaos
 
--- a/proving/histories/models.py
+++ b/proving/histories/models.py
@@ -144,16 +144,16 @@
     count : number of items of the lot
     is_ended : whether the lot was ended
     rows : results by position, None at positions that no read has returned
-    least : lower bound on the number of listed results
-    most : upper bound on that number, None while the lot is open
+    min_result_count : lower bound on the number of listed results
+    max_result_count : upper bound on that number, None while the lot is open
     """
 
     digest: str | None = None
     count: int = 0
     is_ended: bool = False
     rows: tuple = ()
-    least: int = 0
-    most: int | None = None
+    min_result_count: int = 0
+    max_result_count: int | None = None
 
 
 class LotModel:
@@ -200,11 +200,11 @@
         There are none if the results contradict earlier reads.
         """
         end = order.start + len(answer.rows)
-        is_end_certain = bool(answer.rows) or order.start <= state.least
-        least = end if is_end_certain else state.least
-        if answer.count != state.count or end < state.least or end > state.count:
+        is_end_certain = bool(answer.rows) or order.start <= state.min_result_count
+        min_result_count = end if is_end_certain else state.min_result_count
+        if answer.count != state.count or end < state.min_result_count or end > state.count:
             return IMPOSSIBLE
-        if state.most is not None and least > state.most:
+        if state.max_result_count is not None and min_result_count > state.max_result_count:
             return IMPOSSIBLE
         rows = list(state.rows) + [None] * (end - len(state.rows))
         for position, row in enumerate(answer.rows, order.start):
@@ -216,9 +216,17 @@
             return IMPOSSIBLE
         while rows and rows[-1] is None:
             rows.pop()
-        most = min(end, state.count if state.most is None else state.most)
-        most = most if state.is_ended else None
-        return (state._replace(rows=tuple(rows), least=least, most=most),)
+        max_result_count = min(
+            end, state.count if state.max_result_count is None else state.max_result_count
+        )
+        max_result_count = max_result_count if state.is_ended else None
+        return (
+            state._replace(
+                rows=tuple(rows),
+                min_result_count=min_result_count,
+                max_result_count=max_result_count,
+            ),
+        )
 
 
 def model_for_target(target, history):
--- a/proving/histories/moments.py
+++ b/proving/histories/moments.py
@@ -105,7 +105,7 @@
     def order_after_its_end(self):
         """A delayed copy of an order arrives after the order was applied and then reversed.
 
-        The network holds the first copy to the owner. A retry drains the zone, a second order
+        The network delays the first copy to the owner. A retry drains the zone, a second order
         restores it, and then the first copy is delivered. Without a fence it drains the zone again.
         """
         owner = self.owner()
@@ -166,8 +166,8 @@
     def read_in_flight(self):
         """Reads at the owner follow a read at the stores, which showed an entry still in flight.
 
-        The stores accept an entry of the owner, but the network holds their answers to it. The
-        first reader's call to the owner is held too, so that it reads from the stores.
+        The stores accept an entry of the owner, but the network delays their answers. It also
+        delays the first reader's call to the owner, so the reader falls back to the stores.
         """
         owner = self.owner()
         first_node, second_node = self.other_node(owner), self.other_node(owner)
--- a/proving/histories/operations.py
+++ b/proving/histories/operations.py
@@ -25,7 +25,7 @@
 class Adopt(msgspec.Struct, frozen=True, tag=True):
     """Adopt a configuration under `number`, provided that the current number is `base`.
 
-    It replaces the current configuration if `is_whole`, and otherwise amends it: `items` are the
+    It replaces the complete configuration if `is_whole`, and otherwise amends it: `items` are the
     (name, value) pairs to set and `removed` the names to delete. `is_valid` is False for a
     configuration whose content must be refused.
     """
@@ -215,7 +215,7 @@
 class History(msgspec.Struct):
     """All operations and snapshots of one run.
 
-    `stores` are (name, zone) pairs, `group_size` is the number of stores that hold each part, and
+    `stores` are (name, zone) pairs, `group_size` is the number of replicas of each part, and
     `steps` are the notes of the simulator about faults.
     """
 
--- a/proving/histories/stage.py
+++ b/proving/histories/stage.py
@@ -43,7 +43,7 @@
     def __init__(self, seed):
         self.sim = HistoryFleet("ferrowa", seed, SIZES)
         self.sim.configuration = EMPTY_CONFIGURATION
-        self.env, self.chance = self.sim.env, self.sim.chance
+        self.env, self.rng = self.sim.env, self.sim.chance
         self.replicas, self.counts = {}, {}
         self.arrivals, self.completed_runs = [], []
         self.zones = [*ZONES]
--- a/proving/placement/run.py
+++ b/proving/placement/run.py
@@ -128,8 +128,8 @@
         sequence = 1
         while True:
             sequence += 1
-            alive = [name for name, engine in self.engines.items() if not engine.is_down]
-            self.fleet.heartbeat(alive, sequence)
+            up_names = [name for name, engine in self.engines.items() if not engine.is_down]
+            self.fleet.heartbeat(up_names, sequence)
             yield self.env.timeout(HEARTBEAT_SECONDS)
 
     def _generate_requests(self, cls, senders):
