--- a/proving/sim/backends.py
+++ b/proving/sim/backends.py
@@ -61,12 +61,12 @@
         sim.env.process(self._send_heartbeats())
 
     def _send_heartbeats(self):
-        chance = self.sim.chance
+        rng = self.sim.chance
         while not self.is_dead:
             if not self.is_frozen:
                 self.logic.update_concurrency_limit(self.sim.env.now)
                 self.send_heartbeat()
-            yield self.sim.env.timeout(0.4 * chance.uniform(0.9, 1.1))
+            yield self.sim.env.timeout(0.4 * rng.uniform(0.9, 1.1))
 
     def send_heartbeat(self):
         """Send a heartbeat to the first node, in random order, that accepts it."""
--- a/proving/sim/callers.py
+++ b/proving/sim/callers.py
@@ -30,10 +30,12 @@
         sim.env.process(self._run(coroutine))
 
     def _run(self, coroutine):
+        """Process: run the edge's coroutine, set `outcome` and wake the reader."""
         self.outcome = yield from self.sim.run_coroutine(self.node, coroutine, self._take)
         self.signal.set()
 
     def _take(self, line):
+        """Add a line for the reader; return whether the caller still reads."""
         if self.is_open:
             self.lines.append(line)
             self.signal.set()
@@ -105,12 +107,12 @@
         `is_single` marks work that must run at most once; `drop_after` is the number of pieces
         after which the caller drops the connection of the first attempt.
         """
-        chance, client_name = self.sim.chance, self._new_name(kind)
+        rng, client_name = self.sim.chance, self._new_name(kind)
         answer = Answer(f"{route} {client_name}", max_pieces)
         if is_single:
             self.history.at_most_once.add(answer.prompt)
-        if drop_after is None and chance.random() < 0.2 and not is_single:
-            drop_after = chance.randrange(1, 8)
+        if drop_after is None and rng.random() < 0.2 and not is_single:
+            drop_after = rng.randrange(1, 8)
         start_time, attempts = self.sim.env.now, 0
         while answer.outcome is None and attempts < 12:
             attempts += 1
--- a/proving/sim/chaos.py
+++ b/proving/sim/chaos.py
@@ -38,11 +38,11 @@
 
     def run(self, start_time, end_time, count):
         """Process: inject `count` faults between two times, then heal and restart everything."""
-        chance = self.sim.chance
-        times = sorted(chance.uniform(start_time, end_time) for _ in range(count))
+        rng = self.sim.chance
+        times = sorted(rng.uniform(start_time, end_time) for _ in range(count))
         for at in times:
             yield self.sim.env.timeout(max(0, at - self.sim.env.now))
-            fault = chance.choice(self.fault_kinds)
+            fault = rng.choice(self.fault_kinds)
             self.sim.history.count(f"fault {fault.__name__}")
             self.sim.env.process(fault())
         yield self.sim.env.timeout(max(0, end_time - self.sim.env.now))
@@ -175,9 +175,9 @@
 
     def lossy(self):
         """Packets are lost, duplicated and reordered for a while."""
-        net, chance = self.sim.net, self.sim.chance
+        net, rng = self.sim.net, self.sim.chance
         net.loss_share, net.duplicate_share, net.reorder_share = 0.05, 0.05, 0.1
-        yield self.sim.env.timeout(chance.uniform(1, 6))
+        yield self.sim.env.timeout(rng.uniform(1, 6))
         net.loss_share = net.duplicate_share = net.reorder_share = 0.0
 
     def _pick_replica(self):
--- a/proving/sim/history.py
+++ b/proving/sim/history.py
@@ -4,8 +4,8 @@
 class History:
     """The events of a run and the violations of invariants found so far.
 
-    Times are simulated seconds. `at_most_once` holds work that may run at most once; `emptied` maps
-    each emptied domain to its time; `ended_at` maps work of cancelled lots to its time.
+    Times are simulated seconds. `at_most_once` contains work that may run at most once; `emptied`
+    maps each emptied domain to its time; `ended_at` maps work of cancelled lots to its time.
     """
 
     def __init__(self, env):
--- a/proving/sim/many_changes.py
+++ b/proving/sim/many_changes.py
@@ -2,10 +2,10 @@
 
     python -m proving.sim.many_changes --changes 1000 --routes 60 --parts 64
 
-Complete configurations are adopted one after another in a simulated fleet. Each case then has a
-member return and measures the simulated seconds until it has caught up, the bytes sent to it by
-then, and the sizes of the log and slot on a store's disk. Stores are never declared lost, so that
-each remains a member of its parts.
+Complete configurations are adopted one after another in a simulated fleet. In each case
+a member then returns. Each case measures the simulated seconds until the member has caught up, the
+bytes sent to it until then, and the sizes of the log and slot on a store's disk. Stores are never
+declared lost, so each remains a member of its parts.
 """
 
 import time
@@ -234,7 +234,12 @@
 @click.option("--changes", default="10,100,1000", callback=read_counts, help="Comma-separated.")
 @click.option("--routes", type=click.IntRange(min=1), default=60)
 @click.option("--parts", type=click.IntRange(min=1), default=64)
-@click.option("--stores", type=click.IntRange(min=3), default=4, help="3 leave no spare.")
+@click.option(
+    "--stores",
+    type=click.IntRange(min=3),
+    default=4,
+    help="Number of stores; with 3, no spare is left.",
+)
 @click.option("--seed", default=1)
 def main(changes, routes, parts, stores, seed):
     """Measure each case after each number of changes and print one row for each."""
--- a/proving/sim/measure.py
+++ b/proving/sim/measure.py
@@ -141,11 +141,11 @@
         }
         adopt(stage, "core-1", {"entries": entries})
         stage.run(1)
-        chance = stage.sim.chance
+        rng = stage.sim.chance
         stage.callers.stop_at = stage.env.now + 30
 
-        def stream_random_prefix(stage=stage, chance=chance, prefixes=prefixes):
-            yield from stage.callers.stream(f"p-{chance.randrange(prefixes)}", "short", 8)
+        def stream_random_prefix(stage=stage, rng=rng, prefixes=prefixes):
+            yield from stage.callers.stream(f"p-{rng.randrange(prefixes)}", "short", 8)
 
         stage.start(stage.callers.generate(20, stream_random_prefix))
         stage.run(32)
@@ -179,9 +179,9 @@
 
 @click.command()
 @click.option("--seed", default=1, show_default=True)
-@click.option("--only", default="", help="Run only measurements whose name contains this.")
+@click.option("--only", default="", help="Run only measurements whose name contains this text.")
 def main(seed, only):
-    """Run the measurements."""
+    """Run the measurements and print one JSON line for each."""
     for measure in MEASURES:
         if only in measure.__name__:
             click.echo(json.dumps({"measure": measure.__name__, **measure(seed)}))
--- a/proving/sim/network.py
+++ b/proving/sim/network.py
@@ -98,14 +98,14 @@
         return (source, target) in self.cuts and (source, target) in self.loud_cuts
 
     def hold_frames(self, source, target, end_time, release_event):
-        """Hold frames sent on a link before `end_time`; they are delivered when the event fires.
+        """Delay the frames sent on a link before `end_time` until the event fires.
 
         This simulates a connection that stalls while datagrams and later connections pass.
         """
         self.held_links[source, target] = (end_time, release_event)
 
     def heal(self):
-        """Heal every cut and stop loss, duplication, reordering, late delivery and holding."""
+        """Heal every cut and stop loss, duplication, reordering, late delivery and stalls."""
         self.cuts.clear()
         self.loud_cuts.clear()
         self.held_links.clear()
@@ -127,7 +127,7 @@
         """Carry a packet, which may be lost, duplicated, delivered late or delivered twice.
 
         A late packet or copy is delivered if the link is not cut at that time, to whichever process
-        then has the address, because a relay or a socket buffer may keep a message that long.
+        then has the address, because a relay or a socket buffer may delay a message that long.
         """
         self.carried_packets += 1
         is_frame, epoch = kind == "frame", self.connection_epochs.get((source, target), 0)
@@ -140,7 +140,7 @@
         if self._draw(self.late_share):
             self._deliver_late(source, target, data, kind)
             return
-        if is_frame and self._hold_if_link_holds(source, target, data):
+        if is_frame and self._hold_if_stalled(source, target, data):
             return
         if not self.passes(source, target) or self.chance.random() < self.loss_share:
             return
@@ -176,8 +176,8 @@
         """Return true with the given probability; zero consumes no value of the generator."""
         return share > 0 and self.chance.random() < share
 
-    def _hold_if_link_holds(self, source, target, data):
-        """Hold a frame if its link holds frames now; return whether it was held."""
+    def _hold_if_stalled(self, source, target, data):
+        """Delay a frame if its link is stalled, until the release; return whether it is delayed."""
         end_time, release_event = self.held_links.get((source, target), (0, None))
         if self.env.now >= end_time or release_event.processed:
             return False
--- a/proving/sim/quorum_fuzz.py
+++ b/proving/sim/quorum_fuzz.py
@@ -20,7 +20,7 @@
 
     def __init__(self, seed):
         self.sim = SimFleet("ferrowa", seed, SIZES)
-        self.chance = self.sim.chance
+        self.rng = self.sim.chance
         self.monitor = Monitor(self.sim)
         self.acknowledged = {}
         self.number = 0
@@ -30,7 +30,7 @@
         """Process: submit lots with unique names to a part, about eight per second."""
         env = self.sim.env
         while env.now < HEAL_AT_SECONDS:
-            yield env.timeout(self.chance.expovariate(8))
+            yield env.timeout(self.rng.expovariate(8))
             cores = self.sim.up_nodes("core")
             if not cores:
                 continue
@@ -43,11 +43,11 @@
                 "entry": "none",
                 "items": [name],
             }
-            coroutine = self.chance.choice(cores).find("ownership").submit(part, command, 3)
+            coroutine = self.rng.choice(cores).find("ownership").submit(part, command, 3)
             env.process(self._submit(coroutine, part, name))
 
     def _submit(self, coroutine, part, name):
-        node = self.chance.choice(self.sim.up_nodes("core") or [None])
+        node = self.rng.choice(self.sim.up_nodes("core") or [None])
         if node is None:
             return
         answer, _ = yield from self.sim.run_coroutine(node, coroutine)
@@ -56,27 +56,27 @@
 
     def inject_faults(self):
         """Process: inject one random fault after another until the heal time."""
-        sim, chance = self.sim, self.chance
+        sim, rng = self.sim, self.rng
         while sim.env.now < HEAL_AT_SECONDS:
-            yield sim.env.timeout(chance.uniform(0.1, 1.0))
+            yield sim.env.timeout(rng.uniform(0.1, 1.0))
             if sim.env.now >= HEAL_AT_SECONDS:
                 return
             names = [*sim.names("core"), *sim.names("store")]
-            name, kind = chance.choice(names), chance.random()
+            name, kind = rng.choice(names), rng.random()
             if not sim.is_up(sim.nodes[name]):
                 continue
             if kind < 0.3:
-                sim.kill(name, loses_power=chance.random() < 0.5)
+                sim.kill(name, loses_power=rng.random() < 0.5)
                 sim.env.process(self._restart_later(name))
             elif kind < 0.55:
-                sim.freeze(name, chance.uniform(0.1, 4))
+                sim.freeze(name, rng.uniform(0.1, 4))
             elif kind < 0.85:
-                others = chance.sample(names, chance.randrange(1, len(names)))
-                sim.cut([name], [o for o in others if o != name], chance.random() < 0.7)
+                others = rng.sample(names, rng.randrange(1, len(names)))
+                sim.cut([name], [o for o in others if o != name], rng.random() < 0.7)
                 sim.env.process(self._heal_later())
             elif kind < 0.95:
-                sim.net.loss_share = chance.uniform(0, 0.2)
-                sim.net.duplicate_share = sim.net.reorder_share = chance.uniform(0, 0.3)
+                sim.net.loss_share = rng.uniform(0, 0.2)
+                sim.net.duplicate_share = sim.net.reorder_share = rng.uniform(0, 0.3)
             elif name.startswith("store") and self.disks_lost < 1 and self._are_all_stores_up():
                 self.disks_lost += 1
                 sim.lose_disk(name)
@@ -87,7 +87,7 @@
         return all(self.sim.is_up(self.sim.nodes[name]) for name in stores)
 
     def _restart_later(self, name):
-        yield self.sim.env.timeout(self.chance.uniform(0.1, 4))
+        yield self.sim.env.timeout(self.rng.uniform(0.1, 4))
         try:
             if self.sim.nodes[name].runtime.is_dead:
                 self.sim.start(name)
@@ -95,20 +95,20 @@
             self.sim.history.violate(f"{name} does not start: {error}")
 
     def _heal_later(self):
-        yield self.sim.env.timeout(self.chance.uniform(0.3, 3))
+        yield self.sim.env.timeout(self.rng.uniform(0.3, 3))
         self.sim.net.cuts.clear()
 
     def retire_and_restore_stores(self):
         """Process: repeatedly retire a random store and restore it."""
         sim = self.sim
         while sim.env.now < HEAL_AT_SECONDS:
-            yield sim.env.timeout(self.chance.uniform(2, 5))
-            store = self.chance.choice(sim.names("store"))
+            yield sim.env.timeout(self.rng.uniform(2, 5))
+            store = self.rng.choice(sim.names("store"))
             for row in ({"retired": True}, None):
                 cores = sim.up_nodes("core")
                 if not cores:
                     continue
-                node = self.chance.choice(cores)
+                node = self.rng.choice(cores)
                 command = {
                     "do": "layout.adopt",
                     "id": f"{store} {sim.env.now}",
@@ -121,7 +121,7 @@
                 )
                 if answer:
                     self.monitor.accept(answer["version"])
-                yield sim.env.timeout(self.chance.uniform(1, 6))
+                yield sim.env.timeout(self.rng.uniform(1, 6))
 
     def run(self):
         """Run the simulation, check the end state, and return (violations, figures)."""
--- a/proving/sim/raw_replicas.py
+++ b/proving/sim/raw_replicas.py
@@ -82,9 +82,10 @@
         self.state, self.sequence, self.active = "ready", 0, 0
         self.is_dead = self.is_silent = False
         self.failure, self.cold_until, self.max_active = None, 0, 0
-        stage.env.process(self._beat())
+        stage.env.process(self._send_heartbeats())
 
-    def _beat(self):
+    def _send_heartbeats(self):
+        """Process: send a heartbeat every 0.4 s until the replica ends."""
         while not self.is_dead:
             self.beat()
             yield self.stage.env.timeout(0.4)
--- a/proving/sim/repair_time.py
+++ b/proving/sim/repair_time.py
@@ -1,7 +1,7 @@
 """How long parts are under-replicated after the loss of a store, over slow links.
 
 Times are simulated. State, link rate and chunks are scaled down to a sixteenth of the sizes given,
-which leaves the times unchanged and keeps the run small; heartbeats and calls are not scaled and
+which leaves the times unchanged and makes the run small; heartbeats and calls are not scaled and
 thus take sixteen times their real share of a link.
 """
 
@@ -24,7 +24,7 @@
 
 
 class RepairRun:
-    """One fleet whose parts all hold the same amount of state, and the loss of one store."""
+    """One fleet whose parts all have the same amount of state, and the loss of one store."""
 
     def __init__(self, seed, stores, parts, group_size, mebibytes):
         self.sim = SimFleet(
@@ -56,7 +56,7 @@
     def fill(self, size_bytes):
         """Add `size_bytes` to the state of every part, at its owner and its stores, as if applied.
 
-        The config part is left out, because every node holds and requests its state.
+        The config part is left out, because every node stores and requests its state.
         """
         ballast = {str(n): bytes(ROW_BYTES) for n in range(size_bytes // ROW_BYTES)}
         records = [
@@ -125,9 +125,11 @@
 
 @click.command()
 @click.option("--stores", default=4, show_default=True)
-@click.option("--parts", default=4, show_default=True, help="Including the config part.")
+@click.option(
+    "--parts", default=4, show_default=True, help="Number of parts, including the config part."
+)
 @click.option("--size", default=3, show_default=True, help="Stores per part.")
-@click.option("--mebibytes", default=16, show_default=True, help="State per part.")
+@click.option("--mebibytes", default=16, show_default=True, help="State per part in MiB.")
 @click.option("--megabits", default=[15.0], multiple=True, help="Link rate of each node in Mbit/s.")
 @click.option("--back", default=0.0, help="Seconds until the store restarts empty; 0 for never.")
 @click.option("--seed", default=1, show_default=True)
--- a/proving/sim/runtime.py
+++ b/proving/sim/runtime.py
@@ -47,7 +47,7 @@
         self.net.attach(self.address, self)
 
     def receive(self, kind, data):
-        """Handle a packet; a frozen process keeps up to 500 and handles them when it thaws."""
+        """Handle a packet; a frozen process queues up to 500 and handles them when it thaws."""
         if self.is_dead:
             return
         if self.thaw_event is not None:
