--- a/proving/model/bugs.py
+++ b/proving/model/bugs.py
@@ -1,6 +1,6 @@
-"""Seeded bugs: each removes one safeguard of the product to show that the checker notices.
+"""Seeded bugs: each removes one safeguard of the product to test that the checker detects it.
 
-Each bug is a function that returns a context manager, which patches the product while it is open.
+Each bug is a function that returns a context manager, which patches the product while it is active.
 """
 
 from typing import NamedTuple
--- a/proving/model/choices.py
+++ b/proving/model/choices.py
@@ -92,8 +92,8 @@
             if position < len(self.system.world.operators[operator]):
                 yield Choice("submit", name, (operator, position))
 
-    def _store_choices(self, name, is_sync_held):
-        if is_sync_held:
+    def _store_choices(self, name, is_sync_pending):
+        if is_sync_pending:
             yield Choice("sync", name)
         yield Choice("crash", name)
         yield Choice("wipe", name)
--- a/proving/model/core_machine.py
+++ b/proving/model/core_machine.py
@@ -59,10 +59,10 @@
         self.owner, self.in_progress, self.last_reported = None, set(), None
 
     def on_take(self, step_input):
-        """Run for owner of the part, as ownership does when the part ranks this core first."""
-        former = self.owner
-        group = [list(store) for store in self.context.group] if former is None else former.group
-        self.owner = WatchedLeader(self.node, self.context.part, group, former)
+        """Run an election for the part, as ownership does when the part ranks this core first."""
+        previous = self.owner
+        group = [list(s) for s in self.context.group] if previous is None else previous.group
+        self.owner = WatchedLeader(self.node, self.context.part, group, previous)
         self.in_progress.add("take")
         self.runtime.spawn(self.owner.run_election(), "take", self._end_take)
 
@@ -120,7 +120,7 @@
     def on_peek(self, step_input):
         """Read the configuration from a majority of the stores.
 
-        `subject` is the group that the reader takes for the present one.
+        `subject` is the group that the reader assumes to be the current one.
         """
         reader = self._begin_read("peek")
         group = group_from_wire(step_input.subject)
--- a/proving/model/explore.py
+++ b/proving/model/explore.py
@@ -100,7 +100,7 @@
         if earlier_paths is None:
             self.spent_by_situation[situation] = [spent]
             return True
-        if any(all(map(le, former, spent)) for former in earlier_paths):
+        if any(all(map(le, earlier, spent)) for earlier in earlier_paths):
             return False
         earlier_paths.append(spent)
         return True
--- a/proving/model/store_machine.py
+++ b/proving/model/store_machine.py
@@ -24,7 +24,7 @@
 
 
 class HeldDisk(SimDisk):
-    """A disk whose syncs complete at once or, while it is held, only when the model says so."""
+    """A disk whose syncs complete at once or, while `is_held`, when the model fires a timer."""
 
     def __init__(self):
         super().__init__(None)
@@ -91,12 +91,12 @@
         self.node.spawn(as_coroutine(self.acceptors.on_found(body, self.name)))
 
     def on_hold(self, step_input):
-        """Handle a message while the disk holds back its sync."""
+        """Handle a message; its disk sync stays pending until `on_sync`."""
         self.disk.is_held = True
         self.on_message(step_input)
 
     def on_sync(self, step_input):
-        """Complete the sync that was held back."""
+        """Complete the pending sync."""
         self.disk.is_held = False
         for label in self.runtime.timers():
             self.runtime.fire(label)
@@ -123,7 +123,7 @@
                     self.events.append(applied_event(record.applied, record.state))
 
     def status(self):
-        """Return whether a sync is held back, which determines the choices here."""
+        """Return whether a sync is pending, which determines the choices at this store."""
         return self.disk.is_held
 
     def opaque_form(self, value):
@@ -151,7 +151,7 @@
         )
 
     def _durable_form(self):
-        """Return what a restart would read from this disk.
+        """Return the contents that a restart would read from this disk.
 
         Logs that differ only by their checkpoints and contain the same state are equal.
         """
--- a/proving/model/system.py
+++ b/proving/model/system.py
@@ -14,8 +14,9 @@
 class State(NamedTuple):
     """One state of the complete system.
 
-    `local_states` and `network` hold numbers of process states and of messages. `submitted` counts
-    the commands submitted per operator. `passed_over` holds requests that others overtook.
+    `local_states` and `network` contain numbers of process states and of messages. `submitted`
+    counts the commands submitted per operator. `passed_over` contains the requests that others
+    overtook.
     """
 
     local_states: tuple
@@ -235,11 +236,11 @@
         """Run one step of a process; return its answers and put its requests on the network."""
         position = self.positions[name]
         number, reaction = self.processes.step(builder.local_states[position], step_input)
-        former = (builder.local_states[position], builder.history)
+        previous = (builder.local_states[position], builder.history)
         builder.local_states[position] = number
         for event in reaction.events:
             builder.history = invariants.record_event(builder.history, event)
-        if former != (number, builder.history):
+        if previous != (number, builder.history):
             builder.has_effect = True
         answers = []
         for target, data in reaction.sent:
--- a/proving/model/vote_bugs.py
+++ b/proving/model/vote_bugs.py
@@ -8,7 +8,7 @@
 
 
 def vote_in_memory():
-    """A seed keeps its vote only in memory, so that it may vote again after a restart."""
+    """A seed stores its vote only in memory and may therefore vote again after a restart."""
 
     def recall(self):
         return self.vote
