--- a/proving/tools/deployments.py
+++ b/proving/tools/deployments.py
@@ -7,11 +7,11 @@
 MODEL_CLASS = {"resumable": True, "repeatable": True}
 
 
-def service_class(first, left, urgency, share, queue=64, **more):
-    """Return a service class; `first` and `left` are in milliseconds."""
+def service_class(first_piece_ms, time_left_ms, urgency, share, queue=64, **more):
+    """Return the settings of a service class; `more` are additional fields."""
     return {
-        "first_piece_ms": first,
-        "time_left_ms": left,
+        "first_piece_ms": first_piece_ms,
+        "time_left_ms": time_left_ms,
         "urgency": urgency,
         "share": share,
         "queue": queue,
--- a/proving/tools/example_day.py
+++ b/proving/tools/example_day.py
@@ -33,12 +33,12 @@
         cores = [n for n in self.fleet.names("core") if n in self.fleet.processes]
         return callers.ask(self.fleet.http(random.choice(cores)), method, path, body)
 
-    def wait_for(self, what, is_done, seconds=120):
-        """Wait until `is_done()`, without blocking the callers; TimeoutError names `what`."""
+    def wait_for(self, description, is_done, seconds=120):
+        """Wait until `is_done()` without blocking the callers; TimeoutError names `description`."""
         end_time = time.monotonic() + seconds
         while not is_done():
             if time.monotonic() > end_time:
-                raise TimeoutError(what)
+                raise TimeoutError(description)
             gevent.sleep(0.2)
 
     def is_ready(self, name):
--- a/proving/tools/local_fleet.py
+++ b/proving/tools/local_fleet.py
@@ -175,17 +175,17 @@
         texts = [path.read_text(errors="replace") for path in paths if path.exists()]
         return "\n".join(text[-OUTPUT_TAIL_CHARACTERS:] for text in texts)
 
-    def wait_for(self, what, is_done, seconds=90):
+    def wait_for(self, description, is_done, seconds=90):
         """Wait until `is_done()`; TimeoutError with the last responses after `seconds`.
 
-        The limit is generous, since it is no check of speed. ProcessExited if a process exits.
+        The default limit is generous because speed is not tested. ProcessExited if a process exits.
         """
         self.answers = {}
         end_time = time.monotonic() + seconds
         while not is_done():
             self.check_running()
             if time.monotonic() > end_time:
-                raise TimeoutError(f"{what}; see {self.run_folder}{self._last_answers()}")
+                raise TimeoutError(f"{description}; see {self.run_folder}{self._last_answers()}")
             time.sleep(0.1)
 
     def _last_answers(self):
@@ -216,7 +216,7 @@
         self.wait_ready()
 
     def wait_fully_replicated(self):
-        """Wait until every part has three stores that hold all of its data."""
+        """Wait until every part has three stores with all of its data."""
         edge = self.names("edge")[0]
         self.wait_for(
             "all parts fully replicated",
