--- a/proving/model/store_machine.py
+++ b/proving/model/store_machine.py
@@ -48,6 +48,7 @@
         self._open()
 
     def _open(self):
+        """Start the store from its present disk, and wrap the handlers that check the identity."""
         self.acceptors = open_store(self.disk, self.name, lambda: str(self.disk_number))
         self.start(self.acceptors.identity)
         self.acceptors.attach(self.node)
@@ -82,6 +83,7 @@
         return on_call
 
     def _is_founding_call(self, body):
+        """Return whether a request carries the founding record."""
         return "founding" in body
 
     def on_found(self, step_input):
--- a/proving/model/system.py
+++ b/proving/model/system.py
@@ -145,6 +145,7 @@
         )
 
     def _pending_calls(self, state, core):
+        """Return the calls of a core that wait for answers."""
         return self.processes.status(state.local_states[self.positions[core]]).calls
 
     def successor(self, state, choice):
--- a/proving/sim/backends.py
+++ b/proving/sim/backends.py
@@ -107,6 +107,7 @@
         self.replicas = {}
 
     def _find(self, runtime, effect):
+        """Process: return the replica at the effect's address; NotSent if it can't be reached."""
         replica = self.replicas.get(tuple(effect.address))
         yield self.sim.env.timeout(self.sim.net.delay())
         if replica is None or replica.is_dead:
@@ -127,6 +128,7 @@
             yield self.sim.env.timeout(0.05)
 
     def _start(self, replica, name, prefix, work, parameters):
+        """Start a request; return the seconds of its prefill, or None if the replica refuses it."""
         if parameters["incarnation"] != str(replica.logic.incarnation):
             self.sim.history.count("former_starts")
             return None
@@ -172,6 +174,7 @@
         return handle
 
     def _generate(self, replica, handle, body, seconds):
+        """Process: stream the pieces of an answer to `handle` after `seconds` of prefill."""
         yield self.sim.env.timeout(seconds)
         count = piece_count(body["prompt"], body["max_pieces"])
         number = body["from"]
@@ -195,6 +198,7 @@
             handle.close()
 
     def _line(self, replica, body, number):
+        """Return the line with piece `number`, altered if the replica is faulty or noisy."""
         name, piece = body["inquiry"], piece_text(body["prompt"], number)
         if replica.mixes_up and number % 3 == 0:
             name, piece = "another-inquiry", "another sender's piece "
--- a/proving/sim/callers.py
+++ b/proving/sim/callers.py
@@ -130,6 +130,7 @@
         self.record.note(kind, answer.outcome or "given_up")
 
     def _open(self, node, answer, client_name, route):
+        """Open the stream at a node, or resume it once the answer has a token."""
         if answer.token is None:
             body = {"entry": route, "prompt": answer.prompt, "max_pieces": answer.max_pieces}
             return Connection(
@@ -140,6 +141,7 @@
         return Connection(self.sim, node, resume_stream(node, request))
 
     def _read(self, connection, answer, drop_after, start_time):
+        """Process: read until the stream ends or `drop_after` pieces arrived; then close it."""
         while True:
             line = yield from connection.next(CALL_TIMEOUT_SECONDS)
             if line is None:
@@ -153,6 +155,7 @@
         connection.is_open = False
 
     def _classify_outcome(self, connection, answer, is_single):
+        """Set the answer's outcome after an attempt; it remains None if the caller can resume."""
         error = connection.outcome[1] if connection.outcome else None
         if answer.outcome not in (None, "complete") and answer.token and not is_single:
             answer.outcome = None
--- a/proving/sim/quorum_fuzz.py
+++ b/proving/sim/quorum_fuzz.py
@@ -47,6 +47,7 @@
             env.process(self._submit(coroutine, part, name))
 
     def _submit(self, coroutine, part, name):
+        """Process: run a submission at a random core, and record the time if it is acknowledged."""
         node = self.rng.choice(self.sim.up_nodes("core") or [None])
         if node is None:
             return
