--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -34,4 +34,6 @@
     assert find_faults({**EDGE_SETTINGS, "role": "store"}) == [
         "folder: a store needs a data folder"
     ]
-    assert find_faults({**EDGE_SETTINGS, "folder": "x"}) == ["folder: a edge keeps nothing on disk"]
+    assert find_faults({**EDGE_SETTINGS, "folder": "x"}) == [
+        "folder: a process of role edge has no data folder"
+    ]
