--- a/quillring/lots/http_requests/api.py
+++ b/quillring/lots/http_requests/api.py
@@ -160,8 +160,8 @@
 ) -> Coroutine:
     """Reserve the lot's tokens in its home part, then submit the lot to its own part.
 
-    If the lot's part fenced the ticket in the meantime, a new one is requested. A lot that the
-    quota has no room for may have been accepted earlier; then that answer is returned.
+    If the lot's part fenced the ticket in the meantime, a new one is requested. A lot that
+    exceeds the quota may have been accepted earlier; then that answer is returned.
     """
     command = command._replace(max_held_bytes=max_held_bytes_of_part(node))
     reserve = new_reserve_command(placement, command)
@@ -232,7 +232,7 @@
 ) -> Coroutine:
     """Accept a lot without reserving tokens.
 
-    Used for a forward without a quota, and while some member runs a former version. The other
+    Used for a forward without a quota, and while some member runs a previous version. The other
     part that may have accepted this lot is queried first.
     """
     part, other = (placement.own, placement.home) if is_spread else (placement.home, placement.own)
@@ -319,7 +319,7 @@
 
 
 def end_lot(node: Node, host: str, lot_name: str) -> Coroutine:
-    """End a lot: listed results are kept, pending items are dropped. Idempotent."""
+    """End a lot: listed results are retained, pending items are dropped. Idempotent."""
     placement = placement_of_lot(node, host, lot_name)
     command = EndLot(placement.key).to_wire()
     seconds = node.bounds.read_timeout * END_SHARE
--- a/quillring/lots/http_requests/backlog.py
+++ b/quillring/lots/http_requests/backlog.py
@@ -88,23 +88,23 @@
     can no longer meet their due time last. Each part gets at least MIN_SHARE of `count`, as far as
     it has items, which prevents starvation.
     """
-    least = max(1, count * MIN_SHARE)
-    taken: dict[str, float] = {
-        part: min(least, sum(row.items for row in rows)) for part, rows in rows_by_part.items()
+    min_items = max(1, count * MIN_SHARE)
+    assigned: dict[str, float] = {
+        part: min(min_items, sum(row.items for row in rows)) for part, rows in rows_by_part.items()
     }
-    left, before = max(0, count - sum(taken.values())), dict(taken)
+    unassigned_count, guaranteed_left = max(0, count - sum(assigned.values())), dict(assigned)
     ordered_rows = sorted(
         (row.due_at - now < MIN_SECONDS_TO_DUE, row.due_at, part, row.items)
         for part, part_rows in rows_by_part.items()
         for row in part_rows
     )
     for _is_overdue, _due_at, part, items in ordered_rows:
-        counted = min(items, before[part])
-        before[part] -= counted
-        more = min(items - counted, left)
-        taken[part] += more
-        left -= more
-    return taken
+        already_assigned = min(items, guaranteed_left[part])
+        guaranteed_left[part] -= already_assigned
+        newly_assigned = min(items - already_assigned, unassigned_count)
+        assigned[part] += newly_assigned
+        unassigned_count -= newly_assigned
+    return assigned
 
 
 def count_items(by_service: ItemsByService) -> float:
@@ -142,12 +142,12 @@
     def on_report(self, body: messages.Wire, origin: str) -> None:
         """Replace all reports of another core by a new one.
 
-        A report of the former version has no due times. Its items count as due at the earliest
+        A report of the previous version has no due times. Its items count as due at the earliest
         time that does not rank them last while the report is valid.
         """
         report, now = BacklogReport.from_wire(body), self.node.now()
         expires_at = now + self.node.bounds.read_timeout * REPORT_LIFETIME_SHARE
-        soon = expires_at + MIN_SECONDS_TO_DUE
+        assumed_due_at = expires_at + MIN_SECONDS_TO_DUE
         self.remote = {part: row for part, row in self.remote.items() if row.origin != origin}
         for part, items_by_service in report.items.items():
             by_service = {
@@ -155,11 +155,17 @@
                 for service, rows in report.rows.get(part, {}).items()
             }
             if not by_service:
-                by_service = {s: [DueItems(soon, items)] for s, items in items_by_service.items()}
+                by_service = {
+                    service_name: [DueItems(assumed_due_at, items)]
+                    for service_name, items in items_by_service.items()
+                }
             self.remote[part] = RemoteBacklog(origin, expires_at, by_service)
 
     def update(self, part: str, item_table: ItemTable | None) -> None:
-        """Update the backlog of a part led here; report it immediately if it changed enough.
+        """Update the backlog of a part led here, and send a report immediately if it is due.
+
+        It is due when a backlog appeared, disappeared or fell below REPORT_DECREASE_RATIO of its
+        last reported size.
 
         `item_table` is None for a part that is no longer led here.
         """
@@ -176,6 +182,7 @@
             self.report()
 
     def _due_items(self, item_table: ItemTable) -> ItemsByService:
+        """Return the part's pending items by service; a split divides the items of each lot."""
         by_service: dict[str, list[DueItems]] = {}
         forwards = self.node.find("forwards")
         for lot in item_table.lots.values():
@@ -197,6 +204,7 @@
                 self.node.send_oneway(name, messages.BACKLOG, body)
 
     def _local_report(self) -> BacklogReport:
+        """Return a report of the local backlogs, with due times relative to now."""
         now = self.node.now()
         items = {
             part: {service: sum(row.items for row in rows) for service, rows in by_service.items()}
--- a/quillring/lots/http_requests/commands.py
+++ b/quillring/lots/http_requests/commands.py
@@ -48,7 +48,7 @@
     max_attempts
         Number of failed runs after which an item is errored.
     max_held_bytes
-        Limit on the stored bytes of the part's lots; None in commands of the former version.
+        Limit on the stored bytes of the part's lots; None in commands of the previous version.
     reserving_part, ticket
         The part that reserved the lot's tokens and the ticket it issued, if there is a
         reservation. The ticket is a fencing token: one at or below the fence is refused.
@@ -157,7 +157,7 @@
 
 
 class EndLot(NamedTuple):
-    """End a lot: keep the listed results, drop the pending items."""
+    """End a lot: retain the listed results, drop the pending items."""
 
     lot: str
 
@@ -293,7 +293,7 @@
 class FenceTickets(NamedTuple):
     """Fence a reserving part's tickets: refuse unknown lots whose ticket is at most `ticket`.
 
-    `lots` are the lots whose pending tokens are asked for.
+    `lots` are the lots whose pending tokens the answer contains.
     """
 
     reserving_part: str
--- a/quillring/lots/http_requests/concurrency_limits.py
+++ b/quillring/lots/http_requests/concurrency_limits.py
@@ -108,7 +108,7 @@
         slot_share: SlotShare,
         now: float,
     ) -> Replica | None:
-        """Return the least loaded replica with room for an item, or None if there is none now.
+        """Return the least loaded replica with a free slot for an item, or None.
 
         Replicas with missed heartbeats and those in `avoided_names` are used only if no others
         exist. `slot_share` is the share of the item table's part in the slots that lots may take.
@@ -142,8 +142,8 @@
         requests in the order of arrival.
         """
         clients: int = self.node.find("placement").client_in_flight(replica)
-        left = math.ceil(replica.slots * (share + OCCUPANCY_MARGIN)) - clients
-        return max(1, min(slots_for(replica, share), left))
+        slots_left = math.ceil(replica.slots * (share + OCCUPANCY_MARGIN)) - clients
+        return max(1, min(slots_for(replica, share), slots_left))
 
     def _may_start(self, replica: Replica, load_balancer: Any, now: float) -> bool:
         """Return whether the replica's backoff, pacing, state and health allow a start now."""
--- a/quillring/lots/http_requests/item_executor.py
+++ b/quillring/lots/http_requests/item_executor.py
@@ -111,6 +111,7 @@
         node.handle(messages.STOP_RUNS, self.on_stop)
 
     def _check_ballot(self, part: str, ballot: Ballot) -> None:
+        """Record a part's highest ballot; raise Fenced if the given ballot is lower."""
         highest = max(ballot, self.ballots.get(part, ballot))
         self.ballots = {**self.ballots, part: highest}
         if ballot < highest:
@@ -133,9 +134,9 @@
 
     def _find_active(self, order: RunItem) -> ItemRun | None:
         """Return the active run of the same item on this core, or None."""
-        place = (order.part, order.lot, order.number)
+        item_key = (order.part, order.lot, order.number)
         for run in self.runs.values():
-            if (run.part, run.lot, run.number) == place and not run.is_stopped:
+            if (run.part, run.lot, run.number) == item_key and not run.is_stopped:
                 return run
         return None
 
@@ -175,6 +176,7 @@
                 run.stop()
 
     def _run(self, run: ItemRun, replica: Replica, order: RunItem) -> Coroutine:
+        """Execute a run and deliver its outcome unless it was stopped."""
         self.node.requests_in_flight += 1
         try:
             outcome = yield from self._send_item(run, replica, order)
@@ -224,6 +226,7 @@
         return Request(header_names, "POST", item.target, headers, item.body)
 
     def _record_failure(self, run: ItemRun, replica: Replica, error: QuillringError) -> None:
+        """Count an error; record it as the replica's failure unless this node caused it."""
         self.node.count(f"raw_{error.kind}")
         if not run.is_stopped and error.detail.get("reason") not in ("left", "no time left"):
             self.node.find("placement").record_failure(replica, isinstance(error, NotSent))
@@ -261,6 +264,7 @@
         return (yield ReadBody(handle, seconds))
 
     def _append_events(self, run: ItemRun, events: Iterable[Event]) -> None:
+        """Append events to the run's text; raise BackendError if out of order or too large."""
         for event in events:
             if event.id is None and not event.data:
                 continue
--- a/quillring/lots/http_requests/lot_placement.py
+++ b/quillring/lots/http_requests/lot_placement.py
@@ -1,4 +1,4 @@
-"""Find the part that stores a lot, including lots that a former version accepted."""
+"""Find the part that stores a lot, including lots that a previous version accepted."""
 
 from __future__ import annotations
 
--- a/quillring/lots/http_requests/lot_table.py
+++ b/quillring/lots/http_requests/lot_table.py
@@ -40,7 +40,10 @@
 
 
 class HeldTooMuch(QuillringError):
-    """The part's bodies and results have reached their limit in bytes; no item will run."""
+    """The lot would take the part's stored bodies and results over their limit in bytes.
+
+    None of its items will run.
+    """
 
     kind = "held_too_much"
     status = 503
@@ -48,7 +51,10 @@
 
 
 class Item(NamedTuple):
-    """An HTTP request of a lot; `headers` has [name, value] pairs, `tokens` the declared cost."""
+    """An HTTP request of a lot.
+
+    `headers` contains [name, value] pairs, `tokens` is the cost that the client declared.
+    """
 
     item_id: str
     target: str
@@ -99,10 +105,10 @@
 class LotRecord(TypedDict):
     """The stored form of a lot.
 
-    `items` has the pending items by number, `results` the listed results in order, and `failed` the
-    ids of failed runs by item number. `rounds` is the number of failed runs after which an item is
-    errored. `tokens` (of pending items) and `weight` (stored bytes) are sums that are maintained
-    incrementally. `ledger` is the part that reserved the tokens under `ticket`.
+    `items` maps numbers to pending items, `results` lists the results in order, and `failed` maps
+    item numbers to the ids of failed runs. `rounds` is the number of failed runs after which an
+    item is errored. `tokens` (of pending items) and `weight` (stored bytes) are sums that are
+    maintained incrementally. `ledger` is the part that reserved the tokens under `ticket`.
     """
 
     forward: str
@@ -156,7 +162,7 @@
 
 
 def with_lots(state: State, lots: Mapping[str, LotRecord], change_bytes: int) -> State:
-    """Return the state with its lots replaced; their total weight differs by `change_bytes`."""
+    """Return the state with its lots replaced; their total size differs by `change_bytes`."""
     if "raw_held" not in state:
         return {**state, "raw": lots}
     return {**state, "raw": lots, "raw_held": state["raw_held"] + change_bytes}
@@ -165,9 +171,9 @@
 def with_lot(state: State, key: str, lot: LotRecord) -> State:
     """Return the state with a lot's record inserted or replaced."""
     lots = lot_records(state)
-    former = lots.get(key)
-    former_bytes = 0 if former is None else former["weight"]
-    return with_lots(state, {**lots, key: lot}, lot["weight"] - former_bytes)
+    previous = lots.get(key)
+    previous_bytes = 0 if previous is None else previous["weight"]
+    return with_lots(state, {**lots, key: lot}, lot["weight"] - previous_bytes)
 
 
 def refusals_by_attempt(state: State) -> dict[str, RefusalReason]:
--- a/quillring/lots/http_requests/messages.py
+++ b/quillring/lots/http_requests/messages.py
@@ -273,9 +273,9 @@
     Parameters
     ----------
     items
-        Number of items as {part: {service: items}}, the only field of the former version.
+        Number of items as {part: {service: items}}, the only field of the previous version.
     rows
-        Items by due time as {part: {service: rows}}; empty in a report of the former version.
+        Items by due time as {part: {service: rows}}; empty in a report of the previous version.
     """
 
     items: Mapping[str, Mapping[str, float]]
@@ -283,7 +283,7 @@
 
     @classmethod
     def from_wire(cls, wire: Wire) -> BacklogReport:
-        """Read the message; without rows if the sender runs the former version."""
+        """Read the message; `rows` is empty if the sender runs the previous version."""
         rows = {
             part: {
                 service: [BacklogRow.from_wire(fields) for fields in service_rows]
--- a/quillring/lots/http_requests/quota_reconciler.py
+++ b/quillring/lots/http_requests/quota_reconciler.py
@@ -28,7 +28,7 @@
 
 
 class QuotaReconciler:
-    """Queries the lots' parts for their pending tokens, and releases the rest of the reservations.
+    """Queries the lots' parts for pending tokens, and releases reserved tokens no longer needed.
 
     Runs at the leader of the reserving part. Its attributes need not be durable, since a new leader
     queries again. An answer is read from committed state, and the pending tokens of a lot never
@@ -75,6 +75,7 @@
                     self._reconcile(leader)
 
     def _is_due(self, leader: Any) -> bool:
+        """Return whether the part has reservations and its query period is over."""
         table = reservation_table(leader.state)
         if not table or not table["lots"]:
             return False
@@ -111,11 +112,12 @@
     ) -> Coroutine:
         """Release the reserved tokens that one part's lots no longer need; log any error."""
         try:
-            left = yield from self._find_tokens_left(leader, part, reservations)
+            tokens_by_lot = yield from self._find_tokens_left(leader, part, reservations)
             pending = [
-                PendingTokens(key, reservation["ticket"], left[key])
+                PendingTokens(key, reservation["ticket"], tokens_by_lot[key])
                 for key, reservation in reservations.items()
-                if key in left and (left[key] < reservation["left"] or not left[key])
+                if key in tokens_by_lot
+                and (tokens_by_lot[key] < reservation["left"] or not tokens_by_lot[key])
             ]
             if pending:
                 yield from leader.submit(ReleaseTokens(pending).to_wire())
@@ -132,26 +134,26 @@
     ) -> Coroutine:
         """Return {lot: pending tokens}; 0 for a lot whose ticket was fenced before it arrived.
 
-        Lots that have been unknown for too short a time to be fenced are left out.
+        Lots that have been unknown for too short a time to be fenced are omitted.
         """
         ownership, seconds = self.node.find("ownership"), self.node.bounds.read_timeout
         query = messages.TokensLeft(list(reservations)).to_wire()
         answer = yield from ownership.call_leader(part, messages.TOKENS_LEFT, query, seconds)
-        left = answer["left"]
-        tickets_to_fence = self._tickets_to_fence(leader.part, reservations, left)
+        tokens_by_lot = answer["left"]
+        tickets_to_fence = self._tickets_to_fence(leader.part, reservations, tokens_by_lot)
         if not tickets_to_fence:
-            return left
+            return tokens_by_lot
         command = FenceTickets(leader.part, max(tickets_to_fence.values()), list(tickets_to_fence))
         fenced = yield from ownership.submit(part, command.to_wire(), seconds)
         released_count = len(tickets_to_fence) - len(fenced["left"])
         self.node.count("raw_reservations_taken_back", released_count)
-        return {**left, **dict.fromkeys(tickets_to_fence, 0), **fenced["left"]}
+        return {**tokens_by_lot, **dict.fromkeys(tickets_to_fence, 0), **fenced["left"]}
 
     def _tickets_to_fence(
         self,
         reserving_part: str,
         reservations: Mapping[str, Reservation],
-        left: Mapping[str, int],
+        tokens_by_lot: Mapping[str, int],
     ) -> dict[str, int]:
         """Return {lot: ticket} of the lots that have been unknown in their part for long enough.
 
@@ -163,7 +165,7 @@
         )
         tickets_to_fence = {}
         for key, reservation in reservations.items():
-            if key in left:
+            if key in tokens_by_lot:
                 continue
             ticket = reservation["ticket"]
             since = self.unknown_since.setdefault((reserving_part, ticket), now)
--- a/quillring/lots/http_requests/scheduler.py
+++ b/quillring/lots/http_requests/scheduler.py
@@ -51,8 +51,8 @@
 ITEM_BACKOFF_SECONDS = {NOT_RUN: 0.2, UNSENT: 0.1, BROKEN: 0.05}
 FAILED_ITEM_BACKOFF_SECONDS = 0.3
 MAX_BACKOFF_FACTOR = 10
-"""An item's backoff after a run without a result is the time for the outcome, multiplied by the
-item's failures, at most by this."""
+"""Upper bound of the factor by which an item's backoff grows. The backoff after a run without a
+result is the time for its outcome, multiplied by the item's number of failures."""
 DUE_SOON_SECONDS = 2.5
 """An item with less time left is due soon: it gets a larger share of the slots and more urgency."""
 START_GRACE_SECONDS = 0.3
@@ -88,7 +88,7 @@
     workers
         The workers that may get orders.
     full_services
-        Pairs (service, is_due_soon) for which no replica has room for further items.
+        Pairs (service, is_due_soon) for which no replica has a free slot for further items.
     slot_shares
         The part's share of the slots, by service.
     """
@@ -144,24 +144,25 @@
         self.backlog.update(leader.part, item_table)
 
     def _apply_batch(self, item_table: ItemTable, batch: Sequence[Wire]) -> None:
+        """Sync changed lots, requeue items with failed runs, stop runs of items not pending."""
         changes = [change for change in map(LotChange.from_wire, batch) if change is not None]
-        done_runs = {change.run_id for change in changes if change.kind == LIST_RESULT}
+        completed_run_ids = {change.run_id for change in changes if change.kind == LIST_RESULT}
         for change in changes:
             item = item_table.find(change.lot, change.number)
             if change.kind == COUNT_FAILURE and item is not None:
                 self._requeue(item_table, item, change.run_id, FAILED_ITEM_BACKOFF_SECONDS)
             detached_runs = item_table.sync(change.lot)
-            numbers_to_stop = self._record_detached_runs(detached_runs, done_runs)
+            numbers_to_stop = self._record_detached_runs(detached_runs, completed_run_ids)
             if numbers_to_stop or change.kind == END:
                 self.node.spawn(self._stop_runs(change.lot, numbers_to_stop))
 
     def _record_detached_runs(
-        self, detached_runs: Sequence[DetachedRun], done_runs: Collection[str | None]
+        self, detached_runs: Sequence[DetachedRun], completed_run_ids: Collection[str | None]
     ) -> list[int]:
         """Record the completed runs as successes; return the item numbers of the runs to stop."""
         numbers_to_stop = []
         for detached in detached_runs:
-            if detached.run.id in done_runs:
+            if detached.run.id in completed_run_ids:
                 self.limits.record_success(detached.run)
             else:
                 numbers_to_stop.append(detached.number)
@@ -302,7 +303,7 @@
         is_due_soon: bool,
         scheduling_pass: SchedulingPass,
     ) -> None:
-        """Dispatch an item if a replica has room for it."""
+        """Dispatch an item if a replica has a free slot for it."""
         now, service = scheduling_pass.now, forward.pick_service(str(item.number))
         if (service, is_due_soon) in scheduling_pass.full_services:
             return
@@ -346,6 +347,7 @@
         self.node.spawn(self._send_to_worker(item_table, item, run, dispatch))
 
     def _available_workers(self, item_table: ItemTable) -> list[Worker]:
+        """Return the cores that may get orders, in the part's order of candidates."""
         ownership = self.node.find("ownership")
         members = self.node.find("nifty").roster.members
         candidates = ownership.candidates(item_table.leader.part)
@@ -430,7 +432,7 @@
         return {"taken": True}
 
     def _record_progress(self, item: PendingItem, report: RunReport) -> None:
-        """Store the partial text of the later event; progress resets the count of failures."""
+        """Store a report's partial text and reset the failures if the run made progress."""
         reported_event_id, stored_event_id = report.last_event_id, item.last_event_id
         if reported_event_id is not None and (
             stored_event_id is None or reported_event_id > stored_event_id
--- a/quillring/lots/http_requests/state_machine.py
+++ b/quillring/lots/http_requests/state_machine.py
@@ -77,13 +77,13 @@
 
 
 def refusal_reason(
-    state: State, command: AcceptLot, tokens: int, weight: int
+    state: State, command: AcceptLot, tokens: int, size_bytes: int
 ) -> RefusalReason | None:
     """Return the reason why a part refuses a new lot, or None if it accepts the lot.
 
     The tokens of a lot with a ticket were reserved by the part that issued the ticket. A lot
-    without a ticket was submitted by a node of the former version, or its forward has no quota. A
-    part that stores reservations refuses lots of the former version.
+    without a ticket was submitted by a node of the previous version, or its forward has no quota. A
+    part that stores reservations refuses lots of the previous version.
     """
     if command.ticket is not None:
         if command.ticket <= fence_of(state, command.reserving_part or ""):
@@ -93,8 +93,8 @@
             return MOVED
         if pending_tokens(state, command.forward) + tokens > command.most_tokens:
             return QUOTA
-    most_bytes = command.max_held_bytes or HELD_LIMIT_BYTES
-    return HELD if held_bytes(state) + weight > most_bytes else None
+    limit_bytes = command.max_held_bytes or HELD_LIMIT_BYTES
+    return HELD if held_bytes(state) + size_bytes > limit_bytes else None
 
 
 @COMMANDS.entry(commands.ACCEPT)
@@ -108,19 +108,19 @@
     if command.attempt in recorded_refusals:
         return state, {"refused": recorded_refusals[command.attempt]}
     tokens = sum(map(stored_tokens, command.items))
-    weight = bytes_of_items(command.items)
-    reason = refusal_reason(state, command, tokens, weight)
+    size_bytes = bytes_of_items(command.items)
+    reason = refusal_reason(state, command, tokens, size_bytes)
     if reason in (FENCED, MOVED):
         return state, {"refused": reason}
     if reason is not None:
         return with_refusal(state, command.attempt, reason), {"refused": reason}
     if command.max_held_bytes is not None and "raw_held" not in state:
         state = {**state, "raw_held": held_bytes(state)}
-    lot = new_record(command, tokens, weight)
+    lot = new_record(command, tokens, size_bytes)
     return with_lot(state, command.lot, lot), {"items": len(command.items)}
 
 
-def new_record(command: AcceptLot, tokens: int, weight: int) -> LotRecord:
+def new_record(command: AcceptLot, tokens: int, size_bytes: int) -> LotRecord:
     """Return the initial record of a lot."""
     lot: LotRecord = {
         "forward": command.forward,
@@ -132,7 +132,7 @@
         "rounds": command.max_attempts,
         "count": len(command.items),
         "tokens": tokens,
-        "weight": weight,
+        "weight": size_bytes,
         "items": dict(enumerate(command.items)),
         "results": [],
         "failed": {},
@@ -165,10 +165,11 @@
 
 
 def _without(table: Mapping[int, Any], numbers: Mapping[int, Any]) -> dict[int, Any]:
-    left = dict(table)
+    """Return a copy of the table without the entries of these item numbers."""
+    remaining = dict(table)
     for number in numbers:
-        left.pop(number, None)
-    return left
+        remaining.pop(number, None)
+    return remaining
 
 
 @COMMANDS.entry(commands.LIST_RESULT)
@@ -212,7 +213,7 @@
 
 @COMMANDS.entry(commands.END)
 def end_lot(state: State, wire: Wire) -> tuple[State, Answer]:
-    """End a lot: keep the listed results, drop the pending items with their bodies."""
+    """End a lot: retain the listed results, drop the pending items with their bodies."""
     command = EndLot.from_wire(wire)
     lot = find_lot(state, command.lot)
     if lot["ended"]:
@@ -230,7 +231,7 @@
 
 @COMMANDS.entry(commands.DROP)
 def drop_lot(state: State, wire: Wire) -> tuple[State, Answer]:
-    """Delete a lot without pending items, and fence its ticket against a late acceptance."""
+    """Delete a lot without pending items, and fence its ticket against a delayed acceptance."""
     command = DropLot.from_wire(wire)
     lots = lot_records(state)
     lot = lots.get(command.lot)
@@ -262,10 +263,10 @@
     text_bytes = sum(map(len, map(stored_text, results)))
     if text_bytes + RESULT_OVERHEAD_BYTES * len(results) <= limit_bytes:
         return results
-    weight = 0
+    size_bytes = 0
     for count, text in enumerate(map(stored_text, results)):
-        weight += len(text) + RESULT_OVERHEAD_BYTES
-        if count and weight > limit_bytes:
+        size_bytes += len(text) + RESULT_OVERHEAD_BYTES
+        if count and size_bytes > limit_bytes:
             return results[:count]
     return results
 
--- a/quillring/lots/http_requests/token_reservations.py
+++ b/quillring/lots/http_requests/token_reservations.py
@@ -1,10 +1,10 @@
 """Commands of the token quota: a lot's tokens are reserved in one part before it is accepted.
 
 The reservations of a host's forwards are stored in the part that the host hashes to. A reservation
-has the tokens of a lot and a ticket. Tickets are fencing tokens, issued in increasing order. The
-lot's own part accepts the lot with its ticket. FenceTickets makes that part permanently refuse
-unknown lots with tickets of a reserving part up to a given one. After that, the reservation of a
-lot that has not arrived can be released safely. See docs/raw-lots.md.
+records the token count of a lot and a ticket. Tickets are fencing tokens, issued in increasing
+order. The lot's own part accepts the lot with its ticket. FenceTickets makes that part permanently
+refuse unknown lots with tickets of a reserving part up to a given one. After that, the reservation
+of a lot that has not arrived can be released safely. See docs/raw-lots.md.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 
 class ForwardTokens(TypedDict):
-    """The stored sum of a forward's reservations, and its quota as of the last reservation."""
+    """The stored sum of a forward's reservations; `most` is its quota at the last reservation."""
 
     tokens: int
     most: int
@@ -82,7 +82,7 @@
 
 
 def initial_reservation_table(state: State, part: str) -> ReservationTable:
-    """Build a part's first table, with reservations for the lots that a former version accepted."""
+    """Build a part's first table, with reservations for lots that a previous version accepted."""
     lots: dict[str, Reservation] = {}
     forwards: dict[str, ForwardTokens] = {}
     for key, lot in lot_records(state).items():
@@ -101,16 +101,19 @@
 
 
 def with_tokens(
-    forwards: Mapping[str, ForwardTokens], forward: str, change: int, most: int | None = None
+    forwards: Mapping[str, ForwardTokens], forward: str, change: int, quota: int | None = None
 ) -> dict[str, ForwardTokens]:
-    """Return the sums with one forward's sum changed by `change`, and removed if it becomes 0."""
+    """Return the sums with one forward's sum changed by `change`, and removed if it becomes 0.
+
+    `quota` is the forward's quota in tokens, or None to leave the stored one unchanged.
+    """
     current = forwards.get(forward, {"tokens": 0, "most": 0})
     tokens = current["tokens"] + change
     if not tokens:
         return {name: total for name, total in forwards.items() if name != forward}
     return {
         **forwards,
-        forward: {"tokens": tokens, "most": current["most"] if most is None else most},
+        forward: {"tokens": tokens, "most": current["most"] if quota is None else quota},
     }
 
 
@@ -189,7 +192,7 @@
     lots, forwards, released = dict(table["lots"]), table["forwards"], 0
     for pending in ReleaseTokens.from_wire(wire).pending:
         reservation = lots.get(pending.lot)
-        if reservation is None or not _lowers(reservation, pending):
+        if reservation is None or not _reduces_reservation(reservation, pending):
             continue
         change = pending.tokens - reservation["left"]
         released -= change
@@ -202,17 +205,17 @@
     return {**state, "raw_ledger": new_table}, {"released": released}
 
 
-def _lowers(reservation: Reservation, pending: PendingTokens) -> bool:
+def _reduces_reservation(reservation: Reservation, pending: PendingTokens) -> bool:
     """Return whether a row has the reservation's ticket, and fewer tokens or none."""
-    is_less = not pending.tokens or pending.tokens < reservation["left"]
-    return reservation["ticket"] == pending.ticket and is_less
+    has_fewer_tokens = not pending.tokens or pending.tokens < reservation["left"]
+    return reservation["ticket"] == pending.ticket and has_fewer_tokens
 
 
 @COMMANDS.entry(commands.FENCE)
 def fence_tickets(state: State, wire: Wire) -> tuple[State, Answer]:
     """Fence a reserving part's tickets: refuse unknown lots whose ticket is at most `ticket`.
 
-    The answer has the pending tokens of the known lots: {"left": {lot: tokens}}.
+    The answer contains the pending tokens of the known lots: {"left": {lot: tokens}}.
     """
     command = FenceTickets.from_wire(wire)
     fenced_state = with_fence(state, command.reserving_part, command.ticket)
--- a/quillring/lots/prompts/retention.py
+++ b/quillring/lots/prompts/retention.py
@@ -21,7 +21,7 @@
     """The results of an ended lot and their approximate size in bytes."""
 
     results: Any
-    weight: int
+    size_bytes: int
 
 
 class Retention:
@@ -51,9 +51,9 @@
             return lot["weight"] + ITEM_OVERHEAD_BYTES * lot["count"]
         cached = self.cached_sizes.get((part, name))
         if cached is None or cached.results is not lot["results"]:
-            weight = sum(len(str(result)) for result in lot["results"].values())
-            cached = self.cached_sizes[part, name] = CachedSize(lot["results"], weight)
-        return cached.weight
+            size_bytes = sum(len(str(result)) for result in lot["results"].values())
+            cached = self.cached_sizes[part, name] = CachedSize(lot["results"], size_bytes)
+        return cached.size_bytes
 
     def check(self, leader: Any, wire: Wire) -> None:
         """Raise TooManyLots if a new lot would take its part over HELD_LIMIT_BYTES."""
@@ -62,10 +62,10 @@
         command, lots = AcceptLot.from_wire(wire), lot_records(leader.state)
         if command.lot in lots:
             return
-        held_bytes = sum(self.weight(leader.part, name, lot) for name, lot in lots.items())
+        retained_bytes = sum(self.weight(leader.part, name, lot) for name, lot in lots.items())
         added_bytes = sum(map(len, command.items)) + ITEM_OVERHEAD_BYTES * len(command.items)
-        if held_bytes + added_bytes > HELD_LIMIT_BYTES:
-            raise TooManyLots(lot=command.lot, held_weight=held_bytes)
+        if retained_bytes + added_bytes > HELD_LIMIT_BYTES:
+            raise TooManyLots(lot=command.lot, held_weight=retained_bytes)
 
     def drop_expired(self, leader: Any) -> None:
         """Drop one lot that ended more than RETENTION_SECONDS ago by this leader's clock.
--- a/quillring/lots/prompts/state_machine.py
+++ b/quillring/lots/prompts/state_machine.py
@@ -33,8 +33,8 @@
 from quillring.quorum.commands import COMMANDS, QUERIES
 from quillring.quorum.values import Ballot
 
-MAX_OPEN_WEIGHT = 16 << 20
-"""The limit of the summed weights of the open lots of a part."""
+MAX_OPEN_CHARACTERS = 16 << 20
+"""Limit of the total length of a part's open lots."""
 
 Answer = dict[str, Any]
 """The answer to a command or query, in wire form."""
@@ -62,17 +62,17 @@
             raise Conflict(field="lot", lot=command.lot)
         return state, {"lot": command.lot, "items": known["count"], "repeated": True}
     check_not_stale(state, command)
-    weight = sum(len(item) for item in command.items)
-    open_weight = sum(lot["weight"] for lot in lots.values() if lot["phase"] == OPEN)
-    if open_weight + weight > MAX_OPEN_WEIGHT:
-        raise TooManyLots(lot=command.lot, open_weight=open_weight)
+    character_count = sum(len(item) for item in command.items)
+    open_characters = sum(lot["weight"] for lot in lots.values() if lot["phase"] == OPEN)
+    if open_characters + character_count > MAX_OPEN_CHARACTERS:
+        raise TooManyLots(lot=command.lot, open_weight=open_characters)
     lot: LotRecord = {
         "sender": command.sender,
         "entry": command.entry,
         "items": command.items,
         "count": len(command.items),
         "digest": submission_digest(command),
-        "weight": weight,
+        "weight": character_count,
         "results": {},
         "started": {},
         "phase": OPEN,
@@ -133,7 +133,7 @@
 
 @COMMANDS.entry(commands.CANCEL)
 def cancel_lot(state: State, wire: Wire) -> tuple[State, Answer]:
-    """Cancel a lot; results written so far are kept. Raises NotFound for other clients."""
+    """Cancel a lot; results written so far are retained. Raises NotFound for other clients."""
     command = CancelLot.from_wire(wire)
     lot = lot_records(state).get(command.lot)
     if lot is None or lot["sender"] != command.sender:
@@ -164,6 +164,7 @@
 
 
 def _remove_lot(state: State, name: str) -> State:
+    """Return the state without a lot, with its drop recorded for the acceptance fence."""
     lots = {other: lot for other, lot in lot_records(state).items() if other != name}
     return record_drop({**state, "lots": lots}, name)
 
