--- a/quillring/classes/quota_client.py
+++ b/quillring/classes/quota_client.py
@@ -18,7 +18,8 @@
     from quillring.kernel.types import Coroutine
 
 REQUESTS_PER_HEARTBEAT = 4
-LIMITS_VALID_PROPAGATIONS = 2
+LIMITS_LIFETIME_FACTOR = 2
+"""Limits expire this multiple of `bounds.propagation` after their request."""
 
 
 class ReceivedQuota(NamedTuple):
@@ -57,7 +58,7 @@
                     self.node.spawn(self._request(service))
 
     def _request(self, service: str) -> Coroutine:
-        """Request the quota from the leader of the service's part; on error, keep the old one."""
+        """Request the quota from the leader of the service's part; on error, retain the old one."""
         ownership, bounds = self.node.find("ownership"), self.node.bounds
         try:
             part = part_for_key(service, len(ownership.parts()) - 1)
@@ -80,7 +81,7 @@
             quota.limits,
             quota.cold_slots,
             requested_at,
-            requested_at + bounds.propagation * LIMITS_VALID_PROPAGATIONS,
+            requested_at + bounds.propagation * LIMITS_LIFETIME_FACTOR,
             requested_at + quota.lease_seconds,
         )
         self.on_new_quota()
@@ -97,6 +98,7 @@
         return held
 
     def _granted_cold_slots(self, service: str) -> Mapping[str, int]:
+        """Return {cold replica: slots} granted to this node, empty after their expiry."""
         quota = self.quotas.get(service)
         if quota is None or self.node.now() >= quota.cold_slots_expire_at:
             return {}
--- a/quillring/classes/quota_server.py
+++ b/quillring/classes/quota_server.py
@@ -62,6 +62,7 @@
         return self.node.bounds.propagation
 
     def _on_leader_change(self, leader: PartLeader, batch: list[WireMap]) -> None:
+        """Record the start of this core's term as a part's leader, or remove an ended term."""
         term = self.terms.get(leader.part)
         ballot = None if term is None else term.ballot
         if leader.is_leader and ballot != leader.ballot:
--- a/quillring/edge/dispatcher.py
+++ b/quillring/edge/dispatcher.py
@@ -20,7 +20,7 @@
 
 AFFINITY_LOAD_LIMIT = 0.75
 """Share of slots in use below which a replica is preferred for requests with its prefix."""
-DEFAULT_QUEUE_LENGTH = 64
+DEFAULT_MAX_QUEUE_LENGTH = 64
 PREFIX_KEY_DIGITS = 16
 
 
@@ -49,6 +49,7 @@
             self._refuse_unservable()
 
     def _refuse_unservable(self) -> None:
+        """Refuse the queued requests that are not expected to get a slot in time."""
         for request in list(self.queue):
             refusal = self.refusal_if_hopeless(request)
             if refusal is not None:
@@ -92,7 +93,7 @@
         was_preempted
             The request already ran and lost its slot; the limit of the queue length does not apply.
         is_preemptible
-            The request can be resumed, so that its slot may be taken away between two pieces.
+            The request can be resumed, so its slot may be preempted between two pieces.
 
         Raises
         ------
@@ -122,8 +123,9 @@
         return (yield from self._wait_in_queue(request))
 
     def _check_queue_length(self, class_name: str, terms: dict[str, Any]) -> None:
+        """Raise Refused if the queue of the class has reached its maximum length."""
         queued = sum(request.class_name == class_name for request in self.queue)
-        if queued >= terms.get("queue", DEFAULT_QUEUE_LENGTH):
+        if queued >= terms.get("queue", DEFAULT_MAX_QUEUE_LENGTH):
             self.node.count("queue_refusals")
             raise Refused(
                 reason="queue full",
@@ -170,6 +172,7 @@
         return None
 
     def _is_outranked(self, request: QueuedRequest) -> bool:
+        """Return whether a request of the same service and at least this urgency is queued."""
         return any(
             queued.service == request.service and queued.urgency >= request.urgency
             for queued in self.queue
@@ -200,7 +203,11 @@
             if limit is None:
                 continue
             excess_count = len(leases) - limit - sum(lease.is_preempted for lease in leases)
-            candidates = [x for x in leases if x.is_preemptible and not x.is_preempted]
+            candidates = [
+                class_lease
+                for class_lease in leases
+                if class_lease.is_preemptible and not class_lease.is_preempted
+            ]
             for lease in candidates[: max(0, excess_count)]:
                 self._preempt(lease)
 
@@ -221,6 +228,7 @@
                 self._preempt(lease)
 
     def _preempt(self, lease: SlotLease) -> None:
+        """Request the release of a lease after its current piece."""
         lease.is_preempted = True
         self.node.count("pauses")
 
@@ -246,7 +254,10 @@
         self.release(lease)
 
     def capacity(self, replica: Replica) -> int:
-        """Return how many requests this node may run on a replica: for a cold one, as granted."""
+        """Return how many requests this node may run on a replica.
+
+        For a cold replica, that is the number of slots granted to this node.
+        """
         if replica.state == "cold":
             granted: int = self.node.find("taker").cold_slots(replica)
             return granted
@@ -276,6 +287,7 @@
         )
 
     def _count_running(self, request: QueuedRequest) -> int:
+        """Return the leases of this node for the request's class and service."""
         return sum(
             lease.class_name == request.class_name and lease.replica.service == request.service
             for lease in self.leases
--- a/quillring/edge/journal.py
+++ b/quillring/edge/journal.py
@@ -53,18 +53,19 @@
         """Periodically drop streams unused for `retention_seconds`, except those running here."""
         while True:
             yield Sleep(self.node.bounds.propagation)
-            oldest = self.node.now() - retention_seconds
+            oldest_used_at = self.node.now() - retention_seconds
             self.streams = {
                 name: stream
                 for name, stream in self.streams.items()
-                if stream.is_running or stream.last_used_at > oldest
+                if stream.is_running or stream.last_used_at > oldest_used_at
             }
             self.size = sum(stream.size for stream in self.streams.values())
 
     def _make_room(self) -> None:
-        """If full, drop the least recently used quarter of ended streams; Refused if still full.
+        """If full, drop the least recently used quarter of ended streams.
 
-        A stream that has not ended is never dropped for lack of space.
+        A stream that has not ended is never dropped for lack of space. Raises Refused if the
+        journal is still full.
         """
         if not self._is_full():
             return
@@ -80,6 +81,7 @@
             raise Refused(reason="the journal is full")
 
     def _is_full(self) -> bool:
+        """Return whether the number of streams or their total size has reached its limit."""
         return len(self.streams) >= MAX_STREAMS or self.size >= MAX_BYTES
 
     def add(self, stream: JournaledStream) -> None:
@@ -89,12 +91,13 @@
         self.streams[stream.name] = stream
 
     def _replace_from(self, stream: JournaledStream, start: int, pieces: Sequence[str]) -> None:
+        """Replace a stream's pieces from index `start` on, and update the total size."""
         previous_size = stream.size
         stream.replace_from(start, pieces)
         self.size += stream.size - previous_size
 
     def open(self, name: str, request: dict[str, Any], client_name: str) -> JournaledStream:
-        """Create a stream to run on this node; Refused if the journal is full."""
+        """Create a stream to run on this node; raise Refused if the journal is full."""
         self._make_room()
         term = Term(1, self.node.me.name)
         stream = JournaledStream(name, request, client_name, self.node.now(), term)
@@ -142,8 +145,8 @@
 
     def hand_over(self) -> Coroutine:
         """Start copying every recently used stream to another node, before a planned stop."""
-        oldest = self.node.now() - self.node.bounds.recovery * HANDOVER_AGE_FACTOR
-        streams = [s for s in self.streams.values() if s.last_used_at > oldest]
+        oldest_used_at = self.node.now() - self.node.bounds.recovery * HANDOVER_AGE_FACTOR
+        streams = [s for s in self.streams.values() if s.last_used_at > oldest_used_at]
         for start in range(0, len(streams), HANDOVER_BATCH_SIZE):
             for stream in streams[start : start + HANDOVER_BATCH_SIZE]:
                 self.node.spawn(self._hand_over_stream(stream))
@@ -151,6 +154,7 @@
         self.node.count("streams_handed", len(streams))
 
     def _hand_over_stream(self, stream: JournaledStream) -> Coroutine:
+        """Copy a stream to a node other than its backup, in up to HANDOVER_ATTEMPTS attempts."""
         candidates = self.backup_candidates(stream.name, {stream.backup} if stream.backup else ())
         for name in candidates[:HANDOVER_ATTEMPTS]:
             try:
@@ -206,6 +210,7 @@
                 stream.backup = None
 
     def _check_term(self, stream: JournaledStream) -> None:
+        """Raise Fenced if this copy of the stream was replaced or dropped."""
         if self.streams.get(stream.name) is not stream:
             raise Fenced(stream=stream.name)
 
@@ -246,7 +251,7 @@
         return len(stream.pieces)
 
     def _find(self, query: StreamQuery) -> JournaledStream:
-        """Return the stored stream; NotFound if it is missing or belongs to another client."""
+        """Return the stored stream; raise NotFound if it is missing or another client's."""
         stream = self.streams.get(query.stream_name)
         if stream is None or stream.client_name != query.client_name:
             raise NotFound(field="stream")
--- a/quillring/edge/queue_wait.py
+++ b/quillring/edge/queue_wait.py
@@ -55,7 +55,9 @@
         if self.sample_counts.get(request.service, 0) < MIN_SAMPLES:
             return None
         running = [lease for lease in leases if lease.replica.service == request.service]
-        preemptible_count = sum(x.is_preemptible and x.urgency < request.urgency for x in running)
+        preemptible_count = sum(
+            other.is_preemptible and other.urgency < request.urgency for other in running
+        )
         priority = request.priority
         ahead_count = sum(
             queued.service == request.service
--- a/quillring/edge/replicas.py
+++ b/quillring/edge/replicas.py
@@ -143,7 +143,7 @@
         return now < self.cold_until
 
     def path(self, path: str, **parameters: Any) -> str:
-        """Return a path whose query names this incarnation, the only one to run the request."""
+        """Return a path whose query names this incarnation; no other one may run the request."""
         return f"{path}?{urlencode({**parameters, 'incarnation': self.incarnation})}"
 
     def to_json(self, now: float) -> dict[str, Any]:
@@ -237,6 +237,7 @@
             self._notify_listeners()
 
     def _on_announcement(self, key: str, announcement: Announcement) -> None:
+        """Apply an announcement from gossip, unless it would revive an ended incarnation."""
         previous = self.table.get(announcement["name"])
         if previous is not None and previous.would_be_revived_by(announcement):
             return
--- a/quillring/edge/resume_token.py
+++ b/quillring/edge/resume_token.py
@@ -43,7 +43,10 @@
 
 
 def read_token(secret: bytes, token: str, client_name: str, now: float) -> ResumeToken:
-    """Return the content of a token; BadToken if it is invalid, another client's or expired."""
+    """Return the content of a token; raise BadToken if it is invalid or expired.
+
+    A token of another client is invalid.
+    """
     try:
         data = base64.urlsafe_b64decode(token + "=" * (-len(token) % 4))
         signature, body = data[:SIGNATURE_BYTES], data[SIGNATURE_BYTES:]
--- a/quillring/edge/short_requests.py
+++ b/quillring/edge/short_requests.py
@@ -147,7 +147,10 @@
     deadline: float,
     is_repeatable: bool,
 ) -> Coroutine:
-    """Return the response body of the leased replica; Busy if it is full, else BackendError."""
+    """Return the response body of the leased replica.
+
+    Raises Busy if the replica is full, BackendError if it fails or responds unexpectedly.
+    """
     lease.may_still_run = True
     status, response = yield FetchJson(
         lease.replica.address,
--- a/quillring/edge/slot_lease.py
+++ b/quillring/edge/slot_lease.py
@@ -18,7 +18,7 @@
     """The right to run one request in a slot of a replica until it is released.
 
     `is_preempted` asks the holder to release it after the current piece. `may_still_run` is True
-    while the replica may be running the request, so that releasing the lease may not stop it.
+    while the replica may be running the request; releasing the lease might not stop it.
     """
 
     __slots__ = (
--- a/quillring/forward/decision_log.py
+++ b/quillring/forward/decision_log.py
@@ -26,7 +26,7 @@
 LATE_CAUSES = ("queued_here", "retried", "expected_wait", "long_prompt", "unexpected_wait")
 QUEUED_HERE, RETRIED, EXPECTED_WAIT, LONG_PROMPT, UNEXPECTED_WAIT = LATE_CAUSES
 MIN_CAUSE_SHARE = 0.5
-"""A delay is the cause of a late first token from this share of the latency goal on."""
+"""A delay of at least this share of the latency goal counts as the cause of a late first token."""
 
 
 class DecisionRecord(NamedTuple):
@@ -79,7 +79,7 @@
 
 
 class DecisionLog:
-    """Keeps the last records of a random sample of this node's requests."""
+    """Stores the most recent records of a random sample of this node's requests."""
 
     __slots__ = ("node", "ratio", "records")
 
--- a/quillring/forward/events.py
+++ b/quillring/forward/events.py
@@ -60,7 +60,7 @@
         return events
 
     def _split(self, data: bytes) -> list[bytes]:
-        """Return the bytes of each complete event and keep the rest in `unparsed`."""
+        """Return the bytes of each complete event and store the remaining bytes in `unparsed`."""
         if b"\r" not in data:
             *blocks, self.unparsed = data.split(b"\n\n")
             return [block + b"\n\n" for block in blocks]
--- a/quillring/forward/header_names.py
+++ b/quillring/forward/header_names.py
@@ -16,7 +16,7 @@
 
 
 class HeaderNames:
-    """Header names in lower case; a name that is not given keeps its default."""
+    """Header names in lower case; an omitted name has its default."""
 
     __slots__ = tuple(DEFAULT_HEADER_NAMES)
 
--- a/quillring/forward/load_balancer.py
+++ b/quillring/forward/load_balancer.py
@@ -161,13 +161,15 @@
         self.load_balancer.wake()
 
 
-def late_probability(expected: float) -> float:
-    """Return the probability of missing a goal, if `expected` times the goal is expected.
+def late_probability(expected_ratio: float) -> float:
+    """Return the probability of missing a latency goal.
 
-    A smooth step function that is 0.5 at 1. It is flat far above 1, because a request that is late
-    at every replica gains little from a better one.
+    `expected_ratio` is the expected latency divided by the goal.
+
+    The function is a smooth step with the value 0.5 at 1. It is flat far above 1, because a request
+    that is late at every replica gains little from a better one.
     """
-    power = expected**4
+    power = expected_ratio**4
     return power / (1 + power)
 
 
@@ -282,11 +284,11 @@
 
     def _silent_replicas(self) -> list[str]:
         """Return the replicas with requests of this node in flight that are silent towards it."""
-        oldest_time = self.node.now() - SILENT_AFTER_SECONDS
+        silent_since = self.node.now() - SILENT_AFTER_SECONDS
         return [
             name
             for name, health in self.health_by_replica.items()
-            if health.in_flight and health.last_byte_at < oldest_time
+            if health.in_flight and health.last_byte_at < silent_since
         ]
 
     def _on_peer_activity(self, replica_name: str) -> None:
@@ -351,10 +353,13 @@
         service: str,
         request: Request,
         excluded_names: Collection[str] = (),
-        may_send_cold: bool = True,
+        may_choose_cold: bool = True,
         goals: LatencyGoals = DEFAULT_LATENCY_GOALS,
     ) -> Replica | None:
-        """Return the replica for a request, or None if no replica may receive it now."""
+        """Return the replica for a request, or None if no replica may receive it now.
+
+        Without `may_choose_cold`, replicas that are still warming up are excluded.
+        """
         now = self.node.now()
         candidates = [r for r in self.replicas(service) if r.name not in excluded_names]
         if not candidates:
@@ -362,38 +367,40 @@
         healthy = [r for r in candidates if self.health(r).may_get_request(now)]
         timeout = self.node.bounds.replica_timeout
         alive = [r for r in healthy if not has_missed_heartbeats(r, now, timeout)] or healthy
-        eligible = [r for r in alive if may_send_cold or not r.is_cold(now)]
+        eligible = [r for r in alive if may_choose_cold or not r.is_cold(now)]
         while eligible:
-            replica = self._least_cost(eligible, request, goals)
+            replica = self._lowest_cost_replica(eligible, request, goals)
             if not replica.is_cold(now) or self.slow_start.try_acquire(replica, now):
                 return replica
             eligible = [r for r in eligible if r is not replica]
         return None
 
-    def _least_cost(
+    def _lowest_cost_replica(
         self, candidates: Sequence[Replica], request: Request, goals: LatencyGoals
     ) -> Replica:
         """Return the candidate with the lowest cost."""
         parts, now = self._long_parts(request), self.node.now()
-        own_zone, random = self.node.me.zone, self.node.runtime.random.random
-        policy, best, least_cost = self.policy, candidates[0], math.inf
+        own_zone, random_float = self.node.me.zone, self.node.runtime.random.random
+        policy, best, lowest_cost = self.policy, candidates[0], math.inf
         kilobytes = len(request.body) / 1000
         other_zone_cost = policy.other_zone_cost + policy.other_zone_cost_per_kilobyte * kilobytes
         for replica in candidates:
             estimate = self._estimate(replica, request, parts, now)
-            cost = policy.random_cost * random()
+            cost = policy.random_cost * random_float()
             cost += policy.occupancy_cost * estimate.in_flight / replica.slots
             if policy.predicts_wait:
-                expected = estimate.first_token_seconds / goals.first_token_latency_seconds
-                cost += expected**2 + policy.wait_cost * expected
-                pause = late_probability(estimate.first_token_seconds / goals.event_gap_seconds)
-                cost += policy.interruption_cost * estimate.in_flight * pause
+                expected_ratio = estimate.first_token_seconds / goals.first_token_latency_seconds
+                cost += expected_ratio**2 + policy.wait_cost * expected_ratio
+                pause_probability = late_probability(
+                    estimate.first_token_seconds / goals.event_gap_seconds
+                )
+                cost += policy.interruption_cost * estimate.in_flight * pause_probability
                 if request.prompt_tokens:
                     cost += policy.separation_cost * self._size_mismatch(replica, estimate, goals)
             if replica.zone != own_zone:
                 cost += other_zone_cost
-            if cost < least_cost:
-                best, least_cost = replica, cost
+            if cost < lowest_cost:
+                best, lowest_cost = replica, cost
         return best
 
     def _size_mismatch(self, replica: Replica, estimate: Estimate, goals: LatencyGoals) -> float:
@@ -406,8 +413,8 @@
         """Return the long shared parts of a prompt; its last part is never shared."""
         if not self.policy.tracks_prefixes:
             return ()
-        least = self.policy.min_prefix_tokens
-        return tuple(part for part in request.prompt_parts[:-1] if part.token_count >= least)
+        min_tokens = self.policy.min_prefix_tokens
+        return tuple(part for part in request.prompt_parts[:-1] if part.token_count >= min_tokens)
 
     def _estimate(
         self, replica: Replica, request: Request, parts: Sequence[PromptPart], now: float
--- a/quillring/forward/load_exchange.py
+++ b/quillring/forward/load_exchange.py
@@ -8,8 +8,8 @@
 nodes. Only long prompts are reported to all nodes of the zone immediately, because they delay other
 requests from the moment they are sent.
 
-Each report holds the complete state of its sender; a lost, late or duplicate report does no lasting
-harm. Reports are hints: the rules that keep requests away from replicas that are leaving, warming
+Each report contains the complete state of its sender, so the effect of a lost, delayed or duplicate
+report does not last. Reports are hints: the rules that exclude replicas that are leaving, warming
 up or being evacuated do not depend on them. While a zone's representative is unreachable, the
 zone's nodes know their own requests only.
 """
@@ -43,7 +43,7 @@
 """Limit for a representative's messages to its zone; reports to many nodes are less frequent."""
 ZONE_REPORT_INTERVAL_SECONDS = 1.0
 MAX_PENDING_PROMPT_REPORTS = 256
-"""Prompt starts or timings kept for the next report; beyond this, the oldest are dropped."""
+"""Prompt starts or timings stored for the next report; beyond this, the oldest are dropped."""
 
 
 class ReceivedReport(NamedTuple):
@@ -136,7 +136,7 @@
 
     def run(self) -> Coroutine:
         """Report this node's load while it changes; as representative, the load of the zone."""
-        other_zones_at = self.node.now()
+        last_sent_to_other_zones_at = self.node.now()
         while True:
             yield Sleep(self._report_interval())
             self._drop_expired_reports()
@@ -144,8 +144,8 @@
                 self._report_own_load()
                 continue
             self._report_zone_load()
-            if self.node.now() - other_zones_at >= ZONE_REPORT_INTERVAL_SECONDS:
-                other_zones_at = self.node.now()
+            if self.node.now() - last_sent_to_other_zones_at >= ZONE_REPORT_INTERVAL_SECONDS:
+                last_sent_to_other_zones_at = self.node.now()
                 self._report_to_other_zones()
 
     def peer_in_flight(self, replica_name: str) -> int:
--- a/quillring/forward/slow_start.py
+++ b/quillring/forward/slow_start.py
@@ -15,7 +15,7 @@
     from quillring.kernel.node import Node
 
 MIN_RATE_PER_SENDER = 4.0
-"""Smallest share of a sending node, in requests per second; limits the number of senders."""
+"""Minimum rate of a sending node, in requests per second; limits the number of senders."""
 SENDING_ROLES = ("edge", "core")
 
 
@@ -35,13 +35,13 @@
         rate = self.rate_share(replica)
         if rate <= 0:
             return False
-        next_at = self.next_send_at_by_replica.get(replica.name, 0)
-        if now < next_at:
+        next_send_at = self.next_send_at_by_replica.get(replica.name, 0)
+        if now < next_send_at:
             return False
         self.next_send_at_by_replica = {
             name: at for name, at in self.next_send_at_by_replica.items() if at > now - 1
         }
-        self.next_send_at_by_replica[replica.name] = max(next_at, now - 1 / rate) + 1 / rate
+        self.next_send_at_by_replica[replica.name] = max(next_send_at, now - 1 / rate) + 1 / rate
         return True
 
     def rate_share(self, replica: Replica) -> float:
--- a/quillring/forward/work_queue.py
+++ b/quillring/forward/work_queue.py
@@ -119,7 +119,7 @@
         self.busy_until = max(now, self.busy_until - seconds)
 
     def correct_at_first_token(self, added_seconds_at_start: float, now: float) -> None:
-        """Set the work to what was added after a request, as its first token has arrived."""
+        """Set the work to that added after a request, since its first token has arrived."""
         self.busy_until = now + max(0.0, self.total_added_seconds - added_seconds_at_start)
 
     def record_slowdown(self, ratio: float) -> None:
