--- a/quillring/plans/planner.py
+++ b/quillring/plans/planner.py
@@ -77,7 +77,7 @@
 
 
 class Proposal(NamedTuple):
-    """The proposal for an intent: the steps, the obstacles, and what stops or moves where."""
+    """The steps and obstacles for an intent; `moves` describes what stops, and what moves where."""
 
     steps: list[Step]
     obstacles: list[Obstacle]
--- a/quillring/plans/runner.py
+++ b/quillring/plans/runner.py
@@ -20,7 +20,10 @@
 
 @CONDITIONS.entry("domain_idle")
 def is_zone_idle(node: Node, zone: str) -> Coroutine:
-    """Return whether no replica and no node of the zone has anything in flight.
+    """Return whether the zone is idle.
+
+    Its replicas have no request in flight, and its nodes neither run nor queue requests nor lead
+    parts. Stores do not count.
 
     An unreachable node counts as busy until it has been silent for `bounds.recovery` seconds.
     """
--- a/quillring/verbs/part_routes.py
+++ b/quillring/verbs/part_routes.py
@@ -36,8 +36,8 @@
             )
         except QuillringError as error:
             answer = {"trouble": error.kind}
-        is_whole = (
+        is_complete = (
             len(answer.get("group", ())) == ownership.stores_per_part() and not answer["late"]
         )
-        rows.append({"part": part, "is_whole": is_whole, **answer})
+        rows.append({"part": part, "is_whole": is_complete, **answer})
     return {"is_whole": all(row["is_whole"] for row in rows), "parts": rows}
--- a/quillring/verbs/process.py
+++ b/quillring/verbs/process.py
@@ -148,7 +148,7 @@
 
 
 def make_log_writer(node_logger: logging.Logger) -> LogWriter:
-    """Return a function that writes to the node's log; it takes the level by its name."""
+    """Return a function that writes to the node's log at a level given by name."""
 
     def log(level: str, text: str, *fields: object) -> None:
         node_logger.log(LOG_LEVELS[level], text, *fields)
--- a/quillring/verbs/restart.py
+++ b/quillring/verbs/restart.py
@@ -52,7 +52,7 @@
 def wait_until(
     name: str, condition_name: str, is_satisfied: Callable[[], bool], timeout_seconds: float
 ) -> None:
-    """Poll until a condition is true; errors count as false. Raise RestartTimedOut in the end."""
+    """Poll until a condition is true; errors count as false. Raise RestartTimedOut on timeout."""
     deadline = time.monotonic() + timeout_seconds
     last_error: str | None = None
     while time.monotonic() < deadline:
@@ -91,15 +91,17 @@
         name, others = member["name"], all_names - {member["name"]}
         wait_until(
             name,
-            "a whole fleet before",
+            "complete fleet before the restart",
             partial(is_fleet_complete, members, others),
             timeout_seconds,
         )
         send_request(http_address(member), "POST", "/v1/drain", {})
-        wait_until(name, "its new start", partial(has_restarted, member), timeout_seconds)
+        wait_until(
+            name, "start of the new process", partial(has_restarted, member), timeout_seconds
+        )
         wait_until(
             name,
-            "a whole fleet after",
+            "complete fleet after the restart",
             partial(is_fleet_complete, members, all_names),
             timeout_seconds,
         )
