--- a/quillring/lots/http_requests/api.py
+++ b/quillring/lots/http_requests/api.py
@@ -51,17 +51,17 @@
     from quillring.kernel.node import Node
     from quillring.kernel.types import Coroutine
 
-RESULT_BYTES = 200_000
+MAX_RESULT_PAGE_BYTES = 200_000
 MAX_LONG_POLL_SECONDS = 0.8
 RETRY_AFTER_SECONDS = 0.5
 DEFAULT_DUE_MS = 60_000
 DEFAULT_RETAIN_MS = 3_600_000
 
 # Timeouts of single steps, as shares of the read timeout.
-KNOWN_LOT_SHARE = 0.4
-LEADER_READ_SHARE = 0.4
-FALLBACK_READ_SHARE = 0.6
-END_SHARE = 1.2
+KNOWN_LOT_TIMEOUT_SHARE = 0.4
+LEADER_READ_TIMEOUT_SHARE = 0.4
+FALLBACK_READ_TIMEOUT_SHARE = 0.6
+END_TIMEOUT_SHARE = 1.2
 
 
 def submit_lot(
@@ -252,7 +252,7 @@
     Raises Refused if the part can't be read, and Conflict if it accepted another lot of this name.
     """
     query = QueryKnownLot(command.lot, command.digest)
-    seconds = node.bounds.read_timeout * KNOWN_LOT_SHARE
+    seconds = node.bounds.read_timeout * KNOWN_LOT_TIMEOUT_SHARE
     try:
         return (yield from read_or_refuse(node, part, query.to_wire(), seconds))
     except NotFound:
@@ -268,7 +268,7 @@
     Raises NotFound only for a lot that certainly does not exist, Refused if it can't be read.
     """
     placement = placement_of_lot(node, host, lot_name)
-    query = QueryResults(placement.key, start, RESULT_BYTES).to_wire()
+    query = QueryResults(placement.key, start, MAX_RESULT_PAGE_BYTES).to_wire()
     read = LongPollRead(query, min(max_wait_seconds, MAX_LONG_POLL_SECONDS))
     return (
         yield from in_own_or_home_part(placement, lambda part: read_by_long_poll(node, part, read))
@@ -281,7 +281,7 @@
     If the replies of the majority determine no answer, the part is read once more.
     """
     ownership, bounds = node.find("ownership"), node.bounds
-    leader_seconds = read.max_wait_seconds + bounds.read_timeout * LEADER_READ_SHARE
+    leader_seconds = read.max_wait_seconds + bounds.read_timeout * LEADER_READ_TIMEOUT_SHARE
     try:
         return (yield from ownership.call_leader(part, READ, read.to_wire(), leader_seconds))
     except NotFound:
@@ -293,7 +293,9 @@
     if majority_answer is not None:
         return unwrap_answer(majority_answer)
     return (
-        yield from read_or_refuse(node, part, read.query, bounds.read_timeout * FALLBACK_READ_SHARE)
+        yield from read_or_refuse(
+            node, part, read.query, bounds.read_timeout * FALLBACK_READ_TIMEOUT_SHARE
+        )
     )
 
 
@@ -322,7 +324,7 @@
     """End a lot: listed results are retained, pending items are dropped. Idempotent."""
     placement = placement_of_lot(node, host, lot_name)
     command = EndLot(placement.key).to_wire()
-    seconds = node.bounds.read_timeout * END_SHARE
+    seconds = node.bounds.read_timeout * END_TIMEOUT_SHARE
     return (
         yield from in_own_or_home_part(
             placement, lambda part: submit_with_retries(node, part, command, seconds)
--- a/quillring/lots/http_requests/concurrency_limits.py
+++ b/quillring/lots/http_requests/concurrency_limits.py
@@ -20,17 +20,18 @@
 """The share of a service's slots for lots: by default, for items that are due soon, and minimum."""
 OCCUPANCY_MARGIN = 0.1
 """Added to the share of lots, this is the share of slots that items and clients take together."""
-CUT_FACTOR = 0.9
+SHARE_REDUCTION_FACTOR = 0.9
 """When a replica is full, its service's share is multiplied by this factor."""
 RECOVERY_PER_SECOND = 0.05
+"""Increase per second of the factor of a reduced share, up to 1."""
 START_INTERVAL_SECONDS = 0.02
 MIN_START_RATIO = 0.1
 MAX_BACKOFF_DOUBLINGS = 3
 BACKOFF_SECONDS = {NOT_RUN: 0.3, BROKEN: 0.6, UNSENT: 1.0}
 
 
-class Cut(NamedTuple):
-    """The factor that a service's share was reduced to, and when."""
+class ShareReduction(NamedTuple):
+    """A reduction of a service's share: the factor after it, and its time."""
 
     factor: float
     at: float
@@ -43,8 +44,8 @@
 class ConcurrencyLimits:
     """The share of each service's slots for lots, and the backoff of each replica.
 
-    The share is multiplied by CUT_FACTOR when a replica is full and recovers linearly: additive
-    increase, multiplicative decrease (Chiu and Jain, 1989).
+    The share is multiplied by SHARE_REDUCTION_FACTOR when a replica is full and recovers linearly:
+    additive increase, multiplicative decrease (Chiu and Jain, 1989).
 
     Attributes
     ----------
@@ -52,22 +53,28 @@
         The last reduction of the share, by service.
     consecutive_failures
         Failed runs since the last success, by replica.
-    backoff_until, next_starts
+    backoff_until, next_start_at
         Until when backoff and pacing allow no start, by replica.
     """
 
-    __slots__ = ("node", "cuts", "consecutive_failures", "backoff_until", "next_starts")
+    __slots__ = (
+        "node",
+        "share_reductions",
+        "consecutive_failures",
+        "backoff_until",
+        "next_start_at",
+    )
 
     def __init__(self, node: Node) -> None:
         self.node = node
-        self.cuts: dict[str, Cut] = {}
+        self.share_reductions: dict[str, ShareReduction] = {}
         self.consecutive_failures: dict[str, int] = {}
         self.backoff_until: dict[str, float] = {}
-        self.next_starts: dict[str, float] = {}
+        self.next_start_at: dict[str, float] = {}
 
     def share(self, service: str, is_due_soon: bool, now: float) -> float:
         """Return the share of a service's slots for lots, at least MIN_SHARE."""
-        factor = self.cuts.get(service, Cut(1.0, now)).factor_at(now)
+        factor = self.share_reductions.get(service, ShareReduction(1.0, now)).factor_at(now)
         return max(MIN_SHARE, (DUE_SOON_SHARE if is_due_soon else DEFAULT_SHARE) * factor)
 
     def slots(self, service: str, now: float) -> int:
@@ -92,8 +99,10 @@
         seconds = BACKOFF_SECONDS[outcome] * 2 ** min(failures - 1, MAX_BACKOFF_DOUBLINGS)
         self.backoff_until[run.replica] = now + seconds
         if outcome == NOT_RUN:
-            factor = self.cuts.get(run.service, Cut(1.0, now)).factor_at(now)
-            self.cuts[run.service] = Cut(max(MIN_SHARE, factor * CUT_FACTOR), now)
+            factor = self.share_reductions.get(run.service, ShareReduction(1.0, now)).factor_at(now)
+            self.share_reductions[run.service] = ShareReduction(
+                max(MIN_SHARE, factor * SHARE_REDUCTION_FACTOR), now
+            )
 
     def record_success(self, run: DispatchedRun) -> None:
         """Record a completed run, which resets the replica's count of consecutive failures."""
@@ -149,7 +158,7 @@
         """Return whether the replica's backoff, pacing, state and health allow a start now."""
         return bool(
             self.backoff_until.get(replica.name, 0) <= now
-            and self.next_starts.get(replica.name, 0) <= now
+            and self.next_start_at.get(replica.name, 0) <= now
             and self.node.find("replicas").may_receive_requests(replica)
             and load_balancer.health(replica).may_get_request(now)
         )
@@ -160,7 +169,7 @@
         That is START_INTERVAL_SECONDS later, divided by the part's share of the slots.
         """
         ratio = max(slot_share.ratio, MIN_START_RATIO)
-        self.next_starts[replica.name] = now + START_INTERVAL_SECONDS / ratio
+        self.next_start_at[replica.name] = now + START_INTERVAL_SECONDS / ratio
 
 
 def least_loaded(replicas: Iterable[Replica], running: Mapping[str, int]) -> Replica | None:
--- a/quillring/lots/http_requests/lot_expiry.py
+++ b/quillring/lots/http_requests/lot_expiry.py
@@ -52,6 +52,7 @@
         return expired
 
     def _record_present_forwards(self, names: set[str], now: float) -> None:
+        """Update when the named forwards were last in the configuration."""
         forwards, is_fresh = self.node.find("forwards"), self.node.find("freshness").is_fresh()
         for name in names:
             is_first = name not in self.forward_last_seen_at
--- a/quillring/lots/http_requests/lot_placement.py
+++ b/quillring/lots/http_requests/lot_placement.py
@@ -66,8 +66,8 @@
 
 def are_lots_spread(node: Node) -> bool:
     """Return whether every reachable member supports lots outside the part of their host."""
-    level: int = node.find("nifty").lowest_common_version()
-    return level >= SPREAD_WIRE_VERSION
+    common_version: int = node.find("nifty").lowest_common_version()
+    return common_version >= SPREAD_WIRE_VERSION
 
 
 def in_own_or_home_part(
--- a/quillring/lots/http_requests/quota_reconciler.py
+++ b/quillring/lots/http_requests/quota_reconciler.py
@@ -101,6 +101,7 @@
                 self.node.spawn(self._release_unneeded_tokens(leader, part, reservations))
 
     def _discard_other_tickets(self, reserving_part: str, tickets: set[int]) -> None:
+        """Discard the entries of a reserving part except those of the given tickets."""
         self.unknown_since = {
             (part, ticket): since
             for (part, ticket), since in self.unknown_since.items()
--- a/quillring/lots/http_requests/result_reads.py
+++ b/quillring/lots/http_requests/result_reads.py
@@ -79,6 +79,7 @@
         return QUERIES.find(read.query["ask"])(state, read.query)
 
     def _find_answer(self, state: dict[str, Any], query: dict[str, Any]) -> dict[str, Any] | None:
+        """Return the answer from a given state, or None if the lot does not exist there."""
         try:
             answer: dict[str, Any] = QUERIES.find(query["ask"])(state, query)
         except NotFound:
@@ -86,5 +87,6 @@
         return answer
 
     def _is_fresh(self, leader: Any) -> bool:
+        """Return whether a majority confirmed the leader within FRESH_SHARE of the read timeout."""
         fresh_seconds: float = self.node.bounds.read_timeout * FRESH_SHARE
         return bool(self.node.now() - leader.confirmed_at < fresh_seconds)
--- a/quillring/lots/http_requests/scheduler.py
+++ b/quillring/lots/http_requests/scheduler.py
@@ -179,6 +179,7 @@
         yield from self.node.gather(calls, len(calls), self.node.bounds.call_timeout, True)
 
     def _reachable_cores(self) -> list[str]:
+        """Return the names of all cores that this node reaches."""
         ownership, nifty = self.node.find("ownership"), self.node.find("nifty")
         return [name for name in ownership.cores() if nifty.reaches(name)]
 
@@ -322,6 +323,7 @@
     def _slot_share(
         self, item_table: ItemTable, service: str, scheduling_pass: SchedulingPass
     ) -> SlotShare:
+        """Return the part's share of a service's slots, computed once in each pass."""
         slot_share = scheduling_pass.slot_shares.get(service)
         if slot_share is None:
             slots = self.limits.slots(service, scheduling_pass.now)
--- a/quillring/lots/prompts/scheduler.py
+++ b/quillring/lots/prompts/scheduler.py
@@ -88,7 +88,7 @@
         self.retention: Retention = node.offer("keeping", Retention(node))
 
     def run(self) -> Coroutine:
-        """Process: periodically drop expired lots, start pending items and stop unwanted ones."""
+        """Periodically drop expired lots, start pending items and stop unwanted ones."""
         ownership = self.node.find("ownership")
         while True:
             yield Sleep(self.node.bounds.heartbeat_interval / 5)
@@ -100,6 +100,7 @@
             self._stop_ended()
 
     def _start_items(self, leader: Any) -> None:
+        """Start pending items of a part's open lots, up to ITEMS_AT_ONCE for each lot."""
         part, lots = leader.part, lot_records(leader.state)
         open_lots = {name: lot for name, lot in lots.items() if lot["phase"] == OPEN}
         running = Counter((key.part, key.lot) for key in self.running)
@@ -149,9 +150,10 @@
         for replica in replicas:
             self.node.spawn(self._stop_items_on_replica(replica, f"{lot_name}-"))
         return
-        yield
+        yield  # Unreachable; makes this method a generator.
 
     def _stop_items_on_replica(self, replica: Any, prefix: str) -> Coroutine:
+        """Make a replica stop the requests whose id has the prefix; only count a failure."""
         try:
             yield FetchJson(
                 replica.address,
@@ -165,18 +167,21 @@
             self.node.count("stops_not_heard")
 
     def _is_wanted(self, leader: Any, key: ItemKey) -> bool:
+        """Return whether the item is pending in an open lot and this leader's lease is valid."""
         if not leader.has_lease():
             return False
         lot = lot_records(leader.state).get(key.lot)
         return lot is not None and lot["phase"] == OPEN and key.number not in lot["results"]
 
     def _stop_ended(self) -> None:
+        """Stop the running items that are no longer wanted."""
         leaders = self.node.find("ownership").leaders
         for key, item in list(self.running.items()):
             if not self._is_wanted(leaders[key.part], key):
                 item.stop()
 
     def _run_item(self, leader: Any, key: ItemKey, lot: LotRecord) -> Coroutine:
+        """Run an item once and commit its result; after an error, delay its next start."""
         try:
             result = yield from self._execute_item(leader, key, lot)
             if result is not None:
