--- a/quillring/edge/dispatcher.py
+++ b/quillring/edge/dispatcher.py
@@ -114,7 +114,7 @@
         )
         replica = None if self._is_outranked(request) else self._choose(request)
         if replica is not None:
-            return self._start(request, replica)
+            return self._start_lease(request, replica)
         refusal = self.refusal_if_hopeless(request)
         if refusal is not None:
             raise refusal
@@ -184,7 +184,7 @@
             replica = self._choose(request)
             if replica is not None:
                 self.queue.remove(request)
-                request.signal.set(self._start(request, replica))
+                request.signal.set(self._start_lease(request, replica))
         for service in sorted({x.replica.service for x in self.leases if x.is_preemptible}):
             self._preempt_over_limit(service)
 
@@ -232,7 +232,8 @@
         lease.is_preempted = True
         self.node.count("pauses")
 
-    def _start(self, request: QueuedRequest, replica: Replica) -> SlotLease:
+    def _start_lease(self, request: QueuedRequest, replica: Replica) -> SlotLease:
+        """Occupy a slot of a replica for a request and return the lease."""
         replica.in_flight += 1
         lease = SlotLease(self, replica, request)
         self.leases[lease] = None
--- a/quillring/edge/heartbeat_relay.py
+++ b/quillring/edge/heartbeat_relay.py
@@ -73,6 +73,7 @@
             self.pending[heartbeat.name] = max(heartbeat, known)
 
     def _send_batch_after_delay(self) -> Coroutine:
+        """Wait for `bounds.report_delay`, then send the pending batch to all reachable nodes."""
         yield Sleep(self.node.bounds.report_delay)
         rows: list[Any] = [list(heartbeat) for heartbeat in self.pending.values()]
         self.pending = {}
--- a/quillring/edge/replica_snapshot.py
+++ b/quillring/edge/replica_snapshot.py
@@ -75,6 +75,7 @@
                 self._write()
 
     def _write(self) -> None:
+        """Write the next generation to the older of the two files; a disk error is only logged."""
         self.generation += 1
         self.written_version = self.node.find("replicas").table_version
         announcements = list(self.node.find("gossip").values_with_prefix("replica/").values())
--- a/quillring/edge/replicas.py
+++ b/quillring/edge/replicas.py
@@ -252,6 +252,7 @@
         self._notify_listeners()
 
     def _notify_listeners(self) -> None:
+        """Call all change listeners."""
         for listener in self.change_listeners:
             listener()
 
--- a/quillring/edge/stream_handlers.py
+++ b/quillring/edge/stream_handlers.py
@@ -80,12 +80,12 @@
     )
     sent_count = read_count(request.query.get("after", ["0"])[0], "after")
 
-    def check(found: FindReply) -> None:
+    def check_reply(found: FindReply) -> None:
         if found.route_name is not None:
             check_resumable(node, found.route_name)
 
     stream = yield from node.find("journal").take_over(
-        token.stream_name, request.client_name, token.term, check
+        token.stream_name, request.client_name, token.term, check_reply
     )
     check_resumable(node, stream.request["entry"])
     if len(stream.pieces) < sent_count:
--- a/quillring/fleet.py
+++ b/quillring/fleet.py
@@ -96,6 +96,7 @@
 
 
 def _start_serving(node):
+    """Register and start the services with which edges and cores serve requests."""
     quota_client = node.offer("taker", QuotaClient(node))
     dispatch = node.offer("dispatch", Dispatcher(node))
     journal = node.offer("journal", Journal(node))
--- a/quillring/forward/load_exchange.py
+++ b/quillring/forward/load_exchange.py
@@ -174,6 +174,7 @@
         self.own_timings = [*self.own_timings, timing][-MAX_PENDING_PROMPT_REPORTS:]
 
     def _report_interval(self) -> float:
+        """Return the seconds between reports, longer in a zone with many nodes."""
         peer_count = len(self._zone_peers(self.node.me.zone))
         return max(REPORT_INTERVAL_SECONDS, peer_count / MAX_ZONE_MESSAGES_PER_SECOND)
 
@@ -224,6 +225,7 @@
         starts: Sequence[PromptStart],
         timings: Sequence[PromptTiming],
     ) -> LoadReport:
+        """Return a report with the next sequence number of this node."""
         self.sequence += 1
         incarnation = self.node.me.incarnation
         return LoadReport(
@@ -238,6 +240,7 @@
         )
 
     def _drain_own_timings(self) -> list[PromptTiming]:
+        """Return the timings that were not reported yet, and clear them."""
         timings, self.own_timings = self.own_timings, []
         return timings
 
@@ -338,6 +341,7 @@
         return True
 
     def _add_zone_start(self, start: PromptStart) -> None:
+        """Store a prompt start for the next report to other zones."""
         self.zone_starts = [*self.zone_starts, start][-MAX_PENDING_PROMPT_REPORTS:]
 
     def _drop_expired_reports(self) -> None:
--- a/quillring/forward/load_messages.py
+++ b/quillring/forward/load_messages.py
@@ -10,7 +10,7 @@
 from quillring.kernel.records import NamedTuple
 
 LOAD_REPORT = "load.report"
-"""A node's own load, sent to its zone's representative, or with a long prompt to the whole zone."""
+"""A node's own load, sent to its zone's representative, or with a long prompt to all its nodes."""
 ZONE_LOAD_REPORT = "load.zone"
 """The sum of a zone, sent to its nodes and to one node of each other zone, which forwards it."""
 MAX_REPLICAS_PER_REPORT = 10_000
--- a/quillring/forward/route_table.py
+++ b/quillring/forward/route_table.py
@@ -91,6 +91,7 @@
         self.by_name: dict[str, ForwardRoute] = {}
 
     def _rebuild_if_changed(self) -> None:
+        """Rebuild the routes if the node uses another configuration than at the last call."""
         configuration = self.node.find("layout").configuration
         if configuration is self.configuration:
             return
--- a/quillring/forward/slow_start.py
+++ b/quillring/forward/slow_start.py
@@ -60,6 +60,7 @@
     def _compute_rate_share(
         self, replica: Replica, graph: Any, roster: Any, configuration: dict[str, Any] | None
     ) -> float:
+        """Return this node's share of a replica's rate, 0 if it is not one of the senders."""
         services = (configuration or {}).get("services", {})
         rate: float = services.get(replica.service, {}).get("warm_rate") or replica.slots
         names = [
--- a/quillring/plans/api.py
+++ b/quillring/plans/api.py
@@ -24,7 +24,7 @@
     from quillring.kernel.routes import Request
     from quillring.kernel.types import Coroutine, WireMap
 
-INTENT = StrictValidator(
+INTENT_SCHEMA = StrictValidator(
     {
         "type": "object",
         "additionalProperties": False,
@@ -36,7 +36,7 @@
         },
     }
 )
-CONFIRM = StrictValidator(
+CONFIRM_SCHEMA = StrictValidator(
     {
         "type": "object",
         "additionalProperties": False,
@@ -73,7 +73,7 @@
 
     Raises NotFound for an unknown target, or while there is no configuration.
     """
-    check_body(INTENT, request.body)
+    check_body(INTENT_SCHEMA, request.body)
     ownership = node.find("ownership")
     answer = yield from ownership.read(CONFIG_PART, READ_CONFIGURATION)
     current = CurrentConfiguration.from_wire(answer)
@@ -102,7 +102,7 @@
 def confirm(node: Node, request: Request) -> Coroutine:
     """Start a plan, and accept the consequences listed in the body; idempotent by the body's id."""
     body = request.body or {}
-    check_body(CONFIRM, body)
+    check_body(CONFIRM_SCHEMA, body)
     command_id = body.get("id") or f"{node.runtime.random.getrandbits(96):024x}"
     command = ConfirmPlan(request.path_parameters["plan"], body.get("accept", []), command_id)
     return (yield from node.find("ownership").submit(CONFIG_PART, command.to_wire()))
--- a/quillring/verbs/process.py
+++ b/quillring/verbs/process.py
@@ -183,7 +183,7 @@
 def wait_for_stop(
     node: Node, clash_seconds: float, reload_settings: Callable[[], Settings]
 ) -> NameClash | None:
-    """Wait for a signal, an operator's drain or a lasting name clash; return such a clash.
+    """Wait for a signal, an operator's drain or a lasting name clash; return the clash, if any.
 
     A clash lasts when its reports span more than `clash_seconds`.
     """
--- a/quillring/verbs/routes.py
+++ b/quillring/verbs/routes.py
@@ -35,7 +35,7 @@
     prompt_lots_api,
     plans_api,
 )
-CONFIGURATION_CHANGE = StrictValidator(
+CONFIGURATION_CHANGE_SCHEMA = StrictValidator(
     {
         "type": "object",
         "additionalProperties": False,
@@ -48,7 +48,7 @@
         },
     }
 )
-FOUNDING = StrictValidator(
+FOUNDING_SCHEMA = StrictValidator(
     {
         "type": "object",
         "additionalProperties": False,
@@ -86,7 +86,7 @@
 @route("POST", "/v1/found")
 def found(node: Node, request: Request) -> Coroutine:
     """Found the fleet on the stores that this node knows."""
-    check_body(FOUNDING, request.body)
+    check_body(FOUNDING_SCHEMA, request.body)
     return (yield from found_fleet(node, request.body["parts"]))
 
 
@@ -159,7 +159,7 @@
 @route("PUT", "/v1/layout")
 def change_configuration(node: Node, request: Request) -> Coroutine:
     """Adopt a complete or partial configuration if `base_version` is current (compare and set)."""
-    check_body(CONFIGURATION_CHANGE, request.body)
+    check_body(CONFIGURATION_CHANGE_SCHEMA, request.body)
     own_id = f"{node.runtime.random.getrandbits(96):024x}"
     return (
         yield from node.find("ownership").submit(
@@ -187,6 +187,7 @@
 
 
 def _order_zone(node: Node, request: Request, is_drained: bool) -> Coroutine:
+    """Commit the order to drain a zone or to undo that; raise NotFound for an unknown zone."""
     ownership, zone = node.find("ownership"), request.path_parameters["domain"]
     answer = yield from ownership.read(CONFIG_PART, READ_CONFIGURATION)
     current = CurrentConfiguration.from_wire(answer)
