--- a/quillring/verbs/process.py
+++ b/quillring/verbs/process.py
@@ -148,7 +148,7 @@
 
 
 def make_log_writer(node_logger: logging.Logger) -> LogWriter:
-    """Return a function that writes to the node's log; it takes the level by its name."""
+    """Return a function that writes to the node's log at a level given by name."""
 
     def log(level: str, text: str, *fields: object) -> None:
         node_logger.log(LOG_LEVELS[level], text, *fields)
@@ -183,7 +183,7 @@
 def wait_for_stop(
     node: Node, clash_seconds: float, reload_settings: Callable[[], Settings]
 ) -> NameClash | None:
-    """Wait for a signal, an operator's drain or a lasting name clash; return such a clash.
+    """Wait for a signal, an operator's drain or a lasting name clash; return the clash, if any.
 
     A clash lasts when its reports span more than `clash_seconds`.
     """
--- a/quillring/verbs/restart.py
+++ b/quillring/verbs/restart.py
@@ -52,7 +52,7 @@
 def wait_until(
     name: str, condition_name: str, is_satisfied: Callable[[], bool], timeout_seconds: float
 ) -> None:
-    """Poll until a condition is true; errors count as false. Raise RestartTimedOut in the end."""
+    """Poll until a condition is true; errors count as false. Raise RestartTimedOut on timeout."""
     deadline = time.monotonic() + timeout_seconds
     last_error: str | None = None
     while time.monotonic() < deadline:
