--- a/tests/http_lot_random_days.py
+++ b/tests/http_lot_random_days.py
@@ -20,7 +20,7 @@
 
     def __init__(self, seed, seconds=25, faults=6, lots=12, most_tokens=0):
         self.stage = HttpLotStage(seed, slots=6, replicas=4, most_tokens=most_tokens)
-        self.chance = self.stage.sim.chance
+        self.rng = self.stage.sim.chance
         self.seconds, self.fault_count, self.lot_count = seconds, faults, lots
         self.submit_statuses, self.accepted_at, self.ended_at, self.counts = {}, {}, {}, {}
         self.rows, self.row_read_at, self.disturbed_at = {}, {}, {}
@@ -55,34 +55,34 @@
     def choose_failure_mode(self, replica, item_id, last):
         """Return the failure mode of a run of an item, or None.
 
-        An item that drew status 422 fails with it on every run.
+        An item for which status 422 was chosen fails with it on every run.
         """
         if item_id in self.failure_modes:
             return self.failure_modes[item_id]
-        if self.chance.random() < 0.01:
+        if self.rng.random() < 0.01:
             self.failure_modes[item_id] = 422
             return 422
-        return self.chance.choice([None] * 12 + ["break", "full", "skip", "restart"])
+        return self.rng.choice([None] * 12 + ["break", "full", "skip", "restart"])
 
     def pick_edge(self):
         """Return a random running edge."""
         return self.stage.pick_running("edge")
 
-    def run_on_edge(self, make):
-        """Process: run a coroutine on a random edge; return (value, error).
+    def run_on_edge(self, make_coroutine):
+        """Process: run `make_coroutine(node)` on a random edge; return (value, error).
 
         The error is QuillringError if the edge died before the coroutine ended.
         """
         node = self.pick_edge()
-        value = yield from self.stage.sim.run_coroutine(node, make(node))
+        value = yield from self.stage.sim.run_coroutine(node, make_coroutine(node))
         self.is_edge_undisturbed = self.is_undisturbed(node.me.name, self.stage.env.now)
         return (None, QuillringError(reason="node died")) if value == (None, None) else value
 
     def run_client(self, name):
         """Process: submit a lot with retries, read its results, and sometimes end it early."""
-        env, chance = self.stage.env, self.chance
-        yield env.timeout(chance.uniform(0, self.seconds * 0.7))
-        count = chance.randrange(1, 25)
+        env, rng = self.stage.env, self.rng
+        yield env.timeout(rng.uniform(0, self.seconds * 0.7))
+        count = rng.randrange(1, 25)
         items = self.stage.items(name, count)
         self.counts[name], self.submit_statuses[name] = count, []
         for _ in range(6):
@@ -93,13 +93,13 @@
             self.submit_statuses[name].append(status)
             if status == 202:
                 break
-            yield env.timeout(chance.uniform(0.2, 1.0))
+            yield env.timeout(rng.uniform(0.2, 1.0))
         else:
             return
         self.accepted_at[name] = env.now
         env.process(self.poll_results(name))
-        if chance.random() < 0.25:
-            yield env.timeout(chance.uniform(0.2, 4))
+        if rng.random() < 0.25:
+            yield env.timeout(rng.uniform(0.2, 4))
             while True:
                 _, error = yield from self.run_on_edge(lambda node: api.end_lot(node, HOST, name))
                 if error is None:
@@ -112,17 +112,17 @@
 
     def poll_results(self, name):
         """Process: read a lot through random edges until the end of the run."""
-        env, chance = self.stage.env, self.chance
+        env, rng = self.stage.env, self.rng
         while env.now < self.end_time + 24:
             known = self.rows.setdefault(name, [])
-            start = chance.choice([0, len(known), max(0, len(known) - 2)])
+            start = rng.choice([0, len(known), max(0, len(known) - 2)])
             began_at = env.now
             settled_count = sum(
                 at < began_at - SETTLE_SECONDS for at in self.row_read_at.get(name, [])
             )
             answer, error = yield from self.run_on_edge(
                 lambda node, start=start: api.read_results(
-                    node, HOST, name, start, chance.choice([0, 0.8])
+                    node, HOST, name, start, rng.choice([0, 0.8])
                 )
             )
             self.reads["good" if error is None else error.kind] += 1
@@ -132,13 +132,13 @@
                 self.violations.append(f"{name}: not found at {env.now:.2f}")
             if error is None:
                 self.check_rows(name, start, answer, settled_count)
-            yield env.timeout(chance.uniform(0.2, 0.5))
+            yield env.timeout(rng.uniform(0.2, 0.5))
 
     def check_rows(self, name, start, answer, settled_count):
         """Check the answer to a read against the results that were read before.
 
         `settled_count` is the number of results that had been read some time before this read
-        began, so that it must return them.
+        began. The answer must contain them.
         """
         known = self.rows[name]
         if answer["items"] != self.counts[name]:
@@ -154,21 +154,21 @@
 
     def inject_fault(self):
         """Process: inject one random fault and end it after some seconds."""
-        env, chance, sim = self.stage.env, self.chance, self.stage.sim
-        yield env.timeout(chance.uniform(0.5, self.seconds * 0.8))
-        kind = chance.choice(
+        env, rng, sim = self.stage.env, self.rng, self.stage.sim
+        yield env.timeout(rng.uniform(0.5, self.seconds * 0.8))
+        kind = rng.choice(
             ["core", "core", "store", "edge", "freeze", "freeze", "net", "replica", "silent", "cut"]
         )
-        seconds = chance.uniform(0.5, 4)
+        seconds = rng.uniform(0.5, 4)
         if kind in ("core", "store", "edge") and len(sim.up_nodes(kind)) == len(sim.names(kind)):
-            name = chance.choice(sim.names(kind))
+            name = rng.choice(sim.names(kind))
             self.record_disturbance(name)
-            sim.kill(name, loses_power=chance.random() < 0.5)
+            sim.kill(name, loses_power=rng.random() < 0.5)
             yield env.timeout(seconds)
             sim.start(name)
             self.record_disturbance(name)
         elif kind == "freeze":
-            node = self.stage.pick_running(chance.choice(["core", "core", "store", "edge"]))
+            node = self.stage.pick_running(rng.choice(["core", "core", "store", "edge"]))
             self.record_disturbance(node.me.name)
             sim.freeze(node.me.name, seconds)
             yield env.timeout(seconds)
@@ -178,16 +178,16 @@
             yield env.timeout(seconds)
             sim.net.loss_share = sim.net.duplicate_share = sim.net.reorder_share = 0.0
         elif kind == "replica":
-            replica = chance.choice(list(self.stage.replicas.values())[:2])
-            replica.leave() if chance.random() < 0.5 else setattr(replica, "is_dead", True)
+            replica = rng.choice(list(self.stage.replicas.values())[:2])
+            replica.leave() if rng.random() < 0.5 else setattr(replica, "is_dead", True)
         elif kind == "silent":
-            replica = chance.choice(list(self.stage.replicas.values()))
+            replica = rng.choice(list(self.stage.replicas.values()))
             replica.is_silent = True
             yield env.timeout(seconds)
             replica.is_silent = False
         elif kind == "cut":
             names = list(sim.nodes)
-            sim.cut([chance.choice(names)], chance.sample(names, 4))
+            sim.cut([rng.choice(names)], rng.sample(names, 4))
             yield env.timeout(seconds)
             sim.net.heal()
 
--- a/tests/http_lot_stage.py
+++ b/tests/http_lot_stage.py
@@ -112,15 +112,17 @@
         """Return a random running node of a role."""
         return self.sim.chance.choice(self.sim.up_nodes(role))
 
-    def start_on_node(self, node, make):
-        """Start a coroutine on a node; return its process."""
-        return self.env.process(self.sim.run_coroutine(node, make(node)))
+    def start_on_node(self, node, make_coroutine):
+        """Start the coroutine `make_coroutine(node)` on a node; return its process."""
+        return self.env.process(self.sim.run_coroutine(node, make_coroutine(node)))
 
-    def run_on_node(self, node, make, seconds=20):
-        """Run a coroutine on a node to its end; return (its value, None) or (None, its error)."""
-        process = self.start_on_node(node, make)
+    def run_on_node(self, node, make_coroutine, seconds=20):
+        """Run `make_coroutine(node)` on a node; return (its value, None) or (None, its error)."""
+        process = self.start_on_node(node, make_coroutine)
         self.env.run(until=process | self.env.timeout(seconds))
-        assert process.triggered, "the coroutine did not end in time"
+        assert process.triggered, (
+            f"the coroutine on {node.me.name} did not end within {seconds} seconds"
+        )
         return process.value
 
     def items(self, name, count, tokens=10, body=b"body"):
@@ -152,7 +154,7 @@
             if error is None and answer["next"] == answer["items"]:
                 return answer["results"]
             self.run(0.2)
-        raise AssertionError(f"{name} has no result for every item: {answer}, {error}")
+        raise AssertionError(f"lot {name} is incomplete after {seconds} seconds: {answer}, {error}")
 
     def upgrade(self, name):
         """Stop a node and start it under the newest version."""
--- a/tests/test_histories_found.py
+++ b/tests/test_histories_found.py
@@ -118,17 +118,17 @@
         assert stage.submit("a", 2)[1] is None
         stage.run(0.3)
         edge = stage.pick_running("edge")
-        place = placement_of_lot(edge, HOST, "a")
-        owner = stage.sim.nodes[edge.find("gossip").get(f"owner/{place.own}")["owner"]]
-        query = {"ask": "raw.results", "lot": place.key, "from": 0, "limit": 1000}
+        lot_placement = placement_of_lot(edge, HOST, "a")
+        owner = stage.sim.nodes[edge.find("gossip").get(f"owner/{lot_placement.own}")["owner"]]
+        query = {"ask": "raw.results", "lot": lot_placement.key, "from": 0, "limit": 1000}
         cut_answers_to(stage, owner)
-        command = {"do": "raw.result", "lot": place.key, "n": 0, "state": "finished"}
+        command = {"do": "raw.result", "lot": lot_placement.key, "n": 0, "state": "finished"}
         command.update(text=b"x", run="r")
         stage.start_on_node(
-            owner, lambda node: node.find("ownership").submit(place.own, command, 2)
+            owner, lambda node: node.find("ownership").submit(lot_placement.own, command, 2)
         )
         stage.run(0.05)
-        assert len(read_from_stores(stage, place.own, query)["results"]) == 1
+        assert len(read_from_stores(stage, lot_placement.own, query)["results"]) == 1
         stage.sim.net.heal()
         reply, error = stage.read("a", node=owner)
         assert error is None and len(reply["results"]) == 1
--- a/tests/test_http_lot_failures.py
+++ b/tests/test_http_lot_failures.py
@@ -107,7 +107,7 @@
         assert all(arrival[0] < end_time + 3 for arrival in stage.arrivals)
 
 
-def test_a_worker_refuses_runs_of_former_owners_and_runs_that_contradict_the_configuration():
+def test_a_worker_refuses_runs_of_previous_owners_and_runs_that_contradict_the_configuration():
     with HttpLotStage(62) as stage:
         for replica in stage.replicas.values():
             replica.is_silent = True
--- a/tests/test_http_lot_state_machine.py
+++ b/tests/test_http_lot_state_machine.py
@@ -7,6 +7,7 @@
 
 
 def accept(name, count=3, tokens=10, quota=0, attempt="t", forward="f", digest=b"d", body=b"body"):
+    """Return the command that accepts a lot with `count` items."""
     items = [[f"{name}-{n}", f"/p/{n}", [["Model", "m"]], body, tokens] for n in range(count)]
     return {
         "do": "raw.accept",
@@ -25,18 +26,22 @@
 
 
 def result(name, number, text=b"text", state="finished", run="r"):
+    """Return the command that stores the result of an item."""
     return {"do": "raw.result", "lot": name, "n": number, "state": state, "text": text, "run": run}
 
 
 def failed(name, number, run):
+    """Return the command that records a failed run of an item."""
     return {"do": "raw.failed", "lot": name, "n": number, "run": run}
 
 
 def read(state, name, start=0, limit=1000):
+    """Return the answer to a query for results, limited to `limit` bytes."""
     return state_machine.query_results(state, {"lot": name, "from": start, "limit": limit})
 
 
 def apply(*batch, state=None):
+    """Apply a batch of commands; return (state, answers)."""
     return apply_batch(initial_state([]) if state is None else state, batch)
 
 
--- a/tests/test_prompt_lot_acceptance_fence.py
+++ b/tests/test_prompt_lot_acceptance_fence.py
@@ -42,8 +42,8 @@
     state, (answer, repeated) = apply_batch(state, [again, again])
     assert answer == {"lot": "x", "items": 1} and repeated["repeated"]
     state, _ = apply_batch(state, end_and_delete(verb, "x"))
-    _, (late,) = apply_batch(state, [again])
-    assert isinstance(late, StaleLot)
+    _, (late_answer,) = apply_batch(state, [again])
+    assert isinstance(late_answer, StaleLot)
 
 
 def test_a_delayed_repetition_of_an_existing_lot_is_answered_as_accepted():
@@ -61,11 +61,11 @@
         name = f"lot-{number}"
         state, _ = apply_batch(state, [accept(name, number), *end_and_delete("drop", name)])
     assert len(state["lot_drops"]["kept"]) == MAX_TRACKED_DROPS
-    _, (late, never_seen, fresh) = apply_batch(
+    _, (late_answer, outdated_answer, current_answer) = apply_batch(
         state, [first, accept("new", 1), accept("new", lot_fence(state, {})["drops"])]
     )
-    assert isinstance(late, StaleLot) and isinstance(never_seen, StaleLot)
-    assert fresh == {"lot": "new", "items": 1}
+    assert isinstance(late_answer, StaleLot) and isinstance(outdated_answer, StaleLot)
+    assert current_answer == {"lot": "new", "items": 1}
 
 
 def test_a_drop_that_deletes_no_lot_changes_nothing():
@@ -112,7 +112,7 @@
     for command in ({"do": "lot.cancel"}, {"do": "lot.release"}):
         full_command = {**command, "lot": answer["lot"], "sender": "ann"}
         assert fleet.submit("core-2", full_command, part)[1] is None
-    _, late = fleet.submit("core-1", copy, part)
-    assert isinstance(late, StaleLot)
+    _, late_answer = fleet.submit("core-1", copy, part)
+    assert isinstance(late_answer, StaleLot)
     again, error = fleet.ask("edge-1", submit_lot(fleet.sim.nodes["edge-1"], LotRequest("k")))
     assert error is None and again == answer
--- a/tests/test_prompt_lot_state_machine.py
+++ b/tests/test_prompt_lot_state_machine.py
@@ -7,14 +7,17 @@
 
 
 def accept(name, items, client_name="ann"):
+    """Return the command that accepts a lot of prompts."""
     return {"do": "lot.accept", "lot": name, "sender": client_name, "entry": "e", "items": items}
 
 
 def result(name, number, text):
+    """Return the command that stores the result of item `number`."""
     return {"do": "lot.result", "lot": name, "n": number, "result": {"text": text}}
 
 
 def read(state, name, client_name="ann"):
+    """Return the answer to a query for the results of a lot."""
     query = {"lot": name, "sender": client_name, "from": 0, "count": 10}
     return state_machine.lot_results(state, query)
 
@@ -78,8 +81,10 @@
     assert [answer["may_run"] for answer in answers[1:]] == [True, False, True, False]
 
 
-def test_lots_over_the_weight_limit_of_open_lots_are_refused():
-    heavy = ["x" * (1 << 20)] * 10
-    state, answers = apply_batch(initial_state([]), [accept("x", heavy), accept("y", heavy)])
+def test_lots_over_the_size_limit_of_open_lots_are_refused():
+    large_items = ["x" * (1 << 20)] * 10
+    state, answers = apply_batch(
+        initial_state([]), [accept("x", large_items), accept("y", large_items)]
+    )
     assert isinstance(answers[1], TooManyLots)
     assert list(state["lots"]) == ["x"]
--- a/tests/test_system_lots.py
+++ b/tests/test_system_lots.py
@@ -17,6 +17,7 @@
 
 
 def row(name="i-1", **fields):
+    """Return one request row of a lot's body."""
     return {
         "id": name,
         "path": f"/bulk/{name}?a=b",
@@ -28,10 +29,13 @@
 
 
 def lot_body(*rows):
+    """Return the body of a lot submission."""
     return json.dumps({"reqs": list(rows)}).encode()
 
 
 def call(stage, method, target, body=b"", **headers):
+    """Call the batch API on an edge; return (answer, error)."""
+
     def make_call(node):
         forward = node.find("forwards").find_by_name(FORWARD) if method == "POST" else None
         hyphenated_headers = {name.replace("_", "-"): value for name, value in headers.items()}
--- a/tests/test_token_quota.py
+++ b/tests/test_token_quota.py
@@ -19,15 +19,18 @@
 
 
 def set_silent(stage, is_silent=True):
+    """Make all replicas stop or resume answering."""
     for replica in stage.replicas.values():
         replica.is_silent = is_silent
 
 
 def name_outside_home(stage):
+    """Return the name of a lot that is not stored in its host's part."""
     return next(f"n{n}" for n in range(50) if stage.part(f"n{n}") != stage.home_part())
 
 
 def start_submission(stage, name, count, tokens=10):
+    """Submit a lot through an edge without waiting; return the process."""
     items = stage.items(name, count, tokens)
     return stage.start_on_node(
         stage.pick_running("edge"), lambda node: api.submit_lot(node, FORWARD, name, items)
@@ -35,6 +38,7 @@
 
 
 def time_out(seconds):
+    """Coroutine: sleep and fail with an unknown outcome."""
     yield Sleep(seconds)
     raise OutcomeUnknown()
 
--- a/tests/test_token_reservations.py
+++ b/tests/test_token_reservations.py
@@ -18,6 +18,7 @@
 def reserve(
     name, tokens=30, attempt="t", fenced=None, digest=b"d", quota=QUOTA_TOKENS, part="part-1"
 ):
+    """Return the command that reserves tokens for a lot."""
     return {
         "do": "raw.reserve",
         "lot": name,
@@ -33,18 +34,22 @@
 
 
 def accept_with_ticket(ticket, name, count=3, **options):
+    """Return the command that accepts a lot under a reservation's ticket."""
     return {**accept(name, count, quota=QUOTA_TOKENS, **options), "ledger": HOME, "ticket": ticket}
 
 
 def release(*rows):
+    """Return the command that releases reservations."""
     return {"do": "raw.release", "lot": "", "rows": [list(row) for row in rows]}
 
 
 def fence(ticket, *names):
+    """Return the command that fences a ticket for the named lots."""
     return {"do": "raw.fence", "lot": "", "ledger": HOME, "ticket": ticket, "lots": list(names)}
 
 
 def apply(*batch, state=None):
+    """Apply a batch of commands; return (state, answers)."""
     return apply_batch(initial_state([]) if state is None else state, batch)
 
 
@@ -119,8 +124,8 @@
 
 
 def test_a_refusal_for_size_is_final_for_the_attempt_under_the_same_ticket():
-    heavy = {**accept_with_ticket(1, "a"), "most_weight": 900}
-    state, answers = apply(heavy, {**heavy, "most_weight": 9000})
+    oversized_accept = {**accept_with_ticket(1, "a"), "most_weight": 900}
+    state, answers = apply(oversized_accept, {**oversized_accept, "most_weight": 9000})
     assert answers == [{"refused": HELD}, {"refused": HELD}]
     assert lot_records(state) == {}
 
