--- a/tests/forward_stage.py
+++ b/tests/forward_stage.py
@@ -51,11 +51,11 @@
     }
     node.find("gossip").publish("layout", [1], [1, 1, configuration, []])
     for number in range(replicas):
-        beat(node, number)
+        deliver_heartbeat(node, number)
     return runtime, node
 
 
-def beat(node, number, sequence=1, **fields):
+def deliver_heartbeat(node, number, sequence=1, **fields):
     """Deliver a heartbeat of replica `number` to the node."""
     node.find("replicas").on_heartbeat(
         {
@@ -90,6 +90,6 @@
     return b"".join(line if isinstance(line, bytes) else line[2] for line in runtime.emitted)
 
 
-def both(*lists):
+def same_for_both_replicas(*lists):
     """Return the same scripted responses for both replicas, whichever is chosen first."""
     return {0: [list(steps) for steps in lists], 1: [list(steps) for steps in lists]}
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -8,7 +8,7 @@
 from quillring.forward import HeaderNames, Request
 from quillring.forward.request_handler import forward_request
 from quillring.kernel.errors import QuillringError
-from tests.forward_stage import HEAD, PLAIN_HEAD, both, event, make_stage
+from tests.forward_stage import HEAD, PLAIN_HEAD, event, make_stage, same_for_both_replicas
 
 NOT_RUN = [(0.3, (503, {"x-inquiry": "q1", "x-not-run": "1"}))]
 SLOW_STREAM = [HEAD, *((0.29, event(n)) for n in range(60)), (0, END)]
@@ -52,14 +52,14 @@
 ):
     kind, steps = SCENARIOS[scenario]
     runtime, node = make_stage(
-        both(*steps * 6), kind=kind, attempts=3, replicas=2, resumable=resumable
+        same_for_both_replicas(*steps * 6), kind=kind, attempts=3, replicas=2, resumable=resumable
     )
-    arrived_at, sendings = node.now(), []
-    original = runtime._send
+    arrived_at, sent_requests = node.now(), []
+    original_send = runtime._send
 
     def send(effect):
-        sendings.append((runtime.time, deadline_header_values(effect.data)))
-        return original(effect)
+        sent_requests.append((runtime.time, deadline_header_values(effect.data)))
+        return original_send(effect)
 
     runtime._send = send
     sent = request_with_deadline(deadline_ms)
@@ -70,6 +70,6 @@
     if deadline_ms is not None and deadline_ms.isdigit():
         seconds = min(seconds, int(deadline_ms) / 1000)
     assert node.now() - arrived_at < seconds + MARGIN_SECONDS
-    assert sendings and all(len(values) == 1 for _, values in sendings)
-    for sent_at, (milliseconds,) in sendings:
+    assert sent_requests and all(len(values) == 1 for _, values in sent_requests)
+    for sent_at, (milliseconds,) in sent_requests:
         assert sent_at + milliseconds / 1000 <= arrived_at + seconds + 0.001
--- a/tests/test_decision_log.py
+++ b/tests/test_decision_log.py
@@ -36,9 +36,8 @@
 )
 from quillring.verbs.process import LOG_LEVELS, make_log_writer
 from quillring.verbs.status_routes import show_decisions, show_traffic
-from tests.forward_stage import HEAD, beat, event, make_stage, request, run
-from tests.test_nifty import beat as heartbeat
-from tests.test_nifty import member
+from tests.forward_stage import HEAD, deliver_heartbeat, event, make_stage, request, run
+from tests.test_nifty import heartbeat_datagram, member
 from tests.test_nifty import node as nifty_node
 
 COMPLETE = [HEAD, (0.01, event(1)), (0.01, event(2)), (0.01, None)]
@@ -48,6 +47,7 @@
 
 
 def run_and_record(answers, sent=None, **fields):
+    """Forward a request and record its decision; return (record, log lines, node)."""
     runtime, node = make_stage(answers, **fields)
     node.find("decisions").ratio = 1.0
     lines = []
@@ -158,7 +158,7 @@
 def test_reason_is_a_cached_prefix_or_another_zone():
     sent = request(**{"X-Prompt-Chain": "ab:30000,cd:200", "X-Token-Count": "30200,80"})
     runtime, node = make_stage({0: [COMPLETE, COMPLETE]}, replicas=0)
-    beat(node, 0, domain="south")
+    deliver_heartbeat(node, 0, domain="south")
     node.find("decisions").ratio = 1.0
     run(runtime, node, sent)
     run(runtime, node, sent)
@@ -167,10 +167,10 @@
 
 def test_messages_and_heartbeats_are_counted_by_kind_and_zone():
     local_node, nifty, runtime = nifty_node("a")
-    nifty.on_datagram(heartbeat(member("b"), 1, {"a"}, [1, 1, 3], "ab", 3))
+    nifty.on_datagram(heartbeat_datagram(member("b"), 1, {"a"}, [1, 1, 3], "ab", 3))
     runtime.datagrams.clear()
     nifty.send_heartbeats()
-    nifty.on_datagram(heartbeat(member("b"), 2, {"a"}, [1, 1, 3], "ab", 3))
+    nifty.on_datagram(heartbeat_datagram(member("b"), 2, {"a"}, [1, 1, 3], "ab", 3))
     nifty.refresh()
     nifty.send("b", {"s": "x", "b": 1})
     nifty.send("b", {"r": 1, "b": 1})
--- a/tests/test_event_bytes.py
+++ b/tests/test_event_bytes.py
@@ -4,7 +4,15 @@
 
 from proving.sim.scripted_runtime import BREAK, END
 from quillring.forward import EventReader
-from tests.forward_stage import HEAD, STREAM, address, both, make_stage, run, stream_bytes
+from tests.forward_stage import (
+    HEAD,
+    STREAM,
+    address,
+    make_stage,
+    run,
+    same_for_both_replicas,
+    stream_bytes,
+)
 from tests.http_lot_stage import HttpLotStage, submit_accepted
 
 EVENT_WITH_NEW_VERSION = b"weight-versions:7\nid: 1\ndata: p1\n\n"
@@ -25,7 +33,7 @@
     body = STREAMS[kind]
     for cut in range(len(body) + 1):
         steps = [HEAD, *((0.01, part) for part in (body[:cut], body[cut:]) if part), (0, END)]
-        runtime, node = make_stage(both(steps))
+        runtime, node = make_stage(same_for_both_replicas(steps))
         run(runtime, node)
         assert stream_bytes(runtime) == body, cut
         reader = EventReader()
--- a/tests/test_forward.py
+++ b/tests/test_forward.py
@@ -8,18 +8,18 @@
     PLAIN_HEAD,
     PLAIN_HEADERS,
     address,
-    beat,
-    both,
+    deliver_heartbeat,
     event,
     make_stage,
     request,
     run,
+    same_for_both_replicas,
     stream_bytes,
 )
 
 
 def test_request_is_forwarded_unchanged_with_replica_name_and_deadline_headers():
-    runtime, node = make_stage(both([HEAD, (0.01, event(0)), (0, END)]))
+    runtime, node = make_stage(same_for_both_replicas([HEAD, (0.01, event(0)), (0, END)]))
     run(runtime, node)
     data = runtime.sent[0][1].decode()
     assert data.startswith("POST /a/x?y=%20z HTTP/1.1\r\nHost: h\r\nX-Inquiry: q1\r\n")
@@ -31,7 +31,7 @@
 def test_interrupted_stream_resumes_at_another_replica_after_last_complete_event():
     first = [HEAD, (0.01, event(0) + event(1) + b"id: 2\nda"), (0.01, BREAK)]
     second = [HEAD, (0.01, event(2)), (0, END)]
-    runtime, node = make_stage(both(first, second))
+    runtime, node = make_stage(same_for_both_replicas(first, second))
     runtime.answers = {address(0): [first], address(1): [first]}
     sent_to = []
     original = runtime._send
@@ -50,14 +50,16 @@
 
 
 def test_interrupted_stream_that_is_not_resumable_is_not_retried():
-    runtime, node = make_stage(both([HEAD, (0.01, event(0)), (0.01, BREAK)]), resumable=False)
+    runtime, node = make_stage(
+        same_for_both_replicas([HEAD, (0.01, event(0)), (0.01, BREAK)]), resumable=False
+    )
     with pytest.raises(OutcomeUnknown):
         run(runtime, node)
     assert len(runtime.sent) == 1 and not runtime.sent[0][2]
 
 
 def test_request_that_may_run_only_once_is_not_retried_after_a_timeout():
-    runtime, node = make_stage(both([(9, SILENT)]), kind="once")
+    runtime, node = make_stage(same_for_both_replicas([(9, SILENT)]), kind="once")
     with pytest.raises(OutcomeUnknown):
         run(runtime, node)
     assert len(runtime.sent) == 1
@@ -72,7 +74,9 @@
 
 
 def test_attempt_at_a_stalled_replica_is_abandoned_and_retried():
-    runtime, node = make_stage(both([(0, SILENT)], [HEAD, (0.01, event(0)), (0, END)]))
+    runtime, node = make_stage(
+        same_for_both_replicas([(0, SILENT)], [HEAD, (0.01, event(0)), (0, END)])
+    )
     runtime.answers[address(0)] = [[HEAD, (0.01, event(0)), (9, SILENT)]]
     runtime.answers[address(1)] = [[HEAD, (0.01, event(0)), (9, SILENT)]]
     start_time = runtime.now()
@@ -83,7 +87,9 @@
 
 
 def test_stream_fails_if_its_events_do_not_follow_the_last_event_id():
-    runtime, node = make_stage(both([HEAD, (0.01, event(5)), (0, END)]), attempts=1)
+    runtime, node = make_stage(
+        same_for_both_replicas([HEAD, (0.01, event(5)), (0, END)]), attempts=1
+    )
     with pytest.raises(OutcomeUnknown):
         run(runtime, node, request(**{"Last-Event-Id": "2"}))
     assert stream_bytes(runtime) == b""
@@ -91,16 +97,18 @@
 
 def test_stream_without_seal_header_is_not_forwarded():
     unsealed = (0.01, (200, {"content-type": "text/event-stream"}))
-    runtime, node = make_stage(both([unsealed, (0.01, event(0)), (0, END)]), attempts=1)
+    runtime, node = make_stage(
+        same_for_both_replicas([unsealed, (0.01, event(0)), (0, END)]), attempts=1
+    )
     with pytest.raises(OutcomeUnknown):
         run(runtime, node)
     assert not runtime.emitted
 
 
 def test_leaving_replicas_receive_no_request_and_refusal_is_immediate():
-    runtime, node = make_stage(both([HEAD, (0.01, event(0)), (0, END)]))
-    beat(node, 0, 2, state="leaving")
-    beat(node, 1, 2, state="gone")
+    runtime, node = make_stage(same_for_both_replicas([HEAD, (0.01, event(0)), (0, END)]))
+    deliver_heartbeat(node, 0, 2, state="leaving")
+    deliver_heartbeat(node, 1, 2, state="gone")
     start_time = runtime.now()
     with pytest.raises(Refused) as refusal:
         run(runtime, node)
@@ -110,7 +118,7 @@
 
 def test_replica_with_a_misdirected_response_receives_no_further_request():
     misdirected = [(0.01, (421, {"x-inquiry": "q1"}))]
-    runtime, node = make_stage(both(misdirected), attempts=3)
+    runtime, node = make_stage(same_for_both_replicas(misdirected), attempts=3)
     with pytest.raises(Refused):
         run(runtime, node)
     assert {sent[0] for sent in runtime.sent} == {address(0), address(1)}
@@ -120,7 +128,7 @@
 def test_not_run_response_permits_retry_of_a_request_that_may_run_only_once():
     not_run = [(0.01, (503, {"x-inquiry": "q1", "x-not-run": "1"}))]
     complete = [PLAIN_HEAD, (0.01, b"ok"), (0, END)]
-    runtime, node = make_stage(both(not_run, complete), kind="once", attempts=2)
+    runtime, node = make_stage(same_for_both_replicas(not_run, complete), kind="once", attempts=2)
     runtime.answers = {address(0): [not_run], address(1): [not_run]}
     with pytest.raises(Refused):
         run(runtime, node)
@@ -129,7 +137,7 @@
 
 def test_server_error_is_forwarded_if_the_request_may_run_only_once():
     runtime, node = make_stage(
-        both([(0.01, (500, PLAIN_HEADERS)), (0, b"bad"), (0, END)]), kind="once"
+        same_for_both_replicas([(0.01, (500, PLAIN_HEADERS)), (0, b"bad"), (0, END)]), kind="once"
     )
     assert run(runtime, node)[::2] == (500, b"bad")
 
--- a/tests/test_forward_once.py
+++ b/tests/test_forward_once.py
@@ -12,12 +12,12 @@
     PLAIN_HEAD,
     PLAIN_HEADERS,
     address,
-    beat,
-    both,
+    deliver_heartbeat,
     event,
     make_stage,
     request,
     run,
+    same_for_both_replicas,
     stream_bytes,
 )
 
@@ -26,6 +26,7 @@
 
 
 def replicas_reached(runtime):
+    """Return the addresses to which requests were sent."""
     return {sent[0] for sent in runtime.sent}
 
 
@@ -33,7 +34,11 @@
 @pytest.mark.parametrize("fault", [[(0, BREAK)], [(9, SILENT)], [HEAD, (0.01, BREAK)]])
 def test_request_that_may_run_only_once_is_sent_once_on_a_new_connection(kind, fault):
     runtime, node = make_stage(
-        both(fault, COMPLETE_RESPONSE), kind=kind, resumable=False, attempts=3, replicas=2
+        same_for_both_replicas(fault, COMPLETE_RESPONSE),
+        kind=kind,
+        resumable=False,
+        attempts=3,
+        replicas=2,
     )
     with pytest.raises(OutcomeUnknown):
         run(runtime, node)
@@ -56,7 +61,7 @@
 
     def perform(effect):
         if type(effect).__name__ == "ReadHead" and len(runtime.sent) == 1:
-            beat(node, 0, 2, state="leaving")
+            deliver_heartbeat(node, 0, 2, state="leaving")
         return wait_for_head(effect)
 
     runtime.perform = perform
@@ -109,7 +114,9 @@
 
 @pytest.mark.parametrize("status", [429, 503, 408])
 def test_not_run_status_without_not_run_header_is_not_forwarded(status):
-    runtime, node = make_stage(both([(0.01, (status, PLAIN_HEADERS)), (0, END)]), kind="once")
+    runtime, node = make_stage(
+        same_for_both_replicas([(0.01, (status, PLAIN_HEADERS)), (0, END)]), kind="once"
+    )
     with pytest.raises(OutcomeUnknown):
         run(runtime, node)
     assert len(runtime.sent) == 1
@@ -117,10 +124,10 @@
 
 def test_success_without_seal_header_leaves_the_outcome_unknown():
     unsealed = [(0.01, (200, {"x-inquiry": "q1"})), (0, b"ok"), (0, END)]
-    runtime, node = make_stage(both(unsealed), kind="once")
+    runtime, node = make_stage(same_for_both_replicas(unsealed), kind="once")
     with pytest.raises(OutcomeUnknown):
         run(runtime, node)
-    runtime, node = make_stage(both(unsealed), kind="repeatable")
+    runtime, node = make_stage(same_for_both_replicas(unsealed), kind="repeatable")
     with pytest.raises(OutcomeUnknown):
         run(runtime, node)
     assert len(runtime.sent) == 2
@@ -128,7 +135,7 @@
 
 def test_server_error_keeps_its_status_and_seal_header():
     runtime, node = make_stage(
-        both([(0.01, (504, PLAIN_HEADERS)), (0, b"late"), (0, END)]), kind="once"
+        same_for_both_replicas([(0.01, (504, PLAIN_HEADERS)), (0, b"late"), (0, END)]), kind="once"
     )
     status, pairs, body = run(runtime, node)
     assert (status, dict(pairs)["x-seal"], body) == (504, "s", b"late")
@@ -141,9 +148,9 @@
     def perform(effect):
         name = type(effect).__name__
         if name == "ReadBody" and runtime.emitted:
-            beat(node, 0, 2, state="leaving")
+            deliver_heartbeat(node, 0, 2, state="leaving")
         if name == "Wait" and runtime.now() + effect.seconds >= 1004.99 - 1e-6:
-            beat(node, 1)
+            deliver_heartbeat(node, 1)
         return real_perform(effect)
 
     runtime.perform = perform
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -7,7 +7,7 @@
 from quillring.forward.request_handler import forward_request
 from quillring.kernel.effects import SendToClient
 from quillring.kernel.errors import BackendError, QuillringError
-from tests.forward_stage import HEAD, PLAIN_HEAD, both, event, make_stage, request
+from tests.forward_stage import HEAD, PLAIN_HEAD, event, make_stage, request, same_for_both_replicas
 from tests.test_raw_clients import PausedStreamHandler
 from tests.test_raw_server import Client, serve  # noqa: F401
 
@@ -47,7 +47,7 @@
 def test_client_disconnecting_at_any_point_leaks_no_connection_and_no_slot(scenario):
     kind, steps = SCENARIOS[scenario]
     for stop_at in range(200):
-        answers = both(*steps) if steps else {}
+        answers = same_for_both_replicas(*steps) if steps else {}
         runtime, node = make_stage(answers, kind=kind, attempts=2, replicas=2 if steps else 0)
         sent = request()
         forward = node.find("forwards").find("h", sent.target)
--- a/tests/test_held_messages.py
+++ b/tests/test_held_messages.py
@@ -1,10 +1,11 @@
 """Messages delayed in a relay or a socket: delivered once, and never from an older incarnation."""
 
 from quillring.nifty.wire import pack
-from tests.test_nifty import beat, member, node
+from tests.test_nifty import heartbeat_datagram, member, node
 
 
 def frame(sequence, incarnation=1, target="a", hops_left=6, origin="b"):
+    """Return the bytes of a frame whose body is its sequence number."""
     return pack([origin, incarnation, sequence, target, hops_left, {"s": "s", "b": sequence}])
 
 
@@ -33,7 +34,7 @@
 
 def test_restarted_node_drops_messages_of_an_older_incarnation_than_in_its_roster():
     _, nifty, _ = node("a")
-    nifty.on_datagram(beat(member("b", 5), 1, {"a"}, None, "ab"))
+    nifty.on_datagram(heartbeat_datagram(member("b", 5), 1, {"a"}, None, "ab"))
     assert nifty.roster.members["b"].incarnation == 5
     assert deliver(nifty, frame(3, incarnation=4)) == []
     assert deliver(nifty, frame(1, incarnation=5)) == [1]
@@ -41,6 +42,6 @@
 
 def test_hop_limit_ends_the_relaying_of_a_message_in_a_loop():
     _, nifty, runtime = node("a")
-    nifty.on_datagram(beat(member("b"), 1, {"a"}, [1, 0], "ab"))
+    nifty.on_datagram(heartbeat_datagram(member("b"), 1, {"a"}, [1, 0], "ab"))
     nifty.on_frame(frame(1, target="c", hops_left=0))
     assert not [data for _, data in runtime.frames if data != "reset"]
--- a/tests/test_load_balancer.py
+++ b/tests/test_load_balancer.py
@@ -14,12 +14,12 @@
 from quillring.kernel.bounds import Bounds
 from quillring.kernel.errors import Refused
 from quillring.nifty import Member
-from tests.forward_stage import beat, make_stage, request, run
+from tests.forward_stage import deliver_heartbeat, make_stage, request, run
 
 
 def test_requests_to_a_cold_replica_stay_close_to_its_rate():
     runtime, node = make_stage({}, replicas=0)
-    beat(node, 0, cold_ms=60_000)
+    deliver_heartbeat(node, 0, cold_ms=60_000)
     placement, count = node.find("placement"), 0
     for step in range(400):
         runtime.time = 2000 + step / 100
@@ -33,6 +33,7 @@
 
 
 def chosen_names(placement, sent, count=20):
+    """Choose a replica `count` times for the same request; return the names."""
     return {placement.choose("s", sent, goals=GOALS).name for _ in range(count)}
 
 
@@ -76,8 +77,8 @@
 
 def test_another_zone_is_chosen_only_if_its_cached_prefix_saves_much_time():
     _, node = make_stage({}, replicas=0)
-    beat(node, 0)
-    beat(node, 1, domain="south")
+    deliver_heartbeat(node, 0)
+    deliver_heartbeat(node, 1, domain="south")
     placement = node.find("placement")
     assert chosen_names(placement, request()) == {"r0"}
     table = node.find("replicas").table
@@ -128,11 +129,11 @@
 def test_new_trial_request_starts_only_after_the_previous_trial_finished():
     runtime, node = make_stage({}, replicas=1)
     placement, replica = node.find("placement"), node.find("replicas").table["r0"]
-    former = placement.start_request(replica, request())
+    failed_request = placement.start_request(replica, request())
     placement.record_failure(replica, is_certain=True)
     runtime.time += 60
     trial = placement.start_request(placement.choose("s", request()), request())
-    former.finish()
+    failed_request.finish()
     assert placement.choose("s", request()) is None
     trial.finish()
     assert placement.choose("s", request()) is replica
@@ -167,7 +168,7 @@
     for name in ("r0", "r1"):
         placement.start_request(table[name], request(**LONG)).finish()
     del table["r0"]
-    beat(node, 7)
+    deliver_heartbeat(node, 7)
     placement.choose("s", request())
     assert set(placement.prefix_directory.cache_by_replica) == {"r1"}
     assert set(placement.health_by_replica) == {"r1", "r7"}
@@ -219,9 +220,9 @@
     disk = SimDisk(random.Random(1))
     runtime, node = make_stage({}, replicas=3)
     snapshot = ReplicaSnapshot(node, disk)
-    beat(node, 1, 2, state="leaving")
+    deliver_heartbeat(node, 1, 2, state="leaving")
     snapshot._write()
-    beat(node, 3)
+    deliver_heartbeat(node, 3)
     snapshot._write()
     disk.lose_power()
     disk.durable["replicas.0"] = disk.durable["replicas.0"][:-1]
@@ -234,9 +235,9 @@
         "r2": "ready",
     }
     assert {r.name for r in node.find("placement").replicas("s")} == {"r0", "r2"}
-    beat(node, 0, 5)
+    deliver_heartbeat(node, 0, 5)
     placement = node.find("placement")
     assert {placement.choose("s", request()).name for _ in range(40)} == {"r0", "r2"}
     runtime.time += node.bounds.replica_timeout
-    beat(node, 0, 6)
+    deliver_heartbeat(node, 0, 6)
     assert {placement.choose("s", request()).name for _ in range(40)} == {"r0"}
--- a/tests/test_nifty.py
+++ b/tests/test_nifty.py
@@ -43,23 +43,27 @@
 
 
 def member(name, incarnation=1):
+    """Return an edge of the zone north."""
     return Member(name, incarnation, "edge", "north", "127.0.0.1", 7000 + ord(name[0]), 8000, "")
 
 
 def node(name):
+    """Return (node, its peer layer, its runtime); member b is its only seed."""
     runtime = RecordingRuntime()
     local_node = Node(member(name), runtime, Bounds())
     local_node.offer("nifty", Nifty(local_node, [member("b").address]))
     return local_node, local_node.find("nifty"), runtime
 
 
-def beat(sender, sequence, reached, echo, names, version=2):
+def heartbeat_datagram(sender, sequence, reached, echo, names, version=2):
+    """Return the bytes of a heartbeat; `names` is the roster, `reached` the members with a link."""
     roster = Roster([member(n) for n in names])
     fields = [sender.to_list(), sequence, roster.digest, roster.to_bitmap(reached), None, echo]
     return pack(fields, version)
 
 
 def rows(text):
+    """Parse lines of "member reached ..." into {member: the members that it reaches}."""
     return {line.split()[0]: frozenset(line.split()[1:]) for line in text.strip().splitlines()}
 
 
@@ -104,7 +108,9 @@
     nifty.send_heartbeats()
     for sequence in range(1, 5):
         runtime.time = sequence * 0.5
-        nifty.on_datagram(beat(member("b"), sequence, {"a"}, [1, nifty.heartbeat_sequence], "ab"))
+        nifty.on_datagram(
+            heartbeat_datagram(member("b"), sequence, {"a"}, [1, nifty.heartbeat_sequence], "ab")
+        )
         nifty.send_heartbeats()
         nifty.refresh()
         assert nifty.reaches("b")
@@ -126,7 +132,7 @@
     for sequence in range(1, 9):
         runtime.time = sequence * 0.5
         nifty.send_heartbeats()
-        nifty.on_datagram(beat(member("b"), sequence, set(), None, "ab"))
+        nifty.on_datagram(heartbeat_datagram(member("b"), sequence, set(), None, "ab"))
     assert not nifty.reaches("b")
 
 
@@ -135,27 +141,27 @@
     names_with_unknown_roster = []
     nifty.on_unknown_roster = names_with_unknown_roster.append
     nifty.send_heartbeats()
-    nifty.on_datagram(beat(member("b"), 1, {"a", "q"}, [1, 1], "abq"))
+    nifty.on_datagram(heartbeat_datagram(member("b"), 1, {"a", "q"}, [1, 1], "abq"))
     assert names_with_unknown_roster == ["b"]
     assert nifty.peer_states["b"].neighbour_names is None
     nifty.learn(member("q"))
-    nifty.on_datagram(beat(member("b"), 2, {"a", "q"}, [1, 1], "abq"))
+    nifty.on_datagram(heartbeat_datagram(member("b"), 2, {"a", "q"}, [1, 1], "abq"))
     assert nifty.peer_states["b"].neighbour_names == {"a", "q"}
     nifty.learn(member("z"))
-    nifty.on_datagram(beat(member("b"), 3, {"q"}, [1, 1], "abq"))
+    nifty.on_datagram(heartbeat_datagram(member("b"), 3, {"q"}, [1, 1], "abq"))
     assert nifty.peer_states["b"].neighbour_names == {"q"}
 
 
 def test_newer_incarnation_at_a_new_address_is_adopted_and_an_older_one_is_ignored():
     local_node, nifty, runtime = node("a")
     moved = Member("b", 2, "edge", "north", "127.0.0.9", 7999, 8000, "")
-    nifty.on_datagram(beat(member("b"), 1, {"a"}, None, "ab"))
-    nifty.on_datagram(beat(moved, 1, {"a"}, None, "ab"))
+    nifty.on_datagram(heartbeat_datagram(member("b"), 1, {"a"}, None, "ab"))
+    nifty.on_datagram(heartbeat_datagram(moved, 1, {"a"}, None, "ab"))
     assert nifty.roster.members["b"].address == member("b").address
     assert runtime.frames[0][0] == moved.address and local_node.counts["identity_clashes"] == 1
     runtime.time = 2.0
-    nifty.on_datagram(beat(moved, 2, {"a"}, None, "ab"))
-    nifty.on_datagram(beat(member("b"), 5, {"a"}, None, "ab"))
+    nifty.on_datagram(heartbeat_datagram(moved, 2, {"a"}, None, "ab"))
+    nifty.on_datagram(heartbeat_datagram(member("b"), 5, {"a"}, None, "ab"))
     assert nifty.roster.members["b"].address == ("127.0.0.9", 7999)
 
 
@@ -199,7 +205,7 @@
         ((2, 2, 2), (2, 3, 3), (3, 4, 4), (3, 9, 4)), 1
     ):
         echo = [1, 1, advertised_version]
-        nifty.on_datagram(beat(member("b", number), 1, {"a"}, echo, "ab", version))
+        nifty.on_datagram(heartbeat_datagram(member("b", number), 1, {"a"}, echo, "ab", version))
         runtime.datagrams.clear()
         nifty.send_heartbeats()
         assert [data[2] for _, data in runtime.datagrams] == [
@@ -214,9 +220,9 @@
 def test_node_renamed_at_the_same_address_is_not_mistaken_for_its_previous_name():
     local_node, nifty, runtime = node("a")
     previous_member = Member("z", 1, "edge", "north", *member("b").address, 8000, "")
-    nifty.on_datagram(beat(previous_member, 1, {"a"}, [1, 1], "abz"))
+    nifty.on_datagram(heartbeat_datagram(previous_member, 1, {"a"}, [1, 1], "abz"))
     runtime.time = 2.0
-    nifty.on_datagram(beat(member("b"), 1, {"a"}, None, "abz"))
+    nifty.on_datagram(heartbeat_datagram(member("b"), 1, {"a"}, None, "abz"))
     runtime.datagrams.clear()
     nifty.send_heartbeats()
     assert [
@@ -226,18 +232,18 @@
 
 def test_process_restarted_with_a_clock_set_back_is_notified_of_its_previous_incarnation():
     local_node, nifty, runtime = node("a")
-    nifty.on_datagram(beat(member("b", 50), 1, {"a"}, None, "ab"))
-    nifty.on_datagram(beat(member("b", 7), 1, {"a"}, None, "ab"))
+    nifty.on_datagram(heartbeat_datagram(member("b", 50), 1, {"a"}, None, "ab"))
+    nifty.on_datagram(heartbeat_datagram(member("b", 7), 1, {"a"}, None, "ab"))
     assert runtime.frames == []
     runtime.time = 2.0
-    nifty.on_datagram(beat(member("b", 7), 2, {"a"}, None, "ab"))
+    nifty.on_datagram(heartbeat_datagram(member("b", 7), 2, {"a"}, None, "ab"))
     ((address, frame),) = runtime.frames
     restarted_node, restarted_nifty, _ = node("b")
     restarted_node.me = member("b", 7)
     restarted_nifty.on_frame(frame)
     (coroutine,) = restarted_node.runtime.spawned
     assert list(coroutine) == [] and restarted_node.me.incarnation == 51
-    nifty.on_datagram(beat(restarted_node.me, 1, {"a"}, None, "ab"))
+    nifty.on_datagram(heartbeat_datagram(restarted_node.me, 1, {"a"}, None, "ab"))
     assert nifty.roster.members["b"].incarnation == 51
 
 
@@ -248,7 +254,7 @@
     nifty.on_frame(frame)
     assert len(runtime.spawned) == 1 and local_node.counts["duplicates"] == 1
     nifty.send_heartbeats()
-    nifty.on_datagram(beat(member("b"), 1, {"a"}, [1, 1], "ab"))
+    nifty.on_datagram(heartbeat_datagram(member("b"), 1, {"a"}, [1, 1], "ab"))
     nifty.on_frame(pack(["c", 1, 1, "b", 1, {"s": "x", "b": None}]))
     assert runtime.frames == [] and local_node.counts["unrouted"] == 1
     nifty.on_frame(pack(["c", 1, 2, "b", 2, {"s": "x", "b": None}]))
--- a/tests/test_nifty_rows.py
+++ b/tests/test_nifty_rows.py
@@ -7,7 +7,7 @@
 from quillring.nifty.bits import BitPermutation, bit_positions, to_bits
 from quillring.nifty.heartbeat_timing import HeartbeatTiming
 from quillring.nifty.wire import SUPPORTED_VERSIONS, Heartbeat, pack
-from tests.test_nifty import beat, member, node
+from tests.test_nifty import heartbeat_datagram, member, node
 
 
 def routes_by_bellman_ford(home, links):
@@ -25,7 +25,11 @@
                     candidate[0] <= known[0] and candidate != known and other != home
                 ):
                     vectors[other], is_changed = candidate, True
-    return {n: (d, tuple(sorted(h))) for n, (d, h) in vectors.items() if n != home}
+    return {
+        target: (distance, tuple(sorted(first_hops)))
+        for target, (distance, first_hops) in vectors.items()
+        if target != home
+    }
 
 
 def links_by_definition(home, reported_rows):
@@ -64,7 +68,7 @@
     local_node, nifty, runtime = node("a")
 
     def is_next_heartbeat_terse(sequence, echo):
-        nifty.on_datagram(beat(member("b"), sequence, {"a"}, echo, "ab"))
+        nifty.on_datagram(heartbeat_datagram(member("b"), sequence, {"a"}, echo, "ab"))
         runtime.datagrams.clear()
         nifty.send_heartbeats()
         (data,) = [data for address, data in runtime.datagrams if address == member("b").address]
@@ -87,7 +91,7 @@
     nifty.send_heartbeats()
     nifty.on_datagram(pack(["b", 1, 1, None, [1, 1, 2, 5]]))
     assert local_node.counts["unread_beats"] == 1 and not nifty.reaches("b")
-    nifty.on_datagram(beat(member("b"), 1, {"a", "q"}, [1, 1, 2, 5], "abq"))
+    nifty.on_datagram(heartbeat_datagram(member("b"), 1, {"a", "q"}, [1, 1, 2, 5], "abq"))
     runtime.time = 1.2
     nifty.send_heartbeats()
     nifty.on_datagram(pack(["b", 1, 2, None, [1, 2, 2, 5]]))
@@ -100,11 +104,11 @@
 def test_restarted_member_unable_to_read_terse_heartbeats_is_sent_a_full_one_at_once():
     local_node, nifty, runtime = node("a")
     nifty.send_heartbeats()
-    nifty.on_datagram(beat(member("b"), 1, {"a"}, [1, 1, 2, 5], "ab"))
-    nifty.on_datagram(beat(member("b"), 2, {"a"}, [1, 1, 2, 5], "ab"))
+    nifty.on_datagram(heartbeat_datagram(member("b"), 1, {"a"}, [1, 1, 2, 5], "ab"))
+    nifty.on_datagram(heartbeat_datagram(member("b"), 2, {"a"}, [1, 1, 2, 5], "ab"))
     runtime.datagrams.clear()
-    nifty.on_datagram(beat(member("b", 2), 1, set(), None, "b"))
-    nifty.on_datagram(beat(member("b", 2), 2, set(), None, "b"))
+    nifty.on_datagram(heartbeat_datagram(member("b", 2), 1, set(), None, "b"))
+    nifty.on_datagram(heartbeat_datagram(member("b", 2), 2, set(), None, "b"))
     ((address, data),) = runtime.datagrams
     heartbeat = Heartbeat.from_wire(data, SUPPORTED_VERSIONS)
     assert address == member("b").address
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -13,7 +13,7 @@
 from quillring.kernel.http_messages import HttpRequest
 from quillring.verbs import process
 from tests import platform_path  # noqa: F401
-from tests.forward_stage import PLAIN_HEAD, both, make_stage
+from tests.forward_stage import PLAIN_HEAD, make_stage, same_for_both_replicas
 
 from system_edge import handle_client, handle_ready  # isort: skip
 
@@ -22,6 +22,7 @@
 
 
 def status_of(runtime, node, handle, method="POST", target="/a/x", **extra_headers):
+    """Handle a request; return the (status, headers) of its response."""
     lines = [("Host", "h"), ("X-Inquiry", "q1"), *extra_headers.items()]
     raw = HttpRequest(method, target, lines, b"", True, node.now())
     status, headers, _ = runtime.run(handle(node, raw))
@@ -33,7 +34,7 @@
 
     def __init__(self, grace_seconds):
         self.runtime, self.node = make_stage(
-            both(*[COMPLETE_RESPONSE] * 99), kind="repeatable", attempts=1
+            same_for_both_replicas(*[COMPLETE_RESPONSE] * 99), kind="repeatable", attempts=1
         )
         self.node.offer("dialect", HeaderNames())
         self.node.bounds = Bounds(grace_period=grace_seconds)
@@ -61,7 +62,7 @@
     with mock.patch.object(process.gevent, "sleep", observer.sleep):
         process.drain(observer.node, servers)
     assert {ready for _, ready, _, _ in observer.observations} == {503}
-    early = {row[2:] for row in observer.observations if row[0] < ACCEPTING_SECONDS - 0.2}
-    late = {row[2:] for row in observer.observations if row[0] > ACCEPTING_SECONDS}
-    assert early == {(200, False)} and late == {(503, True)}
+    early_responses = {row[2:] for row in observer.observations if row[0] < ACCEPTING_SECONDS - 0.2}
+    late_responses = {row[2:] for row in observer.observations if row[0] > ACCEPTING_SECONDS}
+    assert early_responses == {(200, False)} and late_responses == {(503, True)}
     assert observer.observations[-1][0] > grace_seconds / 2 and servers[0].stop.called
--- a/tests/test_wire_compression.py
+++ b/tests/test_wire_compression.py
@@ -19,7 +19,7 @@
     pack,
     unpack,
 )
-from tests.test_nifty import beat, member, node
+from tests.test_nifty import heartbeat_datagram, member, node
 
 LONG_TEXT = "the same words again " * 200
 NEWEST_VERSION = SUPPORTED_VERSIONS[-1]
@@ -64,9 +64,9 @@
     _, nifty, runtime = node("a")
     peer = member("b")
     peer.zone = zone
-    nifty.on_datagram(beat(peer, 1, {"a"}, [1, 1, NEWEST_VERSION], "ab"))
+    nifty.on_datagram(heartbeat_datagram(peer, 1, {"a"}, [1, 1, NEWEST_VERSION], "ab"))
     nifty.send_heartbeats()
-    nifty.on_datagram(beat(peer, 2, {"a"}, [1, 1, NEWEST_VERSION], "ab"))
+    nifty.on_datagram(heartbeat_datagram(peer, 2, {"a"}, [1, 1, NEWEST_VERSION], "ab"))
     nifty.refresh()
     assert nifty.send("b", {"s": "x", "b": LONG_TEXT})
     (_, frame) = runtime.frames[-1]
--- a/tests/test_wire_samples_nifty.py
+++ b/tests/test_wire_samples_nifty.py
@@ -2,10 +2,11 @@
 
 from quillring.nifty import Member
 from quillring.nifty.wire import pack
-from tests.test_nifty import beat, member, node
+from tests.test_nifty import heartbeat_datagram, member, node
 
 
 def sent_to_b(runtime):
+    """Return the datagrams that were sent to member b, in hex."""
     return [data.hex() for address, data in runtime.datagrams if address == member("b").address]
 
 
@@ -23,9 +24,9 @@
 def test_heartbeats_to_a_known_peer_are_full_then_terse():
     _, nifty, runtime = node("a")
     nifty.send_heartbeats()
-    nifty.on_datagram(beat(member("b"), 1, ["a"], [1, 1, 3, 5], "ab", 3))
+    nifty.on_datagram(heartbeat_datagram(member("b"), 1, ["a"], [1, 1, 3, 5], "ab", 3))
     nifty.send_heartbeats()
-    nifty.on_datagram(beat(member("b"), 2, ["a"], [1, 2, 3, 5], "ab", 3))
+    nifty.on_datagram(heartbeat_datagram(member("b"), 2, ["a"], [1, 2, 3, 5], "ab", 3))
     nifty.stamp_source = lambda: [[3, "core-1"], 41, "s1"]
     nifty.send_heartbeats()
     nifty.send_heartbeats()
@@ -45,9 +46,9 @@
 
 def test_frames_of_a_oneway_message_a_call_a_reply_and_an_error_reply():
     local_node, nifty, runtime = node("a")
-    nifty.on_datagram(beat(member("b"), 1, ["a"], [1, 1, 3, 5], "ab", 3))
+    nifty.on_datagram(heartbeat_datagram(member("b"), 1, ["a"], [1, 1, 3, 5], "ab", 3))
     nifty.send_heartbeats()
-    nifty.on_datagram(beat(member("b"), 2, ["a"], [1, 1, 3, 5], "ab", 3))
+    nifty.on_datagram(heartbeat_datagram(member("b"), 2, ["a"], [1, 1, 3, 5], "ab", 3))
     nifty.refresh()
     local_node.send_oneway("b", "gossip.news", {"k": 1})
     next(local_node.call("b", "quorum.read", [1, "two"]))
@@ -74,7 +75,7 @@
 def test_relayed_frame_has_the_same_message_and_one_hop_less():
     _, nifty, runtime = node("a")
     nifty.send_heartbeats()
-    nifty.on_datagram(beat(member("b"), 1, ["a"], [1, 1, 3, 5], "ab", 3))
+    nifty.on_datagram(heartbeat_datagram(member("b"), 1, ["a"], [1, 1, 3, 5], "ab", 3))
     nifty.on_frame(pack(["c", 1, 2, "b", 2, {"s": "x", "b": None, "c": 5}]))
     assert [data.hex() for _, data in runtime.frames] == [
         "5152038661630102616201a3617361786162f6616305",
@@ -84,10 +85,10 @@
 def test_frames_sent_to_a_node_with_a_clashing_name_and_to_one_whose_clock_was_set_back():
     _, nifty, runtime = node("a")
     moved = Member("b", 2, "edge", "north", "127.0.0.9", 7999, 8000, "")
-    nifty.on_datagram(beat(member("b", 50), 1, ["a"], None, "ab", 3))
-    nifty.on_datagram(beat(moved, 1, ["a"], None, "ab", 3))
+    nifty.on_datagram(heartbeat_datagram(member("b", 50), 1, ["a"], None, "ab", 3))
+    nifty.on_datagram(heartbeat_datagram(moved, 1, ["a"], None, "ab", 3))
     runtime.time = 2.0
-    nifty.on_datagram(beat(member("b", 7), 2, ["a"], None, "ab", 3))
+    nifty.on_datagram(heartbeat_datagram(member("b", 7), 2, ["a"], None, "ab", 3))
     assert [data.hex() for _, data in runtime.frames] == [
         "5152038661610101616201a261736c6d656d6265722e636c6173686162f6",
         "5152038661610102616201a261736d6d656d6265722e666f726d657261621832",
