--- a/tests/test_first_start.py
+++ b/tests/test_first_start.py
@@ -4,7 +4,7 @@
 
 from tests.fleet_stage import SelfFoundingFleet
 from tests.test_founding_bootstrap import all_parts_are_led
-from tests.test_membership_repair import mark_zone_command, marked_zones
+from tests.test_membership_repair import ordered_zones, zone_order_command
 
 SIZES = {"sizes": {"edge": 2, "core": 4, "store": 4}}
 LARGE = {"sizes": {"edge": 2, "core": 4, "store": 8}}
@@ -32,12 +32,12 @@
     stage.run(25)
     assert len(stage.fleet_ids()) == 1
     others = [name for name in stage.sim.names("core") if name not in side]
-    assert stage.submit(others[0], mark_zone_command("kept"), seconds=3)[1] is None
+    assert stage.submit(others[0], zone_order_command("kept"), seconds=3)[1] is None
     stage.sim.heal()
     stage.run(6)
     assert len(stage.fleet_ids()) == 1 and all(a.founding for a in stage.stores().values())
     assert all_parts_are_led(stage)
-    assert "kept" in marked_zones(stage)
+    assert "kept" in ordered_zones(stage)
 
 
 @pytest.mark.parametrize("seed", [1, 2])
--- a/tests/test_follower_catch_up.py
+++ b/tests/test_follower_catch_up.py
@@ -1,10 +1,13 @@
+"""A store that missed entries is sent these entries instead of the state."""
+
 import pytest
 
 from tests.fleet_stage import SelfFoundingFleet
-from tests.test_membership_repair import all_parts_replicated, mark_zone_command, members, owners
+from tests.test_membership_repair import all_parts_replicated, members, owners, zone_order_command
 
 
 def total_count(stage, name):
+    """Return the sum of a counter over all nodes."""
     return sum(node.counts.get(name, 0) for node in stage.sim.nodes.values())
 
 
@@ -14,7 +17,7 @@
     store = members(stage)[0]
     stage.sim.kill(store)
     for number in range(5):
-        answer, error = stage.submit("core-1", mark_zone_command(f"zone-{number}"))
+        answer, error = stage.submit("core-1", zone_order_command(f"zone-{number}"))
         assert error is None, answer
     installs = total_count(stage, "installs")
     stage.start(store)
@@ -25,17 +28,17 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_promises_contain_no_state_and_the_new_leader_has_it_complete(seed):
     stage = SelfFoundingFleet(seed)
-    stage.submit("core-1", mark_zone_command("halls"))
+    stage.submit("core-1", zone_order_command("halls"))
     promised_states = []
     for acceptors in stage.stores().values():
         on_prepare = acceptors.node.handlers["quorum.prepare"]
 
-        def recorded(body, origin, on_prepare=on_prepare):
+        def recording_handler(body, origin, on_prepare=on_prepare):
             fields = yield from on_prepare(body, origin)
             promised_states.append(fields[2])
             return fields
 
-        acceptors.node.handlers["quorum.prepare"] = recorded
+        acceptors.node.handlers["quorum.prepare"] = recording_handler
     previous_owner = stage.owner("config")
     index = owners(stage)["config"].index
     stage.sim.kill(previous_owner)
--- a/tests/test_membership_repair.py
+++ b/tests/test_membership_repair.py
@@ -1,3 +1,5 @@
+"""A group replaces lost members and refills emptied ones without losing commands."""
+
 import pytest
 
 from quillring.kernel.effects import Sleep
@@ -7,6 +9,7 @@
 
 
 def owners(stage):
+    """Return the PartLeader of each part that has an owner."""
     return {
         part: stage.sim.nodes[stage.owner(part)].find("ownership").leaders[part]
         for part in PARTS
@@ -31,15 +34,18 @@
     )
 
 
-def mark_zone_command(name):
+def zone_order_command(name):
+    """Return the command that orders to drain a zone; each name adds one zone to the state."""
     return {"do": "domain.mark", "domain": name, "emptied": True, "nodes": False}
 
 
 def members(stage, part="config"):
+    """Return the names of the stores in the group of a part."""
     return [store[0] for store in owners(stage)[part].group]
 
 
-def marked_zones(stage):
+def ordered_zones(stage):
+    """Return the zones with a drain order, read through core-1."""
     answer, error = stage.read("core-1", {"ask": "edition"}, seconds=3)
     assert error is None
     return set(answer["layout"]["domains"])
@@ -64,12 +70,12 @@
 
 def test_store_that_restarts_soon_is_not_replaced():
     stage = SelfFoundingFleet(4)
-    former = members(stage)
-    stage.sim.kill(former[0])
+    members_before = members(stage)
+    stage.sim.kill(members_before[0])
     stage.run(3)
-    stage.start(former[0])
+    stage.start(members_before[0])
     stage.run(3)
-    assert members(stage) == former and all_parts_replicated(stage)
+    assert members(stage) == members_before and all_parts_replicated(stage)
 
 
 @pytest.mark.parametrize("seed", range(1, 7))
@@ -77,27 +83,27 @@
     stage, acknowledged = SelfFoundingFleet(seed), set()
     wiped, killed, _ = members(stage)
     for number in range(10):
-        assert stage.submit("core-1", mark_zone_command(f"d{number}"))[1] is None
+        assert stage.submit("core-1", zone_order_command(f"d{number}"))[1] is None
         acknowledged.add(f"d{number}")
     stage.sim.lose_disk(wiped)
     stage.run(2)
     stage.start(wiped)
     stage.run(1)
     stage.sim.kill(killed, loses_power=True)
-    answer, _ = stage.submit("core-2", mark_zone_command("after"))
+    answer, _ = stage.submit("core-2", zone_order_command("after"))
     acknowledged |= {"after"} if answer else set()
     assert (
-        stage.wait_for(lambda: stage.submit("core-1", mark_zone_command("last"))[0], 4) is not None
+        stage.wait_for(lambda: stage.submit("core-1", zone_order_command("last"))[0], 4) is not None
     )
-    assert acknowledged < marked_zones(stage)
+    assert acknowledged < ordered_zones(stage)
     assert stage.wait_for(lambda: all_parts_replicated(stage), 6) is not None
 
 
-def test_member_that_missed_entries_catches_up_while_commands_keep_coming():
+def test_member_that_missed_entries_catches_up_while_commands_continue():
     stage = SelfFoundingFleet(5)
     lagging = members(stage)[2]
     stage.sim.kill(lagging)
-    assert stage.submit("core-1", mark_zone_command("missed"))[1] is None
+    assert stage.submit("core-1", zone_order_command("missed"))[1] is None
     node = stage.sim.nodes["core-1"]
     stop_requests = []
 
@@ -105,7 +111,9 @@
         number = 0
         while not stop_requests:
             number += 1
-            yield from node.find("ownership").submit("config", mark_zone_command(f"w{number % 50}"))
+            yield from node.find("ownership").submit(
+                "config", zone_order_command(f"w{number % 50}")
+            )
             yield Sleep(0.01)
 
     for _ in range(3):
--- a/tests/test_removed_members.py
+++ b/tests/test_removed_members.py
@@ -8,16 +8,16 @@
 from quillring.quorum.leader.follower_read import read_from_majority
 from quillring.quorum.parts import CONFIG_PART, majority
 from tests.fleet_stage import SelfFoundingFleet
-from tests.test_membership_repair import mark_zone_command, members
+from tests.test_membership_repair import members, zone_order_command
 
 SIX_STORES = {"sizes": {"edge": 2, "core": 4, "store": 6}}
 QUERY = {"ask": "edition"}
 
 
 def retire_two_members(stage):
-    """Retire two members of the config part in turn; return (former group, removed names)."""
-    former = stage.sim.nodes["core-1"].find("ownership").group(CONFIG_PART)
-    removed = [member.name for member in former[1:]]
+    """Retire two members of the config part in turn; return (group before, removed names)."""
+    group_before = stage.sim.nodes["core-1"].find("ownership").group(CONFIG_PART)
+    removed = [member.name for member in group_before[1:]]
     for store in removed:
         command = {"do": "store.mark", "store": store, "retired": True}
         name = stage.owner()
@@ -26,10 +26,11 @@
             lambda s=store: stage.owner() and s not in members(stage), 4
         )
         assert removal_seconds is not None
-    return former, removed
+    return group_before, removed
 
 
 def partition(stage, names):
+    """Partition the named nodes from all others."""
     stage.sim.cut(names, [name for name in stage.sim.nodes if name not in names])
 
 
@@ -46,7 +47,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_edge_that_knows_a_former_group_gets_no_freshness_from_removed_members(seed):
+def test_edge_that_knows_an_outdated_group_gets_no_freshness_from_removed_members(seed):
     stage = SelfFoundingFleet(seed, SIX_STORES)
     edge = stage.sim.nodes["edge-1"]
     with without_group_updates("edge-1"):
@@ -56,7 +57,7 @@
         partition(stage, ["edge-1", *removed])
         stage.run(4)
         owner = stage.owner()
-        assert stage.submit(owner, mark_zone_command("new"), seconds=3)[1] is None
+        assert stage.submit(owner, zone_order_command("new"), seconds=3)[1] is None
         assert "new" not in edge.find("layout").configuration["domains"]
         assert not edge.find("freshness").is_fresh()
 
@@ -84,20 +85,20 @@
     for _ in range(40):
         stage.run(0.1)
         owner = ownership.leaders[CONFIG_PART]
-        assert stage.ask(former_owner, owner.submit(mark_zone_command("lost")), 0.5)[0] is None
+        assert stage.ask(former_owner, owner.submit(zone_order_command("lost")), 0.5)[0] is None
         assert stage.ask(former_owner, owner.linearizable_state(), 0.5)[0] is None
     assert not stage.sim.nodes["edge-1"].find("freshness").is_fresh()
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_majority_read_at_a_former_group_is_not_answered_by_its_removed_members(seed):
+def test_majority_read_at_an_outdated_group_is_not_answered_by_its_removed_members(seed):
     stage = SelfFoundingFleet(seed, SIX_STORES)
-    former, removed = retire_two_members(stage)
+    group_before, removed = retire_two_members(stage)
     partition(stage, ["edge-1", *removed])
     stage.run(2)
     owner = stage.owner()
-    assert stage.submit(owner, mark_zone_command("new"), seconds=3)[1] is None
+    assert stage.submit(owner, zone_order_command("new"), seconds=3)[1] is None
     edge = stage.sim.nodes["edge-1"]
-    known, error = stage.ask("edge-1", read_from_majority(edge, CONFIG_PART, former, QUERY))
+    known, error = stage.ask("edge-1", read_from_majority(edge, CONFIG_PART, group_before, QUERY))
     assert known is None and error is None
-    assert len(removed) == majority(former)
+    assert len(removed) == majority(group_before)
--- a/tests/test_retirement.py
+++ b/tests/test_retirement.py
@@ -16,28 +16,33 @@
 from tests.test_membership_repair import (
     PARTS,
     all_parts_replicated,
-    mark_zone_command,
     members,
     owners,
+    zone_order_command,
 )
 
 FIVE_STORES = {"sizes": {"edge": 1, "core": 4, "store": 5}}
 
 
 def retire(stage, store):
+    """Order the retirement of a store and assert that it is accepted."""
     command = {"do": "store.mark", "store": store, "retired": True}
     assert stage.submit("core-1", command, seconds=3)[1] is None
 
 
 def is_finished(stage, store, name="core-1"):
+    """Return whether a core reports the retirement of a store as finished."""
     return stage.ask(name, is_retired(stage.sim.nodes[name], store, 2))[0]
 
 
 def keep_writing(node, part, is_over, pause_seconds):
+    """Coroutine: submit commands for a part until `is_over` is not empty."""
     number = 0
     while not is_over:
         number += 1
-        yield from node.find("ownership").submit(part, mark_zone_command(f"{part}-{number % 9}"), 5)
+        yield from node.find("ownership").submit(
+            part, zone_order_command(f"{part}-{number % 9}"), 5
+        )
         yield Sleep(pause_seconds)
 
 
@@ -107,7 +112,7 @@
     stage, is_over = SelfFoundingFleet(seed, FIVE_STORES), []
     store = members(stage)[seed % 3]
     for number in range(6):
-        assert stage.submit("core-1", mark_zone_command(f"d{number}"))[1] is None
+        assert stage.submit("core-1", zone_order_command(f"d{number}"))[1] is None
     node = stage.sim.nodes["core-1"]
     node.spawn(keep_writing(node, "config", is_over, 0.003))
     retire(stage, store)
@@ -128,11 +133,13 @@
 
 
 def members_by_gossip(stage):
+    """Return the stores of the config part's group as an edge knows it from gossip."""
     node = stage.sim.up_nodes("edge")[0]
     return [store[0] for store in node.find("ownership").group("config")]
 
 
 def ordered_zones_at(stage):
+    """Return the zones with a drain order, read through a running core."""
     name = next(n.me.name for n in stage.sim.up_nodes("core"))
     answer, error = stage.read(name, {"ask": "edition"}, seconds=3)
     assert error is None
--- a/tests/test_second_loss.py
+++ b/tests/test_second_loss.py
@@ -7,7 +7,7 @@
 from proving.sim import repair_time
 from quillring.quorum.leader import catch_up
 from tests.fleet_stage import SelfFoundingFleet
-from tests.test_membership_repair import all_parts_replicated, mark_zone_command, members, owners
+from tests.test_membership_repair import all_parts_replicated, members, owners, zone_order_command
 
 PART = "config"
 
@@ -30,15 +30,16 @@
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
 def test_second_loss_right_after_the_replacement_joined_leaves_a_majority(seed):
     stage = SelfFoundingFleet(seed)
-    former = members(stage)
-    spare = next(name for name in stage.sim.names("store") if name not in former)
-    assert stage.submit("core-1", mark_zone_command("before"))[1] is None
-    stage.sim.kill(former[0])
+    members_before = members(stage)
+    spare = next(name for name in stage.sim.names("store") if name not in members_before)
+    assert stage.submit("core-1", zone_order_command("before"))[1] is None
+    stage.sim.kill(members_before[0])
     joined = stage.wait_for(lambda: stage.owner() and spare in members(stage), 8, 0.002)
     assert joined is not None
-    stage.sim.lose_disk(former[1])
+    stage.sim.lose_disk(members_before[1])
     assert (
-        stage.wait_for(lambda: stage.submit("core-2", mark_zone_command("after"))[0], 4) is not None
+        stage.wait_for(lambda: stage.submit("core-2", zone_order_command("after"))[0], 4)
+        is not None
     )
 
 
--- a/tests/test_transfer.py
+++ b/tests/test_transfer.py
@@ -21,7 +21,7 @@
 )
 from quillring.quorum.values import GroupMember
 from tests.fleet_stage import SelfFoundingFleet
-from tests.test_membership_repair import all_parts_replicated, mark_zone_command, members, owners
+from tests.test_membership_repair import all_parts_replicated, members, owners, zone_order_command
 
 BOUNDS = SimpleNamespace(propagation=2.0, read_timeout=1.0)
 ROSTER = SimpleNamespace(members={})
@@ -58,7 +58,7 @@
 
 
 class ForgetfulStore:
-    """A store that receives a snapshot, and loses the newest chunk once, after `loses_after`."""
+    """A store that receives a snapshot; it loses chunk number `loses_after` once, on arrival."""
 
     def __init__(self, loses_after):
         self.loses_after = loses_after
@@ -81,14 +81,14 @@
 def test_snapshot_transfer_resumes_at_the_offset_that_the_store_requests(loses_after):
     state = {"raw": {n: b"%d" % n * (CHUNK_BYTES // 2) for n in range(10, 20)}}
     reliable, store = ForgetfulStore(None), ForgetfulStore(loses_after)
-    for each in (reliable, store):
-        node = SimpleNamespace(me=ME, call=each.call, find=PEERS.get, bounds=BOUNDS)
+    for receiver in (reliable, store):
+        node = SimpleNamespace(me=ME, call=receiver.call, find=PEERS.get, bounds=BOUNDS)
         node.count = lambda *words: None
         catch_up = FollowerCatchUp(
             QuorumCaller(node, "part-0", []), StateMachine(9, state), lambda: True
         )
         finish(catch_up.send_missing(GroupMember("store-1", "a", "north"), 0))
-        assert each.builder.build() == state
+        assert receiver.builder.build() == state
     lost_offset = reliable.offsets[loses_after - 1]
     assert len(reliable.offsets) > 7 and store.offsets.count(lost_offset) == 2
     assert len(store.offsets) == len(reliable.offsets) + 2
@@ -118,7 +118,7 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_state_is_fetched_from_and_sent_to_stores_of_the_previous_version_in_one_message(seed):
     stage = SelfFoundingFleet(seed)
-    stage.submit("core-1", mark_zone_command("halls"))
+    stage.submit("core-1", zone_order_command("halls"))
     for node in stage.sim.up_nodes("store"):
         remove_chunk_services(node)
     previous_owner = stage.owner("config")
@@ -138,14 +138,14 @@
     leader, store = owners(stage)["config"], members(stage)[0]
     call_times = []
 
-    def unanswered(body, origin):
+    def time_out(body, origin):
         call_times.append(stage.env.now)
         raise TimedOut(target=store)
 
     for name in ("quorum.catch_up", "quorum.install_piece", "quorum.install"):
-        stage.sim.nodes[store].handlers[name] = unanswered
+        stage.sim.nodes[store].handlers[name] = time_out
     stage.sim.nodes[store].handlers["quorum.accept"] = lambda body, origin: 0
-    stage.submit("core-1", mark_zone_command("halls"))
+    stage.submit("core-1", zone_order_command("halls"))
     stage.run(8)
     delays = [later - earlier for earlier, later in pairwise(call_times)]
     assert leader.is_leader and 3 <= len(call_times) <= 7
