--- a/tests/test_all_cores_at_once.py
+++ b/tests/test_all_cores_at_once.py
@@ -18,8 +18,8 @@
     Each answer must be the newest configuration or a 503.
     """
     successful_reads = 0
-    end = stage.env.now + seconds
-    while stage.env.now < end:
+    end_time = stage.env.now + seconds
+    while stage.env.now < end_time:
         for name in stage.sim.names("core"):
             status, body, _ = call(stage, name, "GET", "/Config.Fetch")
             assert status in (200, 503), (status, body)
@@ -44,9 +44,9 @@
         stage.start(name)
     assert read_until(stage, MIN_READ_SECONDS, newest) > 0
     assert read_until(stage, MIN_READ_SECONDS, newest) >= len(stage.sim.names("core"))
-    following = {**FULL_CONFIGURATION, "ver": 12}
+    next_configuration = {**FULL_CONFIGURATION, "ver": 12}
     accepted_after_seconds = stage.wait_for(
-        lambda: replace_configuration(stage, "core-2", following, 9)[0] == 200, 4
+        lambda: replace_configuration(stage, "core-2", next_configuration, 9)[0] == 200, 4
     )
     assert accepted_after_seconds is not None
-    assert read_until(stage, 1.0, following) > 0
+    assert read_until(stage, 1.0, next_configuration) > 0
--- a/tests/test_follower_read.py
+++ b/tests/test_follower_read.py
@@ -1,3 +1,5 @@
+"""Reads from a majority of stores when the leader of a part does not answer."""
+
 from unittest import mock
 
 import pytest
@@ -19,18 +21,21 @@
 
 
 def accept(lot):
+    """Return a batch that accepts a lot."""
     return [{"do": "lot.accept", "lot": lot, "sender": "s", "entry": "e", "items": ["x"]}]
 
 
 def reply(applied=0, group=GROUP, **entries):
     """Return the wire reply of a store that has accepted these entries: i3=(ballot, batch).
 
-    Each answer in it is the index of the entry after which the query was answered.
+    Each answer in the reply is the index of the last entry applied before it.
     """
     by_index = {int(name[1:]): entry for name, entry in entries.items()}
     accepted = {index: AcceptedEntry(*entry) for index, entry in by_index.items()}
     acceptor = AcceptorState(Ballot(9, "z"), applied, initial_state(group), accepted)
-    uncommitted_lots = [[i, c.get("lot")] for i, (_, batch) in by_index.items() for c in batch]
+    uncommitted_lots = [
+        [i, command.get("lot")] for i, (_, batch) in by_index.items() for command in batch
+    ]
     return [
         applied,
         group,
--- a/tests/test_founding_vote.py
+++ b/tests/test_founding_vote.py
@@ -32,6 +32,7 @@
 
 
 def run_to_completion(coroutine):
+    """Run a coroutine whose effects need no results; return its value."""
     try:
         while True:
             next(coroutine)
@@ -40,22 +41,23 @@
 
 
 def make_voter(disk=None, is_first_start=True):
+    """Return a voter of a new process; a disk makes its node the witness of the vote."""
     node = LoopbackNode()
-    elector = FoundingVoter(node)
-    elector.is_first_start = is_first_start
+    voter = FoundingVoter(node)
+    voter.is_first_start = is_first_start
     if disk is not None:
         Witness(node, disk)
-        elector.witness = "store-1"
-    return elector
+        voter.witness = "store-1"
+    return voter
 
 
-def prepare(elector, number):
-    return run_to_completion(elector.on_prepare({"ballot": [number, "core-1#1"]}, "core-1"))
+def prepare(voter, number):
+    return run_to_completion(voter.on_prepare({"ballot": [number, "core-1#1"]}, "core-1"))
 
 
-def accept(elector, number, founding):
+def accept(voter, number, founding):
     return run_to_completion(
-        elector.on_accept({"ballot": [number, "core-1#1"], "founding": founding}, "core-1")
+        voter.on_accept({"ballot": [number, "core-1#1"], "founding": founding}, "core-1")
     )
 
 
@@ -98,18 +100,18 @@
 
     bounds = SimpleNamespace(propagation=2.0)
 
-    def __init__(self, name, electors):
+    def __init__(self, name, voters):
         super().__init__()
         self.me = SimpleNamespace(name=name, incarnation=1)
-        self.electors, self.reached = electors, {}
-        addresses = {(seed, 1): (seed,) for seed in electors}
+        self.voters, self.reached = voters, {}
+        addresses = {(seed, 1): (seed,) for seed in voters}
         nifty = SimpleNamespace(seeds=tuple(addresses), roster=SimpleNamespace(addresses=addresses))
         self.services = {"elector": FoundingVoter(self), "nifty": nifty}
 
     def find(self, name):
         return self.services[name]
 
-    def gather(self, calls, need, seconds):
+    def gather(self, calls, needed, seconds):
         replies = {target: TimedOut(target=target) for target, _, _ in calls}
         for target, service, body in calls:
             if target in self.reached[service]:
@@ -119,15 +121,13 @@
 
     def answer(self, target, service, body):
         try:
-            return run_to_completion(
-                self.electors[target].node.handlers[service](body, self.me.name)
-            )
+            return run_to_completion(self.voters[target].node.handlers[service](body, self.me.name))
         except QuillringError as error:
             return error
 
-    def agree(self, fleet, prepare_seeds, accepted):
+    def agree(self, fleet, prepare_seeds, accept_seeds):
         """Propose a record to the seeds within reach; return the chosen fleet, or None."""
-        self.reached = {"founding.prepare": prepare_seeds, "founding.accept": accepted}
+        self.reached = {"founding.prepare": prepare_seeds, "founding.accept": accept_seeds}
         try:
             return run_to_completion(agree_on_founding(self, {"fleet": fleet}))["fleet"]
         except (Fenced, NoMajority):
@@ -136,8 +136,8 @@
 
 @pytest.mark.parametrize("accepted", ["b", "ab", "abc"])
 def test_a_founder_adopts_a_record_that_a_seed_of_its_majority_accepted(accepted):
-    electors = {name: make_voter() for name in "abc"}
-    first, second, third = (Founder(f"core-{n}", electors) for n in (1, 2, 3))
+    voters = {name: make_voter() for name in "abc"}
+    first, second, third = (Founder(f"core-{n}", voters) for n in (1, 2, 3))
     chosen = first.agree("f", "abc", accepted)
     assert chosen == ("f" if len(accepted) > 1 else None)
     assert second.agree("g", "bc", "bc") == "f"
@@ -145,8 +145,8 @@
 
 
 def test_a_record_is_chosen_only_if_a_majority_promised_and_accepted():
-    electors = {name: make_voter() for name in "abc"}
-    first, second = (Founder(f"core-{n}", electors) for n in (1, 2))
+    voters = {name: make_voter() for name in "abc"}
+    first, second = (Founder(f"core-{n}", voters) for n in (1, 2))
     assert first.agree("f", "a", "abc") is None
     assert first.agree("f", "abc", "a") is None
     assert second.agree("g", "bc", "bc") is None, "its ballot is too low"
--- a/tests/test_http_lot_placement.py
+++ b/tests/test_http_lot_placement.py
@@ -57,13 +57,13 @@
 
 def test_owners_of_different_parts_share_the_slots_available_to_lots():
     with HttpLotStage(102, slots=8) as stage:
-        home_part, own = stage.home_part(), name_outside_home(stage)
-        other = next(f"m{n}" for n in range(50) if stage.part(f"m{n}") == home_part)
-        submit_accepted(stage, own, 60)
-        submit_accepted(stage, other, 60)
+        home_part, lot_elsewhere = stage.home_part(), name_outside_home(stage)
+        lot_in_home = next(f"m{n}" for n in range(50) if stage.part(f"m{n}") == home_part)
+        submit_accepted(stage, lot_elsewhere, 60)
+        submit_accepted(stage, lot_in_home, 60)
         stage.run(2.5)
         assert {replica.max_active for replica in stage.replicas.values()} == {6}
-        for name in (own, other):
+        for name in (lot_elsewhere, lot_in_home):
             check_complete_results(stage, stage.read_all(name), name, 60)
 
 
@@ -89,13 +89,13 @@
     with HttpLotStage(104, slots=1) as stage:
         name = name_outside_home(stage)
         submit_as_previous_version(stage, name, 30)
-        ask = lambda node: api.end_lot(node, HOST, name)  # noqa: E731
-        assert stage.run_on_node(stage.pick_running("edge"), ask)[1] is None
+        end_lot = lambda node: api.end_lot(node, HOST, name)  # noqa: E731
+        assert stage.run_on_node(stage.pick_running("edge"), end_lot)[1] is None
         ended_at = stage.env.now
         stage.run(3)
         assert all(arrival[0] < ended_at + 0.1 for arrival in stage.arrivals)
-        ask = lambda node: api.end_lot(node, HOST, "none")  # noqa: E731
-        assert isinstance(stage.run_on_node(stage.pick_running("edge"), ask)[1], NotFound)
+        end_lot = lambda node: api.end_lot(node, HOST, "none")  # noqa: E731
+        assert isinstance(stage.run_on_node(stage.pick_running("edge"), end_lot)[1], NotFound)
 
 
 def test_lots_submitted_by_the_previous_version_use_the_quota_until_they_finish():
@@ -174,6 +174,6 @@
             replica.is_silent = True
         errors = [stage.submit(f"l{number}", 4)[1] for number in range(24)]
         held_bytes = [stage.state_of(part)["raw_held"] for part in stage.parts]
-        assert all(8_000 < weight <= 10_000 for weight in held_bytes)
+        assert all(8_000 < size <= 10_000 for size in held_bytes)
         assert {type(error) for error in errors} == {type(None), HeldTooMuch}
         assert HeldTooMuch().status == 503
--- a/tests/test_http_lot_scheduler.py
+++ b/tests/test_http_lot_scheduler.py
@@ -53,12 +53,12 @@
         for replica in stage.replicas.values():
             replica.is_silent = True
         submit_accepted(stage, "a", 2)
-        ask = lambda node: api.read_item_body(node, HOST, "a", "a-1")  # noqa: E731
-        assert stage.run_on_node(stage.pick_running("edge"), ask) == (b"body", None)
+        read_body = lambda node: api.read_item_body(node, HOST, "a", "a-1")  # noqa: E731
+        assert stage.run_on_node(stage.pick_running("edge"), read_body) == (b"body", None)
         for replica in stage.replicas.values():
             replica.is_silent = False
         stage.read_all("a")
-        assert isinstance(stage.run_on_node(stage.pick_running("edge"), ask)[1], NotFound)
+        assert isinstance(stage.run_on_node(stage.pick_running("edge"), read_body)[1], NotFound)
 
 
 def test_an_interrupted_run_resumes_on_another_replica_at_its_last_event():
@@ -75,21 +75,21 @@
             replica.failure = failure
         submit_accepted(stage, "a", 10)
         check_complete_results(stage, stage.read_all("a"), "a", 10)
-        lasts = Counter(last for _, _, _, last, _ in stage.arrivals)
-        assert lasts == {None: 10, 2: 10}
+        last_event_counts = Counter(last for _, _, _, last, _ in stage.arrivals)
+        assert last_event_counts == {None: 10, 2: 10}
 
 
 @pytest.mark.parametrize("failure_mode", ["restart", "skip"])
 def test_a_run_that_resumes_at_the_wrong_event_is_discarded(failure_mode):
     with HttpLotStage(51) as stage:
-        interrupted, misresumed = set(), set()
+        interrupted, wrongly_resumed = set(), set()
 
         def failure(replica, item_id, last):
             if item_id not in interrupted:
                 interrupted.add(item_id)
                 return "break"
-            if item_id not in misresumed:
-                misresumed.add(item_id)
+            if item_id not in wrongly_resumed:
+                wrongly_resumed.add(item_id)
                 return failure_mode
             return None
 
@@ -97,14 +97,14 @@
             replica.failure = failure
         submit_accepted(stage, "a", 8)
         check_complete_results(stage, stage.read_all("a"), "a", 8)
-        assert len(misresumed) == 8
+        assert len(wrongly_resumed) == 8
 
 
 def test_an_item_is_errored_after_all_attempts_with_500_and_immediately_after_422():
     with HttpLotStage(52) as stage:
-        ways = {"a-0": 422, "a-1": 500}
+        failure_by_item = {"a-0": 422, "a-1": 500}
         for replica in stage.replicas.values():
-            replica.failure = lambda replica, item_id, last: ways.get(item_id)
+            replica.failure = lambda replica, item_id, last: failure_by_item.get(item_id)
         submit_accepted(stage, "a", 4)
         rows = {row[0]: (row[1], row[2]) for row in stage.read_all("a")}
         assert rows["a-0"] == rows["a-1"] == ("errored", b"")
--- a/tests/test_late_starts.py
+++ b/tests/test_late_starts.py
@@ -33,20 +33,20 @@
 def test_run_dispatched_before_leader_freeze_is_not_started_after_lot_ended(
     seconds, seed, choose, check_ballot
 ):
-    choice = mock.patch.object(scheduler, "choose_worker", choose)
-    check = mock.patch.object(ItemExecutor, "_check_ballot", check_ballot)
-    with choice, check, HttpLotStage(131 + seed, slots=1, replicas=1) as stage:
-        frozen = []
+    worker_patch = mock.patch.object(scheduler, "choose_worker", choose)
+    ballot_patch = mock.patch.object(ItemExecutor, "_check_ballot", check_ballot)
+    with worker_patch, ballot_patch, HttpLotStage(131 + seed, slots=1, replicas=1) as stage:
+        frozen_names = []
 
         def freezing_dispatch(self, item_table, item, *rest):
             REAL_DISPATCH(self, item_table, item, *rest)
-            if len(frozen) < 1 and item.number >= 2:
-                frozen.append(self.node.me.name)
+            if len(frozen_names) < 1 and item.number >= 2:
+                frozen_names.append(self.node.me.name)
                 stage.sim.freeze(self.node.me.name, seconds)
 
         with mock.patch.object(LotScheduler, "_dispatch", freezing_dispatch):
             submit_accepted(stage, "a", 8)
-            while not frozen:
+            while not frozen_names:
                 stage.run(0.01)
             frozen_at = stage.env.now
             is_ended = False
--- a/tests/test_load_exchange.py
+++ b/tests/test_load_exchange.py
@@ -86,13 +86,19 @@
         self.runtime = ScriptedRuntime()
         self.node = make_node(me, self.runtime, [], Bounds())
         self.nifty = self.node.offer("nifty", FakeNifty(MEMBERS, name))
-        self.own, self.items, self.active, self.starts, self.timings = {}, {}, [], [], []
+        (
+            self.own_in_flight,
+            self.batch_in_flight,
+            self.active_replicas,
+            self.starts,
+            self.timings,
+        ) = {}, {}, [], [], []
         self.exchange = LoadExchange(
             self.node,
-            lambda: dict(self.own),
-            lambda: dict(self.items),
+            lambda: dict(self.own_in_flight),
+            lambda: dict(self.batch_in_flight),
             lambda: [],
-            self.active.append,
+            self.active_replicas.append,
             lambda start, is_in_zone: self.starts.append((start, is_in_zone)),
             self.timings.append,
         )
@@ -107,6 +113,7 @@
 
 
 def zone_report(sequence, in_flight, zone="north", silent=(), starts=(), timings=(), incarnation=1):
+    """Return the wire form of a load report of a zone."""
     return LoadReport(
         zone, incarnation, sequence, in_flight, {}, [*silent], [*starts], [*timings]
     ).to_wire()
@@ -114,7 +121,7 @@
 
 def test_long_prompt_is_reported_immediately_to_the_sending_nodes_of_the_zone_only():
     stage = Stage()
-    stage.own = {"r0": 2}
+    stage.own_in_flight = {"r0": 2}
     stage.exchange.report_prompt_start(START)
     assert {target for target, _, _ in stage.nifty.sent} == {"edge-n2", "core-n"}
     report = LoadReport.from_wire(stage.nifty.sent[0][2])
@@ -123,7 +130,7 @@
 
 def test_load_is_reported_to_the_representative_only_which_is_a_core_if_one_is_reachable():
     stage = Stage()
-    stage.own = {"r0": 1}
+    stage.own_in_flight = {"r0": 1}
     stage.exchange._report_own_load()
     assert [(target, name) for target, name, _ in stage.nifty.sent] == [("core-n", LOAD_REPORT)]
     stage.nifty.set_unreachable({"core-n"})
@@ -136,9 +143,9 @@
 
 def test_node_without_requests_reports_zero_load_only_once():
     stage = Stage()
-    stage.own = {"r0": 1}
+    stage.own_in_flight = {"r0": 1}
     stage.exchange._report_own_load()
-    stage.own = {}
+    stage.own_in_flight = {}
     stage.exchange._report_own_load()
     count = len(stage.nifty.sent)
     assert LoadReport.from_wire(stage.nifty.sent[-1][2]).in_flight == {}
@@ -149,22 +156,22 @@
 
 def test_unchanged_load_is_reported_again_before_it_expires():
     stage, representative = Stage(), Stage("core-n")
-    stage.own = representative.own = {"r0": 1}
+    stage.own_in_flight = representative.own_in_flight = {"r0": 1}
     reports = (stage.exchange._report_own_load, representative.exchange._report_zone_load)
-    for one, report in zip((stage, representative), reports, strict=True):
+    for reporter, report in zip((stage, representative), reports, strict=True):
         report()
-        count = len(one.nifty.sent)
+        count = len(reporter.nifty.sent)
         report()
-        assert len(one.nifty.sent) == count
-        one.runtime.time += one.node.bounds.heartbeat_interval
+        assert len(reporter.nifty.sent) == count
+        reporter.runtime.time += reporter.node.bounds.heartbeat_interval
         report()
-        assert len(one.nifty.sent) > count
+        assert len(reporter.nifty.sent) > count
     assert stage.node.bounds.heartbeat_interval < stage.node.bounds.link_timeout
 
 
 def test_representative_sums_the_zone_and_each_node_subtracts_its_own_requests():
     core, edge = Stage("core-n"), Stage("edge-n1")
-    core.own, edge.own = {"r0": 1}, {"r0": 2, "r1": 1}
+    core.own_in_flight, edge.own_in_flight = {"r0": 1}, {"r0": 2, "r1": 1}
     edge.exchange._report_own_load()
     core.exchange.on_load_report(edge.nifty.sent[-1][2], "edge-n1")
     core.receive_report("edge-n2", 1, {"r1": 4})
@@ -212,7 +219,7 @@
 
 def test_zone_sum_and_long_prompts_reach_every_node_of_another_zone():
     sender = Stage("core-n")
-    sender.own = {"r0": 1}
+    sender.own_in_flight = {"r0": 1}
     sender.receive_report("edge-n1", 1, {"r0": 4, "r1": 2}, starts=[START])
     sender.exchange._report_zone_load()
     sender.nifty.sent.clear()
@@ -247,12 +254,12 @@
 
 
 def test_zone_sum_is_computed_from_the_last_report_of_each_node():
-    chance = random.Random(5)
+    rng = random.Random(5)
     for _ in range(50):
         stage, last = Stage("core-n"), {}
         for sequence in range(1, 40):
-            origin = chance.choice(["edge-n1", "edge-n2"])
-            in_flight = {f"r{n}": chance.randrange(1, 5) for n in chance.sample(range(4), 2)}
+            origin = rng.choice(["edge-n1", "edge-n2"])
+            in_flight = {f"r{n}": rng.randrange(1, 5) for n in rng.sample(range(4), 2)}
             stage.receive_report(origin, sequence, in_flight)
             last[origin] = in_flight
         stage.exchange._report_zone_load()
@@ -312,12 +319,12 @@
     body = core.nifty.sent[0][2]
     assert LoadReport.from_wire(body).silent == ["r1"]
     edge.exchange.on_zone_load_report(body, "core-n")
-    assert edge.active == core.active == ["r0"]
+    assert edge.active_replicas == core.active_replicas == ["r0"]
 
 
 def test_batch_requests_are_counted_separately():
     core, other = Stage("core-n"), Stage("edge-s1")
-    core.own, core.items = {"r0": 3}, {"r0": 2}
+    core.own_in_flight, core.batch_in_flight = {"r0": 3}, {"r0": 2}
     report = LoadReport("edge-n1", 1, 1, {"r0": 4}, {"r0": 1}, [], [], [])
     core.exchange.on_load_report(report.to_wire(), "edge-n1")
     core.exchange._report_zone_load()
--- a/tests/test_lot_backlog.py
+++ b/tests/test_lot_backlog.py
@@ -50,9 +50,9 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_the_lot_due_first_finishes_first_despite_a_larger_backlog_in_another_part(seed):
     with HttpLotStage(240 + seed, slots=8) as stage:
-        own, other = stage.parts[seed % 2], stage.parts[1 - seed % 2]
-        (first,) = lot_names_in_part(stage, own, 1, "a")
-        later = lot_names_in_part(stage, other, 12, "b")
+        own_part, other_part = stage.parts[seed % 2], stage.parts[1 - seed % 2]
+        (first,) = lot_names_in_part(stage, own_part, 1, "a")
+        later = lot_names_in_part(stage, other_part, 12, "b")
         submit_accepted(stage, first, 60)
         start_submissions(stage, later, 60)
         seconds_alone, seconds_among_all = 60 / 18 * 0.35, 780 / 18 * 0.35
@@ -62,6 +62,7 @@
 
 
 def due_items(*rows):
+    """Return DueItems for rows of (due time, number of items)."""
     return [DueItems(due_at, items) for due_at, items in rows]
 
 
@@ -85,12 +86,12 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_shares_add_up_to_all_slots_and_cover_every_item_if_slots_suffice(seed):
-    generator = random.Random(seed)
-    replicas, slots = generator.randint(1, 12), generator.choice([2, 6, 24])
+    rng = random.Random(seed)
+    replicas, slots = rng.randint(1, 12), rng.choice([2, 6, 24])
     count = replicas * slots
     names = [SimpleNamespace(name=f"i-{number}") for number in range(replicas)]
-    counts = {f"part-{n}": generator.choice([1, 2, 7, 400]) for n in range(4)}
-    rows = {part: due_items((generator.uniform(20, 30), items)) for part, items in counts.items()}
+    counts = {f"part-{n}": rng.choice([1, 2, 7, 400]) for n in range(4)}
+    rows = {part: due_items((rng.uniform(20, 30), items)) for part, items in counts.items()}
     items = first_items_by_part(rows, 10.0, count)
     total, shares = sum(items.values()), {}
     for part in sorted(items):
@@ -113,25 +114,25 @@
 
 def test_the_reported_backlog_of_an_unreachable_core_takes_no_slots():
     with HttpLotStage(245) as stage:
-        first, other = stage.parts
-        table, victim = empty_backlog_at_owner(stage), stage.owner_of(other).me.name
-        table.local = {first: {SERVICE: due_items((table.node.now() + 8, 10))}}
-        table.on_report({"parts": {other: {SERVICE: 90}}, "due": {}}, victim)
-        assert table.slot_share(first, SERVICE, 18).ratio < 0.1
+        own_part, other_part = stage.parts
+        table, other_owner = empty_backlog_at_owner(stage), stage.owner_of(other_part).me.name
+        table.local = {own_part: {SERVICE: due_items((table.node.now() + 8, 10))}}
+        table.on_report({"parts": {other_part: {SERVICE: 90}}, "due": {}}, other_owner)
+        assert table.slot_share(own_part, SERVICE, 18).ratio < 0.1
         table.node.find("nifty").graph = Graph(table.node.me.name, {})
-        assert table.slot_share(first, SERVICE, 18).ratio == 1
+        assert table.slot_share(own_part, SERVICE, 18).ratio == 1
 
 
 def test_a_reported_backlog_expires_unless_it_is_repeated():
     with HttpLotStage(246) as stage:
-        first, other = stage.parts
-        table, victim = empty_backlog_at_owner(stage), stage.owner_of(other).me.name
-        table.local = {first: {SERVICE: due_items((table.node.now() + 8, 10))}}
-        rows = {other: {SERVICE: [[1.5, 90]]}}
-        table.on_report({"parts": {other: {SERVICE: 90}}, "due": rows}, victim)
-        assert table.slot_share(first, SERVICE, 18).ratio < 0.1
+        own_part, other_part = stage.parts
+        table, other_owner = empty_backlog_at_owner(stage), stage.owner_of(other_part).me.name
+        table.local = {own_part: {SERVICE: due_items((table.node.now() + 8, 10))}}
+        rows = {other_part: {SERVICE: [[1.5, 90]]}}
+        table.on_report({"parts": {other_part: {SERVICE: 90}}, "due": rows}, other_owner)
+        assert table.slot_share(own_part, SERVICE, 18).ratio < 0.1
         stage.run(table.node.bounds.read_timeout * REPORT_LIFETIME_SHARE + 0.01)
-        assert table.slot_share(first, SERVICE, 18).ratio == 1
+        assert table.slot_share(own_part, SERVICE, 18).ratio == 1
 
 
 def test_backlog_reports_are_compatible_with_the_previous_version_both_ways():
--- a/tests/test_pipelining_machine.py
+++ b/tests/test_pipelining_machine.py
@@ -22,8 +22,10 @@
 from tests.profiles import profile
 
 COMPLETE, STREAM, BREAK, ERROR_AFTER_HEAD = "whole", "stream", "break", "late-failure"
-WAYS = st.sampled_from([COMPLETE, COMPLETE, STREAM, STREAM, BREAK, ERROR_AFTER_HEAD])
-FORMS = st.sampled_from(["length", "chunks", "expect", "bare", "last", "upgrade", "nonsense"])
+ANSWER_MODES = st.sampled_from([COMPLETE, COMPLETE, STREAM, STREAM, BREAK, ERROR_AFTER_HEAD])
+REQUEST_FORMS = st.sampled_from(
+    ["length", "chunks", "expect", "bare", "last", "upgrade", "nonsense"]
+)
 ENDS = st.sampled_from(["half-close", "stays"])
 CLOSING_FORMS = ("last", "upgrade", "nonsense")
 
@@ -47,32 +49,35 @@
         self.faults.append(error)
 
     def handle(self, node, raw):
-        _, number, way = raw.target.split("/")
+        _, number, answer_mode = raw.target.split("/")
         self.executed.append((int(number), raw.body))
         answer = answer_of(int(number))
-        if way == COMPLETE:
+        if answer_mode == COMPLETE:
             return 200, [], answer
         yield SendToClient((200, [], answer[:4]))
-        if way == BREAK:
+        if answer_mode == BREAK:
             raise QuillringError()
         yield SendToClient(answer[4:])
-        return (502, [], b"unknown") if way == ERROR_AFTER_HEAD else None
+        return (502, [], b"unknown") if answer_mode == ERROR_AFTER_HEAD else None
 
 
 def answer_of(number):
+    """Return the complete body of the answer to request `number`."""
     return b"answer to request %d" % number
 
 
 def body_of(number, form):
+    """Return the body of request `number`, empty for forms without a body."""
     return b"" if form in ("bare", "last", "upgrade") else b"body %d" % number
 
 
-def request_bytes(number, way, form):
+def request_bytes(number, answer_mode, form):
+    """Return the bytes of a request; its target contains the answer mode for the server."""
     if form == "nonsense":
         return b"NO REQUEST\r\n\r\n"
     body = body_of(number, form)
     method = b"POST" if body else b"GET"
-    head = b"%s /%d/%s HTTP/1.1\r\nHost: h\r\n" % (method, number, way.encode())
+    head = b"%s /%d/%s HTTP/1.1\r\nHost: h\r\n" % (method, number, answer_mode.encode())
     rest_by_form = {
         "length": b"Content-Length: %d\r\n\r\n%s" % (len(body), body),
         "expect": b"Expect: 100-continue\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body),
@@ -114,29 +119,31 @@
     closes it.
     """
     server = Server()
-    ours, theirs = gevent.socket.socketpair()
-    connection = gevent.spawn(ClientConnection(server, theirs).run)
-    request_texts = [request_bytes(n, way, form) for n, (way, form) in enumerate(requests)]
+    client_sock, server_sock = gevent.socket.socketpair()
+    connection = gevent.spawn(ClientConnection(server, server_sock).run)
+    request_texts = [
+        request_bytes(n, answer_mode, form) for n, (answer_mode, form) in enumerate(requests)
+    ]
     data = b"".join(request_texts)
     sent = data[:length]
     offsets = [0, *sorted({cut % (len(sent) + 1) for cut in cuts}), len(sent)]
     received = []
-    reader_greenlet = gevent.spawn(read_all, ours, received)
+    reader_greenlet = gevent.spawn(read_all, client_sock, received)
     for start, stop in pairwise(offsets):
         try:
-            ours.sendall(sent[start:stop])
+            client_sock.sendall(sent[start:stop])
         except OSError:
             break
         gevent.sleep(0)
     settle(connection)
     connection.join(join_seconds)
     if end == "half-close" and not connection.dead:
-        ours.shutdown(gevent.socket.SHUT_WR)
+        client_sock.shutdown(gevent.socket.SHUT_WR)
         connection.join(5)
         assert connection.dead
     connection.kill()
     reader_greenlet.join(5)
-    ours.close()
+    client_sock.close()
     complete_count = sum(
         len(b"".join(request_texts[: n + 1])) <= length for n in range(len(request_texts))
     )
@@ -144,6 +151,7 @@
 
 
 def read_all(sock, received):
+    """Append the received data to a list until the connection ends."""
     try:
         while data := sock.recv(65536):
             received.append(data)
@@ -159,11 +167,13 @@
         gevent.sleep(0)
 
 
-def closes_connection(way, form):
-    return form in CLOSING_FORMS or way in (BREAK, ERROR_AFTER_HEAD)
+def closes_connection(answer_mode, form):
+    """Return whether the server closes the connection after this request."""
+    return form in CLOSING_FORMS or answer_mode in (BREAK, ERROR_AFTER_HEAD)
 
 
 def check(requests, cuts, length, end):
+    """Exchange requests; check that each answer is in order, correct and not falsely complete."""
     server, data, complete_count = exchange(requests, cuts, length, end)
     assert not server.faults
     answers = Answers(data).found
@@ -179,12 +189,12 @@
             assert requests[number][1] == "nonsense"
             continue
         assert answer_of(number).startswith(body), "an answer to another request"
-        way = requests[number][0]
-        assert not is_complete or (body == answer_of(number) and way in (COMPLETE, STREAM))
+        answer_mode = requests[number][0]
+        assert not is_complete or (body == answer_of(number) and answer_mode in (COMPLETE, STREAM))
         assert not closes_connection(*requests[number]) or number == len(answers) - 1
 
 
-REQUESTS = st.lists(st.tuples(WAYS, FORMS), min_size=1, max_size=6)
+REQUESTS = st.lists(st.tuples(ANSWER_MODES, REQUEST_FORMS), min_size=1, max_size=6)
 CUTS = st.lists(st.integers(0, 2000), max_size=4)
 
 
@@ -195,7 +205,11 @@
 
 
 def test_every_complete_request_gets_a_complete_answer():
-    requests = [(way, form) for way in (COMPLETE, STREAM) for form in ("length", "chunks", "bare")]
+    requests = [
+        (answer_mode, form)
+        for answer_mode in (COMPLETE, STREAM)
+        for form in ("length", "chunks", "bare")
+    ]
     requests.append((COMPLETE, "last"))
     server, data, count = exchange(requests, range(0, 500, 11), 2000, "stays", 5)
     assert [n for n, _ in server.executed] == list(range(count)) == list(range(len(requests)))
