--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -18,6 +18,7 @@
 
 @pytest.fixture(scope="session")
 def fleet(tmp_path_factory):
+    """Start the example fleet as local processes, once per test session; stop it at the end."""
     running_fleet = LocalFleet(
         "examples/ferrowa", tmp_path_factory.mktemp("fleet"), True, set(NODE_NAMES)
     )
--- a/tests/system_calls.py
+++ b/tests/system_calls.py
@@ -120,4 +120,5 @@
 
 
 def replace_configuration(stage, core, body, base):
+    """Replace the configuration through a core; return what `call` returns."""
     return call(stage, core, "POST", "/Config.Replace", body, base)
--- a/tests/test_backend.py
+++ b/tests/test_backend.py
@@ -54,6 +54,7 @@
 
 
 def fetch(server, may_retry):
+    """Fetch JSON by POST from a server; return (status, decoded body)."""
     return backend.fetch(FetchJson(server.address, "POST", "/x", {}, 5, may_retry))
 
 
--- a/tests/test_channels.py
+++ b/tests/test_channels.py
@@ -28,6 +28,7 @@
 
 
 def read_frames(data):
+    """Return the bodies of the length-prefixed frames in the data."""
     frames = []
     while len(data) >= 4:
         (length,) = struct.unpack(">I", data[:4])
--- a/tests/test_checkpoint_crashes.py
+++ b/tests/test_checkpoint_crashes.py
@@ -19,8 +19,8 @@
         for number, surviving_disk in enumerate(disk.after_power_loss()):
             context = f"power lost at step {last_step}, surviving files {number}"
             process = check_recovery(surviving_disk, acknowledged, context)
-            rest = RECORDS[len(process.recorded_state.records) :]
-            process.commit(rest or [])
+            missing_records = RECORDS[len(process.recorded_state.records) :]
+            process.commit(missing_records or [])
             check_recovery(
                 CrashDisk(surviving_disk.files),
                 len(RECORDS),
--- a/tests/test_checkpoints.py
+++ b/tests/test_checkpoints.py
@@ -49,12 +49,14 @@
 
 
 def disk_with_files(files):
+    """Return a simulated disk on which these files are durable."""
     disk = SimDisk(random.Random(1))
     disk.durable = dict(files)
     return disk
 
 
 def recovered_records(files):
+    """Return the records that recovery reads from these files."""
     recorded_state = RecordedState()
     store = CheckpointedLog(disk_with_files(files), recorded_state)
     assert store.recover()
@@ -62,6 +64,7 @@
 
 
 def write_records(store, recorded_state, records):
+    """Write a batch and mark its records as acknowledged on the recording disk."""
     recorded_state.records.extend(records)
     assert store._write_batch([PendingCommit(records, Signal())]) is None
     store.disk.acknowledged = len(recorded_state.records)
--- a/tests/test_configuration_versions.py
+++ b/tests/test_configuration_versions.py
@@ -45,6 +45,7 @@
 
 
 def adopt_command(configuration_version, base=0, is_complete=True, **fields):
+    """Return the command that adopts a configuration version based on version `base`."""
     return {
         "do": "edition.adopt",
         "id": f"{configuration_version}-{base}",
@@ -60,11 +61,13 @@
 
 
 def amend_command(configuration_version, base, **fields):
+    """Return the command that changes the named items of the configuration only."""
     no_changes = {"forwards": {}, "services": {}, "limits": None}
     return adopt_command(configuration_version, base, False, **{**no_changes, **fields})
 
 
 def apply(state, *orders):
+    """Apply commands one by one; each must be accepted. Return the state."""
     for command in orders:
         state, answers = apply_batch(state, [copy.deepcopy(command)])
         assert not isinstance(answers[0], QuillringError), answers[0]
@@ -72,6 +75,7 @@
 
 
 def refusal(state, command):
+    """Apply a command that must be refused; return its error."""
     new_state, answers = apply_batch(state, [copy.deepcopy(command)])
     assert new_state is state, "a refused command changed the state"
     return answers[0]
@@ -163,7 +167,7 @@
     )
 
 
-def test_a_complete_version_replaces_the_former_one_but_keeps_the_zone_orders():
+def test_a_complete_version_replaces_the_previous_one_but_keeps_the_zone_orders():
     zone_order = {"do": "domain.mark", "domain": "north", "emptied": True, "nodes": False}
     state = apply(
         START, zone_order, adopt_command(5, extras={"note": 1}), adopt_command(8, 5, forwards={})
--- a/tests/test_datagrams.py
+++ b/tests/test_datagrams.py
@@ -49,6 +49,7 @@
 
 
 def send_all(client_socket, listener, payloads):
+    """Send datagrams and wait until the listener has received the expected number."""
     for payload in payloads:
         client_socket.sendto(payload, listener.address)
     assert listener.has_all.wait(TIMEOUT_SECONDS)
--- a/tests/test_early_answers.py
+++ b/tests/test_early_answers.py
@@ -13,6 +13,7 @@
 
 
 def long_request(name):
+    """Return a request whose body is too long for the socket buffers."""
     head = b"POST / HTTP/1.1\r\nX-Id: %s\r\nContent-Length: %d\r\n\r\n" % (name, BODY_BYTES)
     return head + b"x" * BODY_BYTES
 
--- a/tests/test_election_attempts.py
+++ b/tests/test_election_attempts.py
@@ -29,6 +29,7 @@
 
 
 def record_prepares(node, cores_by_part):
+    """Record the senders of the prepare requests that a store receives."""
     real_handler = node.handlers["quorum.prepare"]
 
     def recording_handler(body, origin):
--- a/tests/test_election_progress.py
+++ b/tests/test_election_progress.py
@@ -12,6 +12,7 @@
 
 
 def list_parts(stage, node):
+    """Return the rows of the `parts` view of a node, by part."""
     answer, error = stage.run_on_node(node, lambda node: show_parts(node, None))
     assert error is None, error
     return {row["part"]: row for row in answer["parts"]}
--- a/tests/test_elections.py
+++ b/tests/test_elections.py
@@ -35,6 +35,7 @@
 
 
 def restart_all_after_power_loss(stage):
+    """Cut the power of all nodes for one second."""
     for name in list(stage.sim.nodes):
         stage.sim.kill(name, loses_power=True)
     stage.run(1)
@@ -69,11 +70,11 @@
     with stage_with_large_part(2) as stage:
         part = stage.part("lot-0")
         stage.sim.net.largest_frame = 0
-        former = stage.owner("lot-0")
-        stage.sim.kill(former.me.name)
+        previous_owner = stage.owner("lot-0")
+        stage.sim.kill(previous_owner.me.name)
         stage.run(6)
         owner = stage.owner("lot-0").find("ownership").leaders[part]
-        assert owner.is_leader and owner.node is not former
+        assert owner.is_leader and owner.node is not previous_owner
         stage.sim.lose_disk(owner.group[0][0])
         stage.run(1)
         stage.sim.start(owner.group[0][0])
@@ -121,10 +122,12 @@
 
 
 def refuse_commit(body, origin):
+    """Handler: refuse the request."""
     raise Refused(reason="this store rejects commits in this test")
 
 
 def record_promises(node, promises):
+    """Append the wire form of each promise of a store to a list."""
     real_handler = node.handlers["quorum.prepare"]
 
     def recording_handler(body, origin):
--- a/tests/test_founding_bootstrap.py
+++ b/tests/test_founding_bootstrap.py
@@ -10,14 +10,17 @@
 
 
 def all_parts_are_led(stage):
+    """Return whether every part has an owner."""
     return all(stage.owner(part) for part in PARTS)
 
 
 def group_names(stage, part):
+    """Return the names of the stores in the group of a part."""
     return [store[0] for store in stage.sim.nodes["core-2"].find("ownership").group(part)]
 
 
 def wait_until_founded(stage, seconds):
+    """Run until all stores have the same founding record; return the seconds, or None."""
     return stage.wait_for(
         lambda: len(stage.fleet_ids()) == 1 and all(a.founding for a in stage.stores().values()),
         seconds,
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -1,3 +1,5 @@
+"""Gossip sends an update to each member only a few times."""
+
 from tests.fleet_stage import SelfFoundingFleet
 
 SIZES = {"sizes": {"edge": 40, "core": 4, "store": 4}}
--- a/tests/test_group_change.py
+++ b/tests/test_group_change.py
@@ -1,11 +1,15 @@
+"""Changes of a group replace at most one member in one log entry."""
+
 from quillring.quorum.commands import apply_batch, initial_state
 
 
 def group_of(*numbers):
+    """Return the wire form of the group of the stores with these numbers."""
     return [[f"store-{n}", f"store-{n}.1", f"zone-{n}"] for n in numbers]
 
 
 def change(*numbers):
+    """Return the command that replaces the group by the stores with these numbers."""
     return {"do": "group.change", "group": group_of(*numbers)}
 
 
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -10,6 +10,7 @@
 
 
 def are_hints_delivered(fleet):
+    """Return whether no running store has undelivered hints."""
     return not any(n.find("acceptors").hints for n in fleet.sim.up_nodes("store"))
 
 
--- a/tests/test_landed_folders.py
+++ b/tests/test_landed_folders.py
@@ -22,6 +22,8 @@
 
 @pytest.fixture
 def folder_disk(tmp_path):
+    """Return a function that opens a copy of a recorded data folder as a disk."""
+
     def copy_folder(name):
         shutil.copytree(RECORDED_FOLDER / name, tmp_path / name)
         return FolderDisk(str(tmp_path / name))
@@ -54,6 +56,7 @@
 
 
 def read_recording(name):
+    """Return the slot file that the landed version wrote after it recovered a folder."""
     return (RECORDED_FOLDER / f"{name}.recovered").read_bytes()
 
 
@@ -65,6 +68,7 @@
 
 
 def rows_of(slot):
+    """Return the records of a slot file without its first one."""
     return decode_records(slot[HEADER.size :])[0][1:]
 
 
--- a/tests/test_late_beats.py
+++ b/tests/test_late_beats.py
@@ -9,11 +9,13 @@
 
 
 def send_heartbeat(stage, core, calls, **fields):
+    """Send a heartbeat of the replica to a core; return the status of the answer."""
     path = f"/Replicas.Heartbeat/{REPLICA_ID}"
     return call(stage, core, "POST", path, {**HEARTBEAT, "calls": calls, **fields})[0]
 
 
 def replica_states(stage):
+    """Return the set of states that the nodes have for the replica."""
     return {node.find("replicas").find(REPLICA_ID).state for node in stage.sim.nodes.values()}
 
 
--- a/tests/test_many_changes.py
+++ b/tests/test_many_changes.py
@@ -115,7 +115,7 @@
     assert len(states) == 1
 
 
-def test_former_owner_that_leads_again_drops_its_uncommitted_change():
+def test_previous_owner_that_leads_again_drops_its_uncommitted_change():
     """The change reached one store of three; others then commit an entry at the same index."""
     fleet = ManyChanges(3, 2, 2)
     fleet.change(3)
--- a/tests/test_mixed_processes.py
+++ b/tests/test_mixed_processes.py
@@ -67,6 +67,7 @@
 
 @pytest.fixture(scope="module")
 def fleet(tmp_path_factory):
+    """Start a fleet of processes of both versions; stop it after the tests."""
     sources = tmp_path_factory.mktemp("landed")
     with tarfile.open(ARCHIVE) as archive:
         archive.extractall(sources, filter="data")
--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -82,6 +82,7 @@
 
 
 def versions_of(fleet):
+    """Return the versions in use: True for the landed, False for the present one."""
     return {is_landed(node) for node in fleet.nodes.values()}
 
 
--- a/tests/test_node_calls.py
+++ b/tests/test_node_calls.py
@@ -24,7 +24,7 @@
 
 
 class RecordingRuntime:
-    """A runtime whose clock stands at 0 and which collects coroutines for the test to run."""
+    """A runtime whose clock always reads 0; it collects coroutines, which the test runs."""
 
     def __init__(self):
         self.random = random.Random(1)
@@ -38,6 +38,7 @@
 
 
 def make_node(incarnation=1, name="a"):
+    """Return (node, its peer layer)."""
     node = Node(Member(name, incarnation, "core", "z", "h", 1, 2, ""), RecordingRuntime(), Bounds())
     return node, node.offer("nifty", RecordingPeerLayer())
 
@@ -50,6 +51,7 @@
 
 
 def call_id_of(peer_layer):
+    """Return the call id of the last message that was sent."""
     return peer_layer.messages[-1][1]["c"]
 
 
@@ -87,13 +89,13 @@
 
 
 @pytest.mark.parametrize("start_difference", [2, 1_000, 60_000_000, -60_000_000])
-def test_a_reply_to_a_former_incarnation_is_ignored(start_difference):
+def test_a_reply_to_a_previous_incarnation_is_ignored(start_difference):
     first_start = 1_800_000_000_000_000
-    former_node, former_peer_layer = make_node(first_start)
+    previous_node, previous_peer_layer = make_node(first_start)
     late_replies = []
     for _ in range(100):
-        begin_call(former_node)
-        late_replies.append({"r": call_id_of(former_peer_layer), "b": "of the former life"})
+        begin_call(previous_node)
+        late_replies.append({"r": call_id_of(previous_peer_layer), "b": "of the former life"})
     node, _ = make_node(first_start + start_difference)
     coroutines = [begin_call(node) for _ in range(100)]
     for reply in late_replies:
--- a/tests/test_operator_orders.py
+++ b/tests/test_operator_orders.py
@@ -14,10 +14,12 @@
 
 
 def retire(stage, store, core="core-1"):
+    """Order the retirement of a store through a core; return (answer, error)."""
     return stage.ask(core, retire_store(stage.sim.nodes[core], store, 0.8))
 
 
 def is_retirement_done(stage, store, core="core-1"):
+    """Ask a core whether the retirement of a store is finished; return (answer, error)."""
     return stage.ask(core, is_retired(stage.sim.nodes[core], store, 0.8))
 
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -14,6 +14,7 @@
 
 
 def zone_order(zone, is_drained, seen_version):
+    """Return the command that drains or restores a zone, sent at `seen_version` of the state."""
     return {
         "do": "domain.mark",
         "domain": zone,
@@ -24,6 +25,7 @@
 
 
 def retirement(store, seen_version, counted=ZONE_BY_STORE):
+    """Return the command that retires a store, decided on the stores in `counted`."""
     return {
         "do": "store.mark",
         "store": store,
@@ -39,6 +41,7 @@
 
 
 def is_drained(state, zone):
+    """Return whether the last order in the state drains the zone."""
     return ((state["layout"] or {}).get("domains") or {}).get(zone, {}).get("emptied", False)
 
 
--- a/tests/test_part_client.py
+++ b/tests/test_part_client.py
@@ -1,3 +1,5 @@
+"""Calls to the leader of a part: which error a caller gets after retries."""
+
 from types import SimpleNamespace
 
 import pytest
@@ -91,7 +93,9 @@
     "count, late, is_whole",
     [(5, [], True), (3, [], False), (5, ["store-1"], False), (0, [], False)],
 )
-def test_a_part_is_whole_when_its_group_is_complete_and_no_store_is_late(count, late, is_whole):
+def test_a_part_is_fully_replicated_when_its_group_is_complete_and_no_store_lags(
+    count, late, is_whole
+):
     def ask(part, service, body, seconds):
         if not count:
             raise NotLeader(part=part)
--- a/tests/test_placement_emulator.py
+++ b/tests/test_placement_emulator.py
@@ -106,12 +106,12 @@
 def test_sharing_load_reports_improves_estimates_and_p99_of_short_requests():
     shape = small_shape()._replace(edges_per_zone=8)
     shared = [Emulation(shape, DEFAULT_POLICY, seed).simulate() for seed in range(5)]
-    alone_policy = DEFAULT_POLICY._replace(shares_load=False)
-    alone = [Emulation(shape, alone_policy, seed).simulate() for seed in range(5)]
-    for with_sharing, without in zip(shared, alone, strict=True):
-        assert with_sharing.mean_estimate_error < without.mean_estimate_error
-        assert without.messages == 0 < with_sharing.messages
-    assert sum(r.p99["short"] for r in shared) < sum(r.p99["short"] for r in alone)
+    unshared_policy = DEFAULT_POLICY._replace(shares_load=False)
+    unshared = [Emulation(shape, unshared_policy, seed).simulate() for seed in range(5)]
+    for with_sharing, without_sharing in zip(shared, unshared, strict=True):
+        assert with_sharing.mean_estimate_error < without_sharing.mean_estimate_error
+        assert without_sharing.messages == 0 < with_sharing.messages
+    assert sum(r.p99["short"] for r in shared) < sum(r.p99["short"] for r in unshared)
 
 
 def test_most_requests_meet_their_goals_during_faults():
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -25,6 +25,7 @@
 
 
 def fleet_view(**changes):
+    """Return the view of the fleet for which plans are made, with changed fields."""
     fields = {
         "version": 1,
         "configuration": CONFIGURATION,
@@ -38,6 +39,7 @@
 
 
 def state_with_configuration():
+    """Return a state in which the configuration was adopted."""
     state = initial_state([])
     return apply_batch(
         state,
--- a/tests/test_points.py
+++ b/tests/test_points.py
@@ -1,3 +1,5 @@
+"""Each scenario of the catalog finds no violation, and finds one without its guards."""
+
 import pytest
 
 from proving.points.catalog import POINTS
--- a/tests/test_raw_server.py
+++ b/tests/test_raw_server.py
@@ -36,6 +36,7 @@
 
 @pytest.fixture
 def serve():
+    """Return a function that starts a server with a handler; all are stopped after the test."""
     servers = []
 
     def start(handle, **limits):
@@ -52,6 +53,7 @@
 
 
 def echo(node, raw):
+    """Handler: answer with the target and the body of the request."""
     return 200, [("X-Target", raw.target)], raw.body
     yield
 
@@ -139,6 +141,7 @@
 
 
 def answer(name, body, trailing_bytes=b""):
+    """Return an answer with an X-Id and a Content-Length, followed by `trailing_bytes`."""
     return b"HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: %d\r\n\r\n%s%s" % (
         name,
         len(body),
@@ -148,6 +151,7 @@
 
 
 def ask(replica, name, may_reuse=True):
+    """Send a request with this id and return the complete body of its answer."""
     effect = SendRequest(replica.address, b"GET / HTTP/1.1\r\n\r\n", 2, may_reuse, ("x-id", name))
     handle = send_request(effect)
     try:
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -1,3 +1,5 @@
+"""The replica table: states from heartbeats, and what a node publishes about its replicas."""
+
 from quillring.classes import ServiceLevelMeter
 from quillring.edge import ReplicaTable
 from quillring.gossip import Gossip
@@ -6,6 +8,7 @@
 
 
 def announcement(sequence, state="ready", incarnation=5):
+    """Return the fields of a heartbeat of replica words-1."""
     return {
         "name": "words-1",
         "service": "words",
@@ -24,6 +27,7 @@
 
 
 def make_replica_table():
+    """Return (replica table of a node in a scripted runtime, runtime)."""
     local_node, _, runtime = node("a")
     local_node.offer("gossip", Gossip(local_node))
     local_node.offer("layout", StubLayout())
--- a/tests/test_resends.py
+++ b/tests/test_resends.py
@@ -93,8 +93,8 @@
     stage = SelfFoundingFleet(seed)
     assert replace_configuration(stage, "core-1", FULL_CONFIGURATION, 0)[0] == 200
     owner, others = owner_and_other_cores(stage)
-    rest = [name for name in stage.sim.nodes if name not in (owner, others[0])]
-    stage.sim.cut([owner], rest)
+    other_nodes = [name for name in stage.sim.nodes if name not in (owner, others[0])]
+    stage.sim.cut([owner], other_nodes)
     assert replace_configuration(stage, others[0], NEWER, 7)[0] == 503
     assert replace_configuration(stage, owner, RIVAL, 7)[0] == 503
     stage.run(1)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,3 +1,5 @@
+"""Messages and route computations of a fleet stay bounded as it grows."""
+
 import pytest
 
 from proving.scale.fleet import HollowFleet
@@ -10,6 +12,7 @@
 
 @pytest.fixture(scope="module")
 def runs():
+    """Return the rows of measured work of a small and a large fleet, by fleet size."""
     return {size: run_size(size)["rows"] for size in (SMALL, LARGE)}
 
 
--- a/tests/test_slow_disks.py
+++ b/tests/test_slow_disks.py
@@ -56,6 +56,7 @@
 
 
 def config_stores(fleet):
+    """Return the names of the stores of the config part."""
     return [store[0] for store in fleet.sim.nodes["core-1"].find("ownership").group(CONFIG_PART)]
 
 
--- a/tests/test_smuggling.py
+++ b/tests/test_smuggling.py
@@ -69,7 +69,7 @@
     client = Client(serve(handle, idle_seconds=0.05, head_seconds=0.05))
     client.send(b"POST /open HTTP/1.1\r\nHost: h\r\n" + framing + b"\r\n" + body)
     client.read()
-    head, _, rest = forwarded_requests.pop().partition(b"\r\n\r\n")
-    assert not forwarded_requests and rest == SMUGGLED_REQUEST
+    head, _, forwarded_body = forwarded_requests.pop().partition(b"\r\n\r\n")
+    assert not forwarded_requests and forwarded_body == SMUGGLED_REQUEST
     assert head.lower().count(b"content-length: %d" % len(SMUGGLED_REQUEST)) == 1
     assert head.lower().count(b"content-length:") == 1 and b"transfer-encoding" not in head.lower()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -8,6 +8,7 @@
 
 
 def open_store_in(folder, log_limit_bytes=1 << 20):
+    """Open a store in a folder; return it and its state after recovery."""
     recorded_state = RecordedState()
     store = CheckpointedLog(FolderDisk(str(folder)), recorded_state, log_limit_bytes)
     if not store.recover():
@@ -16,6 +17,7 @@
 
 
 def write_records(store, recorded_state, records):
+    """Write a batch of records to the log and the state."""
     recorded_state.records.extend(records)
     assert store._write_batch([PendingCommit(records, Signal())]) is None
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -49,10 +49,10 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_orders_are_accepted_and_stay_in_force_while_the_wall_clocks_step(seed):
     stage, number = SelfFoundingFleet(seed), 0
-    chance = stage.sim.chance
+    rng = stage.sim.chance
     for turn in range(12):
         for node in stage.sim.nodes.values():
-            step = chance.choice((-STEP, 0, STEP))
+            step = rng.choice((-STEP, 0, STEP))
             node.runtime.wall_time = lambda at=stage.env.now + 1_800_000_000 + step: at
         core = f"core-{turn % 4 + 1}"
         assert (
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -1,3 +1,5 @@
+"""Maintenance windows in an iCalendar file are read as intents of plans."""
+
 import datetime
 
 import pytest
--- a/tests/test_wsgi.py
+++ b/tests/test_wsgi.py
@@ -12,6 +12,7 @@
 
 
 def call(test_node, method, path, body=b"", length=None):
+    """Call the WSGI application; return (status, headers, decoded lines of the body)."""
     response = {}
 
     def start_response(status, headers):
