--- a/quillring/gossip/gossip.py
+++ b/quillring/gossip/gossip.py
@@ -117,6 +117,7 @@
         return True
 
     def _notify_subscribers(self, key: str, value: Any) -> None:
+        """Call the subscribers whose prefix the key starts with."""
         for prefix, subscribers in self.subscribers.items():
             if key.startswith(prefix):
                 for subscriber in subscribers:
@@ -146,6 +147,7 @@
         }
 
     def _random_members(self, count: int) -> list[str]:
+        """Return the names of at most `count` random members that have a route from this node."""
         reached_names = sorted(self.node.find("nifty").graph.routes)
         return self.node.runtime.random.sample(reached_names, min(count, len(reached_names)))
 
@@ -157,6 +159,7 @@
         return self.digest
 
     def _versions(self) -> dict[str, Version]:
+        """Return {key: version} of all keys in the table."""
         return {key: entry.version for key, entry in self.table.items()}
 
     def request_missing(self) -> None:
--- a/quillring/kernel/backend.py
+++ b/quillring/kernel/backend.py
@@ -45,6 +45,7 @@
 
 
 def _connect(address: Address, seconds: float) -> Any:
+    """Return a client connected to the address; raises NotSent if that fails."""
     client = HTTPClient(
         address[0],
         address[1],
@@ -71,6 +72,7 @@
 
 
 def _request(client: Any, method: str, path: str, body: Any) -> Any:
+    """Send a request with a JSON body, or without a body if it is None; return the response."""
     data = b"" if body is None else json.dumps(body).encode()
     return client.request(method, path, body=data, headers=JSON_HEADERS)
 
@@ -135,6 +137,10 @@
 
 
 def _exchange(client: Any, effect: FetchJson, seconds: float) -> tuple[int, Any]:
+    """Send a request and return (status, JSON body); pool the client if it can be reused.
+
+    Raises BackendError, with the reason "time" after `seconds`.
+    """
     is_complete = False
     try:
         with gevent.Timeout(max(seconds, MIN_TIMEOUT_SECONDS), BackendError(reason="time")):
--- a/quillring/kernel/client_connection.py
+++ b/quillring/kernel/client_connection.py
@@ -108,7 +108,7 @@
                     return CLIENT_GONE
                 if data is not None:
                     self.reader.feed(data)
-                elif (end := self._end_after_timeout()) is not None:
+                elif (end := self._end_reason_after_timeout()) is not None:
                     return end
         except OSError:
             return CLIENT_GONE
@@ -139,7 +139,7 @@
             return data
         return None
 
-    def _end_after_timeout(self) -> RequestRejected | str | None:
+    def _end_reason_after_timeout(self) -> RequestRejected | str | None:
         """Return why reading ends after a timeout, or None if it continues.
 
         It continues while a request is being answered, while idle time remains, and if input is
@@ -152,9 +152,11 @@
         return CLIENT_GONE if self._idle_seconds_left() <= 0 else None
 
     def _is_busy(self) -> bool:
+        """Return whether a request is queued or being answered."""
         return self.handler is not None or not self.requests.empty()
 
     def _idle_seconds_left(self) -> float:
+        """Return the seconds until the idle timeout, negative if it has passed."""
         return self.idle_since + self.server.limits().idle_seconds - self.server.now()
 
     def _send_due_continue(self) -> None:
@@ -262,6 +264,7 @@
         return is_persistent
 
     def _stays_open(self, request: HttpRequest) -> bool:
+        """Return whether the connection may serve another request; not while draining."""
         return request.is_persistent and not self.server.node.is_draining
 
     def _connection_headers(self, is_persistent: bool) -> HeaderLines:
--- a/quillring/kernel/connection_pool.py
+++ b/quillring/kernel/connection_pool.py
@@ -34,10 +34,18 @@
     exchange : the current request and response; the parser's callbacks go to it
     idle_until : monotonic time until which the idle connection may be reused
     was_reused : whether the connection has been in the pool
-    carried_ids : ids of all requests that were sent on the connection
+    sent_request_ids : ids of all requests that were sent on the connection
     """
 
-    __slots__ = ("address", "sock", "parser", "exchange", "idle_until", "was_reused", "carried_ids")
+    __slots__ = (
+        "address",
+        "sock",
+        "parser",
+        "exchange",
+        "idle_until",
+        "was_reused",
+        "sent_request_ids",
+    )
 
     def __init__(self, address: Address, sock: Any) -> None:
         self.address = address
@@ -46,7 +54,7 @@
         self.exchange: ClientExchange
         self.idle_until: float = 0
         self.was_reused = False
-        self.carried_ids: set[ResponseId] = set()
+        self.sent_request_ids: set[ResponseId] = set()
 
     def on_message_begin(self) -> None:
         """Begin a response (httptools callback)."""
@@ -95,7 +103,7 @@
             is_fresh = time.monotonic() < connection.idle_until
             if (
                 is_fresh
-                and response_id not in connection.carried_ids
+                and response_id not in connection.sent_request_ids
                 and not is_readable(connection.sock)
             ):
                 return connection
@@ -106,9 +114,9 @@
         """Add a connection whose last response was complete; it expires after `keep_alive_seconds`.
 
         It is closed instead if it has carried MAX_REQUESTS_PER_CONNECTION request ids, which bounds
-        the size of `carried_ids`.
+        the size of `sent_request_ids`.
         """
-        if len(connection.carried_ids) >= MAX_REQUESTS_PER_CONNECTION:
+        if len(connection.sent_request_ids) >= MAX_REQUESTS_PER_CONNECTION:
             connection.close()
             return
         connection.idle_until = time.monotonic() + keep_alive_seconds
@@ -126,7 +134,11 @@
                     connection.close()
             unexpired = [c for c in idle_connections if c.idle_until > now]
             self.idle = {**self.idle, address: unexpired}
-        self.idle = {address: kept for address, kept in self.idle.items() if kept}
+        self.idle = {
+            address: unexpired_connections
+            for address, unexpired_connections in self.idle.items()
+            if unexpired_connections
+        }
 
 
 POOL = ConnectionPool()
--- a/quillring/kernel/datagrams.py
+++ b/quillring/kernel/datagrams.py
@@ -19,8 +19,8 @@
 class DatagramSocket:
     """A bound UDP socket; datagrams that arrive between two batches are read together, in order.
 
-    A wake-up of the process costs as much CPU time as reading several datagrams. The delay does no
-    harm: heartbeats are read late by only a small fraction of their interval.
+    A wake-up of the process costs as much CPU time as reading several datagrams. The delay is
+    acceptable: heartbeats are read late by only a small fraction of their interval.
     """
 
     __slots__ = ("socket",)
@@ -36,11 +36,11 @@
         """Call `on_datagram` for each datagram and `after_batch` after each batch, endlessly."""
         while True:
             gevent.socket.wait_read(self.socket.fileno())
-            for data in self._received():
+            for data in self._receive_batch():
                 on_datagram(data)
             after_batch()
 
-    def _received(self) -> Iterator[bytes]:
+    def _receive_batch(self) -> Iterator[bytes]:
         """Yield the datagrams that have arrived, at most MAX_BATCH_DATAGRAMS.
 
         Socket errors are skipped, and count as a datagram.
--- a/quillring/kernel/gevent_runtime.py
+++ b/quillring/kernel/gevent_runtime.py
@@ -126,6 +126,7 @@
                     return
 
     def _call_handler(self, handler: Callable[[Any], object], data: Any) -> None:
+        """Call a handler; report any exception that it raises."""
         try:
             handler(data)
         except Exception as error:
@@ -139,11 +140,14 @@
         """Queue a frame on the channel to the address, without a delivery guarantee."""
         channel = self.channels.get(address)
         if channel is None:
-            channel = self.channels[address] = Channel(address, self.frame_timeout, self._refused)
+            channel = self.channels[address] = Channel(
+                address, self.frame_timeout, self._report_refused
+            )
             gevent.spawn(channel.run)
         channel.put(data)
 
-    def _refused(self, address: Address) -> None:
+    def _report_refused(self, address: Address) -> None:
+        """Call `on_refused` for an address that refuses connections."""
         self._call_handler(self.on_refused, address)
 
     def reset(self, address: Address) -> None:
@@ -157,6 +161,7 @@
         return gevent.spawn(self._run, coroutine)
 
     def _run(self, coroutine: Coroutine) -> Any:
+        """Run a coroutine to completion; report any exception that it raises."""
         try:
             return self.drive(coroutine)
         except QuillringError as error:
@@ -226,6 +231,7 @@
         gevent.sleep(self.timers.aligned_seconds(time.monotonic(), seconds))
 
     def _wait(self, signal: Signal, seconds: float) -> bool:
+        """Wait up to `seconds` for a signal; return whether it is set."""
         if signal.is_set:
             return True
         wake_event = gevent.event.Event()
--- a/quillring/kernel/http_client.py
+++ b/quillring/kernel/http_client.py
@@ -42,7 +42,7 @@
     is_complete : whether the matching response was received completely
     has_bytes : whether any bytes were received for this request
     has_body_framing : whether the response has a Content-Length or Transfer-Encoding header
-    has_surplus : whether bytes followed the complete response
+    has_surplus_bytes : whether bytes followed the complete response
     is_written : whether the request was written completely
     """
 
@@ -61,7 +61,7 @@
         "has_bytes",
         "has_body_framing",
         "is_closed",
-        "has_surplus",
+        "has_surplus_bytes",
         "is_written",
     )
 
@@ -71,7 +71,7 @@
         self.response_id = effect.response_id
         self.body_parts: deque[bytes] = deque()
         self.has_bytes = False
-        self.is_complete = self.has_surplus = False
+        self.is_complete = self.has_surplus_bytes = False
         self.is_closed = False
         self.is_written = False
         self.begin()
@@ -79,7 +79,7 @@
     def begin(self) -> None:
         """Begin a response; one that follows the complete matching response is ignored."""
         if self.is_complete:
-            self.has_surplus = True
+            self.has_surplus_bytes = True
             return
         self.lines: list[tuple[str, str]] = []
         self.status: int = 0
@@ -89,7 +89,7 @@
 
     def end_head(self, status: int, is_persistent: bool) -> None:
         """End the header section; interim responses and responses to other requests are skipped."""
-        if self.has_surplus:
+        if self.has_surplus_bytes:
             return
         self.status, self.is_persistent = status, is_persistent
         self.headers = {name.lower(): value for name, value in self.lines}
@@ -140,7 +140,7 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             if not self.is_complete:
                 raise BackendError(reason="no answer") from error
-            self.has_surplus = True
+            self.has_surplus_bytes = True
 
     def on_close(self) -> None:
         """Handle an orderly close of the connection, which completes a body without a length."""
@@ -159,7 +159,7 @@
             self.connection.close()
             raise NotSent(reason="no time left")
         self.connection.exchange = self
-        self.connection.carried_ids.add(self.response_id)
+        self.connection.sent_request_ids.add(self.response_id)
         try:
             with gevent.Timeout(seconds, BackendError(reason="stall")):
                 self._write()
@@ -240,7 +240,7 @@
         self.is_closed = True
         is_reusable = self.is_complete and self.is_persistent and self.is_written
         keep_alive_seconds = self.keep_alive_seconds() if is_reusable else 0
-        if keep_alive_seconds > 0 and not self.body_parts and not self.has_surplus:
+        if keep_alive_seconds > 0 and not self.body_parts and not self.has_surplus_bytes:
             POOL.put(self.connection, keep_alive_seconds)
         else:
             self.connection.close()
--- a/quillring/kernel/http_request_reader.py
+++ b/quillring/kernel/http_request_reader.py
@@ -50,6 +50,7 @@
         self._reset()
 
     def _reset(self) -> None:
+        """Discard the state of the previous request."""
         self.is_continue_due = False
         self.lines: HeaderLines = []
         self.target = b""
@@ -69,14 +70,15 @@
     def on_url(self, data: bytes) -> None:
         """Add bytes of the request target (httptools callback)."""
         self.target += data
-        self._grow_head(len(data))
+        self._add_head_size(len(data))
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Add a header field (httptools callback)."""
         self.lines.append((name.decode("latin-1"), value.decode("latin-1")))
-        self._grow_head(len(name) + len(value) + 4)
+        self._add_head_size(len(name) + len(value) + 4)
 
-    def _grow_head(self, size: int) -> None:
+    def _add_head_size(self, size: int) -> None:
+        """Count bytes of the head; raise RequestRejected if they exceed the limit."""
         self.head_size += size
         if self.head_size > self.server.limits().head_bytes:
             raise RequestRejected(status=431)
--- a/quillring/kernel/loop_lag.py
+++ b/quillring/kernel/loop_lag.py
@@ -14,8 +14,8 @@
 PROBE_INTERVAL_RATIO = 0.1
 LATE_RATIO = 0.25
 """Delay of a late wake-up, as a share of the call timeout."""
-LATE_MEMORY_HEARTBEATS = 2
-"""For how many heartbeat intervals a late wake-up is taken into account."""
+LATE_WAKEUP_HEARTBEATS = 2
+"""Number of heartbeat intervals for which `was_late` reports a late wake-up."""
 
 
 class LoopLag:
@@ -47,8 +47,9 @@
 
     def was_late(self) -> bool:
         """Return whether a wake-up is overdue, or was late in the last two heartbeat intervals."""
-        memory_seconds = self.node.bounds.heartbeat_interval * LATE_MEMORY_HEARTBEATS
-        return self._is_overdue() or self.node.now() - self.last_late_at < memory_seconds
+        report_seconds = self.node.bounds.heartbeat_interval * LATE_WAKEUP_HEARTBEATS
+        return self._is_overdue() or self.node.now() - self.last_late_at < report_seconds
 
     def _is_overdue(self) -> bool:
+        """Return whether the current wake-up is late already."""
         return self.node.now() - self.due_at > self.node.bounds.call_timeout * LATE_RATIO
--- a/quillring/kernel/node.py
+++ b/quillring/kernel/node.py
@@ -70,8 +70,8 @@
     services : local services by name
     handlers : handlers of calls by the name of the called service
     counts : event counters by name
-    is_draining : whether the process is about to stop and finishes its requests before
-    is_closing : whether a draining process already refuses new requests
+    is_draining : whether the process is to stop once its requests in flight have finished
+    is_closing : whether the draining process refuses new requests
     requests_in_flight : number of requests in flight
     """
 
@@ -182,24 +182,24 @@
         a call without a reply is TimedOut.
         """
         seconds = self.bounds.call_timeout if seconds is None else seconds
-        gathered_replies: dict[str, Any] = {}
+        replies_by_target: dict[str, Any] = {}
         started_calls: dict[str, tuple[int, Signal]] = {}
         done_signal = Signal()
 
-        def take_reply(target: str, signal: Signal) -> None:
-            gathered_replies[target] = signal.value
+        def record_reply(target: str, signal: Signal) -> None:
+            replies_by_target[target] = signal.value
             success_count = sum(
-                not isinstance(r, QuillringError) for r in gathered_replies.values()
+                not isinstance(r, QuillringError) for r in replies_by_target.values()
             )
-            if success_count >= need or len(gathered_replies) == len(calls):
+            if success_count >= need or len(replies_by_target) == len(calls):
                 done_signal.set()
 
         for target, service, body in calls:
             started_calls[target] = self._start_call(target, service, body)
         for target, (_, signal) in started_calls.items():
-            signal.watchers.append(partial(take_reply, target, signal))
+            signal.watchers.append(partial(record_reply, target, signal))
             if signal.is_set:
-                take_reply(target, signal)
+                record_reply(target, signal)
         if calls and not (yield Wait(done_signal, seconds / 2)):
             for target, service, body in calls if repeats else ():
                 call_id = started_calls[target][0]
@@ -209,10 +209,14 @@
         for call_id, _ in started_calls.values():
             self.pending_calls.pop(call_id, None)
         return {
-            target: gathered_replies.get(target, TimedOut(target=target)) for target, _, _ in calls
+            target: replies_by_target.get(target, TimedOut(target=target)) for target, _, _ in calls
         }
 
     def _start_call(self, target: str, service: str, body: Any) -> tuple[int, Signal]:
+        """Send a request and register the pending call; return (call id, reply signal).
+
+        The signal is set to Unreachable at once if there is no route.
+        """
         self.last_call_id += 1
         call_id, reply_signal = self.last_call_id, Signal()
         if target == self.me.name:
@@ -280,6 +284,7 @@
     def _run_handler(
         self, service: str, body: Any, origin: str, send_reply: Callable[[Any], object]
     ) -> Coroutine:
+        """Coroutine: run a service's handler and pass its result or error to `send_reply`."""
         handler = self.handlers.get(service)
         try:
             if handler is None:
--- a/quillring/nifty/graph.py
+++ b/quillring/nifty/graph.py
@@ -40,7 +40,7 @@
         """Create the graph from {name: names that it reaches directly}."""
         names = tuple(sorted({home, *rows, *(n for reached in rows.values() for n in reached)}))
         positions = {name: position for position, name in enumerate(names)}
-        self._make(
+        self._initialize(
             home,
             names,
             positions,
@@ -56,10 +56,10 @@
     ) -> Graph:
         """Create the graph from {name: bits of the names it reaches}, ordered by `positions`."""
         graph = cls.__new__(cls)
-        graph._make(home, names, positions, rows)
+        graph._initialize(home, names, positions, rows)
         return graph
 
-    def _make(
+    def _initialize(
         self, home: str, names: Sequence[str], positions: dict[str, int], rows: dict[str, int]
     ) -> None:
         """Compute the links and routes.
@@ -109,20 +109,20 @@
         first_hops = {position: 1 << position for position in bit_positions(frontier)}
         visited_bits, distance = frontier | 1 << self.positions[self.home], 1
         while frontier:
-            next_frontier, distance = self._linked_with(frontier) & ~visited_bits, distance + 1
+            next_frontier, distance = self._linked_bits(frontier) & ~visited_bits, distance + 1
             for position in bit_positions(next_frontier):
                 hop_bits = rows[position] & frontier
                 if distance > 2:
                     hop_bits = union([first_hops[previous] for previous in bit_positions(hop_bits)])
                 if hop_bits not in names_by_bits:
-                    names_by_bits[hop_bits] = self._names(hop_bits)
+                    names_by_bits[hop_bits] = self._names_of_bits(hop_bits)
                 first_hops[position] = hop_bits
                 routes[names[position]] = distance, names_by_bits[hop_bits]
             visited_bits |= next_frontier
             frontier = next_frontier
         return routes
 
-    def _linked_with(self, frontier: int) -> int:
+    def _linked_bits(self, frontier: int) -> int:
         """Return the bits of the names linked with the frontier; stop once all are found."""
         reached_bits = 0
         for position in bit_positions(frontier):
@@ -131,10 +131,12 @@
                 break
         return reached_bits
 
-    def _names(self, bits: int) -> tuple[str, ...]:
+    def _names_of_bits(self, bits: int) -> tuple[str, ...]:
+        """Return the names whose bits are set."""
         return tuple([self.names[position] for position in bit_positions(bits)])
 
-    def _cached(self, key: Hashable, compute: Callable[[], T]) -> T:
+    def _get_or_compute(self, key: Hashable, compute: Callable[[], T]) -> T:
+        """Return the cached result for a key; compute it, and cache it if there is space."""
         if key in self.cache:
             cached: T = self.cache[key]
             return cached
@@ -146,22 +148,24 @@
     @property
     def links(self) -> dict[str, frozenset[str]]:
         """Return {name: names that it has a direct link with}."""
-        return self._cached(
+        return self._get_or_compute(
             "links",
             lambda: {
-                name: frozenset(self._names(bits)) for name, bits in zip(self.names, self.rows)
+                name: frozenset(self._names_of_bits(bits))
+                for name, bits in zip(self.names, self.rows)
             },
         )
 
     @property
     def live(self) -> frozenset[str]:
         """Return the names with at least one link, and `home`."""
-        return self._cached("live", lambda: frozenset(self._names(self.live_bits)))
+        return self._get_or_compute("live", lambda: frozenset(self._names_of_bits(self.live_bits)))
 
     def neighbours(self) -> frozenset[str]:
         """Return the names that `home` has a direct link with."""
-        return self._cached(
-            "neighbours", lambda: frozenset(self._names(self.rows[self.positions[self.home]]))
+        return self._get_or_compute(
+            "neighbours",
+            lambda: frozenset(self._names_of_bits(self.rows[self.positions[self.home]])),
         )
 
     def next_hop(self, target: str, origin: str) -> str | None:
@@ -175,7 +179,7 @@
         hops = known_route[1]
         if len(hops) == 1:
             return hops[0]
-        return self._cached(
+        return self._get_or_compute(
             (target, origin),
             lambda: max(hops, key=lambda hop: rendezvous_score(origin, target, hop)),
         )
@@ -189,7 +193,7 @@
 
     def reachable(self) -> frozenset[str]:
         """Return the names that a message can reach, directly or over relays, and `home`."""
-        return self._cached("reachable", lambda: frozenset(self.routes) | {self.home})
+        return self._get_or_compute("reachable", lambda: frozenset(self.routes) | {self.home})
 
     @property
     def is_cut(self) -> bool:
@@ -198,7 +202,7 @@
 
     def bridge_nodes(self) -> tuple[str, ...]:
         """Return the live nodes with a direct link to every other live node."""
-        return self._cached(
+        return self._get_or_compute(
             "bridges",
             lambda: tuple(
                 self.names[position]
@@ -209,9 +213,10 @@
 
     def bridges_without(self, excluded: frozenset[str]) -> frozenset[str]:
         """Return the bridges among the live nodes not `excluded`; none if every pair is linked."""
-        return self._cached(("bridges", excluded), lambda: self._find_bridges(excluded))
+        return self._get_or_compute(("bridges", excluded), lambda: self._find_bridges(excluded))
 
     def _find_bridges(self, excluded: frozenset[str]) -> frozenset[str]:
+        """Compute the result of `bridges_without`."""
         excluded_bits = to_bits(
             [self.positions[name] for name in excluded if name in self.positions]
         )
@@ -223,13 +228,18 @@
                 if not candidate_bits & ~(self.rows[p] | 1 << p)
             ]
         )
-        return frozenset() if bridge_bits == candidate_bits else frozenset(self._names(bridge_bits))
+        return (
+            frozenset()
+            if bridge_bits == candidate_bits
+            else frozenset(self._names_of_bits(bridge_bits))
+        )
 
     def sides(self) -> tuple[tuple[str, ...], ...]:
         """Return the groups of live nodes on each side of a partial partition, without bridges."""
-        return self._cached("sides", self._find_sides)
+        return self._get_or_compute("sides", self._find_sides)
 
     def _find_sides(self) -> tuple[tuple[str, ...], ...]:
+        """Compute the connected components of the live nodes, without bridges if there is a cut."""
         remaining_bits = self.live_bits
         if self.is_cut:
             remaining_bits &= ~to_bits([self.positions[name] for name in self.bridge_nodes()])
@@ -244,7 +254,7 @@
                     & ~component
                 )
             remaining_bits &= ~component
-            components.append(self._names(component))
+            components.append(self._names_of_bits(component))
         return tuple(sorted(components))
 
     def to_json(self) -> dict[str, Any]:
@@ -254,5 +264,8 @@
             "bridge_nodes": list(self.bridge_nodes()),
             "sides": [list(side) for side in self.sides()],
             "links": {name: sorted(ends) for name, ends in sorted(self.links.items())},
-            "routes": {n: {"hops": d, "by": list(h)} for n, (d, h) in sorted(self.routes.items())},
+            "routes": {
+                target: {"hops": hop_count, "by": list(first_hops)}
+                for target, (hop_count, first_hops) in sorted(self.routes.items())
+            },
         }
--- a/quillring/nifty/incarnations.py
+++ b/quillring/nifty/incarnations.py
@@ -37,7 +37,7 @@
     peers.node.count("renewed_starts")
     peers.node.log(
         "warning",
-        "peers know incarnation %d of this node: continuing under a higher one",
+        "a peer knows incarnation %d of this node: continuing under a higher one",
         incarnation,
     )
     peers.node.me = me.restarted(incarnation + 1)
--- a/quillring/nifty/nifty.py
+++ b/quillring/nifty/nifty.py
@@ -171,11 +171,13 @@
     def _send_heartbeat(
         self, address: Address, heartbeat_round: HeartbeatRound, state: PeerState | None
     ) -> None:
+        """Send the round's heartbeat to an address, for the member with this state if any."""
         data = heartbeat_round.encode_for(state)
         self._count_sent(1, len(data))
         self.node.runtime.datagram(address, data)
 
     def _count_sent(self, heartbeat_count: int, byte_count: int) -> None:
+        """Add to the counters of sent heartbeats and of their bytes."""
         self.node.count("beats_sent", heartbeat_count)
         self.node.count("beat_bytes", byte_count)
 
--- a/quillring/nifty/peers.py
+++ b/quillring/nifty/peers.py
@@ -61,6 +61,7 @@
         return self.known_roster
 
     def _merge_pending_members(self) -> Roster:
+        """Return the roster with the pending members added, and clear these."""
         new_members, self.pending_members = self.pending_members, {}
         return self.known_roster.with_members(new_members.values())
 
--- a/quillring/nifty/roster.py
+++ b/quillring/nifty/roster.py
@@ -22,12 +22,13 @@
     __slots__ = ("members", "names", "positions", "digest", "addresses")
 
     def __init__(self, members: Iterable[Member]) -> None:
-        self._fill({m.name: m for m in sorted(members, key=lambda m: m.name)})
+        self._set_members({m.name: m for m in sorted(members, key=lambda m: m.name)})
         self.names = tuple(self.members)
         self.positions = {name: position for position, name in enumerate(self.names)}
         self.digest = hashlib.sha256(cbor2.dumps(self.names)).digest()[:8]
 
-    def _fill(self, members: dict[str, Member]) -> None:
+    def _set_members(self, members: dict[str, Member]) -> None:
+        """Set the members, and index their names by address."""
         self.members = members
         self.addresses: dict[Address, list[str]] = {}
         for member in members.values():
@@ -39,7 +40,7 @@
         if len(new_members) > len(self.members):
             return Roster(new_members.values())
         renewed = Roster.__new__(Roster)
-        renewed._fill(new_members)
+        renewed._set_members(new_members)
         renewed.names, renewed.positions, renewed.digest = self.names, self.positions, self.digest
         return renewed
 
--- a/quillring/nifty/wire.py
+++ b/quillring/nifty/wire.py
@@ -43,7 +43,7 @@
 """The newest version of heartbeats, and of frames that are not compressed."""
 COMPRESSION_LEVEL = 1
 MIN_COMPRESSIBLE_BYTES = 512
-"""Shorter frames are not compressed: they gain too little."""
+"""Shorter frames are not compressed: too few bytes would be saved."""
 FRAME_LIMIT_BYTES = 64 * 1024 * 1024
 VERSION_HEADERS = [MAGIC + bytes([version]) for version in range(256)]
 FULL_FIELD_COUNT, TERSE_FIELD_COUNT = 6, 5
--- a/quillring/ownership/elections.py
+++ b/quillring/ownership/elections.py
@@ -107,11 +107,13 @@
         return is_reachable and not self.ownership.declines_leadership(name)
 
     def _transfer(self, part: str, leader: PartLeader) -> None:
+        """Begin to transfer a part to its first candidate, unless that is this core."""
         for name in self.ownership.candidates(part)[:1]:
             if name != self.node.me.name:
                 self.ownership.leadership_transfer.begin(part, leader, name)
 
     def _begin_election(self, part: str, is_stable: bool) -> None:
+        """Start an election for a part if a majority of its stores is reachable."""
         if self.timing.reaches_majority(self.ownership.group(part)):
             self.parts_in_election.add(part)
             self.node.spawn(self._run_election(part, is_stable))
--- a/quillring/ownership/leadership_backoff.py
+++ b/quillring/ownership/leadership_backoff.py
@@ -53,18 +53,19 @@
         Has no effect during a backoff.
         """
         if self.loop_lag.was_late() and not self.is_backing_off(self.node.me.name):
-            self._begin()
+            self._begin_backoff()
 
     def refresh(self) -> None:
         """End an expired backoff, or begin a longer one if the event loop is still late."""
         if not self.is_backing_off(self.node.me.name) or self.node.now() < self.ends_at:
             return
         if self.loop_lag.was_late():
-            self._begin()
+            self._begin_backoff()
         else:
             self._announce(None)
 
-    def _begin(self) -> None:
+    def _begin_backoff(self) -> None:
+        """Begin a backoff, twice as long as the last one if that ended recently; announce it."""
         now, interval = self.node.now(), self.node.bounds.heartbeat_interval
         has_recovered = now - self.ends_at > interval * MAX_BACKOFF_HEARTBEATS
         if has_recovered:
--- a/quillring/ownership/leadership_transfer.py
+++ b/quillring/ownership/leadership_transfer.py
@@ -32,7 +32,7 @@
 
 
 class LeadershipTransfer:
-    """Both sides of a planned leadership transfer, which keeps the time without a leader short.
+    """Both sides of a planned leadership transfer, which shortens the time without a leader.
 
     `offered` has the state that the successor may fetch, by part, while a transfer is in progress.
     """
@@ -70,7 +70,7 @@
         except QuillringError as error:
             self.node.log(
                 "warning",
-                "leadership transfer of %s: %s did not fetch the state: %s",
+                "leadership transfer of part %s: core %s did not fetch the state: %s",
                 part,
                 successor,
                 error,
--- a/quillring/ownership/ownership.py
+++ b/quillring/ownership/ownership.py
@@ -1,4 +1,4 @@
-"""Which core leads which part, from the view of one node; on a core also its own terms."""
+"""The leaders of all parts as known to one node and, on a core, its own terms as leader."""
 
 from __future__ import annotations
 
@@ -242,6 +242,7 @@
         self.elections.wake()
 
     def _leader(self, part: str) -> PartLeader:
+        """Return this core's term that leads a part, or raise NotLeader."""
         leader = self.leaders.get(part)
         if leader is None or not leader.is_leader:
             raise NotLeader(part=part)
--- a/quillring/quorum/acceptor/acceptor.py
+++ b/quillring/quorum/acceptor/acceptor.py
@@ -112,6 +112,7 @@
             gossip.publish(f"group/{part}", [acceptor.applied], acceptor.state["group"])
 
     def _on_gossiped_founding(self, key: str, founding: WireMap) -> None:
+        """Store a founding record received by gossip, unless this store already has one."""
         if self.founding is None:
             self.node.spawn(self.persist(FoundRecord(founding)))
 
@@ -144,6 +145,7 @@
             self._apply_to_part(record)
 
     def _apply_founding(self, founding: WireMap) -> None:
+        """Set the founding record, and the initial state of each part this store replicates."""
         self.founding = founding
         for part, group in founding["groups"].items():
             if any(member.identity == self.identity for member in group_from_wire(group)):
@@ -152,11 +154,13 @@
                     acceptor.state = initial_state(group)
 
     def _drop_hints(self, target: str, count: int) -> None:
+        """Remove the oldest `count` hints for a store."""
         remaining = self.hints.get(target, [])[count:]
         others = {name: requests for name, requests in self.hints.items() if name != target}
         self.hints = {**others, target: remaining} if remaining else others
 
     def _apply_to_part(self, record: PartRecord) -> None:
+        """Apply a record to its part's acceptor state; it also promises the record's ballot."""
         acceptor = self.parts.get(record.part)
         if acceptor is None:
             acceptor = self.parts[record.part] = AcceptorState()
@@ -197,6 +201,7 @@
         return acceptor
 
     def _check_identity(self, identity: str) -> None:
+        """Raise WrongIdentity unless a request is for this store's current identity."""
         if identity != self.identity:
             raise WrongIdentity(store=self.node.me.name, identity=self.identity)
 
--- a/quillring/quorum/acceptor/hint_store.py
+++ b/quillring/quorum/acceptor/hint_store.py
@@ -56,6 +56,7 @@
         return True
 
     def _count_bytes(self) -> int:
+        """Return the total size of the stored hints in bytes, from the cache if it is valid."""
         if self.stored_bytes is None:
             self.stored_bytes = sum(
                 len(cbor2.dumps(request))
--- a/quillring/quorum/acceptor/snapshot_transfer.py
+++ b/quillring/quorum/acceptor/snapshot_transfer.py
@@ -65,7 +65,7 @@
             self.incoming[record.part] = IncomingSnapshot(
                 record.ballot, record.log_index, StateBuilder()
             )
-        builder = self._builder_of(record.part, record.ballot, record.log_index)
+        builder = self._find_builder(record.part, record.ballot, record.log_index)
         if builder is None or builder.offset != record.offset:
             return None
         builder.add(record.data, record.next_offset)
@@ -82,7 +82,7 @@
         ):
             del self.incoming[part]
 
-    def _builder_of(self, part: str, ballot: Ballot, index: int) -> StateBuilder | None:
+    def _find_builder(self, part: str, ballot: Ballot, index: int) -> StateBuilder | None:
         """Return the builder of the snapshot with this ballot and index, or None."""
         incoming = self.incoming.get(part)
         if incoming is None or incoming.ballot != ballot or incoming.index != index:
@@ -133,7 +133,7 @@
         """
         request = InstallChunkRequest.from_wire(body)
         self.acceptors.check_ballot(request)
-        builder = self._builder_of(request.part, request.ballot, request.log_index)
+        builder = self._find_builder(request.part, request.ballot, request.log_index)
         expected_offset = SNAPSHOT_START if builder is None else builder.offset
         if request.offset not in (expected_offset, SNAPSHOT_START):
             raise Conflict(part=request.part, place=expected_offset.to_wire())
--- a/quillring/quorum/disk_health.py
+++ b/quillring/quorum/disk_health.py
@@ -57,10 +57,11 @@
                 self._publish()
 
     def _publish(self) -> None:
+        """Log the state of this store's disk and publish it by gossip."""
         self.sequence += 1
         me = self.node.me
         self.node.log(
-            "warning", "disk of %s: %s", me.name, self.log.error or "writes succeed again"
+            "warning", "disk of store %s: %s", me.name, self.log.error or "writes succeed again"
         )
         report = DiskReport(me.incarnation, self.is_failing)
         version = [me.incarnation, self.sequence]
--- a/quillring/quorum/founding/bootstrap.py
+++ b/quillring/quorum/founding/bootstrap.py
@@ -1,4 +1,4 @@
-"""The first start of a fleet: the first seed founds it, and the other seeds stand by in turn."""
+"""The first start of a fleet: the first seed founds it; if it fails, the others try in turn."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     gossip, bounds = node.find("gossip"), node.bounds
     turn_seconds = bounds.heartbeat_interval * SEED_TURN_HEARTBEATS
     stable_seconds = bounds.heartbeat_interval * ROSTER_STABLE_HEARTBEATS
-    turn_at = node.now() + turn_seconds * seed_position(node)
+    first_attempt_time = node.now() + turn_seconds * seed_position(node)
     names: tuple[str, ...] = ()
     stable_since = node.now()
     while gossip.get("founding") is None:
@@ -48,17 +48,17 @@
         store_names = tuple(store.name for store in stores)
         if store_names != names:
             names, stable_since = store_names, now
-        if now < turn_at or now - stable_since < stable_seconds or not stores:
+        if now < first_attempt_time or now - stable_since < stable_seconds or not stores:
             continue
         if (
             can_survive_zone_loss([store.zone for store in stores], size)
-            or now >= turn_at + turn_seconds
+            or now >= first_attempt_time + turn_seconds
         ):
             group_size = min(size, _largest_odd(len(stores)))
             try:
                 yield from found_fleet(node, part_count, group_size, stores, agree_on_founding)
             except QuillringError as error:
-                node.log("warning", "founding: %s", error)
+                node.log("warning", "attempt to found the fleet failed: %s", error)
 
 
 def _largest_odd(count: int) -> int:
--- a/quillring/quorum/founding/founding_vote.py
+++ b/quillring/quorum/founding/founding_vote.py
@@ -97,7 +97,9 @@
                     yield from self._keep(vote, vote)
                 return
             except QuillringError as error:
-                self.node.log("debug", "founding: witness: %s", error)
+                self.node.log(
+                    "debug", "registering the first start at the witness failed: %s", error
+                )
             yield Sleep(self.node.bounds.heartbeat_interval / 4)
 
     def _recall(self) -> Coroutine:
@@ -152,7 +154,7 @@
 
     def on_recall(self, body: Any, origin: str) -> list[Any] | None:
         """Return the newest vote on disk, or None."""
-        vote = self._newest()
+        vote = self._newest_vote()
         return None if vote is None else vote.to_wire()
 
     def on_keep(self, body: Sequence[Any], origin: str) -> bool:
@@ -160,7 +162,7 @@
 
         After a torn write the previous vote is still in the other file.
         """
-        vote, stored = Vote.from_wire(body), self._newest()
+        vote, stored = Vote.from_wire(body), self._newest_vote()
         if vote.number != (0 if stored is None else stored.number) + 1:
             raise Conflict(reason="the vote has changed")
         data = cbor2.dumps(vote.to_wire())
@@ -168,7 +170,8 @@
         self.disk.write(VOTE_FILES[vote.number % 2], checksum + data)
         return True
 
-    def _newest(self) -> Vote | None:
+    def _newest_vote(self) -> Vote | None:
+        """Return the readable vote with the highest number, or None."""
         votes = [vote for vote in map(self._read, VOTE_FILES) if vote is not None]
         return max(votes, key=lambda vote: vote.number, default=None)
 
@@ -191,19 +194,21 @@
     """
     ballot = node.find("elector").next_ballot()
     request = VotePrepareRequest(ballot)
-    answers = yield from _ask_seeds(node, "founding.prepare", request.to_wire())
+    answers = yield from _call_seeds(node, "founding.prepare", request.to_wire())
     promises = [VotePromise.from_wire(answer) for answer in answers]
     highest = max(promises, key=lambda promise: promise.accepted)
     if highest.accepted > NO_BALLOT and highest.founding is not None:
         founding = highest.founding
-    yield from _ask_seeds(node, "founding.accept", VoteAcceptRequest(ballot, founding).to_wire())
+    yield from _call_seeds(node, "founding.accept", VoteAcceptRequest(ballot, founding).to_wire())
     return founding
 
 
-def _ask_seeds(node: Node, service: str, body: WireMap) -> Coroutine:
+def _call_seeds(node: Node, service: str, body: WireMap) -> Coroutine:
     """Call all seeds; return the replies of at least a majority, or raise NoMajority."""
     addresses, roster = set(node.find("nifty").seeds), node.find("nifty").roster
-    names = {name for at in addresses for name in roster.addresses.get(tuple(at), ())[-1:]}
+    names = {
+        name for address in addresses for name in roster.addresses.get(tuple(address), ())[-1:]
+    }
     needed = len(addresses) // 2 + 1
     calls = [(name, service, body) for name in sorted(names)]
     replies = yield from node.gather(calls, needed, node.bounds.propagation)
--- a/quillring/quorum/identity.py
+++ b/quillring/quorum/identity.py
@@ -1,4 +1,4 @@
-"""Store identities: an emptied disk gets a new one, so the store cannot vote as its old self."""
+"""Store identities: an emptied disk gets a new one, so the store cannot vote under the old one."""
 
 from quillring.kernel.errors import QuillringError
 
--- a/quillring/quorum/leader/anti_entropy.py
+++ b/quillring/quorum/leader/anti_entropy.py
@@ -89,6 +89,7 @@
         return {n: r for n, r in replies.items() if not isinstance(r, QuillringError)}
 
     def _repair_lagging(self) -> Coroutine:
+        """Send each lagging follower that is not in backoff the entries that it lacks."""
         index = self.machine.last_applied
         applied = yield from self.applied_index_by_store()
         for member in self.caller.group:
@@ -103,10 +104,12 @@
                 self._back_off(member, error)
 
     def _is_backing_off(self, member: GroupMember) -> bool:
+        """Return whether the retry delay of a follower has not passed yet."""
         backoff = self.backoffs.get(member.name)
         return backoff is not None and self.caller.node.now() < backoff.until
 
     def _back_off(self, member: GroupMember, error: QuillringError) -> None:
+        """Start the retry delay of a follower after a failed catch-up, and log the error."""
         node, previous = self.caller.node, self.backoffs.get(member.name)
         seconds = node.bounds.heartbeat_interval / 2 if previous is None else previous.seconds * 2
         seconds = min(seconds, node.bounds.propagation * 2)
--- a/quillring/quorum/leader/command_queue.py
+++ b/quillring/quorum/leader/command_queue.py
@@ -74,9 +74,10 @@
         answered within `seconds`.
         """
         yield Wait(pending[-1].answer_signal, seconds)
-        return [self._answer_of(each.answer_signal) for each in pending]
+        return [self._answer_or_raise(each.answer_signal) for each in pending]
 
-    def _answer_of(self, answer_signal: Signal) -> Any:
+    def _answer_or_raise(self, answer_signal: Signal) -> Any:
+        """Return a command's answer; raise its error, or NoMajority if there is none yet."""
         if not answer_signal.is_set:
             raise NoMajority(part=self.part)
         if isinstance(answer_signal.value, QuillringError):
--- a/quillring/quorum/leader/follower_read.py
+++ b/quillring/quorum/leader/follower_read.py
@@ -68,7 +68,7 @@
     if sorted(group_from_wire(newest.group)) != sorted(group):
         return None
     applied, answer = newest.applied, newest.answer
-    chosen = _chosen_beyond(replies, applied, majority(group))
+    chosen = _chosen_entries_after(replies, applied, majority(group))
     if chosen:
         applied, answer = chosen[-1].log_index, chosen[-1].answer
     undecided_lots = {
@@ -80,7 +80,7 @@
     return answer
 
 
-def _chosen_beyond(
+def _chosen_entries_after(
     replies: Sequence[FollowerReadReply], applied: int, needed: int
 ) -> list[UncommittedAnswer]:
     """Return the longest run of entries beyond `applied` that `needed` stores accepted.
--- a/quillring/quorum/leader/membership_change.py
+++ b/quillring/quorum/leader/membership_change.py
@@ -31,14 +31,14 @@
 class GroupChange(NamedTuple):
     """A change of one part's group: a store joins, a store leaves, or one replaces another.
 
-    `group` is the new group. `is_leaving_lost` is True if the leaving store is unreachable, or if
-    its disk fails or was emptied, so that it does not count as having any entry.
+    `group` is the new group. `is_leaving_store_lost` is True if the leaving store is unreachable,
+    or if its disk fails or was emptied; it then does not count as having any entry.
     """
 
     group: tuple[GroupMember, ...]
     joining: GroupMember | None = None
     leaving: GroupMember | None = None
-    is_leaving_lost: bool = False
+    is_leaving_store_lost: bool = False
 
     def commands(self, former_group: Group) -> list[dict[str, Any]]:
         """Return the commands of the change, for one log entry; each adds or removes one member."""
@@ -48,7 +48,7 @@
         steps.append(self.group)
         return [{"do": "group.change", "group": group_to_wire(group)} for group in steps]
 
-    def keeps_committed_entries(
+    def preserves_committed_entries(
         self, applied: dict[str, int], index: int, reaches: Callable[[str], bool]
     ) -> bool:
         """Return whether the new group has every entry committed up to an index on disk.
@@ -61,18 +61,18 @@
         """
         others = [member.name for member in self.group if member != self.joining]
         up_to_date = [name for name in others if applied.get(name, -1) >= index]
-        if self.is_leaving_lost:
+        if self.is_leaving_store_lost:
             return len(up_to_date) + (self.joining is not None) >= majority(self.group)
         return all(name in up_to_date for name in others if reaches(name))
 
 
-def make_group_change(
+def build_group_change(
     group: Group,
     joining: GroupMember | None = None,
     leaving: GroupMember | None = None,
-    is_leaving_lost: bool = False,
+    is_leaving_store_lost: bool = False,
 ) -> GroupChange:
     """Return the change of a group in which one store joins, one leaves, or both."""
     staying = [member for member in group if member != leaving]
     joined = [joining] if joining is not None else []
-    return GroupChange((*staying, *joined), joining, leaving, is_leaving_lost)
+    return GroupChange((*staying, *joined), joining, leaving, is_leaving_store_lost)
--- a/quillring/quorum/leader/membership_repair.py
+++ b/quillring/quorum/leader/membership_repair.py
@@ -8,7 +8,7 @@
 from quillring.kernel.errors import QuillringError
 from quillring.nifty.graph import rendezvous_score
 from quillring.quorum.disk_health import is_disk_failing
-from quillring.quorum.leader.membership_change import make_group_change
+from quillring.quorum.leader.membership_change import build_group_change
 from quillring.quorum.leader.retirement_check import agrees_to_join
 from quillring.quorum.parts import majority
 from quillring.quorum.retirement_orders import is_retirement_ordered
@@ -99,6 +99,10 @@
             self.parts_under_repair.discard(leader.part)
 
     def _update_lost_since(self) -> None:
+        """Record since when each store is unreachable or its disk fails.
+
+        A store lost only by a refused connection counts once the link timeout has passed too.
+        """
         nifty, now = self.node.find("nifty"), self.node.now()
         store_names = [m.name for m in nifty.roster.members.values() if m.role == "store"]
         self.lost_since = {
@@ -118,7 +122,7 @@
         yield from leader.repair_followers()
         index = leader.index
         applied = yield from leader.applied_index_by_store()
-        return change.keeps_committed_entries(applied, index, self.node.find("nifty").reaches)
+        return change.preserves_committed_entries(applied, index, self.node.find("nifty").reaches)
 
     def _invite(self, leader: PartLeader, store: GroupMember) -> Coroutine:
         """Ask a store to join, and bring it up to date; return whether both succeeded.
@@ -178,14 +182,16 @@
         leaving = [*lost, *(m for m in group if self.is_retired(m) and m not in lost)]
         if len(group) > size:
             surplus = (leaving or members_in_fullest_zones(group) or group[-1:])[0]
-            return make_group_change(group, leaving=surplus, is_leaving_lost=surplus in lost)
+            return build_group_change(group, leaving=surplus, is_leaving_store_lost=surplus in lost)
         if len(group) < size:
-            return make_group_change(group, joining=spare) if spare else None
+            return build_group_change(group, joining=spare) if spare else None
         if leaving and spare:
-            return make_group_change(group, spare, leaving[0], leaving[0] in lost)
+            return build_group_change(group, spare, leaving[0], leaving[0] in lost)
         for member in leaving:
             if self.has_lost_data(member) or self.is_forced(member):
-                return make_group_change(group, leaving=member, is_leaving_lost=member in lost)
+                return build_group_change(
+                    group, leaving=member, is_leaving_store_lost=member in lost
+                )
         return None
 
     def _pick_spare(self, part: str, group: Group) -> GroupMember | None:
@@ -198,12 +204,12 @@
         used_zones = [m.zone for m in staying if not self.has_lost_data(m)]
         names = {m.name for m in group if not self.has_lost_data(m)}
         # No zone may have a majority of a full group, or its loss would stop the part.
-        most_in_zone = self.node.find("ownership").stores_per_part() // 2
+        max_members_per_zone = self.node.find("ownership").stores_per_part() // 2
         candidates = [
             store
             for store in self._working_stores()
             if store.name not in names
-            and used_zones.count(store.zone) < most_in_zone
+            and used_zones.count(store.zone) < max_members_per_zone
             and not self.is_retired(store)
         ]
         preferred_name = self.preferred_spares.get(part)
@@ -230,5 +236,5 @@
 def members_in_fullest_zones(group: Group) -> list[GroupMember]:
     """Return the members in the zones with the most members; none if each zone has only one."""
     zones = [member.zone for member in group]
-    most = max(map(zones.count, zones))
-    return [m for m in group if most > 1 and zones.count(m.zone) == most]
+    max_count = max(map(zones.count, zones))
+    return [m for m in group if max_count > 1 and zones.count(m.zone) == max_count]
--- a/quillring/quorum/leader/part_leader.py
+++ b/quillring/quorum/leader/part_leader.py
@@ -53,7 +53,7 @@
     """One term of a part's leader, under one ballot; a term that has ended is never resumed.
 
     A core that leads the part again creates a new term, whose higher ballot fences this one. The
-    new term continues from the ballot and the state machine of `former`, the core's last term.
+    new term continues from the ballot and the state machine of this core's `previous_term`.
     Owns the command queue, the entry in flight, and the leader's copy of the state machine.
     `confirmed_at` is the start of the latest call in which a majority confirmed the ballot, in
     seconds of the node's clock. Each listener is called with the leader and the commands of every
@@ -77,17 +77,17 @@
     )
 
     def __init__(
-        self, node: Node, part: str, group: WireGroup, former: PartLeader | None = None
+        self, node: Node, part: str, group: WireGroup, previous_term: PartLeader | None = None
     ) -> None:
         self.node = node
         self.part = part
-        if former is None:
+        if previous_term is None:
             self.caller = QuorumCaller(node, part, group)
             self.machine = StateMachine()
         else:
-            highest_number = former.caller.highest_seen_ballot_number
-            self.caller = QuorumCaller(node, part, group, former.ballot, highest_number)
-            self.machine = former.machine.copy()
+            highest_number = previous_term.caller.highest_seen_ballot_number
+            self.caller = QuorumCaller(node, part, group, previous_term.ballot, highest_number)
+            self.machine = previous_term.machine.copy()
         self.queue = CommandQueue(part)
         self.in_flight = InFlight(node, part)
         self.election_progress = ElectionProgress(node, part)
@@ -121,7 +121,7 @@
         return self.machine.state
 
     def is_term_active(self) -> bool:
-        """Return whether this term leads the part, as far as this core knows; it may be fenced."""
+        """Return whether this term has not ended; another core may already have fenced it."""
         return self.is_leader
 
     def has_lease(self) -> bool:
@@ -263,6 +263,7 @@
         return answers
 
     def _replicate_queued(self) -> Coroutine:
+        """Replicate the next entry of queued commands, and set the answer or error of each."""
         batch = self.queue.take_batch()
         commands = [pending.command for pending in batch]
         try:
@@ -291,6 +292,7 @@
             raise Fenced(part=self.part, ballot=higher_ballot.to_wire())
 
     def _send_commit(self) -> None:
+        """Send the committed index to the group, without waiting for replies."""
         for target, service, body in self.caller.calls(CommitRequest, committed=self.index):
             self.node.send_oneway(target, service, body)
 
--- a/quillring/quorum/leader/quorum_call.py
+++ b/quillring/quorum/leader/quorum_call.py
@@ -115,10 +115,10 @@
             highest_number = max(int(ballot[0]) for ballot in higher_ballots)
             self.highest_seen_ballot_number = max(self.highest_seen_ballot_number, highest_number)
             raise Fenced(part=self.part, ballot=max(higher_ballots))
-        good_replies = {n: r for n, r in replies.items() if not isinstance(r, QuillringError)}
-        if len(good_replies) < needed:
+        successful_replies = {n: r for n, r in replies.items() if not isinstance(r, QuillringError)}
+        if len(successful_replies) < needed:
             errors = [r for r in replies.values() if isinstance(r, QuillringError)]
-            raise NoMajority(part=self.part, heard=sorted(good_replies)) from ExceptionGroup(
+            raise NoMajority(part=self.part, heard=sorted(successful_replies)) from ExceptionGroup(
                 f"stores of {self.part}", errors
             )
-        return good_replies
+        return successful_replies
--- a/quillring/quorum/leader/retirement_check.py
+++ b/quillring/quorum/leader/retirement_check.py
@@ -1,4 +1,4 @@
-"""Retirement check: whether a retired store may be removed, and why the answer stays valid.
+"""Retirement check: whether a retired store may be removed, and why the result remains valid.
 
 A store is safe to remove once these two conditions are observed, in this order:
 
@@ -126,7 +126,7 @@
     parts = ownership.parts()
     outcomes: dict[str, Any] = {}
 
-    def ask_part(part: str) -> Coroutine:
+    def fetch_status(part: str) -> Coroutine:
         try:
             outcomes[part] = yield from ownership.call_leader(part, "part.whole", {}, seconds)
         except QuillringError as error:
@@ -135,7 +135,7 @@
             done_signal.set()
 
     for part in parts:
-        node.spawn(ask_part(part))
+        node.spawn(fetch_status(part))
     yield Wait(done_signal, seconds * 2)
     unanswered = [part for part in parts if part not in outcomes]
     if unanswered:
--- a/quillring/quorum/leader/state_fetch.py
+++ b/quillring/quorum/leader/state_fetch.py
@@ -1,4 +1,4 @@
-"""How a new leader gets the newest applied state: its own copy, missing entries, or a snapshot.
+"""Fetches the newest applied state for a new leader: missing entries if cached, else a snapshot.
 
 Only missing data is fetched. A snapshot is fetched in chunks of bounded size, one at a time, so
 that message size does not grow with a part's state.
@@ -47,12 +47,14 @@
         machine = self.machine
         if machine.state is not None and machine.last_applied >= newest:
             return
-        holders = [store for store, promise in known.items() if promise.applied == newest]
-        sent_states = [known[store].state for store in holders if known[store].state is not True]
+        newest_stores = [store for store, promise in known.items() if promise.applied == newest]
+        sent_states = [
+            known[store].state for store in newest_stores if known[store].state is not True
+        ]
         if sent_states:
             machine.install(newest, sent_states[0])
             return
-        for store in nearest_first(self.node, holders):
+        for store in nearest_first(self.node, newest_stores):
             self.progress.enter(STATE, [store])
             try:
                 if machine.state is not None and (yield from self._adopt_entries(store, newest)):
--- a/quillring/quorum/log_cache.py
+++ b/quillring/quorum/log_cache.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from quillring.quorum.messages import Batch, WireEntry
 
-MAX_ENTRIES = 4096
+MAX_CACHED_ENTRIES = 4096
 MAX_BYTES = 12 << 20
 
 
@@ -30,7 +30,7 @@
 
 
 class LogCache:
-    """Consecutive applied entries: at most MAX_ENTRIES, and at most `max_bytes` in total.
+    """Consecutive applied entries: at most MAX_CACHED_ENTRIES, and at most `max_bytes` in total.
 
     `total_bytes` is the total size of their encoded batches.
     """
@@ -63,7 +63,7 @@
         entry = AppliedEntry.from_batch(log_index, batch)
         self.entries.append(entry)
         self.total_bytes += entry.batch_bytes
-        self._trim()
+        self._evict_oldest()
 
     def prepend(self, entries: list[WireEntry]) -> None:
         """Insert [[index, batch], ...] before the oldest entry, unless that would leave a gap."""
@@ -76,14 +76,15 @@
             entry = AppliedEntry.from_batch(log_index, batch)
             self.entries.appendleft(entry)
             self.total_bytes += entry.batch_bytes
-        self._trim()
+        self._evict_oldest()
 
     def bytes_after(self, applied: int) -> int:
         """Return the total size in bytes of the cached entries after index `applied`."""
         return sum(entry.batch_bytes for entry in self.entries if entry.log_index > applied)
 
-    def _trim(self) -> None:
-        while len(self.entries) > MAX_ENTRIES or self.total_bytes > self.max_bytes:
+    def _evict_oldest(self) -> None:
+        """Remove the oldest entries until the limits are met."""
+        while len(self.entries) > MAX_CACHED_ENTRIES or self.total_bytes > self.max_bytes:
             self.total_bytes -= self.entries.popleft().batch_bytes
 
     def clear(self) -> None:
--- a/quillring/quorum/messages.py
+++ b/quillring/quorum/messages.py
@@ -45,6 +45,7 @@
 
 
 def _header_to_wire(request: LeaderRequest) -> WireMap:
+    """Return the wire form of the fields that all requests of a leader have."""
     return {
         "part": request.part,
         "ballot": request.ballot.to_wire(),
@@ -262,7 +263,7 @@
 
 
 class Promise(NamedTuple):
-    """Phase 1b of Paxos, the answer to `quorum.prepare`: what the acceptor has of the part.
+    """Phase 1b of Paxos, the answer to `quorum.prepare`: the acceptor's copy of the part.
 
     `state` is the complete state after the entry `applied`, or None if the store has none; in a
     brief answer, True means that a state exists. `accepted` are the entries after `applied`.
--- a/quillring/quorum/parts.py
+++ b/quillring/quorum/parts.py
@@ -51,22 +51,22 @@
         return None
     # A store's round is the number of higher ranked stores in its zone, so that each zone
     # contributes at most one store per round.
-    rounds = [zones[:place].count(zone) for place, zone in enumerate(zones)]
+    rounds = [zones[:rank].count(zone) for rank, zone in enumerate(zones)]
     by_round = sorted(zip(rounds, ranked_stores), key=lambda ranked: ranked[0])
     return [store for _, store in by_round[:size]]
 
 
 def can_survive_zone_loss(zones: list[str], size: int) -> bool:
-    """Return whether a group of `size` stores can keep a majority when any one zone is lost.
+    """Return whether a group of `size` stores retains a majority when any one zone is lost.
 
     `zones` has the zone of each available store.
     """
     counts = [zones.count(zone) for zone in set(zones)]
     max_in_one_zone = next(
         (
-            most_per_zone
-            for most_per_zone in range(1, size + 1)
-            if sum(min(most_per_zone, count) for count in counts) >= size
+            stores_per_zone
+            for stores_per_zone in range(1, size + 1)
+            if sum(min(stores_per_zone, count) for count in counts) >= size
         ),
         size,
     )
--- a/quillring/rollout/commands.py
+++ b/quillring/rollout/commands.py
@@ -30,7 +30,7 @@
     is_final = True
 
     @classmethod
-    def because_of(cls, faults: Iterable[Fault]) -> BadConfiguration:
+    def from_faults(cls, faults: Iterable[Fault]) -> BadConfiguration:
         """Return the error that lists these faults."""
         return cls(faults=[fault.to_wire() for fault in faults])
 
@@ -60,7 +60,7 @@
         configuration = merge(state["layout"] or EMPTY_CONFIGURATION, adoption.change)
     faults = find_faults(configuration)
     if faults:
-        raise BadConfiguration.because_of(faults)
+        raise BadConfiguration.from_faults(faults)
     version = state["version"] + 1
     recorded_changes = dict([*changes.items(), (change_id, version)][-MAX_RECORDED_CHANGES:])
     recorded_digests = {name: digests[name] for name in recorded_changes if name in digests}
--- a/quillring/rollout/configuration_versions.py
+++ b/quillring/rollout/configuration_versions.py
@@ -52,11 +52,11 @@
         raise Conflict(winning_edition=current_number, base_edition=adoption.base_number)
     faults = [*number_faults(number, current_number), *command_faults(adoption, configuration)]
     if faults:
-        raise BadConfiguration.because_of(faults)
+        raise BadConfiguration.from_faults(faults)
     new_configuration = apply_version(configuration, adoption)
     faults = cross_item_faults(new_configuration)
     if faults:
-        raise BadConfiguration.because_of(faults)
+        raise BadConfiguration.from_faults(faults)
     recorded_digests = dict([*digests.items(), (str(number), digest)][-MAX_RECORDED_VERSIONS:])
     new_state = {
         **state,
--- a/quillring/rollout/freshness.py
+++ b/quillring/rollout/freshness.py
@@ -130,6 +130,7 @@
             yield from self._poll_silent(reports)
 
     def _fetch_periodically(self) -> Coroutine:
+        """Fetch newer configurations every two gossip intervals; never returns."""
         while True:
             yield Sleep(self.node.bounds.gossip_interval * 2)
             try:
--- a/quillring/rollout/messages.py
+++ b/quillring/rollout/messages.py
@@ -181,8 +181,8 @@
     """`store.mark`: retire a store, or cancel that.
 
     `counted` is {store: zone} of the stores that the submitting node counts as remaining, or None
-    to skip the check of their number. `group_size` is the number of stores that hold each part.
-    `seen_version` is the fencing token, as in ZoneOrder.
+    to skip the check of their number. `group_size` is the number of stores that replicate each
+    part. `seen_version` is the fencing token, as in ZoneOrder.
     """
 
     store: str
--- a/quillring/rollout/operator_orders.py
+++ b/quillring/rollout/operator_orders.py
@@ -57,7 +57,7 @@
 def check_remaining(state: WireMap, store: str, counted: Mapping[str, str], size: int) -> None:
     """Raise Conflict unless enough of the counted stores remain once `store` is retired too.
 
-    `counted` is {store: zone}, `size` the number of stores that hold each part.
+    `counted` is {store: zone}, `size` the number of stores that replicate each part.
     """
     retired_names = {store, *retiring_stores(state)}
     remaining = [zone for name, zone in counted.items() if name not in retired_names]
--- a/quillring/rollout/snapshot.py
+++ b/quillring/rollout/snapshot.py
@@ -85,6 +85,7 @@
             gossip.remaining_sends[GOSSIP_KEY] = 1
 
     def _on_record(self, key: str, fields: list[Any]) -> None:
+        """Replace the snapshot by a gossiped record if its log index is higher."""
         record = ConfigurationRecord.from_wire(fields)
         if record.log_index > self.index:
             self.index, self.version = record.log_index, record.version
@@ -102,13 +103,14 @@
 
     def is_drained(self, zone: str) -> bool:
         """Return whether operators ordered the zone's replicas to be drained."""
-        return bool(self._order(zone).get("emptied"))
+        return bool(self._zone_order(zone).get("emptied"))
 
     def is_zone_draining(self, zone: str) -> bool:
         """Return whether operators ordered the zone's nodes to be drained too."""
-        order = self._order(zone)
+        order = self._zone_order(zone)
         return bool(order.get("emptied") and order.get("nodes", True))
 
-    def _order(self, zone: str) -> WireMap:
+    def _zone_order(self, zone: str) -> WireMap:
+        """Return the drain order for a zone in the configuration, or an empty map."""
         order: WireMap = (self.configuration or {}).get("domains", {}).get(zone, {})
         return order
--- a/quillring/store/checkpointed_log.py
+++ b/quillring/store/checkpointed_log.py
@@ -170,9 +170,11 @@
             self.log_size, self.log_count = log.valid_size, len(log.records)
 
     def _start_log(self, generation: int) -> None:
+        """Begin a log that continues no other one."""
         self._write_log_head(LogHead(generation))
 
     def _start_next_log(self) -> None:
+        """Begin the log of the next generation, which continues the current one."""
         self._write_log_head(LogHead(self.generation + 1, self.generation, self.log_size))
 
     def _write_log_head(self, head: LogHead) -> None:
@@ -205,6 +207,7 @@
         self._open_writer(self.log_count + pending_count)
 
     def _open_writer(self, covered_count: int) -> None:
+        """Create the writer of the next checkpoint from the current state."""
         rows = self.state_machine.rows()
         self.writer = CheckpointWriter(self.disk, self.generation + 1, rows, covered_count)
 
@@ -220,6 +223,7 @@
         return True
 
     def _finish_checkpoint(self) -> None:
+        """Write the remaining steps of the checkpoint in progress."""
         while not self._write_checkpoint_step():
             pass
 
@@ -259,6 +263,7 @@
                 yield Sleep(retry_seconds)
 
     def _write_pending(self) -> Coroutine:
+        """Write the pending records as one batch, and signal the outcome to their commits."""
         batch, self.pending = self.pending, []
         self.is_writing = True
         yield from self._wait_for_disk()
@@ -278,11 +283,13 @@
             self._run_disk_operation(self._write_checkpoint_step)
 
     def _is_checkpoint_due(self) -> bool:
+        """Return whether the log is over its limits, or its checkpoint was never completed."""
         if self.log_size > max(self.log_limit_bytes, self.checkpoint_size):
             return True
         return self.writer is None and self.log_generation > self.generation
 
     def _wait_for_disk(self) -> Coroutine:
+        """Sleep for the simulated duration of a sync; a real disk has none."""
         seconds = self.disk.sync_delay_seconds()
         if seconds:
             yield Sleep(seconds)
@@ -303,6 +310,7 @@
         return outcome
 
     def _append(self, data: bytes) -> None:
+        """Append a batch to the current log and sync it."""
         name, marked_data = log_file_name(self.log_generation), ENCODED_BATCH_MARK + data
         self.disk.append(name, marked_data)
         self.disk.sync(name)
--- a/quillring/store/disk.py
+++ b/quillring/store/disk.py
@@ -59,7 +59,7 @@
         self.log_name: str | None = None
         self.stepwise_file: FileIO | None = None
         try:
-            make_folder(os.path.abspath(folder))
+            create_folder(os.path.abspath(folder))
         except OSError as error:
             raise DiskError(folder=folder, reason=error.strerror) from error
 
@@ -169,17 +169,18 @@
 
 
 def _write_and_sync(file: FileIO, name: str, data: bytes) -> None:
+    """Write all bytes and sync the file; raises DiskError if only some were written."""
     if file.write(data) != len(data):
         raise DiskError(file=name, reason="short write")
     os.fsync(file.fileno())
 
 
-def make_folder(path: str) -> None:
+def create_folder(path: str) -> None:
     """Create a folder and its missing parents, and sync each parent folder."""
     if os.path.isdir(path):
         return
     parent = os.path.dirname(path)
-    make_folder(parent)
+    create_folder(parent)
     os.makedirs(path, exist_ok=True)
     sync_path(parent)
 
